--- a/src/rowanlab/fleet/forwarder.py
+++ b/src/rowanlab/fleet/forwarder.py
@@ -41,7 +41,7 @@
     OUT = "out"
 
 
-@message
+@message("CutRequest")
 class CutRequest(msgspec.Struct, frozen=True):
     """Cut a place (process or zone) off from other zones, or heal it."""
 
--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -72,7 +72,7 @@
     leaving: bool = False
 
 
-@message
+@message("FaultRequest")
 class FaultRequest(msgspec.Struct, frozen=True):
     """Set faults; None leaves one as it is."""
 
@@ -81,12 +81,12 @@
     leaving: bool | None = None
 
 
-@message
+@message("FiguresRequest")
 class FiguresRequest(msgspec.Struct, frozen=True):
     """Ask a member what it counted."""
 
 
-@message
+@message("MemberFigures")
 class MemberFigures(msgspec.Struct, frozen=True):
     """Answer to :class:`FiguresRequest`.
 
--- a/src/rowanrail/consensus/messages.py
+++ b/src/rowanrail/consensus/messages.py
@@ -54,7 +54,7 @@
     data: bytes
 
 
-@message
+@message("VoteRequest")
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True):
     """A candidate asks for a vote; ``preliminary`` asks without raising any term."""
 
@@ -65,7 +65,7 @@
     preliminary: bool
 
 
-@message
+@message("VoteReply")
 class VoteReply(msgspec.Struct, frozen=True, array_like=True):
     """Answer to :class:`VoteRequest`."""
 
@@ -75,7 +75,7 @@
     preliminary: bool
 
 
-@message
+@message("AppendRequest")
 class AppendRequest(msgspec.Struct, frozen=True, array_like=True):
     """Entries, or a heartbeat, from the leader. ``round`` confirms reads."""
 
@@ -88,7 +88,7 @@
     round: int
 
 
-@message
+@message("AppendReply")
 class AppendReply(msgspec.Struct, frozen=True, array_like=True):
     """Answer to :class:`AppendRequest`; ``match`` is a hint for retry when refused."""
 
@@ -99,7 +99,7 @@
     round: int
 
 
-@message
+@message("SnapshotRequest")
 class SnapshotRequest(msgspec.Struct, frozen=True):
     """The leader's snapshot for a node that is too far behind its log."""
 
--- a/src/rowanrail/control/messages.py
+++ b/src/rowanrail/control/messages.py
@@ -72,7 +72,7 @@
     changes: list[Change]
 
 
-@message
+@message("ApplyRequest")
 class ApplyRequest(msgspec.Struct, frozen=True):
     """An operator's configuration; sent to the leader."""
 
@@ -82,7 +82,7 @@
     configuration: Configuration
 
 
-@message
+@message("DrainRequest")
 class DrainRequest(msgspec.Struct, frozen=True):
     """Drain members (``group/member``), or end their drain."""
 
@@ -92,7 +92,7 @@
     drain: bool
 
 
-@message
+@message("RollbackRequest")
 class RollbackRequest(msgspec.Struct, frozen=True):
     """Make the contents of an earlier version a new version."""
 
@@ -101,19 +101,19 @@
     version: int
 
 
-@message
+@message("ChangeReply")
 class ChangeReply(msgspec.Struct, frozen=True):
     """Answer to the requests above."""
 
     outcome: Outcome
 
 
-@message
+@message("ReadRequest")
 class ReadRequest(msgspec.Struct, frozen=True):
     """Read the configuration and history through the leader."""
 
 
-@message
+@message("ReadReply")
 class ReadReply(msgspec.Struct, frozen=True):
     """Answer to :class:`ReadRequest`."""
 
@@ -158,7 +158,7 @@
     seconds_ago: float = 0.0
 
 
-@message
+@message("WatchRequest")
 class WatchRequest(msgspec.Struct, frozen=True):
     """A proxy's heartbeat and its question for a newer configuration.
 
@@ -172,7 +172,7 @@
     hold_seconds: float
 
 
-@message
+@message("WatchReply")
 class WatchReply(msgspec.Struct, frozen=True):
     """Answer to :class:`WatchRequest`: a delta, or the whole configuration, or nothing newer.
 
@@ -188,12 +188,12 @@
     users: dict[str, int] = {}
 
 
-@message
+@message("ReportsRequest")
 class ReportsRequest(msgspec.Struct, frozen=True):
     """Ask a control node for the proxies that it knows."""
 
 
-@message
+@message("ReportsReply")
 class ReportsReply(msgspec.Struct, frozen=True):
     """Answer to :class:`ReportsRequest`."""
 
@@ -202,31 +202,31 @@
     reports: list[ProxyReport]
 
 
-@message
+@message("CensusRequest")
 class CensusRequest(msgspec.Struct, frozen=True):
     """A control node asks another how many of its proxies use each group."""
 
 
-@message
+@message("CensusReply")
 class CensusReply(msgspec.Struct, frozen=True):
     """Answer to :class:`CensusRequest`: number of proxies by group."""
 
     users: dict[str, int]
 
 
-@message
+@message("BarrierRequest")
 class BarrierRequest(msgspec.Struct, frozen=True):
     """Ask the leader for the newest accepted version."""
 
 
-@message
+@message("BarrierReply")
 class BarrierReply(msgspec.Struct, frozen=True):
     """Answer to :class:`BarrierRequest`: an index that holds all accepted changes."""
 
     index: int
 
 
-@message
+@message("JoinRequest")
 class JoinRequest(msgspec.Struct, frozen=True):
     """A node with an empty data folder asks to be admitted."""
 
@@ -236,7 +236,7 @@
     cluster: str
 
 
-@message
+@message("NodesRequest")
 class NodesRequest(msgspec.Struct, frozen=True):
     """Ask for the control nodes, or change them (``add`` or ``remove`` by name)."""
 
@@ -255,7 +255,7 @@
     answered_seconds_ago: float
 
 
-@message
+@message("NodesReply")
 class NodesReply(msgspec.Struct, frozen=True):
     """Answer to :class:`NodesRequest`, and to :class:`JoinRequest`."""
 
@@ -263,14 +263,14 @@
     nodes: list[NodeView]
 
 
-@message
+@message("PeerConfigurationRequest")
 class PeerConfigurationRequest(msgspec.Struct, frozen=True):
     """A proxy asks another proxy for the configuration that it has in force."""
 
     zone: str
 
 
-@message
+@message("PeerConfigurationReply")
 class PeerConfigurationReply(msgspec.Struct, frozen=True):
     """Answer to :class:`PeerConfigurationRequest`."""
 
--- a/src/rowanrail/coordination/messages.py
+++ b/src/rowanrail/coordination/messages.py
@@ -109,7 +109,7 @@
 # Messages to the leader
 
 
-@message
+@message("PutRequest")
 class PutRequest(msgspec.Struct, frozen=True):
     """Accept a configuration."""
 
@@ -117,7 +117,7 @@
     document: bytes
 
 
-@message
+@message("PutReply")
 class PutReply(msgspec.Struct, frozen=True):
     """The configuration is durable on a majority, or a higher one is."""
 
@@ -125,12 +125,12 @@
     version: int
 
 
-@message
+@message("DocumentRequest")
 class DocumentRequest(msgspec.Struct, frozen=True):
     """Read the newest configuration, confirmed by a majority."""
 
 
-@message
+@message("DocumentReply")
 class DocumentReply(msgspec.Struct, frozen=True):
     """The newest configuration; version 0 if there is none."""
 
@@ -138,26 +138,26 @@
     document: bytes
 
 
-@message
+@message("AnnounceRequest")
 class AnnounceRequest(msgspec.Struct, frozen=True):
     """Make what a member announced durable."""
 
     record: MemberRecord
 
 
-@message
+@message("RemoveRequest")
 class RemoveRequest(msgspec.Struct, frozen=True):
     """Make a member's end durable."""
 
     instance: str
 
 
-@message
+@message("Done")
 class Done(msgspec.Struct, frozen=True):
     """The request was carried out."""
 
 
-@message
+@message("HeartbeatNotice")
 class HeartbeatNotice(msgspec.Struct, frozen=True, array_like=True):
     """A member whose record did not change is alive."""
 
@@ -165,7 +165,7 @@
     sequence: int
 
 
-@message
+@message("GatewayReport")
 class GatewayReport(msgspec.Struct, frozen=True, array_like=True):
     """What a gateway sees; sent on to the leader.
 
@@ -211,7 +211,7 @@
     gone_others: list[str] = []
 
 
-@message
+@message("DirectoryRequest")
 class DirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
     """Tell what is newer than the gateway knows, within ``hold_seconds``.
 
@@ -236,7 +236,7 @@
     return zlib.crc32(" ".join(controls).encode())
 
 
-@message
+@message("DirectoryReply")
 class DirectoryReply(msgspec.Struct, frozen=True, array_like=True):
     """What is newer.
 
@@ -267,7 +267,7 @@
     plan: Plan | None = None
 
 
-@message
+@message("HeldRequest")
 class HeldRequest(msgspec.Struct, frozen=True, array_like=True):
     """Tell a gateway that has just started what your log holds, committed or not.
 
@@ -279,7 +279,7 @@
     takes_parts: bool = False
 
 
-@message
+@message("HeldReply")
 class HeldReply(msgspec.Struct, frozen=True, array_like=True):
     """What a control node's log holds, whether or not it knows a leader.
 
--- a/src/rowanrail/rpc/codec.py
+++ b/src/rowanrail/rpc/codec.py
@@ -1,10 +1,12 @@
 """Encoding of messages between the system's own processes.
 
 A frame is MessagePack: protocol version, frame kind, call id, message tag and body.
-Message types are ``msgspec.Struct`` classes registered with :func:`message`.
+Message types are ``msgspec.Struct`` classes registered with :func:`message` under a tag. The tag is
+what peers of other versions know: a class may be renamed, its tag stays.
 """
 
 import enum
+from collections.abc import Callable
 from typing import TypeVar
 
 import msgspec
@@ -17,6 +19,7 @@
 MessageType = TypeVar("MessageType", bound=type[msgspec.Struct])
 
 _types: dict[str, type[msgspec.Struct]] = {}
+_tags: dict[type[msgspec.Struct], str] = {}
 _encoder = msgspec.msgpack.Encoder()
 
 
@@ -41,25 +44,33 @@
 _frame_decoder = msgspec.msgpack.Decoder(Frame)
 
 
-class Failure(msgspec.Struct, frozen=True):
-    """The reply to a request that the peer could not serve."""
+def message(tag: str) -> Callable[[MessageType], MessageType]:
+    """Return a class decorator that registers a message type under its tag on the wire.
 
-    reason: str
+    :raises ValueError: if another class holds the tag.
+    """
 
+    def decorate(message_type: MessageType) -> MessageType:
+        if _types.get(tag, message_type) is not message_type:
+            raise ValueError(f"message tag {tag!r} is registered twice")
+        _types[tag] = message_type
+        _tags[message_type] = tag
+        return message_type
 
-def message(message_type: MessageType) -> MessageType:
-    """Register a message type under its class name."""
-    _types[message_type.__name__] = message_type
-    return message_type
+    return decorate
 
 
-message(Failure)
+@message("Failure")
+class Failure(msgspec.Struct, frozen=True):
+    """The reply to a request that the peer could not serve."""
+
+    reason: str
 
 
 def encode_frame(kind: FrameKind, call: int, body: msgspec.Struct) -> bytes:
     """Return the bytes of a frame, without its length prefix."""
     raw = msgspec.Raw(_encoder.encode(body))
-    return _encoder.encode(Frame(PROTOCOL_VERSION, kind, call, type(body).__name__, raw))
+    return _encoder.encode(Frame(PROTOCOL_VERSION, kind, call, _tags[type(body)], raw))
 
 
 def decode_frame(data: bytes) -> tuple[FrameKind, int, msgspec.Struct]:
