--- a/src/rowanlab/documents.py
+++ b/src/rowanlab/documents.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from rowanrail.config import model, settings
-from rowanrail.control import events as _control_events
 from rowanrail.coordination import events as _coordination_events
 from rowanrail.gateway import events as _gateway_events
 from rowanrail.kernel import decisions as _decision_events
 from rowanrail.kernel.events import CATALOGUE
-from rowanrail.proxy import events as _proxy_events
+from rowanrail.sql_control import events as _control_events
+from rowanrail.sql_proxy import events as _proxy_events
 
 EVENT_MODULES = (
     _control_events,
--- a/src/rowanlab/fleet/faults.py
+++ b/src/rowanlab/fleet/faults.py
@@ -11,7 +11,7 @@
 from rowanlab.fleet.runner import send
 from rowanlab.standin.member import FaultRequest
 from rowanrail.kernel.errors import RowanrailError
-from rowanrail.proxy.directory import Machine, MachineList
+from rowanrail.sql_proxy.directory import Machine, MachineList
 
 
 def find(fleet: FleetFile, name: str) -> Process:
--- a/src/rowanlab/fleet/layout.py
+++ b/src/rowanlab/fleet/layout.py
@@ -16,8 +16,8 @@
 from rowanlab.standin.directory import DirectorySettings
 from rowanlab.standin.member import MemberSettings
 from rowanrail.config.settings import NodeAddress
-from rowanrail.proxy.core import hash_password
-from rowanrail.proxy.directory import Machine, MachineList
+from rowanrail.sql_proxy.core import hash_password
+from rowanrail.sql_proxy.directory import Machine, MachineList
 
 MYSQL_PORT = 3306
 RPC_PORT = 7000
--- a/src/rowanlab/simulator/backend.py
+++ b/src/rowanlab/simulator/backend.py
@@ -15,7 +15,7 @@
 from rowanrail.config.settings import NodeAddress
 from rowanrail.kernel.errors import BackendConnectError, BackendLostError, BackendRefusedError
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import (
+from rowanrail.sql_proxy.backend import (
     BackendConnection,
     BackendDriver,
     MemberStatus,
--- a/src/rowanlab/simulator/control_world.py
+++ b/src/rowanlab/simulator/control_world.py
@@ -12,8 +12,8 @@
 from rowanlab.simulator.world import World
 from rowanrail.config.model import Configuration, SiteSpec, UserSpec
 from rowanrail.config.settings import NodeAddress
-from rowanrail.control.messages import ApplyRequest, ChangeReply, ReadReply
 from rowanrail.kernel.registry import Registry
+from rowanrail.sql_control.messages import ApplyRequest, ChangeReply, ReadReply
 
 ZONES = ["z1", "z2", "z3", "z4", "z5"]
 CLOCK_RATES = (0.98, 1.02)
--- a/src/rowanlab/simulator/controls.py
+++ b/src/rowanlab/simulator/controls.py
@@ -14,16 +14,16 @@
 from rowanlab.simulator.world import World
 from rowanrail.config.model import Configuration, UserSpec
 from rowanrail.config.settings import ControlSettings, NodeAddress
-from rowanrail.control.messages import (
+from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
+from rowanrail.kernel.registry import Registry
+from rowanrail.sql_control.messages import (
     ApplyRequest,
     ChangeReply,
     ReadReply,
     ReadRequest,
     Verdict,
 )
-from rowanrail.control.node import ControlNode
-from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
-from rowanrail.kernel.registry import Registry
+from rowanrail.sql_control.node import ControlNode
 
 CALL_SECONDS = 3.0
 GIVE_UP_SECONDS = 30.0
--- a/src/rowanlab/simulator/coordination_world.py
+++ b/src/rowanlab/simulator/coordination_world.py
@@ -18,11 +18,13 @@
 from rowanrail.coordination.messages import PutReply
 from rowanrail.coordination.node import Coordinator
 from rowanrail.coordination.watches import CURRENT_SECONDS
-from rowanrail.gateway import channel as gateway_channel
-from rowanrail.gateway.model import Answer, ConfigurationFormat, MemberRecord
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.kernel.registry import Registry
+from rowanrail.members import channel as gateway_channel
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.routing import ConfigurationFormat
+from rowanrail.model.statements import Answer
 
 NODES = 3
 RPC_PORT = 7100
--- a/src/rowanlab/simulator/data_world.py
+++ b/src/rowanlab/simulator/data_world.py
@@ -23,7 +23,7 @@
 )
 from rowanrail.config.settings import NodeAddress
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import MemberRole
+from rowanrail.sql_proxy.backend import MemberRole
 
 ZONES = ["z1", "z2", "z3"]
 GROUP = "group"
--- a/src/rowanlab/simulator/event_clock.py
+++ b/src/rowanlab/simulator/event_clock.py
@@ -18,12 +18,12 @@
         return (self.due, self._order) < (other.due, other._order)
 
     def cancel(self) -> None:
-        """See :meth:`rowanrail.gateway.clock.Timer.cancel`."""
+        """See :meth:`rowanrail.kernel.clock.Timer.cancel`."""
         self.cancelled = True
 
 
 class EventClock:
-    """Implements :class:`rowanrail.gateway.clock.Clock`."""
+    """Implements :class:`rowanrail.kernel.clock.Scheduler`."""
 
     def __init__(self) -> None:
         self._now = 1000.0
--- a/src/rowanlab/simulator/gateway_keys.py
+++ b/src/rowanlab/simulator/gateway_keys.py
@@ -4,7 +4,7 @@
 
 from rowanlab.simulator.event_clock import EventClock
 from rowanrail.gateway.gateway import Gateway
-from rowanrail.gateway.model import RoutingConfiguration
+from rowanrail.model.routing import RoutingConfiguration
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 
 KEYS = {"k1": "t1", "k2": "t1", "k3": "t2", "k4": "t3", "k5": "t4"}
--- a/src/rowanlab/simulator/gateway_members.py
+++ b/src/rowanlab/simulator/gateway_members.py
@@ -10,16 +10,10 @@
 
 import msgspec
 
-from rowanrail.gateway.channel import Channel, MemberDriver, Wire
-from rowanrail.gateway.model import (
-    Answer,
-    Command,
-    CommandKind,
-    MemberRecord,
-    Refusal,
-    SessionState,
-)
-from rowanrail.proxy.backend import Position
+from rowanrail.members.channel import Channel, MemberDriver, Wire
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Command, CommandKind, Refusal, SessionState
 
 MEMBERS = 3
 DELAY_SECONDS = (0.0005, 0.02)
--- a/src/rowanlab/simulator/gateway_oracle.py
+++ b/src/rowanlab/simulator/gateway_oracle.py
@@ -3,7 +3,8 @@
 import msgspec
 
 from rowanlab.simulator.gateway_members import Execution
-from rowanrail.gateway.model import NOT_RUN, Answer, Consistency
+from rowanrail.model.routing import Consistency
+from rowanrail.model.statements import NOT_RUN, Answer
 
 
 class Asked(msgspec.Struct):
--- a/src/rowanlab/simulator/gateway_plans.py
+++ b/src/rowanlab/simulator/gateway_plans.py
@@ -5,8 +5,8 @@
 from rowanlab.simulator.event_clock import EventClock
 from rowanlab.simulator.gateway_members import SERVICE
 from rowanrail.gateway.gateway import Gateway
-from rowanrail.relay.neighbours import Neighbour
-from rowanrail.relay.placement import Part, parts_of
+from rowanrail.gateway.relay.neighbours import Neighbour
+from rowanrail.placement.hashed import Part, parts_of
 from rowanrail.scheduling.plan import Holding, PartPlan, Plan
 
 SPREAD_SECONDS = 0.5  # within which gateways hear of a plan
--- a/src/rowanlab/simulator/gateway_world.py
+++ b/src/rowanlab/simulator/gateway_world.py
@@ -10,28 +10,20 @@
 from rowanlab.simulator.gateway_oracle import Asked, GatewayOracle
 from rowanlab.simulator.gateway_plans import SimulatedPlans
 from rowanlab.simulator.relay_network import RelayNetwork
-from rowanrail.gateway.directory import Directory
+from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import (
-    Answer,
-    Consistency,
-    Route,
-    RoutingConfiguration,
-    ServiceSpec,
-    SessionState,
-    StatementKind,
-    TypedStatement,
-)
-from rowanrail.gateway.session import Session
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
+from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.neighbours import Neighbour, Neighbours
-from rowanrail.relay.placement import Population
-from rowanrail.relay.planned import PlannedHolders
-from rowanrail.relay.serving import Holder
+from rowanrail.model.routing import Consistency, Route, RoutingConfiguration, ServiceSpec
+from rowanrail.model.statements import Answer, SessionState, StatementKind, TypedStatement
+from rowanrail.placement.hashed import Population
+from rowanrail.placement.planned import PlannedHolders
 
 STALENESS_SECONDS = 0.5
 PAUSE_SECONDS = (0.002, 0.08)
--- a/src/rowanlab/simulator/permissive.py
+++ b/src/rowanlab/simulator/permissive.py
@@ -5,17 +5,21 @@
 
 import msgspec
 
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.policies import LearnerFirst, QuorumCheck
-from rowanrail.control.policies import ExpectedVersion, VersionMonotonic
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.model import Answer, Command, MemberRecord, Refusal
-from rowanrail.gateway.policies import KeyCheck, LeadershipProof, LinkOutcome, StateReplay
+from rowanrail.gateway.policies import KeyCheck, LinkOutcome, StateReplay
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.kernel.errors import CallerError, NotRunError
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import MemberStatus, Position
-from rowanrail.proxy.policies import (
+from rowanrail.members.channel import Channel
+from rowanrail.members.leadership import LeadershipProof
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Command, Refusal
+from rowanrail.sql_control.policies import ExpectedVersion
+from rowanrail.sql_proxy.backend import MemberStatus
+from rowanrail.sql_proxy.policies import (
     DrainWait,
     Freshness,
     LateAnswerDiscard,
--- a/src/rowanlab/simulator/promotion_world.py
+++ b/src/rowanlab/simulator/promotion_world.py
@@ -16,9 +16,9 @@
 from rowanlab.simulator.world import World
 from rowanrail.coordination.duty import Promoter, PromotionOutcome
 from rowanrail.coordination.member_questions import MemberStatus, StatusReader
-from rowanrail.gateway.model import Answer
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import Position
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer
 
 PROMOTE_SECONDS = 0.3
 CALL_SECONDS = 1.0
--- a/src/rowanlab/simulator/proxies.py
+++ b/src/rowanlab/simulator/proxies.py
@@ -13,18 +13,13 @@
 from rowanlab.simulator.loop import SimulatedProcess
 from rowanlab.simulator.network import Channel, ChannelLostError, Served, SimulatedNetwork
 from rowanlab.simulator.world import World
+from rowanrail.cluster.messages import ProxyReport
 from rowanrail.config.model import VersionedConfiguration
-from rowanrail.control.messages import ProxyReport
-from rowanrail.kernel.errors import (
-    BackendRefusedError,
-    CallerError,
-    NotRunError,
-    RowanrailError,
-)
+from rowanrail.kernel.errors import BackendRefusedError, CallerError, NotRunError, RowanrailError
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.config_watch import ConfigurationWatch
-from rowanrail.proxy.core import ProxyCore
-from rowanrail.proxy.session import Session
+from rowanrail.sql_proxy.config_watch import ConfigurationWatch
+from rowanrail.sql_proxy.core import ProxyCore
+from rowanrail.sql_proxy.session import Session
 
 CALLER_TIMEOUT_SECONDS = 8.0
 PROXIES = 3
--- a/src/rowanlab/simulator/relay_network.py
+++ b/src/rowanlab/simulator/relay_network.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
+from rowanrail.gateway.relay.link import Link
+from rowanrail.gateway.relay.messages import FromGateway, FromHolder
+from rowanrail.gateway.relay.neighbours import LinkOpener
+from rowanrail.gateway.relay.serving import Holder, ServedLink
 from rowanrail.kernel.clock import Clock
-from rowanrail.relay.link import Link
-from rowanrail.relay.messages import FromGateway, FromHolder
-from rowanrail.relay.neighbours import LinkOpener
-from rowanrail.relay.serving import Holder, ServedLink
 
 __all__ = ["RelayNetwork", "RelayOpener", "TwinLink"]
 
@@ -107,12 +107,12 @@
         self._served = holder.accept(self._to_gateway)
 
     def send(self, message: FromGateway) -> None:
-        """See :meth:`rowanrail.relay.link.LinkPort.send`."""
+        """See :meth:`rowanrail.gateway.relay.link.LinkPort.send`."""
         copy = _gateway_decoder.decode(_encoder.encode(message))
         self._deliver(lambda: self._to_holder(copy))
 
     def close(self) -> None:
-        """See :meth:`rowanrail.relay.link.LinkPort.close`."""
+        """See :meth:`rowanrail.gateway.relay.link.LinkPort.close`."""
         if not self._closed:
             self._closed = True
             self._network.clock.call_in(self._network.delay(), self._end_served)
--- a/src/rowanlab/standin/directory.py
+++ b/src/rowanlab/standin/directory.py
@@ -8,7 +8,7 @@
 
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.web import serve_http
-from rowanrail.proxy.directory import MachineList
+from rowanrail.sql_proxy.directory import MachineList
 
 
 class DirectorySettings(msgspec.Struct, frozen=True):
--- a/src/rowanlab/standin/engine.py
+++ b/src/rowanlab/standin/engine.py
@@ -8,7 +8,7 @@
 
 from rowanlab.standin.translate import to_sqlite
 from rowanrail.kernel.errors import BackendRefusedError
-from rowanrail.proxy.backend import Column, StatementResult
+from rowanrail.sql_proxy.backend import Column, StatementResult
 
 SYNTAX_ERROR_CODE = 1064
 DUPLICATE_KEY_CODE = 1062
--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -14,6 +14,9 @@
 import msgspec
 
 from rowanlab.standin.engine import Engine
+from rowanrail.cluster.folder import FolderOwner, join_until_admitted, open_folder
+from rowanrail.cluster.membership import MembershipManager, name_of
+from rowanrail.cluster.messages import JoinRequest, NodesRequest, ReportsReply, ReportsRequest
 from rowanrail.config.settings import NodeAddress
 from rowanrail.consensus.errors import NotLeaderError
 from rowanrail.consensus.machine import StateMachine
@@ -22,15 +25,13 @@
 from rowanrail.consensus.policies import LearnerFirst
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.storage import Identity, Storage
-from rowanrail.control.bootstrap import FolderOwner, join_until_admitted, open_folder
-from rowanrail.control.membership import MembershipManager, name_of
-from rowanrail.control.messages import JoinRequest, NodesRequest, ReportsReply, ReportsRequest
 from rowanrail.kernel.disk import Disk
 from rowanrail.kernel.errors import BackendRefusedError, TransportError
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import MemberRole, MemberStatus, Position
+from rowanrail.model.position import Position
 from rowanrail.rpc.codec import message
 from rowanrail.rpc.network import Listener, Network
+from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
 
 READ_ONLY_CODE = 1290
 LOCK_WAIT_CODE = 1205
--- a/src/rowanlab/standin/server.py
+++ b/src/rowanlab/standin/server.py
@@ -15,14 +15,15 @@
 from rowanrail.kernel.errors import BackendRefusedError
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.registry import Registry
+from rowanrail.model.position import Position
 from rowanrail.mysql.backend import STATUS_QUERY
 from rowanrail.mysql.errors import to_mysql_error
 from rowanrail.mysql.values import result_column
 from rowanrail.mysql.wire import ServedConnection, ServedSession, Server
-from rowanrail.proxy.backend import Column, MemberStatus, Position
-from rowanrail.proxy.core import hash_password
 from rowanrail.rpc.routed import RoutedNetwork
 from rowanrail.rpc.tcp import TcpNetwork, split_address
+from rowanrail.sql_proxy.backend import Column, MemberStatus
+from rowanrail.sql_proxy.core import hash_password
 
 _STATUS_COLUMNS = [
     result_column(Column(name, 253))
--- a/src/rowanlab/standin/session.py
+++ b/src/rowanlab/standin/session.py
@@ -5,7 +5,8 @@
 
 from rowanlab.standin.member import LOCK_WAIT_CODE, READ_ONLY_CODE, Member
 from rowanrail.kernel.errors import BackendRefusedError
-from rowanrail.proxy.backend import Position, StatementResult
+from rowanrail.model.position import Position
+from rowanrail.sql_proxy.backend import StatementResult
 
 _READ = re.compile(r"^\s*(?:SELECT|WITH|SHOW|VALUES|\()", re.IGNORECASE)
 _LOCKING = re.compile(r"\bFOR\s+(?:UPDATE|SHARE)\s*$", re.IGNORECASE)
--- a/src/rowanrail/cli/backup.py
+++ b/src/rowanrail/cli/backup.py
@@ -6,15 +6,15 @@
 
 from rowanrail.cli.output import ExitCode, fail
 from rowanrail.consensus.storage import Storage
-from rowanrail.control.backup import (
+from rowanrail.kernel.disk import FileDisk, ReadOnlyDisk
+from rowanrail.kernel.errors import StorageError
+from rowanrail.sql_control.backup import (
     RestoreOptions,
     decode_backup,
     encode_backup,
     make_backup,
     restore_backup,
 )
-from rowanrail.kernel.disk import FileDisk, ReadOnlyDisk
-from rowanrail.kernel.errors import StorageError
 
 
 @click.command()
--- a/src/rowanrail/cli/inspect.py
+++ b/src/rowanrail/cli/inspect.py
@@ -8,10 +8,10 @@
 from rowanrail.cli.inspect_load import inspect_load
 from rowanrail.cli.output import ExitCode, OutputFormat, fail, format_table, show
 from rowanrail.consensus.storage import Storage
-from rowanrail.control.policies import ExpectedVersion
-from rowanrail.control.state import ConfigurationState
 from rowanrail.kernel.disk import ReadOnlyDisk
 from rowanrail.kernel.errors import StorageError
+from rowanrail.sql_control.policies import ExpectedVersion
+from rowanrail.sql_control.state import ConfigurationState
 
 
 class FolderView(msgspec.Struct):
--- a/src/rowanrail/cli/main.py
+++ b/src/rowanrail/cli/main.py
@@ -55,7 +55,9 @@
 @click.option("--admin-listen", help="Overrides `admin_listen`.")
 def proxy(path: str, **overrides: Any) -> None:
     """Run a proxy until SIGTERM, which is a planned stop."""
-    from rowanrail.proxy.daemon import run_proxy
+    from rowanrail.mysql import backend as _backend_plugin  # noqa: F401
+    from rowanrail.mysql import frontend as _frontend_plugin  # noqa: F401
+    from rowanrail.sql_proxy.daemon import run_proxy
 
     settings: ProxySettings = _settings(path, Daemon.PROXY, overrides)
     configure_logging(settings.log.format, settings.log.level)
@@ -71,7 +73,7 @@
 @click.option("--http-listen", help="Overrides `http_listen`.")
 def control(path: str, bootstrap: bool, **overrides: Any) -> None:
     """Run a control node until SIGTERM."""
-    from rowanrail.control.daemon import run_control
+    from rowanrail.sql_control.daemon import run_control
 
     settings: ControlSettings = _settings(path, Daemon.CONTROL, overrides)
     configure_logging(settings.log.format, settings.log.level)
@@ -104,7 +106,7 @@
 @main.command("hash-password")
 def hash_password_command() -> None:
     """Print the hash of a password for a user's `password_hash`."""
-    from rowanrail.proxy.core import hash_password
+    from rowanrail.sql_proxy.core import hash_password
 
     click.echo(hash_password(read_password()))
 
--- a/src/rowanrail/control/bootstrap.py
+++ b/src/rowanrail/cluster/folder.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
+from rowanrail.cluster.events import JOIN_REFUSED, NODE_JOINING
+from rowanrail.cluster.messages import JoinRequest, ReportsReply, ReportsRequest
 from rowanrail.config.settings import NodeAddress
 from rowanrail.consensus.messages import Membership, Snapshot
 from rowanrail.consensus.policies import LearnerFirst
 from rowanrail.consensus.storage import Identity, Storage
-from rowanrail.control.events import JOIN_REFUSED, NODE_JOINING
-from rowanrail.control.messages import JoinRequest, ReportsReply, ReportsRequest
 from rowanrail.kernel.errors import RowanrailError, StorageError, TransportError
 from rowanrail.kernel.events import emit
 from rowanrail.rpc.network import Network
--- a/src/rowanrail/control/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
+from rowanrail.cluster.messages import JoinRequest, NodesReply, NodesRequest, NodeView
 from rowanrail.consensus.errors import NotLeaderError
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
 from rowanrail.consensus.raft_types import MembershipBusy
-from rowanrail.control.messages import JoinRequest, NodesReply, NodesRequest, NodeView
 from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
 
 CAUGHT_UP_ENTRIES = 10
--- a/src/rowanrail/coordination/announcements.py
+++ b/src/rowanrail/coordination/announcements.py
@@ -3,10 +3,10 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
+from rowanrail.coordination.commands import Announce, Command, Readmit, Remove
 from rowanrail.coordination.liveness import Liveness
-from rowanrail.coordination.messages import Announce, Command, Readmit, Remove
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.model.members import MemberRecord
 
 __all__ = ["Announcements"]
 
--- a/src/rowanrail/coordination/changes.py
+++ b/src/rowanrail/coordination/changes.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from rowanrail.coordination.messages import GatewayRecord
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.messages import GatewayRecord
+from rowanrail.model.members import MemberRecord
 
 __all__ = ["DirectoryChange", "GatewayStep", "MemberStep"]
 
--- a/src/rowanrail/coordination/duty.py
+++ b/src/rowanrail/coordination/duty.py
@@ -11,11 +11,8 @@
 from collections.abc import Callable
 
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.coordination.events import (
-    PROMOTION_ANSWERED,
-    PROMOTION_DECIDED,
-    PROMOTION_WAITS,
-)
+from rowanrail.coordination.commands import IntendPromotion, Promotion, SetGateways
+from rowanrail.coordination.events import PROMOTION_ANSWERED, PROMOTION_DECIDED, PROMOTION_WAITS
 from rowanrail.coordination.failover import (
     Action,
     AttemptView,
@@ -26,15 +23,16 @@
     report_view,
 )
 from rowanrail.coordination.member_questions import MemberQuestions, MemberStatus, StatusReader
-from rowanrail.coordination.messages import GatewayRecord, IntendPromotion, Promotion, SetGateways
 from rowanrail.coordination.service import CoordinationService
-from rowanrail.gateway.channel import MemberDriver
-from rowanrail.gateway.model import Command, CommandKind, MemberRecord
-from rowanrail.gateway.policies import LeadershipProof
-from rowanrail.gateway.primary import PrimaryTracker
-from rowanrail.gateway.primary_health import health_of
+from rowanrail.directory.messages import GatewayRecord
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
+from rowanrail.members.channel import MemberDriver
+from rowanrail.members.leadership import LeadershipProof
+from rowanrail.members.primary import PrimaryTracker
+from rowanrail.members.primary_health import health_of
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.statements import Command, CommandKind
 
 STEP_SECONDS = 0.1  # between looks at all services; a gap grows by half of it on average
 GATEWAYS_SECONDS = 1.0  # between comparisons of the gateways heard with those in the log
--- a/src/rowanrail/coordination/failover.py
+++ b/src/rowanrail/coordination/failover.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from rowanrail.gateway.model import MemberRecord, PrimaryHealth
-from rowanrail.proxy.backend import Position
+from rowanrail.model.members import MemberRecord, PrimaryHealth
+from rowanrail.model.position import Position
 
 FAILING_SECONDS = 0.25  # at one vantage point: a sample failed after 0.3 s, a second one nearly
 REPORT_LIVE_SECONDS = 2.5  # reports come each second; two and a half of them
--- a/src/rowanrail/coordination/forwarding.py
+++ b/src/rowanrail/coordination/forwarding.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from rowanrail.coordination.messages import GatewayReport
+from rowanrail.directory.messages import GatewayReport
 
 __all__ = ["CENSUS_SECONDS", "ReportForwarding"]
 
--- a/src/rowanrail/coordination/history.py
+++ b/src/rowanrail/coordination/history.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep
-from rowanrail.coordination.digests import Digest, RecordKind, digest_bytes
-from rowanrail.coordination.messages import GatewayRecord
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.digests import Digest, RecordKind, digest_bytes
+from rowanrail.directory.messages import GatewayRecord
+from rowanrail.model.members import MemberRecord
 
 __all__ = ["REMEMBERED_CHANGES", "DirectoryHistory", "Touched"]
 
--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep, MemberStep
-from rowanrail.coordination.messages import GatewayRecord
-from rowanrail.gateway.model import MemberRecord
-from rowanrail.relay.placement import METER, claim, parts_of
+from rowanrail.directory.messages import GatewayRecord
+from rowanrail.model.members import MemberRecord
+from rowanrail.placement.hashed import METER, claim, parts_of
 
 __all__ = ["Holders"]
 
--- a/src/rowanrail/coordination/liveness.py
+++ b/src/rowanrail/coordination/liveness.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 
 from rowanrail.coordination.failover import ReportView
-from rowanrail.coordination.messages import GatewayRecord, GatewayReport
 from rowanrail.coordination.reports import ReportIndex
+from rowanrail.directory.messages import GatewayRecord, GatewayReport
 
 FORGET_GATEWAY_SECONDS = 12.0  # longer than a gateway takes to come back; links tell sooner
 DIRECT_REPORT_SECONDS = 1.3  # a gateway that is there has told something since
--- a/src/rowanrail/coordination/loads.py
+++ b/src/rowanrail/coordination/loads.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from rowanrail.coordination.messages import GatewayRecord
+from rowanrail.directory.messages import GatewayRecord
 from rowanrail.scheduling.demand import SPANS, PartDemand
 from rowanrail.scheduling.group_draft import GatewayLoad
 from rowanrail.scheduling.load_report import LoadReport
--- a/src/rowanrail/coordination/member_questions.py
+++ b/src/rowanrail/coordination/member_questions.py
@@ -5,9 +5,10 @@
 
 import msgspec
 
-from rowanrail.gateway.channel import Channel, MemberDriver
-from rowanrail.gateway.model import Answer, Command, MemberRecord
-from rowanrail.proxy.backend import Position
+from rowanrail.members.channel import Channel, MemberDriver
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Command
 
 ANSWER_SECONDS = 0.3  # six round trips between regions
 SILENT_PRIMARY_SECONDS = 0.15  # three ways there and back between regions: connect, start, status
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -6,12 +6,12 @@
 
 from returns.result import Success
 
+from rowanrail.cluster.folder import FolderOwner, open_folder
+from rowanrail.cluster.messages import JoinRequest
 from rowanrail.config.settings import CoordinatorSettings, Holders, NodeAddress
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.storage import Identity, Storage
-from rowanrail.control.bootstrap import FolderOwner, open_folder
-from rowanrail.control.messages import JoinRequest
 from rowanrail.coordination.duty import FailoverDuty, Promoter
 from rowanrail.coordination.events import (
     DIRECTORY_COMMITTED,
@@ -27,12 +27,12 @@
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.coordination.voters import VoterManager
-from rowanrail.gateway.channel import MemberDriver
-from rowanrail.gateway.model import ConfigurationFormat, RoutingConfiguration, ServiceSpec
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.disk import Disk
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.kernel.registry import Registry
+from rowanrail.members.channel import MemberDriver
+from rowanrail.model.routing import ConfigurationFormat, RoutingConfiguration, ServiceSpec
 from rowanrail.rpc.network import Listener, Network
 
 CLUSTER = "gateways"
--- a/src/rowanrail/coordination/parts.py
+++ b/src/rowanrail/coordination/parts.py
@@ -1,19 +1,12 @@
 """The directory as it is sent to a group's gateways: whole, or what changed since a revision."""
 
-import zlib
 from dataclasses import dataclass
 
-import msgspec
-
-from rowanrail.coordination.messages import WHOLE, DirectoryPart, GatewayRecord
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.kernel.errors import TransportError
-
-__all__ = ["DirectoryParts", "PartCounts", "difference_since", "pack", "unpack", "whole_for"]
+from rowanrail.directory.messages import WHOLE, DirectoryPart, GatewayRecord
+from rowanrail.directory.packing import pack
 
-# Of zlib. A directory of 300 machines (25 KB) becomes 2.9 KB in 0.10 ms, at level 1 3.6 KB in
-# 0.05 ms, at level 9 2.7 KB in 0.33 ms; each part is packed once for many gateways.
-PACK_LEVEL = 6
+__all__ = ["DirectoryParts", "PartCounts", "difference_since", "whole_for"]
 
 
 @dataclass(slots=True)
@@ -128,22 +121,3 @@
         gone.append(name)
     else:
         present.append(record)
-
-
-def pack(part: DirectoryPart) -> bytes:
-    """Return the bytes of a part as they are sent."""
-    return zlib.compress(msgspec.msgpack.encode(part), PACK_LEVEL)
-
-
-def unpack(packed: bytes) -> DirectoryPart:
-    """Return the part that was packed.
-
-    Raises
-    ------
-    TransportError
-        If the bytes are not whole, or hold no part.
-    """
-    try:
-        return msgspec.msgpack.decode(zlib.decompress(packed), type=DirectoryPart)
-    except (zlib.error, msgspec.MsgspecError) as error:
-        raise TransportError(f"invalid part of a directory: {error}", step="unpack") from error
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 
 from rowanrail.consensus.node import ConsensusNode
+from rowanrail.coordination.commands import SetPlan
 from rowanrail.coordination.events import (
     HOLDERS_CHANGED,
     PLAN_ENDED,
@@ -15,12 +16,11 @@
     SHARES_CHANGED,
 )
 from rowanrail.coordination.loads import LoadBook
-from rowanrail.coordination.messages import SetPlan
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
-from rowanrail.relay.placement import Part, parts_of, rank
+from rowanrail.placement.hashed import Part, parts_of, rank
 from rowanrail.scheduling.demand import DemandWindow, PartDemand
 from rowanrail.scheduling.planner import Layout, Proposal, propose
 
--- a/src/rowanrail/coordination/policies.py
+++ b/src/rowanrail/coordination/policies.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from rowanrail.gateway.model import MemberRecord
 from rowanrail.kernel.registry import register
+from rowanrail.model.members import MemberRecord
 
 
 @register("coordination-guard", "fencing-token")
--- a/src/rowanrail/coordination/reports.py
+++ b/src/rowanrail/coordination/reports.py
@@ -1,37 +1,11 @@
 """What gateways report of primaries: what has weight in a decision, kept by service."""
 
-from collections.abc import Iterable
-
 from rowanrail.coordination.failover import ReportView, report_view
-from rowanrail.coordination.messages import GatewayReport
-from rowanrail.gateway.model import PrimaryHealth
-
-__all__ = ["ReportIndex", "telling"]
-
-# A proof contradicts others who have failed for longer than it is old. Those who fail are heard
-# within 0.3 s and decided on within seconds; a proof of half a minute ago contradicts nobody.
-TOLD_PROOF_MS = 30_000
-
+from rowanrail.directory.messages import GatewayReport
+from rowanrail.directory.reports import telling
+from rowanrail.model.members import PrimaryHealth
 
-def telling(health: Iterable[PrimaryHealth]) -> list[PrimaryHealth]:
-    """Return what has weight in a decision about a primary.
-
-    Most gateways use few services, and where connections are shared most have none of their own:
-    of the others they have neither a proof nor a failure to tell.
-
-    Parameters
-    ----------
-    health : iterable of PrimaryHealth
-        What a gateway sees of all services.
-
-    Examples
-    --------
-    >>> seen = [PrimaryHealth("db1", "m1", 900, 0), PrimaryHealth("db2", "m2", -1, 0)]
-    >>> seen += [PrimaryHealth("db3", "", -1, 250), PrimaryHealth("db4", "m4", 90_000, 0)]
-    >>> [one.service for one in telling(seen)]
-    ['db1', 'db3']
-    """
-    return [one for one in health if one.failing_for_ms or 0 <= one.proved_ago_ms < TOLD_PROOF_MS]
+__all__ = ["ReportIndex"]
 
 
 class ReportIndex:
--- a/src/rowanrail/coordination/service.py
+++ b/src/rowanrail/coordination/service.py
@@ -5,27 +5,22 @@
 
 import msgspec
 
+from rowanrail.cluster.membership import MembershipManager
+from rowanrail.cluster.messages import BarrierReply, BarrierRequest, JoinRequest
 from rowanrail.consensus.errors import LeadershipLostError, NotLeaderError, SupersededError
 from rowanrail.consensus.messages import ConsensusMessage
 from rowanrail.consensus.node import CONSENSUS_MESSAGES, ConsensusNode
-from rowanrail.control.membership import MembershipManager
-from rowanrail.control.messages import BarrierReply, BarrierRequest, JoinRequest
 from rowanrail.coordination.announcements import Announcements
+from rowanrail.coordination.commands import Command, PutDocument
 from rowanrail.coordination.forwarding import ReportForwarding
 from rowanrail.coordination.liveness import Liveness
 from rowanrail.coordination.loads import LoadBook
 from rowanrail.coordination.messages import (
     AnnounceRequest,
-    Command,
-    DirectoryReply,
-    DirectoryRequest,
     DocumentReply,
     DocumentRequest,
     Done,
-    GatewayReport,
     HeartbeatNotice,
-    HeldRequest,
-    PutDocument,
     PutReply,
     PutRequest,
     PutVerdict,
@@ -34,8 +29,14 @@
 from rowanrail.coordination.parts import PartCounts
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.coordination.watches import Watches
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.messages import (
+    DirectoryReply,
+    DirectoryRequest,
+    GatewayReport,
+    HeldRequest,
+)
 from rowanrail.kernel.errors import RowanrailError, TransportError
+from rowanrail.model.members import MemberRecord
 from rowanrail.rpc.network import Network
 
 LEADER_CALL_SECONDS = 0.8  # within REQUEST_SECONDS, so that another leader can be asked
--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -2,28 +2,27 @@
 
 import msgspec
 
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind, Snapshot
-from rowanrail.control.policies import VersionMonotonic
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep, MemberStep
-from rowanrail.coordination.history import DirectoryHistory
-from rowanrail.coordination.holders import Holders
-from rowanrail.coordination.messages import (
+from rowanrail.coordination.commands import (
     Announce,
     Command,
-    GatewayRecord,
     IntendPromotion,
     Promotion,
     PutDocument,
-    PutReply,
-    PutVerdict,
     Readmit,
     Remove,
     SetGateways,
     SetPlan,
 )
+from rowanrail.coordination.history import DirectoryHistory
+from rowanrail.coordination.holders import Holders
+from rowanrail.coordination.messages import PutReply, PutVerdict
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.messages import GatewayRecord
+from rowanrail.model.members import MemberRecord
 from rowanrail.scheduling.plan import NO_PLAN, Plan
 
 REMEMBERED_REMOVED = 2000  # identities; a late word of a removed member is seconds old
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
+from rowanrail.cluster.membership import MembershipManager, name_of
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.control.membership import MembershipManager, name_of
 
 CAUGHT_UP_ENTRIES = 50  # behind the leader; little beside what a restart misses
 SILENT_SECONDS = 2.0  # of a voter, before a learner takes its vote; four elections
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -8,7 +8,10 @@
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
 from rowanrail.coordination.gathering import Gathering
-from rowanrail.coordination.messages import (
+from rowanrail.coordination.parts import DirectoryParts, PartCounts, whole_for
+from rowanrail.coordination.replay import Replay
+from rowanrail.coordination.state import CoordinationState
+from rowanrail.directory.messages import (
     WHOLE,
     DirectoryReply,
     DirectoryRequest,
@@ -16,9 +19,6 @@
     HeldRequest,
     controls_mark,
 )
-from rowanrail.coordination.parts import DirectoryParts, PartCounts, whole_for
-from rowanrail.coordination.replay import Replay
-from rowanrail.coordination.state import CoordinationState
 from rowanrail.kernel.clock import Clock, Timer
 
 __all__ = ["Watches"]
@@ -108,7 +108,7 @@
         return self._directory(request)
 
     async def tell_held(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Tell what the log holds; see :mod:`rowanrail.gateway.held`."""
+        """Tell what the log holds; see :mod:`rowanrail.gateway.discovery.held`."""
         assert isinstance(request, HeldRequest)
         self._node.check_failure("tell what is held")  # the log in memory is not what is on disk
         log = self._node.raft.log
--- a/src/rowanrail/coordination/digests.py
+++ b/src/rowanrail/directory/digests.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from rowanrail.coordination.messages import GatewayRecord
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.messages import GatewayRecord
+from rowanrail.model.members import MemberRecord
 
 __all__ = ["DIGEST_BYTES", "Digest", "RecordKind", "digest_bytes", "record_hash"]
 
--- /dev/null
+++ b/src/rowanrail/directory/messages.py
@@ -0,0 +1,162 @@
+"""Messages between gateways and control nodes: reports, directory watches, held logs."""
+
+import zlib
+
+import msgspec
+
+from rowanrail.model.members import MemberRecord, PrimaryHealth
+from rowanrail.rpc.codec import message
+from rowanrail.scheduling.load_report import LoadReport
+from rowanrail.scheduling.plan import Plan
+
+
+class GatewayRecord(msgspec.Struct, frozen=True):
+    """A gateway that shares the members' connections.
+
+    Parameters
+    ----------
+    relay_address : str
+        ``IP:port`` at which it takes statements of its group's other gateways.
+    group : str
+        The zone or region whose gateways share connections; empty for the zone.
+    """
+
+    name: str
+    zone: str
+    relay_address: str
+    group: str = ""
+
+    @property
+    def sharing_group(self) -> str:
+        """The zone or region whose gateways share connections."""
+        return self.group or self.zone
+
+
+@message("GatewayReport")
+class GatewayReport(msgspec.Struct, frozen=True, array_like=True):
+    """What a gateway sees; sent on to the leader.
+
+    :param hops: 1 once a control node has sent it on.
+    :param group: the zone or region whose gateways share connections; empty for the zone.
+    :param load: what came to it in a span of time, None if that was told before.
+    """
+
+    gateway: str
+    zone: str
+    services: list[PrimaryHealth]
+    hops: int = 0
+    relay_address: str = ""
+    group: str = ""
+    load: LoadReport | None = None
+
+    @property
+    def sharing_group(self) -> str:
+        """The zone or region whose gateways share connections."""
+        return self.group or self.zone
+
+
+WHOLE = -1  # a revision below any that the log gives: of who knows nothing of the directory
+
+
+class DirectoryPart(msgspec.Struct, frozen=True, array_like=True):
+    """The directory as one group's gateways know it, or what changed of it.
+
+    :param since: the revision from which it leads on; ``WHOLE`` if it holds everything.
+    :param digest: of the whole directory to which it leads, see ``coordination.digests``.
+    :param gone_members: instances that are known no more; so for the other two.
+    """
+
+    since: int
+    digest: bytes
+    members: list[MemberRecord]
+    gone_members: list[str] = []
+    neighbours: list[GatewayRecord] = []
+    gone_neighbours: list[str] = []
+    others: list[GatewayRecord] = []
+    gone_others: list[str] = []
+
+
+@message("DirectoryRequest")
+class DirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
+    """Tell what is newer than the gateway knows, within ``hold_seconds``.
+
+    :param takes_parts: whether the gateway understands ``part`` of the reply.
+    :param wants_whole: whether it needs the whole directory, of its revision or a later one.
+    :param known_controls: see :func:`controls_mark`.
+    :param known_plan: number of the plan of holders, None if the gateway goes by none.
+    """
+
+    report: GatewayReport
+    known_version: int
+    known_revision: int
+    hold_seconds: float
+    takes_parts: bool = False
+    wants_whole: bool = False
+    known_controls: int = 0
+    known_plan: int | None = None
+
+
+def controls_mark(controls: list[str]) -> int:
+    """Return a number by which a gateway says which control nodes it was told of; 0 for none."""
+    return zlib.crc32(" ".join(controls).encode())
+
+
+@message("DirectoryReply")
+class DirectoryReply(msgspec.Struct, frozen=True, array_like=True):
+    """What is newer.
+
+    :param current: whether this node hears a leader; else the gateway asks another node.
+    :param document: the configuration (compressed), empty if the known one is the newest.
+    :param members: all members, None if the known revision is the newest, or with ``part``.
+    :param gateways: how many gateways there are, in ``zones`` zones (or regions that share).
+    :param neighbours: the gateways of the asking gateway's group, with ``members``.
+    :param controls: addresses of all control nodes; empty if the gateway was told of them.
+    :param zone: where the answering node stands.
+    :param others: gateways of other groups that hold connections there, with ``members``.
+    :param part: a packed :class:`DirectoryPart` for who takes it; empty if there is nothing new.
+    :param plan: of holders, None if the known one is the newest.
+    """
+
+    current: bool
+    version: int
+    document: bytes
+    revision: int
+    members: list[MemberRecord] | None
+    gateways: int
+    zones: int
+    neighbours: list[GatewayRecord]
+    controls: list[str]
+    zone: str = ""
+    others: list[GatewayRecord] = []
+    part: bytes = b""
+    plan: Plan | None = None
+
+
+@message("HeldRequest")
+class HeldRequest(msgspec.Struct, frozen=True, array_like=True):
+    """Tell a gateway that has just started what your log holds, committed or not.
+
+    :param group: the zone or region with whose gateways it shares connections.
+    :param takes_parts: whether the gateway understands ``part`` of the directory.
+    """
+
+    group: str
+    takes_parts: bool = False
+
+
+@message("HeldReply")
+class HeldReply(msgspec.Struct, frozen=True, array_like=True):
+    """What a control node's log holds, whether or not it knows a leader.
+
+    :param node: the answering node's id.
+    :param last_term: term of the log's last entry.
+    :param last_index: index of the log's last entry.
+    :param voters: ids of the nodes that vote, by the newest membership in the log.
+    :param directory: the whole state after the last entry.
+    """
+
+    node: str
+    last_term: int
+    last_index: int
+    voters: list[str]
+    directory: DirectoryReply
--- a/src/rowanrail/explain/story.py
+++ b/src/rowanrail/explain/story.py
@@ -6,9 +6,9 @@
 from rowanrail.explain.lines import LogLine
 from rowanrail.explain.turned_away import why_turned_away
 from rowanrail.gateway import events as gateway_events
-from rowanrail.gateway.model import NOT_RUN, Refusal
-from rowanrail.gateway.operation import Stage
+from rowanrail.gateway.work.operation import Stage
 from rowanrail.kernel import decisions
+from rowanrail.model.statements import NOT_RUN, Refusal
 
 AROUND_SECONDS = 6.0  # a replacement of a primary takes up to 4 s, with what led to it
 SHOWN_LINES = 40  # about a screen
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -6,32 +6,32 @@
 from collections.abc import Callable
 
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
-from rowanrail.coordination.messages import GatewayReport
-from rowanrail.coordination.reports import telling
-from rowanrail.gateway.directory_watch import DirectoryWatch
+from rowanrail.directory.messages import GatewayReport
+from rowanrail.directory.reports import telling
+from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
     GATEWAY_STARTED,
     GATEWAY_STOPPED,
     GATEWAY_STOPPING,
 )
-from rowanrail.gateway.frontend import Frontend
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.gauges import directory_gauges, gauges, relay_gauges, tenant_gauges
-from rowanrail.gateway.locality import Locality
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.load_meter import LoadMeter
+from rowanrail.gateway.relay.metering import Metering
+from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.relay.transport import TcpHolderServer, TcpLinkOpener
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.sessions.frontend import Frontend
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.http import HttpRequest, HttpResponse, error_response, serve
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.metrics import Metrics, log_gauge, serve_metrics
 from rowanrail.kernel.registry import Registry
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.load_meter import LoadMeter
-from rowanrail.relay.metering import Metering
-from rowanrail.relay.neighbours import Neighbours
-from rowanrail.relay.planned import PlannedHolders
-from rowanrail.relay.serving import Holder
-from rowanrail.relay.transport import TcpHolderServer, TcpLinkOpener
+from rowanrail.placement.planned import PlannedHolders
 from rowanrail.rpc.network import Network
 from rowanrail.tenants.terms import QuotaTerms
 
--- a/src/rowanrail/gateway/directory.py
+++ b/src/rowanrail/gateway/discovery/directory.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from rowanrail.gateway.model import MemberRecord
-from rowanrail.relay.neighbours import Neighbour
-from rowanrail.relay.placement import Population
+from rowanrail.gateway.relay.neighbours import Neighbour
+from rowanrail.model.members import MemberRecord
+from rowanrail.placement.hashed import Population
 
 __all__ = ["Directory"]
 
--- a/src/rowanrail/gateway/directory_copy.py
+++ b/src/rowanrail/gateway/discovery/directory_copy.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-from rowanrail.coordination.digests import Digest, RecordKind, digest_bytes
-from rowanrail.coordination.messages import WHOLE, DirectoryPart, DirectoryReply, GatewayRecord
-from rowanrail.coordination.parts import unpack
-from rowanrail.gateway.directory import Directory
-from rowanrail.gateway.model import MemberRecord
-from rowanrail.relay.neighbours import Neighbour
-from rowanrail.relay.placement import Population
+from rowanrail.directory.digests import Digest, RecordKind, digest_bytes
+from rowanrail.directory.messages import WHOLE, DirectoryPart, DirectoryReply, GatewayRecord
+from rowanrail.directory.packing import unpack
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.gateway.relay.neighbours import Neighbour
+from rowanrail.model.members import MemberRecord
+from rowanrail.placement.hashed import Population
 
 __all__ = ["DirectoryCopy"]
 
--- a/src/rowanrail/gateway/directory_watch.py
+++ b/src/rowanrail/gateway/discovery/directory_watch.py
@@ -9,11 +9,12 @@
 import asyncio
 import zlib
 from collections.abc import Callable
+from typing import Protocol
 
 import msgspec
 from returns.result import Success
 
-from rowanrail.coordination.messages import (
+from rowanrail.directory.messages import (
     DirectoryReply,
     DirectoryRequest,
     GatewayReport,
@@ -21,20 +22,17 @@
     HeldRequest,
     controls_mark,
 )
-from rowanrail.gateway.directory_copy import DirectoryCopy
-from rowanrail.gateway.events import (
-    CONTROL_LOST,
-    CONTROL_REGAINED,
-    DIRECTORY_DIFFERS,
-    HELD_TAKEN,
-)
-from rowanrail.gateway.gateway import Gateway
-from rowanrail.gateway.held import longest_of_majority
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import ConfigurationFormat
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.gateway.discovery.directory_copy import DirectoryCopy
+from rowanrail.gateway.discovery.held import longest_of_majority
+from rowanrail.gateway.events import CONTROL_LOST, CONTROL_REGAINED, DIRECTORY_DIFFERS, HELD_TAKEN
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.sessions.access import Access
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import TransportError
+from rowanrail.model.routing import ConfigurationFormat, RoutingConfiguration
 from rowanrail.rpc.network import Network
+from rowanrail.scheduling.plan import Plan
 
 HOLD_SECONDS = 1.0  # of a long poll, and so the time between reports; see REPORT_LIVE_SECONDS
 CALL_SECONDS = 0.6  # for the way there and back, on top of the hold
@@ -46,12 +44,27 @@
 RETURN_SECONDS = 2.0  # between looks at nearer control nodes than the one that is followed
 
 
+class DirectoryHost(Protocol):
+    """What takes the news: the gateway."""
+
+    access: Access
+
+    def apply(self, configuration: RoutingConfiguration, corrects: bool = False) -> bool:
+        """Put a configuration in force, see :meth:`rowanrail.gateway.gateway.Gateway.apply`."""
+
+    def set_directory(self, directory: Directory) -> None:
+        """Know the members that announced themselves, and other gateways."""
+
+    def set_plan(self, plan: Plan) -> None:
+        """Know who holds services' connections by the newest plan."""
+
+
 class DirectoryWatch:
     """Keeps a gateway's configuration and members up to date."""
 
     def __init__(
         self,
-        gateway: Gateway,
+        gateway: DirectoryHost,
         network: Network,
         controls: list[str],
         configuration_format: ConfigurationFormat,
--- a/src/rowanrail/gateway/held.py
+++ b/src/rowanrail/gateway/discovery/held.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Iterable
 
-from rowanrail.coordination.messages import HeldReply
+from rowanrail.directory.messages import HeldReply
 
 __all__ = ["longest_of_majority"]
 
--- a/src/rowanrail/gateway/known_directory.py
+++ b/src/rowanrail/gateway/discovery/known_directory.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Mapping
 
-from rowanrail.gateway.directory import Directory
-from rowanrail.gateway.model import MemberRecord
-from rowanrail.gateway.service import Service
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.neighbours import Neighbours
-from rowanrail.relay.placement import Population
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.services.service import Service
+from rowanrail.model.members import MemberRecord
+from rowanrail.placement.hashed import Population
 
 __all__ = ["KnownDirectory"]
 
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -3,10 +3,8 @@
 import functools
 from collections.abc import Callable
 
-from rowanrail.gateway.access import Access
-from rowanrail.gateway.channel import MemberDriver
-from rowanrail.gateway.clock import Clock, Timer
-from rowanrail.gateway.directory import Directory
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.gateway.discovery.known_directory import KnownDirectory
 from rowanrail.gateway.events import (
     CONFIGURATION_TAKEN,
     DETOUR_FOUND,
@@ -14,37 +12,33 @@
     LINK_REGAINED,
     MEMBERS_TAKEN,
 )
-from rowanrail.gateway.holdings import Holdings
-from rowanrail.gateway.known_directory import KnownDirectory
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import (
-    Answer,
-    PrimaryHealth,
-    Refusal,
-    Route,
-    RoutingConfiguration,
-    TypedStatement,
-)
-from rowanrail.gateway.outcomes import Outcomes
-from rowanrail.gateway.pending import PendingProof, PendingStart
 from rowanrail.gateway.policies import GatewayPolicies
-from rowanrail.gateway.primary_health import health_of
-from rowanrail.gateway.primary_lines import note_primary
-from rowanrail.gateway.samples import Sample
-from rowanrail.gateway.service import Service
-from rowanrail.gateway.session import Session
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.holdings import Holdings
+from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.relay.prospects import Prospects
+from rowanrail.gateway.relay.work_places import WorkPlaces
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.services.primary_lines import note_primary
+from rowanrail.gateway.services.service import Service
+from rowanrail.gateway.services.told_load import measure
+from rowanrail.gateway.services.weight_lines import note_weight
 from rowanrail.gateway.session_values import PreparedNames
-from rowanrail.gateway.told_load import measure
-from rowanrail.gateway.weight_lines import note_weight
-from rowanrail.gateway.work import LocalWork, SingleStatement, Work, WorkInTransaction
-from rowanrail.gateway.work_places import WorkPlaces
-from rowanrail.kernel.clock import Clock as MillisecondClock
+from rowanrail.gateway.sessions.access import Access
+from rowanrail.gateway.sessions.outcomes import Outcomes
+from rowanrail.gateway.sessions.pending import PendingProof, PendingStart
+from rowanrail.gateway.sessions.session import Session
+from rowanrail.gateway.work.work import LocalWork, SingleStatement, Work, WorkInTransaction
+from rowanrail.kernel.clock import Clock, Scheduler, Timer
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.neighbours import Neighbours
-from rowanrail.relay.planned import PlannedHolders
-from rowanrail.relay.prospects import Prospects
+from rowanrail.members.channel import MemberDriver
+from rowanrail.members.primary_health import health_of
+from rowanrail.members.samples import Sample
+from rowanrail.model.members import PrimaryHealth
+from rowanrail.model.routing import Route, RoutingConfiguration
+from rowanrail.model.statements import Answer, Refusal, TypedStatement
+from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.scheduling.plan import Plan
 from rowanrail.tenants.demand import DemandBook
@@ -67,7 +61,7 @@
         self,
         locality: Locality,
         driver: MemberDriver,
-        clock: Clock,
+        clock: Scheduler,
         decisions: DecisionLog,
         registry: Registry,
         neighbours: Neighbours | None = None,
@@ -88,7 +82,7 @@
         self._decisions = decisions
         self._policies = GatewayPolicies.create(registry)
         self._known = KnownDirectory(neighbours, detours)
-        self._prospects = Prospects(MillisecondClock(clock))
+        self._prospects = Prospects(Clock(clock))
         self._neighbours = neighbours
         self._detours = detours
         if neighbours is not None:
@@ -101,7 +95,7 @@
         self._session_count = 0
         self._ticks = 0
         check = self._policies.key_check
-        self.access = Access(MillisecondClock(clock), decisions, check, quota_terms)
+        self.access = Access(Clock(clock), decisions, check, quota_terms)
         self._places = WorkPlaces(
             locality,
             self.names,
@@ -247,12 +241,12 @@
         return session
 
     def admits(self, database: str, identity: Identity, version: int) -> bool:
-        """See :meth:`rowanrail.relay.serving.HolderHost.admits`."""
+        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
         return self.access.admits(database, identity, version)
 
     @property
     def demand(self) -> DemandBook:
-        """See :meth:`rowanrail.relay.serving.HolderHost.demand`."""
+        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.demand`."""
         return self.access.demand
 
     def route(self, database: str, tenant: str) -> tuple[Route, Work] | Answer:
@@ -266,7 +260,7 @@
         return route, self._places.place(self.services[route.service], tenant, local)
 
     def local_work(self, service: str, is_detour: bool = False) -> LocalWork | None:
-        """See :meth:`rowanrail.relay.serving.HolderHost.local_work`."""
+        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.local_work`."""
         known = self.services.get(service)
         return None if known is None else self._places.local(known, is_detour)
 
@@ -274,7 +268,7 @@
         self._decisions.note(DETOUR_FOUND, service=service, peer=peer)
 
     def prove_primary(self, service: str, give: Callable[[Sample | None], None]) -> None:
-        """See :meth:`rowanrail.relay.serving.HolderHost.prove_primary`."""
+        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.prove_primary`."""
         known = self.services.get(service)
         if known is None or known.primary.failing_since:
             give(None)
@@ -284,7 +278,7 @@
         proof.ask()
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
-        """See :meth:`rowanrail.relay.serving.HolderHost.load`."""
+        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.load`."""
         known = self.services.get(service)
         return None if known is None else measure(known, tenant, self.clock.time() * 1000)
 
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -1,12 +1,12 @@
 """What a gateway measures of itself at the moment when it is asked."""
 
-from rowanrail.gateway.directory_watch import DirectoryWatch
+from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
 from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.link import LinkState
+from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.relay.serving import Holder
 from rowanrail.kernel.metrics import Reading
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.link import LinkState
-from rowanrail.relay.neighbours import Neighbours
-from rowanrail.relay.serving import Holder
 
 NEVER = -1.0
 SHOWN_TENANTS = 100  # of a gateway; bounds its metrics where there are thousands
--- a/src/rowanrail/gateway/policies.py
+++ b/src/rowanrail/gateway/policies.py
@@ -2,22 +2,14 @@
 
 import msgspec
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.model import Answer, Command, Refusal
 from rowanrail.gateway.session_values import SessionValues, replay
 from rowanrail.kernel.registry import Registry, register
+from rowanrail.members.channel import Channel
+from rowanrail.members.leadership import LeadershipProof
+from rowanrail.model.statements import Command, Refusal
 from rowanrail.tenants.model import Identity
 
 
-@register("gateway-guard", "leadership-proof")
-class LeadershipProof:
-    """A position proves something only if its answer shows that the member leads."""
-
-    def is_proof(self, answer: Answer) -> bool:
-        """Return whether the answer to a plain BEGIN makes its position a sample."""
-        return answer.refusal is None
-
-
 @register("gateway-guard", "state-replay")
 class StateReplay:
     """A connection has exactly the session's values before a statement runs on it."""
--- a/src/rowanrail/gateway/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -3,13 +3,14 @@
 import math
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel, MemberDriver
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.idle_channels import IdleChannels
-from rowanrail.gateway.leases import Leases
-from rowanrail.gateway.model import Answer, MemberRecord
-from rowanrail.gateway.openings import Openings
-from rowanrail.gateway.resting import RestingTransactions
+from rowanrail.gateway.pools.idle_channels import IdleChannels
+from rowanrail.gateway.pools.leases import Leases
+from rowanrail.gateway.pools.openings import Openings
+from rowanrail.gateway.pools.resting import RestingTransactions
+from rowanrail.kernel.clock import Scheduler
+from rowanrail.members.channel import Channel, MemberDriver
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.statements import Answer
 
 __all__ = ["Connections"]
 
@@ -22,7 +23,7 @@
 class Connections:
     """At most ``limit`` connections to one member; each may be a tenant's."""
 
-    def __init__(self, limit: int, driver: MemberDriver, clock: Clock) -> None:
+    def __init__(self, limit: int, driver: MemberDriver, clock: Scheduler) -> None:
         self.limit = limit
         self.idle = IdleChannels()
         self.leases = Leases(clock)
--- a/src/rowanrail/gateway/idle_channels.py
+++ b/src/rowanrail/gateway/pools/idle_channels.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable, Iterator
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.waiter import Waiter
+from rowanrail.gateway.pools.waiter import Waiter
+from rowanrail.members.channel import Channel
 
 __all__ = ["IdleChannels"]
 
--- a/src/rowanrail/gateway/leases.py
+++ b/src/rowanrail/gateway/pools/leases.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.clock import Clock
+from rowanrail.kernel.clock import Scheduler
+from rowanrail.members.channel import Channel
 
 __all__ = ["LATENCY_WEIGHT", "Leases"]
 
@@ -15,7 +15,7 @@
 class Leases:
     """Leases of one pool; what a transaction rests is left out of their time."""
 
-    def __init__(self, clock: Clock) -> None:
+    def __init__(self, clock: Scheduler) -> None:
         self.seconds = INITIAL_LATENCY_SECONDS
         self._clock = clock
         self._of: Counter[str] = Counter()
--- a/src/rowanrail/gateway/member_health.py
+++ b/src/rowanrail/gateway/pools/member_health.py
@@ -1,7 +1,7 @@
 """Whether a member can be reached, and for how long it is left alone after failures."""
 
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.error_share import ErrorShare
+from rowanrail.gateway.pools.error_share import ErrorShare
+from rowanrail.kernel.clock import Scheduler
 
 __all__ = ["MemberHealth"]
 
@@ -14,7 +14,7 @@
 class MemberHealth:
     """What failures and answers say of one member."""
 
-    def __init__(self, clock: Clock) -> None:
+    def __init__(self, clock: Scheduler) -> None:
         self.failing_until = 0.0
         self._clock = clock
         self._failures = 0
--- a/src/rowanrail/gateway/openings.py
+++ b/src/rowanrail/gateway/pools/openings.py
@@ -2,9 +2,10 @@
 
 from collections.abc import Callable, Iterator
 
-from rowanrail.gateway.channel import Channel, MemberDriver
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.model import Answer, MemberRecord
+from rowanrail.kernel.clock import Scheduler
+from rowanrail.members.channel import Channel, MemberDriver
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.statements import Answer
 
 __all__ = ["Openings"]
 
@@ -18,7 +19,7 @@
 class Openings:
     """Openings of one pool."""
 
-    def __init__(self, driver: MemberDriver, clock: Clock) -> None:
+    def __init__(self, driver: MemberDriver, clock: Scheduler) -> None:
         self._driver = driver
         self._clock = clock
         self._channels: set[Channel] = set()
--- a/src/rowanrail/gateway/place_in_line.py
+++ b/src/rowanrail/gateway/pools/place_in_line.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.clock import Clock, Timer
-from rowanrail.gateway.model import Answer
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.waiter import Waiter
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.waiter import Waiter
+from rowanrail.kernel.clock import Scheduler, Timer
+from rowanrail.members.channel import Channel
+from rowanrail.model.statements import Answer
 from rowanrail.scheduling.admission import Admit, Forecast, Watch
 from rowanrail.scheduling.queue import Entry
 
@@ -24,7 +24,7 @@
         How the statement stands among the others.
     values : dict
         Session values that the connection should have already, if one has.
-    clock : Clock
+    clock : Scheduler
         Time and timers.
     take : callable
         Gets the connection, or None with the reason.
@@ -37,7 +37,7 @@
         pool: MemberPool,
         entry: Entry,
         values: dict[str, str],
-        clock: Clock,
+        clock: Scheduler,
         take: Callable[[Channel | None, Answer], None],
         give_up: Callable[[], None],
     ) -> None:
--- a/src/rowanrail/gateway/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -2,14 +2,15 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel, MemberDriver
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.connections import Connections
-from rowanrail.gateway.leases import INITIAL_LATENCY_SECONDS, LATENCY_WEIGHT
-from rowanrail.gateway.member_health import MemberHealth
-from rowanrail.gateway.model import Answer, MemberRecord, Refusal
-from rowanrail.gateway.resting import Resting
-from rowanrail.gateway.waiter import Waiter
+from rowanrail.gateway.pools.connections import Connections
+from rowanrail.gateway.pools.leases import INITIAL_LATENCY_SECONDS, LATENCY_WEIGHT
+from rowanrail.gateway.pools.member_health import MemberHealth
+from rowanrail.gateway.pools.resting import Resting
+from rowanrail.gateway.pools.waiter import Waiter
+from rowanrail.kernel.clock import Scheduler
+from rowanrail.members.channel import Channel, MemberDriver
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.admission import Forecast
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
 from rowanrail.scheduling.forecast_error import ForecastErrors
@@ -30,7 +31,7 @@
         record: MemberRecord,
         limit: int,
         driver: MemberDriver,
-        clock: Clock,
+        clock: Scheduler,
         holders: int = 1,
     ) -> None:
         self.record = record
--- a/src/rowanrail/gateway/pool_loan.py
+++ b/src/rowanrail/gateway/pools/pool_loan.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.model import Answer
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.waiter import Waiter
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.waiter import Waiter
+from rowanrail.members.channel import Channel
+from rowanrail.model.statements import Answer
 from rowanrail.scheduling.queue import Entry
 
 __all__ = ["PoolLoan"]
@@ -27,15 +27,15 @@
         self._waiter: Waiter | None = None
 
     def request(self, take: Callable[[Channel | None, Answer], None]) -> None:
-        """See :meth:`rowanrail.gateway.probe.Loan.request`."""
+        """See :meth:`rowanrail.members.probe.Loan.request`."""
         self._waiter = Waiter(Entry(SAMPLE_PRIORITY, None, 0.0), {}, take)
         self._pool.acquire(self._waiter)
 
     def cancel(self) -> None:
-        """See :meth:`rowanrail.gateway.probe.Loan.cancel`."""
+        """See :meth:`rowanrail.members.probe.Loan.cancel`."""
         if self._waiter is not None:
             self._pool.cancel(self._waiter)
 
     def give_back(self, channel: Channel) -> None:
-        """See :meth:`rowanrail.gateway.probe.Loan.give_back`."""
+        """See :meth:`rowanrail.members.probe.Loan.give_back`."""
         self._pool.release(channel)
--- a/src/rowanrail/gateway/resting.py
+++ b/src/rowanrail/gateway/pools/resting.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.clock import Clock
+from rowanrail.kernel.clock import Scheduler
+from rowanrail.members.channel import Channel
 
 __all__ = ["Resting", "RestingTransactions"]
 
@@ -28,7 +28,7 @@
 class RestingTransactions:
     """Those of one pool, the one that has rested longest first."""
 
-    def __init__(self, clock: Clock) -> None:
+    def __init__(self, clock: Scheduler) -> None:
         self._clock = clock
         self._since: dict[Resting, float] = {}
 
--- a/src/rowanrail/gateway/waiter.py
+++ b/src/rowanrail/gateway/pools/waiter.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.model import Answer
+from rowanrail.members.channel import Channel
+from rowanrail.model.statements import Answer
 from rowanrail.scheduling.queue import Entry
 
 __all__ = ["Waiter"]
--- a/src/rowanrail/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -12,13 +12,13 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 
+from rowanrail.gateway.relay.link import Counted, Lost, Outcome, Refused, Replied, Told
+from rowanrail.gateway.relay.messages import AskSample
+from rowanrail.gateway.relay.neighbours import At, LinkKeeper, LinkOpener, Neighbour, Nowhere, Place
 from rowanrail.kernel.clock import Clock
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.link import Counted, Lost, Outcome, Refused, Replied, Told
-from rowanrail.relay.messages import AskSample
-from rowanrail.relay.neighbours import At, LinkKeeper, LinkOpener, Neighbour, Nowhere, Place
-from rowanrail.relay.placement import Part, rank
-from rowanrail.relay.planned import PlannedHolders
+from rowanrail.model.position import Position
+from rowanrail.placement.hashed import Part, rank
+from rowanrail.placement.planned import PlannedHolders
 
 __all__ = ["Detours", "TakeSample"]
 
@@ -185,7 +185,7 @@
         return isinstance(self.place(service), At)
 
     def place_part(self, part: Part) -> Place:
-        """See :meth:`rowanrail.relay.forwarding.Placement.place_part`."""
+        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.place_part`."""
         return self.place(part.service)
 
     def place(self, service: str) -> Place:
@@ -197,7 +197,7 @@
 
     @property
     def note_up(self) -> Callable[..., None]:
-        """See :meth:`rowanrail.relay.neighbours.LinkKeeper.note_up`."""
+        """See :meth:`rowanrail.gateway.relay.neighbours.LinkKeeper.note_up`."""
         return self._keeper.note_up
 
     def close(self) -> None:
--- a/src/rowanrail/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -6,19 +6,21 @@
 
 import msgspec
 
-from rowanrail.gateway.channel import Respond
-from rowanrail.gateway.model import Answer, Rejection, Route, Trace, TypedStatement
-from rowanrail.gateway.operation import Stage
 from rowanrail.gateway.policies import LinkOutcome
+from rowanrail.gateway.relay.link import Link, Outcome, Replied
+from rowanrail.gateway.relay.neighbours import At, Here, Nowhere, Place
+from rowanrail.gateway.relay.prospects import Asked, Prospects
+from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.statement import HOLD_SHARE, busy, rejection
-from rowanrail.gateway.work import LocalWork
+from rowanrail.gateway.work.operation import Stage
+from rowanrail.gateway.work.statement import HOLD_SHARE, busy, rejection
+from rowanrail.gateway.work.work import LocalWork
 from rowanrail.kernel.clock import Clock, Timer
-from rowanrail.relay.link import Link, Outcome, Replied
-from rowanrail.relay.neighbours import At, Here, Nowhere, Place
-from rowanrail.relay.placement import Part
-from rowanrail.relay.prospects import Asked, Prospects
-from rowanrail.relay.terms import Order, answer_of, reply_margin, run_of
+from rowanrail.members.channel import Respond
+from rowanrail.model.routing import Route
+from rowanrail.model.statements import Answer, TypedStatement
+from rowanrail.model.trace import Rejection, Trace
+from rowanrail.placement.hashed import Part
 from rowanrail.scheduling.admission import Cause, Forecast
 
 __all__ = ["Forwarded", "ForwardingTerms", "Placement"]
@@ -93,7 +95,7 @@
         self._rejection: Rejection | None = None
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.SingleStatement.trace`."""
+        """See :meth:`rowanrail.gateway.work.work.SingleStatement.trace`."""
         if self._told is not None:
             return msgspec.structs.replace(self._told, via=self._peer)
         stage = Stage.SENT if self._sent else Stage.WAITS_FOR_HOLDER
@@ -228,7 +230,7 @@
         self._finish(busy(reason, told))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.SingleStatement.finish`."""
+        """See :meth:`rowanrail.gateway.work.work.SingleStatement.finish`."""
         self._finish(answer)
 
     def _finish(self, answer: Answer) -> None:
--- a/src/rowanrail/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -7,14 +7,16 @@
 
 import msgspec
 
-from rowanrail.gateway.channel import Respond
-from rowanrail.gateway.model import Answer, Refusal, Route, StatementKind, Trace, TypedStatement
+from rowanrail.gateway.relay.forwarded import Forwarded, ForwardingTerms, Placement
+from rowanrail.gateway.relay.link import Counted, Link, Lost, Outcome, Refused, Replied, Told
+from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.gateway.statement import LATE
-from rowanrail.gateway.work import SingleStatement, WorkInTransaction
-from rowanrail.relay.forwarded import Forwarded, ForwardingTerms, Placement
-from rowanrail.relay.link import Counted, Link, Lost, Outcome, Refused, Replied, Told
-from rowanrail.relay.messages import End
+from rowanrail.gateway.work.statement import LATE
+from rowanrail.gateway.work.work import SingleStatement, WorkInTransaction
+from rowanrail.members.channel import Respond
+from rowanrail.model.routing import Route
+from rowanrail.model.statements import Answer, Refusal, StatementKind, TypedStatement
+from rowanrail.model.trace import Trace
 
 __all__ = ["ForwardedStatement", "ForwardedTransaction", "ForwardedWork", "Placement"]
 
@@ -25,13 +27,13 @@
     __slots__ = ()
 
     def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
-        """See :meth:`rowanrail.gateway.work.Work.single`."""
+        """See :meth:`rowanrail.gateway.work.work.Work.single`."""
         return ForwardedStatement(self, route, session, writes)
 
     def transaction(
         self, route: Route, session: SessionValues, read_only: bool
     ) -> WorkInTransaction:
-        """See :meth:`rowanrail.gateway.work.Work.transaction`."""
+        """See :meth:`rowanrail.gateway.work.work.Work.transaction`."""
         return ForwardedTransaction(self, route, session, read_only)
 
 
@@ -46,12 +48,12 @@
         self._here: SingleStatement | None = None
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
-        """See :meth:`rowanrail.gateway.work.SingleStatement.start`."""
+        """See :meth:`rowanrail.gateway.work.work.SingleStatement.start`."""
         self._begin(statement, respond)
         self._place()
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.SingleStatement.trace`."""
+        """See :meth:`rowanrail.gateway.work.work.SingleStatement.trace`."""
         return super().trace() if self._here is None else self._here.trace()
 
     @property
@@ -96,7 +98,7 @@
         self._finish(Answer(refusal=refusal, message=LATE))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.SingleStatement.finish`."""
+        """See :meth:`rowanrail.gateway.work.work.SingleStatement.finish`."""
         if self._here is not None:
             self._here.finish(answer)
         self._finish(answer)
@@ -115,7 +117,7 @@
         self._here: WorkInTransaction | None = None
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
-        """See :meth:`rowanrail.gateway.work.WorkInTransaction.run`."""
+        """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.run`."""
         if self._here is not None:
             self._here.run(statement, respond)
             return
@@ -128,7 +130,7 @@
             self._place()
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.WorkInTransaction.trace`."""
+        """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.trace`."""
         return super().trace() if self._here is None else self._here.trace()
 
     def _run_at(self, link: Link) -> None:
@@ -188,7 +190,7 @@
         self.end()
 
     def end(self) -> None:
-        """See :meth:`rowanrail.gateway.work.WorkInTransaction.end`."""
+        """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.end`."""
         if self._here is not None:
             self._here.end()
         self._end_there()
@@ -200,7 +202,7 @@
             self._link.tell(End(number))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.WorkInTransaction.finish`."""
+        """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.finish`."""
         if self._here is not None:
             self._here.finish(answer)
         self._finish(answer)
--- a/src/rowanrail/gateway/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -4,14 +4,14 @@
 from typing import Protocol
 
 from rowanrail.gateway.events import HOLDING_BEGUN, HOLDING_ENDED, PLAN_TAKEN
-from rowanrail.gateway.model import Trace
-from rowanrail.gateway.service import Service
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.load_meter import LoadMeter
+from rowanrail.gateway.relay.neighbours import Here, Neighbours
+from rowanrail.gateway.services.service import Service
 from rowanrail.kernel.decisions import DecisionLog
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.load_meter import LoadMeter
-from rowanrail.relay.neighbours import Here, Neighbours
-from rowanrail.relay.placement import Part, Population, even_share, parts_of, rank
-from rowanrail.relay.planned import PlannedHolders
+from rowanrail.model.trace import Trace
+from rowanrail.placement.hashed import Part, Population, even_share, parts_of, rank
+from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.plan import Plan
 
 __all__ = ["Holdings"]
--- a/src/rowanrail/relay/homes.py
+++ b/src/rowanrail/gateway/relay/homes.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable
 
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.link import Link
-from rowanrail.relay.neighbours import At, Here, Place
-from rowanrail.relay.placement import Part
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.link import Link
+from rowanrail.gateway.relay.neighbours import At, Here, Place
+from rowanrail.placement.hashed import Part
 
 __all__ = ["HomePlacement"]
 
@@ -38,7 +38,7 @@
         self._was_tried = False
 
     def place_part(self, part: Part) -> Place:
-        """See :meth:`rowanrail.relay.forwarding.Placement.place_part`."""
+        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.place_part`."""
         found = self._detours.place_part_in(self._region, part)
         if self._was_tried or not isinstance(found, At):
             return Here()
@@ -47,5 +47,5 @@
 
     @property
     def note_up(self) -> Callable[[Link], None]:
-        """See :meth:`rowanrail.relay.forwarding.Placement.note_up`."""
+        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.note_up`."""
         return self._detours.note_up
--- a/src/rowanrail/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -9,9 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from rowanrail.kernel.clock import Clock, Timer
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.messages import (
+from rowanrail.gateway.relay.messages import (
     AskSample,
     CountDemand,
     DemandCounted,
@@ -26,6 +24,8 @@
     Run,
     SampleTold,
 )
+from rowanrail.kernel.clock import Clock, Timer
+from rowanrail.model.position import Position
 from rowanrail.tenants.demand import Report
 
 __all__ = [
--- a/src/rowanrail/relay/load_meter.py
+++ b/src/rowanrail/gateway/relay/load_meter.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.relay.placement import Part
+from rowanrail.placement.hashed import Part
 from rowanrail.scheduling.load_report import LoadReport, PartLoad
 
 __all__ = ["SPAN_MS", "LoadMeter"]
--- a/src/rowanrail/relay/messages.py
+++ b/src/rowanrail/gateway/relay/messages.py
@@ -6,8 +6,10 @@
 
 import msgspec
 
-from rowanrail.gateway.model import Consistency, Refusal, StatementKind, Trace
-from rowanrail.proxy.backend import Position
+from rowanrail.model.position import Position
+from rowanrail.model.routing import Consistency
+from rowanrail.model.statements import Refusal, StatementKind
+from rowanrail.model.trace import Trace
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.tenants.demand import Report
 
--- a/src/rowanrail/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.link import Counted, Outcome
+from rowanrail.gateway.relay.messages import CountDemand
+from rowanrail.gateway.relay.neighbours import At, Here, Neighbours, Nowhere
 from rowanrail.kernel.clock import Clock
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.link import Counted, Outcome
-from rowanrail.relay.messages import CountDemand
-from rowanrail.relay.neighbours import At, Here, Neighbours, Nowhere
-from rowanrail.relay.placement import METER
+from rowanrail.placement.hashed import METER
 from rowanrail.tenants.counts import REPORT_MS
 from rowanrail.tenants.demand import DemandBook
 from rowanrail.tenants.quota import QuotaGuard
--- a/src/rowanrail/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from itertools import chain
 
+from rowanrail.gateway.relay.link import Link, LinkState
 from rowanrail.kernel.clock import Clock
-from rowanrail.relay.link import Link, LinkState
-from rowanrail.relay.placement import Part, rank
-from rowanrail.relay.planned import PlannedHolders
+from rowanrail.placement.hashed import Part, rank
+from rowanrail.placement.planned import PlannedHolders
 
 __all__ = ["At", "Here", "LinkKeeper", "LinkOpener", "Neighbour", "Neighbours", "Nowhere", "Place"]
 
@@ -175,7 +175,7 @@
         self._orders.clear()
 
     def place_part(self, part: Part) -> Place:
-        """See :meth:`rowanrail.relay.forwarding.Placement.place_part`."""
+        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.place_part`."""
         order = self._order(part.key)
         planned = self.planned.order_here(part) if self.planned is not None else []
         if not planned:
--- a/src/rowanrail/relay/prospects.py
+++ b/src/rowanrail/gateway/relay/prospects.py
@@ -6,9 +6,10 @@
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.model import Answer, Rejection
-from rowanrail.gateway.statement import busy, rejection
+from rowanrail.gateway.work.statement import busy, rejection
 from rowanrail.kernel.clock import Clock
+from rowanrail.model.statements import Answer
+from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Cause, Forecast, Reject, judge_sending
 from rowanrail.scheduling.load import Assumed, LoadBook, ServiceLoad, Subject
 from rowanrail.scheduling.returning import ReturnTimes
--- a/src/rowanrail/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -4,13 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from rowanrail.gateway.model import Answer, Refusal, Trace
-from rowanrail.gateway.operation import Stage
-from rowanrail.gateway.samples import Sample
-from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work import LocalWork, SingleStatement, WorkInTransaction
-from rowanrail.kernel.clock import Clock
-from rowanrail.relay.messages import (
+from rowanrail.gateway.relay.messages import (
     AskSample,
     CountDemand,
     DemandCounted,
@@ -25,8 +19,15 @@
     Run,
     SampleTold,
 )
-from rowanrail.relay.placement import Part
-from rowanrail.relay.terms import load_session, reply_to, route_of, statement_of
+from rowanrail.gateway.relay.terms import load_session, reply_to, route_of, statement_of
+from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.work.operation import Stage
+from rowanrail.gateway.work.work import LocalWork, SingleStatement, WorkInTransaction
+from rowanrail.kernel.clock import Clock
+from rowanrail.members.samples import Sample
+from rowanrail.model.statements import Answer, Refusal
+from rowanrail.model.trace import Trace
+from rowanrail.placement.hashed import Part
 from rowanrail.scheduling.load import LoadTeller, ServiceLoad
 from rowanrail.tenants.demand import DemandBook, Report
 from rowanrail.tenants.model import Identity
--- a/src/rowanrail/relay/terms.py
+++ b/src/rowanrail/gateway/relay/terms.py
@@ -4,10 +4,12 @@
 from dataclasses import dataclass
 from types import MappingProxyType
 
-from rowanrail.gateway.model import Answer, Route, StatementKind, Trace, TypedStatement
+from rowanrail.gateway.relay.messages import Reply, Run
 from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.messages import Reply, Run
+from rowanrail.model.position import Position
+from rowanrail.model.routing import Route
+from rowanrail.model.statements import Answer, StatementKind, TypedStatement
+from rowanrail.model.trace import Trace
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.tenants.model import Identity
 
--- a/src/rowanrail/relay/transport.py
+++ b/src/rowanrail/gateway/relay/transport.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
+from rowanrail.gateway.relay.link import Link, LinkState
+from rowanrail.gateway.relay.messages import FromGateway, FromHolder
+from rowanrail.gateway.relay.neighbours import LinkOpener
+from rowanrail.gateway.relay.serving import Holder, ServedLink
 from rowanrail.kernel.lifecycle import listen_error
 from rowanrail.kernel.sockets import limit_silence
-from rowanrail.relay.link import Link, LinkState
-from rowanrail.relay.messages import FromGateway, FromHolder
-from rowanrail.relay.neighbours import LinkOpener
-from rowanrail.relay.serving import Holder, ServedLink
 
 __all__ = ["TcpHolderServer", "TcpLinkOpener"]
 
@@ -104,7 +104,7 @@
         self._link.opened(self)
 
     def send(self, message: FromGateway) -> None:
-        """See :meth:`rowanrail.relay.link.LinkPort.send`."""
+        """See :meth:`rowanrail.gateway.relay.link.LinkPort.send`."""
         self.write(message)
 
     def take(self, frame: bytes) -> None:
--- a/src/rowanrail/gateway/work_places.py
+++ b/src/rowanrail/gateway/relay/work_places.py
@@ -3,20 +3,19 @@
 import functools
 from collections.abc import Callable
 
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.locality import Locality
 from rowanrail.gateway.policies import LinkOutcome
-from rowanrail.gateway.service import Service
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.forwarding import ForwardedWork, Placement
+from rowanrail.gateway.relay.homes import HomePlacement
+from rowanrail.gateway.relay.neighbours import At, Here, Neighbours
+from rowanrail.gateway.relay.prospects import Prospects
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames
-from rowanrail.gateway.work import LocalWork, Work
-from rowanrail.kernel.clock import Clock as MillisecondClock
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.forwarding import ForwardedWork, Placement
-from rowanrail.relay.homes import HomePlacement
-from rowanrail.relay.neighbours import At, Here, Neighbours
-from rowanrail.relay.placement import Part
-from rowanrail.relay.prospects import Prospects
+from rowanrail.gateway.work.work import LocalWork, Work
+from rowanrail.kernel.clock import Clock, Scheduler
+from rowanrail.model.position import Position
+from rowanrail.placement.hashed import Part
 
 __all__ = ["WorkPlaces"]
 
@@ -30,7 +29,7 @@
         Where the gateway stands.
     names : PreparedNames
         Names under which it prepares shapes at members.
-    clock : Clock
+    clock : Scheduler
         Time and timers.
     link_outcome : LinkOutcome
         Says what a lost link leaves in doubt.
@@ -48,7 +47,7 @@
         self,
         locality: Locality,
         names: PreparedNames,
-        clock: Clock,
+        clock: Scheduler,
         link_outcome: LinkOutcome,
         prospects: Prospects,
         neighbours: Neighbours | None,
@@ -123,7 +122,7 @@
         return ForwardedWork(
             placement,
             local,
-            MillisecondClock(self._clock),
+            Clock(self._clock),
             self._link_outcome,
             self._prospects,
             is_detour,
--- a/src/rowanrail/gateway/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -4,13 +4,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.member_weights import MemberWeights
-from rowanrail.gateway.model import Answer, MemberRecord, Refusal
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.primary import PrimaryTracker
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.services.member_weights import MemberWeights
 from rowanrail.kernel.clock import Clock
-from rowanrail.proxy.backend import Position
+from rowanrail.members.primary import PrimaryTracker
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.choice import Candidate
 from rowanrail.scheduling.lag import LagEstimate
 from rowanrail.scheduling.queue import Entry
--- a/src/rowanrail/gateway/member_probes.py
+++ b/src/rowanrail/gateway/services/member_probes.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Mapping
 
-from rowanrail.gateway.channel import Channel, MemberDriver
-from rowanrail.gateway.member_weights import MemberWeights
-from rowanrail.gateway.model import Answer, Command, CommandKind, Refusal
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.pool_loan import PoolLoan
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.pool_loan import PoolLoan
+from rowanrail.gateway.services.member_weights import MemberWeights
 from rowanrail.kernel.clock import Clock, Timer
+from rowanrail.members.channel import Channel, MemberDriver
+from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
 from rowanrail.scheduling.member_weight import Trouble
 
 __all__ = ["MemberProbes"]
--- a/src/rowanrail/gateway/primary_lines.py
+++ b/src/rowanrail/gateway/services/primary_lines.py
@@ -1,9 +1,9 @@
 """Lines of the log about a service's primary: lost, or found again."""
 
 from rowanrail.gateway.events import PRIMARY_LOST, PRIMARY_PROVED
-from rowanrail.gateway.primary import PrimaryTracker
 from rowanrail.kernel.decisions import DecisionLog
-from rowanrail.proxy.backend import Position
+from rowanrail.members.primary import PrimaryTracker
+from rowanrail.model.position import Position
 
 __all__ = ["note_primary"]
 
--- a/src/rowanrail/gateway/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -4,19 +4,19 @@
 import random
 from functools import partial
 
-from rowanrail.gateway.channel import MemberDriver
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.member_estimates import MemberEstimates, Wanted
-from rowanrail.gateway.member_probes import MemberProbes
-from rowanrail.gateway.model import MemberRecord, ServiceSpec
-from rowanrail.gateway.monitor_interval import monitor_seconds
 from rowanrail.gateway.policies import GatewayPolicies
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.pool_loan import PoolLoan
-from rowanrail.gateway.primary import PrimaryTracker
-from rowanrail.kernel.clock import Clock as MillisecondClock
-from rowanrail.relay.placement import (
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.pool_loan import PoolLoan
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.services.member_estimates import MemberEstimates, Wanted
+from rowanrail.gateway.services.member_probes import MemberProbes
+from rowanrail.kernel.clock import Clock, Scheduler
+from rowanrail.members.channel import MemberDriver
+from rowanrail.members.monitor_interval import monitor_seconds
+from rowanrail.members.primary import PrimaryTracker
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.routing import ServiceSpec
+from rowanrail.placement.hashed import (
     ASSUMED_GATEWAYS,
     PARTS,
     Part,
@@ -26,7 +26,7 @@
     is_shared,
     planned_limit,
 )
-from rowanrail.relay.planned import HANDOVER_PART, Allowance
+from rowanrail.placement.planned import HANDOVER_PART, Allowance
 from rowanrail.scheduling.choice import choose
 from rowanrail.scheduling.queue import tenant_weight
 from rowanrail.scheduling.returning import ReturnTimes
@@ -44,7 +44,7 @@
         spec: ServiceSpec,
         locality: Locality,
         driver: MemberDriver,
-        clock: Clock,
+        clock: Scheduler,
         policies: GatewayPolicies,
     ) -> None:
         self.spec = spec
@@ -53,12 +53,12 @@
         self.primary.on_proof = self._note_proof
         self.primary.lender = self
         self.pools: dict[str, MemberPool] = {}
-        milliseconds = MillisecondClock(clock)
+        milliseconds = Clock(clock)
         self.estimates = MemberEstimates(locality, self.primary, milliseconds)
         self._probes = MemberProbes(self.estimates.weights, driver, milliseconds)
         self.used_at = -IN_USE_SECONDS
         self._held_connections = False
-        self.returns = ReturnTimes(MillisecondClock(clock))
+        self.returns = ReturnTimes(Clock(clock))
         # Holders of the zones draw differently, and a simulation can be played again.
         self._randomness = random.Random(f"{locality.zone}/{spec.name}")  # noqa: S311 - no secret
         self._locality = locality
@@ -221,12 +221,12 @@
         return None if best is None else pools[best]
 
     def can_lend(self, instance: str) -> bool:
-        """See :meth:`rowanrail.gateway.probe.Lender.can_lend`."""
+        """See :meth:`rowanrail.members.probe.Lender.can_lend`."""
         pool = self.pools.get(instance)
         return pool is not None and pool.can_lend
 
     def loan(self, instance: str) -> PoolLoan | None:
-        """See :meth:`rowanrail.gateway.probe.Lender.loan`."""
+        """See :meth:`rowanrail.members.probe.Lender.loan`."""
         pool = self.pools.get(instance)
         return None if pool is None else PoolLoan(pool)
 
--- a/src/rowanrail/gateway/told_load.py
+++ b/src/rowanrail/gateway/services/told_load.py
@@ -1,7 +1,7 @@
 """The load of a service at this gateway, as it is told to the gateways that send here."""
 
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.service import Service
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.services.service import Service
 from rowanrail.scheduling.load import URGENCIES, ServiceLoad, rounded
 from rowanrail.scheduling.queue import Entry
 
--- a/src/rowanrail/gateway/weight_lines.py
+++ b/src/rowanrail/gateway/services/weight_lines.py
@@ -1,7 +1,7 @@
 """Lines of the log on members that lose their weight, or have it back."""
 
 from rowanrail.gateway.events import MEMBER_FELL, MEMBER_ROSE
-from rowanrail.gateway.service import Service
+from rowanrail.gateway.services.service import Service
 from rowanrail.kernel.decisions import DecisionLog
 
 __all__ = ["note_weight"]
--- a/src/rowanrail/gateway/session_values.py
+++ b/src/rowanrail/gateway/session_values.py
@@ -1,8 +1,8 @@
 """What a session set, and how a connection gets exactly that."""
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.model import Command, CommandKind, StatementKind, TypedStatement
-from rowanrail.proxy.backend import Position
+from rowanrail.members.channel import Channel
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Command, CommandKind, StatementKind, TypedStatement
 from rowanrail.tenants.model import Identity
 
 
--- a/src/rowanrail/gateway/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -3,12 +3,14 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.events import KEY_UNKNOWN, KEY_WITHDRAWN, OVER_QUOTA, ROUTE_MISSING
-from rowanrail.gateway.model import Answer, Refusal, Rejection, RoutingConfiguration
 from rowanrail.gateway.policies import KeyCheck
-from rowanrail.gateway.session import Session
-from rowanrail.gateway.statement import busy
+from rowanrail.gateway.sessions.session import Session
+from rowanrail.gateway.work.statement import busy
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.decisions import DecisionLog
+from rowanrail.model.routing import RoutingConfiguration
+from rowanrail.model.statements import Answer, Refusal
+from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Cause
 from rowanrail.scheduling.returning import GOES_FIRST_AFTER, Label, Returners, client_label, spread
 from rowanrail.tenants.demand import DemandBook
@@ -121,7 +123,7 @@
         return self._key_check.holds(identity, self.identify(database, identity.key))
 
     def admits(self, database: str, identity: Identity, version: int) -> bool:
-        """See :meth:`rowanrail.relay.serving.HolderHost.admits`."""
+        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
         if version > self.version:
             return True  # it was checked against a newer configuration than the one here
         return self.holds(database, identity)
@@ -196,7 +198,7 @@
         self._returners.note(_label(session), return_in, session.values.turned_away + 1)
 
     def note_return(self, session: Session) -> None:
-        """See :meth:`rowanrail.gateway.session.SessionHost.note_return`."""
+        """See :meth:`rowanrail.gateway.sessions.session.SessionHost.note_return`."""
         times = self._returners.claim(_label(session))
         session.values.turned_away = times
         session.values.returned = times >= GOES_FIRST_AFTER
--- a/src/rowanrail/gateway/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -5,13 +5,14 @@
 
 import msgspec
 
-from rowanrail.gateway.access import Access
 from rowanrail.gateway.events import ANSWERED, REFUSED
-from rowanrail.gateway.model import Answer, Refusal, Rejection, Trace, TypedStatement
-from rowanrail.gateway.operation import Stage
-from rowanrail.gateway.session import Session
-from rowanrail.gateway.work_port import SingleStatement, WorkInTransaction
+from rowanrail.gateway.sessions.access import Access
+from rowanrail.gateway.sessions.session import Session
+from rowanrail.gateway.work.operation import Stage
+from rowanrail.gateway.work.work_port import SingleStatement, WorkInTransaction
 from rowanrail.kernel.decisions import DecisionLog
+from rowanrail.model.statements import Answer, Refusal, TypedStatement
+from rowanrail.model.trace import Rejection, Trace
 
 __all__ = ["Outcomes"]
 
@@ -41,7 +42,7 @@
         seconds: float,
         operation: SingleStatement | WorkInTransaction | None,
     ) -> None:
-        """See :meth:`rowanrail.gateway.session.SessionHost.note_outcome`."""
+        """See :meth:`rowanrail.gateway.sessions.session.SessionHost.note_outcome`."""
         outcome = answer.refusal.value if answer.refusal else "done"
         if answer.refusal is None and not answer.signature:
             return  # answered by the proxy itself; nothing was decided
--- a/src/rowanrail/gateway/pending.py
+++ b/src/rowanrail/gateway/sessions/pending.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.primary import PrimaryTracker
-from rowanrail.gateway.samples import Sample
-from rowanrail.proxy.backend import Position
+from rowanrail.members.primary import PrimaryTracker
+from rowanrail.members.samples import Sample
+from rowanrail.model.position import Position
 
 __all__ = ["PendingProof", "PendingStart"]
 
--- a/src/rowanrail/gateway/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -3,19 +3,19 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from rowanrail.gateway.channel import Respond
-from rowanrail.gateway.clock import Clock, Timer
-from rowanrail.gateway.model import (
+from rowanrail.gateway.session_values import SessionValues, is_write
+from rowanrail.gateway.work.work import SingleStatement, Work, WorkInTransaction
+from rowanrail.kernel.clock import Scheduler, Timer
+from rowanrail.members.channel import Respond
+from rowanrail.model.routing import Route
+from rowanrail.model.statements import (
     NOT_RUN,
     Answer,
     Refusal,
-    Route,
     SessionState,
     StatementKind,
     TypedStatement,
 )
-from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.gateway.work import SingleStatement, Work, WorkInTransaction
 from rowanrail.tenants.model import Identity
 
 MAXIMUM_VALUES = 200  # bounds the memory of a session; clients set a few
@@ -25,7 +25,7 @@
 class SessionHost(Protocol):
     """What a session needs of its proxy."""
 
-    clock: Clock
+    clock: Scheduler
 
     def route(self, database: str, tenant: str) -> tuple[Route, Work] | Answer:
         """Return the route in force for a database and where a tenant's work is done."""
--- a/src/rowanrail/gateway/lone_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -2,13 +2,14 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel, Respond
-from rowanrail.gateway.freshness import oldest_sample, prefetch
-from rowanrail.gateway.model import Answer, Consistency, Refusal, TypedStatement
-from rowanrail.gateway.operation import Operation, Stage
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.statement import LATE, PRIMARY_RETURN_MS, busy
-from rowanrail.proxy.backend import ORIGIN, Position
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.work.freshness import oldest_sample, prefetch
+from rowanrail.gateway.work.operation import Operation, Stage
+from rowanrail.gateway.work.statement import LATE, PRIMARY_RETURN_MS, busy
+from rowanrail.members.channel import Channel, Respond
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.model.routing import Consistency
+from rowanrail.model.statements import Answer, Refusal, TypedStatement
 from rowanrail.scheduling.admission import Cause
 
 READ_ATTEMPTS = 6  # twice each of three members
--- a/src/rowanrail/gateway/lone_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -1,10 +1,10 @@
 """A single write, at the primary; what was sent is never sent again."""
 
-from rowanrail.gateway.channel import Channel, Respond
-from rowanrail.gateway.freshness import note_commit
-from rowanrail.gateway.model import Answer, Refusal, TypedStatement
-from rowanrail.gateway.operation import Operation, Stage
-from rowanrail.gateway.statement import LATE, busy
+from rowanrail.gateway.work.freshness import note_commit
+from rowanrail.gateway.work.operation import Operation, Stage
+from rowanrail.gateway.work.statement import LATE, busy
+from rowanrail.members.channel import Channel, Respond
+from rowanrail.model.statements import Answer, Refusal, TypedStatement
 
 
 class LoneWrite(Operation):
--- a/src/rowanrail/gateway/freshness.py
+++ b/src/rowanrail/gateway/work/freshness.py
@@ -1,9 +1,9 @@
 """Floors of reads: how new a sample of the primary's position must be, and a session's own."""
 
-from rowanrail.gateway.model import Consistency, Route
-from rowanrail.gateway.service import Service
+from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.proxy.backend import ORIGIN, Position
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.model.routing import Consistency, Route
 
 PREFETCH_SHARE = 0.5  # of the staleness: age of a sample at which the next one is asked for
 
--- a/src/rowanrail/gateway/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -7,30 +7,20 @@
 import enum
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel, Respond
-from rowanrail.gateway.clock import Clock, Timer
-from rowanrail.gateway.member_estimates import Wanted
-from rowanrail.gateway.model import (
-    Answer,
-    Command,
-    CommandKind,
-    Route,
-    StatementKind,
-    Trace,
-    TypedStatement,
-)
-from rowanrail.gateway.place_in_line import PlaceInLine
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.service import Service
+from rowanrail.gateway.pools.place_in_line import PlaceInLine
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.services.member_estimates import Wanted
+from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
-from rowanrail.gateway.statement import PRIMARY_RETURN_MS, Statement, busy
-from rowanrail.gateway.work_port import SingleStatement, Work, WorkInTransaction
-from rowanrail.proxy.backend import Position
-from rowanrail.scheduling.admission import (
-    Admit,
-    Cause,
-    judge_arriving,
-)
+from rowanrail.gateway.work.statement import PRIMARY_RETURN_MS, Statement, busy
+from rowanrail.gateway.work.work_port import SingleStatement, Work, WorkInTransaction
+from rowanrail.kernel.clock import Scheduler, Timer
+from rowanrail.members.channel import Channel, Respond
+from rowanrail.model.position import Position
+from rowanrail.model.routing import Route
+from rowanrail.model.statements import Answer, Command, CommandKind, StatementKind, TypedStatement
+from rowanrail.model.trace import Trace
+from rowanrail.scheduling.admission import Admit, Cause, judge_arriving
 from rowanrail.scheduling.queue import Entry
 from rowanrail.scheduling.returning import return_base
 
@@ -66,7 +56,7 @@
         route: Route,
         session: SessionValues,
         names: PreparedNames,
-        clock: Clock,
+        clock: Scheduler,
     ) -> None:
         super().__init__(service, route, session, clock)
         self.names = names
--- a/src/rowanrail/gateway/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -4,11 +4,13 @@
 
 import msgspec
 
-from rowanrail.gateway.channel import Respond
-from rowanrail.gateway.clock import Clock, Timer
-from rowanrail.gateway.model import Answer, Refusal, Rejection, Route
-from rowanrail.gateway.service import Service
+from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
+from rowanrail.kernel.clock import Scheduler, Timer
+from rowanrail.members.channel import Respond
+from rowanrail.model.routing import Route
+from rowanrail.model.statements import Answer, Refusal
+from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Cause, Forecast
 from rowanrail.scheduling.returning import SHORTEST_RETURN_MS
 
@@ -43,12 +45,12 @@
         Says how much time it has.
     session : SessionValues
         Of its client.
-    clock : Clock
+    clock : Scheduler
         Time and timers.
     """
 
     def __init__(
-        self, service: Service, route: Route, session: SessionValues, clock: Clock
+        self, service: Service, route: Route, session: SessionValues, clock: Scheduler
     ) -> None:
         self.service = service
         self.route = route
--- a/src/rowanrail/gateway/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -2,32 +2,31 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel, Respond
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.freshness import note_commit, oldest_sample, prefetch
-from rowanrail.gateway.model import (
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.services.service import Service
+from rowanrail.gateway.session_values import (
+    PreparedNames,
+    SessionValues,
+    is_write,
+    replay_in_transaction,
+)
+from rowanrail.gateway.work.freshness import note_commit, oldest_sample, prefetch
+from rowanrail.gateway.work.operation import Operation, Stage
+from rowanrail.gateway.work.statement import LATE, RETRY_SECONDS, busy
+from rowanrail.gateway.work.work_port import Work, WorkInTransaction
+from rowanrail.kernel.clock import Scheduler
+from rowanrail.members.channel import Channel, Respond
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.model.routing import Consistency, Route
+from rowanrail.model.statements import (
     Answer,
     Command,
     CommandKind,
-    Consistency,
     Refusal,
-    Route,
     SessionState,
     StatementKind,
     TypedStatement,
 )
-from rowanrail.gateway.operation import Operation, Stage
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.service import Service
-from rowanrail.gateway.session_values import (
-    PreparedNames,
-    SessionValues,
-    is_write,
-    replay_in_transaction,
-)
-from rowanrail.gateway.statement import LATE, RETRY_SECONDS, busy
-from rowanrail.gateway.work_port import Work, WorkInTransaction
-from rowanrail.proxy.backend import ORIGIN, Position
 
 BUSY_RETRIES = 3  # after 20, 40 and 60 ms, when slots have come free
 
@@ -45,7 +44,7 @@
         route: Route,
         session: SessionValues,
         names: PreparedNames,
-        clock: Clock,
+        clock: Scheduler,
         read_only: bool,
     ) -> None:
         super().__init__(service, route, session, names, clock)
@@ -317,7 +316,7 @@
     # The end
 
     def reclaim(self, reason: str) -> None:
-        """See :meth:`rowanrail.gateway.pool.Resting.reclaim`."""
+        """See :meth:`rowanrail.gateway.pools.pool.Resting.reclaim`."""
         self._reclaimed_for = reason
         self.end()
 
--- a/src/rowanrail/gateway/work.py
+++ b/src/rowanrail/gateway/work/work.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.lone_read import LoneRead
-from rowanrail.gateway.lone_write import LoneWrite
-from rowanrail.gateway.model import Route
-from rowanrail.gateway.service import Service
+from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
-from rowanrail.gateway.transaction import Transaction
-from rowanrail.gateway.work_port import SingleStatement, Work, WorkInTransaction
+from rowanrail.gateway.work.autocommit_read import LoneRead
+from rowanrail.gateway.work.autocommit_write import LoneWrite
+from rowanrail.gateway.work.transaction import Transaction
+from rowanrail.gateway.work.work_port import SingleStatement, Work, WorkInTransaction
+from rowanrail.kernel.clock import Scheduler
+from rowanrail.model.routing import Route
 
 __all__ = ["LocalWork", "SingleStatement", "Work", "WorkInTransaction"]
 
@@ -23,7 +23,7 @@
         The members.
     names : PreparedNames
         Names under which this gateway prepares shapes at members.
-    clock : Clock
+    clock : Scheduler
         Time and timers.
     find_detour : callable
         Returns work at a gateway that reaches the primary, if this one does not and one is known.
@@ -38,7 +38,7 @@
         self,
         service: Service,
         names: PreparedNames,
-        clock: Clock,
+        clock: Scheduler,
         find_detour: Callable[[], Work | None] = lambda: None,
         find_home: Callable[..., Work | None] = lambda tenant, instance="": None,
     ) -> None:
--- a/src/rowanrail/gateway/work_port.py
+++ b/src/rowanrail/gateway/work/work_port.py
@@ -2,9 +2,11 @@
 
 from typing import Protocol
 
-from rowanrail.gateway.channel import Respond
-from rowanrail.gateway.model import Answer, Route, Trace, TypedStatement
 from rowanrail.gateway.session_values import SessionValues
+from rowanrail.members.channel import Respond
+from rowanrail.model.routing import Route
+from rowanrail.model.statements import Answer, TypedStatement
+from rowanrail.model.trace import Trace
 
 __all__ = ["SingleStatement", "Work", "WorkInTransaction"]
 
--- a/src/rowanrail/gateway/channel.py
+++ b/src/rowanrail/members/channel.py
@@ -7,8 +7,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from rowanrail.gateway.model import Answer, Command, CommandKind, Refusal
-from rowanrail.proxy.backend import Position
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
 
 Respond = Callable[[Answer], None]
 
--- a/src/rowanrail/gateway/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -10,20 +10,15 @@
 
 from collections.abc import Callable
 
-from rowanrail.gateway.channel import Channel, MemberDriver
-from rowanrail.gateway.clock import Clock
-from rowanrail.gateway.model import (
-    Answer,
-    Command,
-    CommandKind,
-    MemberRecord,
-    Refusal,
-)
-from rowanrail.gateway.monitor_interval import MONITOR_SECONDS
-from rowanrail.gateway.policies import LeadershipProof
-from rowanrail.gateway.probe import Lender, Probe
-from rowanrail.gateway.samples import FloorWaiters, GiveFloor, Sample, SampleHistory
-from rowanrail.proxy.backend import Position
+from rowanrail.kernel.clock import Scheduler
+from rowanrail.members.channel import Channel, MemberDriver
+from rowanrail.members.leadership import LeadershipProof
+from rowanrail.members.monitor_interval import MONITOR_SECONDS
+from rowanrail.members.probe import Lender, Probe
+from rowanrail.members.samples import FloorWaiters, GiveFloor, Sample, SampleHistory
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
 
 PROBE_TIMEOUT_SECONDS = 0.3  # six times a round trip between regions of 20 ms one way
 LINE_SECONDS = 0.1  # of waiting for a connection of the pool
@@ -43,7 +38,7 @@
     """Finds the primary of one service and keeps its newest sample."""
 
     def __init__(
-        self, service: str, driver: MemberDriver, clock: Clock, proof: LeadershipProof
+        self, service: str, driver: MemberDriver, clock: Scheduler, proof: LeadershipProof
     ) -> None:
         self.service = service
         self.believed = ""
--- a/src/rowanrail/gateway/primary_health.py
+++ b/src/rowanrail/members/primary_health.py
@@ -1,7 +1,7 @@
 """What a gateway reports of a primary to the control nodes."""
 
-from rowanrail.gateway.model import PrimaryHealth
-from rowanrail.gateway.primary import PrimaryTracker
+from rowanrail.members.primary import PrimaryTracker
+from rowanrail.model.members import PrimaryHealth
 
 __all__ = ["health_of"]
 
--- a/src/rowanrail/gateway/probe.py
+++ b/src/rowanrail/members/probe.py
@@ -3,8 +3,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.model import Answer, MemberRecord
+from rowanrail.members.channel import Channel
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.statements import Answer
 
 __all__ = ["Lender", "Loan", "Probe"]
 
--- a/src/rowanrail/gateway/samples.py
+++ b/src/rowanrail/members/samples.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from rowanrail.proxy.backend import Position
+from rowanrail.model.position import Position
 
 __all__ = ["FloorWaiters", "GiveFloor", "Sample", "SampleHistory"]
 
--- a/src/rowanrail/mysql/backend.py
+++ b/src/rowanrail/mysql/backend.py
@@ -13,16 +13,16 @@
 
 from rowanrail.kernel.errors import BackendConnectError, BackendLostError, BackendRefusedError
 from rowanrail.kernel.registry import register
-from rowanrail.proxy.backend import (
+from rowanrail.model.position import Position
+from rowanrail.rpc.tcp import split_address
+from rowanrail.sql_proxy.backend import (
     BackendConnection,
     BackendDriver,
     Column,
     MemberRole,
     MemberStatus,
-    Position,
     StatementResult,
 )
-from rowanrail.rpc.tcp import split_address
 
 STATUS_QUERY = "SHOW GROUP MEMBER STATUS"
 FIRST_CLIENT_CODE = 2000
--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -12,13 +12,14 @@
 
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.kernel.lifecycle import listen_error
+from rowanrail.kernel.registry import register
 from rowanrail.mysql.errors import CallerCode, to_mysql_error
 from rowanrail.mysql.values import result_column
 from rowanrail.mysql.wire import ServedConnection, ServedSession, Server
-from rowanrail.proxy.commands import TOKEN_VARIABLE
-from rowanrail.proxy.core import ProxyCore
-from rowanrail.proxy.session import Session
 from rowanrail.rpc.tcp import split_address
+from rowanrail.sql_proxy.commands import TOKEN_VARIABLE
+from rowanrail.sql_proxy.core import ProxyCore
+from rowanrail.sql_proxy.session import Session
 
 LISTEN_BACKLOG = 1024
 NO_PASSWORD_HASH = "0" * 40
@@ -114,6 +115,7 @@
                 await session.close()
 
 
+@register("frontend", "mysql")
 class MysqlFrontend:
     """Listens for callers and drives the core."""
 
--- a/src/rowanrail/mysql/values.py
+++ b/src/rowanrail/mysql/values.py
@@ -9,7 +9,7 @@
 from mysql_mimic.results import ResultColumn
 from mysql_mimic.types import ColumnType, str_len
 
-from rowanrail.proxy.backend import Column
+from rowanrail.sql_proxy.backend import Column
 
 UNSIGNED_FLAG = 32
 _INTEGER_FORMATS = {
--- a/src/rowanrail/relay/planned.py
+++ b/src/rowanrail/placement/planned.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.relay.placement import Part, parts_of, rank
+from rowanrail.placement.hashed import Part, parts_of, rank
 from rowanrail.scheduling.plan import NO_PLAN, PartPlan, Plan
 
 __all__ = ["HANDOVER_MS", "Allowance", "HeldPart", "PlannedHolders"]
--- a/src/rowanrail/rpc/tcp.py
+++ b/src/rowanrail/rpc/tcp.py
@@ -9,13 +9,7 @@
 from rowanrail.kernel.lifecycle import listen_error
 from rowanrail.kernel.registry import register
 from rowanrail.kernel.sockets import limit_silence
-from rowanrail.rpc.codec import (
-    MAXIMUM_FRAME_BYTES,
-    Failure,
-    FrameKind,
-    decode_frame,
-    encode_frame,
-)
+from rowanrail.rpc.codec import MAXIMUM_FRAME_BYTES, Failure, FrameKind, decode_frame, encode_frame
 from rowanrail.rpc.network import Handler, Listener, Network
 
 CONNECT_TIMEOUT_SECONDS = 0.3  # an opening packet that was lost is sent again after a second
--- a/src/rowanrail/control/backup.py
+++ b/src/rowanrail/sql_control/backup.py
@@ -12,9 +12,9 @@
 from rowanrail.config.model import VersionedConfiguration
 from rowanrail.consensus.messages import EntryKind, HardState, Membership, Snapshot
 from rowanrail.consensus.storage import Identity, Storage, seal, unseal
-from rowanrail.control.policies import ExpectedVersion
-from rowanrail.control.state import ConfigurationState
 from rowanrail.kernel.errors import StorageError
+from rowanrail.sql_control.policies import ExpectedVersion
+from rowanrail.sql_control.state import ConfigurationState
 
 BACKUP_FORMAT = 1
 IDENTITY_BYTES = 6
--- a/src/rowanrail/control/census.py
+++ b/src/rowanrail/sql_control/census.py
@@ -9,10 +9,10 @@
 from collections import Counter
 
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.control.messages import CensusReply, CensusRequest
-from rowanrail.control.watch import WatchHub
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.rpc.network import Network
+from rowanrail.sql_control.messages import CensusReply, CensusRequest
+from rowanrail.sql_control.watch import WatchHub
 
 CENSUS_SECONDS = 2.0
 CALL_SECONDS = 1.0
--- a/src/rowanrail/control/daemon.py
+++ b/src/rowanrail/sql_control/daemon.py
@@ -6,9 +6,6 @@
 from aiohttp import web
 
 from rowanrail.config.settings import ControlSettings
-from rowanrail.control.events import CONTROL_STARTED, CONTROL_STOPPED
-from rowanrail.control.http_api import OperatorApi
-from rowanrail.control.node import ControlNode
 from rowanrail.kernel.disk import FileDisk
 from rowanrail.kernel.events import emit
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
@@ -16,6 +13,9 @@
 from rowanrail.kernel.web import serve_http
 from rowanrail.rpc.routed import RoutedNetwork
 from rowanrail.rpc.tcp import TcpNetwork
+from rowanrail.sql_control.events import CONTROL_STARTED, CONTROL_STOPPED
+from rowanrail.sql_control.http_api import OperatorApi
+from rowanrail.sql_control.node import ControlNode
 
 
 async def run_control(settings: ControlSettings, bootstrap: bool) -> None:
--- a/src/rowanrail/control/delta.py
+++ b/src/rowanrail/sql_control/delta.py
@@ -12,7 +12,7 @@
     UserSpec,
     VersionedConfiguration,
 )
-from rowanrail.control.messages import ConfigurationDelta
+from rowanrail.sql_control.messages import ConfigurationDelta
 
 Spec = TypeVar("Spec", SiteSpec, GroupSpec, UserSpec)
 
--- a/src/rowanrail/control/events.py
+++ b/src/rowanrail/sql_control/events.py
@@ -18,12 +18,6 @@
 VERSION_ACCEPTED = define(
     111, Level.INFO, "version {version} is committed", "A configuration change was accepted."
 )
-NODE_JOINING = define(
-    120,
-    Level.WARNING,
-    "the data folder is empty: joining as the new node {node}",
-    "Expected on a new or replaced machine. The node has no vote until it is admitted.",
-)
 TAIL_CUT = define(
     121,
     Level.WARNING,
@@ -43,9 +37,3 @@
     "the data folder takes writes again, the node takes part in term {term}",
     "It goes on with what is durable, as after a restart.",
 )
-JOIN_REFUSED = define(
-    123,
-    Level.WARNING,
-    "joining through {peer} failed: {error}",
-    "The node tries the next peer. If it stays: start a majority of the others.",
-)
--- a/src/rowanrail/control/http_api.py
+++ b/src/rowanrail/sql_control/http_api.py
@@ -10,22 +10,21 @@
 from prometheus_client import CollectorRegistry, Gauge, generate_latest
 from returns.result import Failure
 
+from rowanrail.cluster.messages import NodesReply, NodesRequest
 from rowanrail.config.diff import difference, plain
 from rowanrail.config.load import parse_configuration
 from rowanrail.config.settings import OperatorSpec
-from rowanrail.control.messages import (
+from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
+from rowanrail.sql_control.messages import (
     ApplyRequest,
     ChangeReply,
     DrainRequest,
-    NodesReply,
-    NodesRequest,
     ReadReply,
     ReadRequest,
     RollbackRequest,
     Verdict,
 )
-from rowanrail.control.service import ControlService
-from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
+from rowanrail.sql_control.service import ControlService
 
 MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
 RETRY_AFTER_SECONDS = 2
--- a/src/rowanrail/control/node.py
+++ b/src/rowanrail/sql_control/node.py
@@ -8,25 +8,25 @@
 import time
 from collections.abc import Callable
 
+from rowanrail.cluster.folder import FolderOwner, join_until_admitted, open_folder
+from rowanrail.cluster.membership import name_of
 from rowanrail.config.settings import ControlSettings
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.storage import Identity, Storage
-from rowanrail.control.bootstrap import FolderOwner, join_until_admitted, open_folder
-from rowanrail.control.events import (
+from rowanrail.kernel.disk import Disk
+from rowanrail.kernel.events import emit
+from rowanrail.kernel.registry import Registry
+from rowanrail.rpc.network import Listener, Network
+from rowanrail.sql_control.events import (
     LEADER_CHANGED,
     STORAGE_FAILED,
     STORAGE_REGAINED,
     TAIL_CUT,
     VERSION_ACCEPTED,
 )
-from rowanrail.control.membership import name_of
-from rowanrail.control.service import ControlService
-from rowanrail.control.state import ConfigurationState
-from rowanrail.kernel.disk import Disk
-from rowanrail.kernel.events import emit
-from rowanrail.kernel.registry import Registry
-from rowanrail.rpc.network import Listener, Network
+from rowanrail.sql_control.service import ControlService
+from rowanrail.sql_control.state import ConfigurationState
 
 
 class ControlNode:
--- a/src/rowanrail/control/policies.py
+++ b/src/rowanrail/sql_control/policies.py
@@ -10,12 +10,3 @@
     def matches(self, base_version: int, current_version: int) -> bool:
         """Return whether the change may be accepted."""
         return base_version == current_version
-
-
-@register("control-guard", "version-monotonic")
-class VersionMonotonic:
-    """The version in force at a proxy only grows."""
-
-    def accepts(self, in_force: int, offered: int) -> bool:
-        """Return whether the offered version may replace the one in force."""
-        return offered > in_force
--- a/src/rowanrail/control/service.py
+++ b/src/rowanrail/sql_control/service.py
@@ -7,41 +7,43 @@
 
 import msgspec
 
+from rowanrail.cluster.membership import MembershipManager
+from rowanrail.cluster.messages import (
+    BarrierReply,
+    BarrierRequest,
+    JoinRequest,
+    NodesRequest,
+    ProxyReport,
+    ReportsReply,
+    ReportsRequest,
+)
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.config.checks import check_configuration
 from rowanrail.config.diff import Change, difference
 from rowanrail.config.model import Configuration
 from rowanrail.consensus.errors import NotLeaderError, SupersededError
 from rowanrail.consensus.messages import ConsensusMessage
 from rowanrail.consensus.node import CONSENSUS_MESSAGES, ConsensusNode
-from rowanrail.control.census import ProxyCensus
-from rowanrail.control.delta import make_delta
-from rowanrail.control.membership import MembershipManager
-from rowanrail.control.messages import (
+from rowanrail.kernel.errors import InvalidRequestError, RowanrailError, TransportError
+from rowanrail.rpc.network import Network
+from rowanrail.sql_control.census import ProxyCensus
+from rowanrail.sql_control.delta import make_delta
+from rowanrail.sql_control.messages import (
     ApplyRequest,
-    BarrierReply,
-    BarrierRequest,
     CensusRequest,
     ChangeCommand,
     ChangeReply,
     ConfigurationDelta,
     DrainRequest,
-    JoinRequest,
-    NodesRequest,
     Outcome,
-    ProxyReport,
     ReadReply,
     ReadRequest,
-    ReportsReply,
-    ReportsRequest,
     RollbackRequest,
     Verdict,
     WatchRequest,
 )
-from rowanrail.control.policies import VersionMonotonic
-from rowanrail.control.state import ConfigurationState
-from rowanrail.control.watch import WatchHub
-from rowanrail.kernel.errors import InvalidRequestError, RowanrailError, TransportError
-from rowanrail.rpc.network import Network
+from rowanrail.sql_control.state import ConfigurationState
+from rowanrail.sql_control.watch import WatchHub
 
 LEADER_CALL_SECONDS = 3.0
 REQUEST_SECONDS = 8.0
--- a/src/rowanrail/control/state.py
+++ b/src/rowanrail/sql_control/state.py
@@ -7,9 +7,9 @@
 from rowanrail.config.model import Configuration, VersionedConfiguration
 from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind
-from rowanrail.control.delta import apply_delta, is_empty
-from rowanrail.control.messages import ChangeCommand, Outcome, Revision, Verdict
-from rowanrail.control.policies import ExpectedVersion
+from rowanrail.sql_control.delta import apply_delta, is_empty
+from rowanrail.sql_control.messages import ChangeCommand, Outcome, Revision, Verdict
+from rowanrail.sql_control.policies import ExpectedVersion
 
 REMEMBERED_OUTCOMES = 10_000
 REMEMBERED_REVISIONS = 1_000
--- a/src/rowanrail/control/watch.py
+++ b/src/rowanrail/sql_control/watch.py
@@ -6,16 +6,12 @@
 
 import msgspec
 
+from rowanrail.cluster.messages import ProxyReport
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.config.model import VersionedConfiguration
-from rowanrail.control.delta import view_delta, view_for_zone
-from rowanrail.control.messages import (
-    ConfigurationDelta,
-    ProxyReport,
-    WatchReply,
-    WatchRequest,
-)
-from rowanrail.control.policies import VersionMonotonic
-from rowanrail.control.state import ConfigurationState
+from rowanrail.sql_control.delta import view_delta, view_for_zone
+from rowanrail.sql_control.messages import ConfigurationDelta, WatchReply, WatchRequest
+from rowanrail.sql_control.state import ConfigurationState
 
 MAXIMUM_HOLD_SECONDS = 5.0
 FORGET_REPORT_SECONDS = 60.0
--- a/src/rowanrail/proxy/backend.py
+++ b/src/rowanrail/sql_proxy/backend.py
@@ -10,15 +10,7 @@
 
 import msgspec
 
-
-class Position(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """A place in a group's log. Positions compare by term, then by index."""
-
-    term: int = 0
-    index: int = 0
-
-
-ORIGIN = Position()
+from rowanrail.model.position import Position
 
 
 class MemberRole(enum.Enum):
--- a/src/rowanrail/proxy/config_watch.py
+++ b/src/rowanrail/sql_proxy/config_watch.py
@@ -11,19 +11,19 @@
 
 import msgspec
 
+from rowanrail.cluster.messages import ProxyReport
 from rowanrail.config.model import Configuration, VersionedConfiguration
-from rowanrail.control.delta import apply_delta
-from rowanrail.control.messages import (
+from rowanrail.kernel.errors import TransportError
+from rowanrail.kernel.events import emit
+from rowanrail.rpc.network import Network
+from rowanrail.sql_control.delta import apply_delta
+from rowanrail.sql_control.messages import (
     PeerConfigurationReply,
     PeerConfigurationRequest,
-    ProxyReport,
     WatchReply,
     WatchRequest,
 )
-from rowanrail.kernel.errors import TransportError
-from rowanrail.kernel.events import emit
-from rowanrail.proxy.events import CONTROL_UNREACHABLE, UNCONFIRMED_CONFIGURATION
-from rowanrail.rpc.network import Network
+from rowanrail.sql_proxy.events import CONTROL_UNREACHABLE, UNCONFIRMED_CONFIGURATION
 
 HOLD_SECONDS = 2.0
 CALL_SECONDS = 1.0  # for the way there and back, on top of the hold
--- a/src/rowanrail/proxy/core.py
+++ b/src/rowanrail/sql_proxy/core.py
@@ -10,17 +10,17 @@
 import time
 from collections.abc import Callable
 
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.config.model import GroupSpec, VersionedConfiguration
-from rowanrail.control.policies import VersionMonotonic
 from rowanrail.kernel.errors import BackendRefusedError, NotRunError, UnknownDatabaseError
 from rowanrail.kernel.events import emit
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import BackendDriver
-from rowanrail.proxy.events import CONFIGURATION_IN_FORCE, OLDER_CONFIGURATION
-from rowanrail.proxy.groups import GroupTable
-from rowanrail.proxy.policies import DrainWait
-from rowanrail.proxy.services import GroupServices, SessionHost
-from rowanrail.proxy.session import Session
+from rowanrail.sql_proxy.backend import BackendDriver
+from rowanrail.sql_proxy.events import CONFIGURATION_IN_FORCE, OLDER_CONFIGURATION
+from rowanrail.sql_proxy.groups import GroupTable
+from rowanrail.sql_proxy.policies import DrainWait
+from rowanrail.sql_proxy.services import GroupServices, SessionHost
+from rowanrail.sql_proxy.session import Session
 
 REAPER_SECONDS = 0.5
 STOP_RETRY_AFTER_SECONDS = 0.5
--- a/src/rowanrail/proxy/daemon.py
+++ b/src/rowanrail/sql_proxy/daemon.py
@@ -9,17 +9,13 @@
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.registry import Registry
 from rowanrail.kernel.web import serve_http
-from rowanrail.mysql import backend as _backend_plugin
-from rowanrail.mysql.frontend import MysqlFrontend
-from rowanrail.proxy.config_watch import ConfigurationWatch
-from rowanrail.proxy.core import ProxyCore
-from rowanrail.proxy.directory import DirectoryWatch
-from rowanrail.proxy.events import PROXY_STARTED, PROXY_STOPPED, PROXY_STOPPING
-from rowanrail.proxy.report import ProxyMetrics, make_report
 from rowanrail.rpc.routed import RoutedNetwork
 from rowanrail.rpc.tcp import TcpNetwork
-
-BACKEND_PLUGIN = _backend_plugin.MysqlDriver.__name__
+from rowanrail.sql_proxy.config_watch import ConfigurationWatch
+from rowanrail.sql_proxy.core import ProxyCore
+from rowanrail.sql_proxy.directory import DirectoryWatch
+from rowanrail.sql_proxy.events import PROXY_STARTED, PROXY_STOPPED, PROXY_STOPPING
+from rowanrail.sql_proxy.report import ProxyMetrics, make_report
 
 
 def admin_application(core: ProxyCore) -> web.Application:
@@ -63,7 +59,7 @@
         [*settings.zone_peers, *settings.region_peers],
         lambda: make_report(core, settings.name, settings.zone, incarnation),
     )
-    frontend = MysqlFrontend(core)
+    frontend = registry.create("frontend", "mysql", core)
     listener = await network.serve(settings.rpc_listen, watch.answer_peer)
     runner = await serve_http(admin_application(core), settings.admin_listen)
     await frontend.start(settings.listen)
--- a/src/rowanrail/proxy/directory.py
+++ b/src/rowanrail/sql_proxy/directory.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rowanrail.kernel.events import emit
-from rowanrail.proxy.events import DIRECTORY_UNREACHABLE
+from rowanrail.sql_proxy.events import DIRECTORY_UNREACHABLE
 
 POLL_SECONDS = 0.5
 TIMEOUT_SECONDS = 2.0
--- a/src/rowanrail/proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -9,17 +9,12 @@
 from rowanrail.config.model import GroupSpec
 from rowanrail.kernel.errors import NotRunError
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import (
-    ORIGIN,
-    BackendConnection,
-    BackendDriver,
-    MemberStatus,
-    Position,
-)
-from rowanrail.proxy.monitor import MemberMonitor
-from rowanrail.proxy.policies import Freshness, LeavingCheck, TermConfirmation
-from rowanrail.proxy.pool import Pool, PoolLimits
-from rowanrail.proxy.share import UNKNOWN, ConnectionShare
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.sql_proxy.backend import BackendConnection, BackendDriver, MemberStatus
+from rowanrail.sql_proxy.monitor import MemberMonitor
+from rowanrail.sql_proxy.policies import Freshness, LeavingCheck, TermConfirmation
+from rowanrail.sql_proxy.pool import Pool, PoolLimits
+from rowanrail.sql_proxy.share import UNKNOWN, ConnectionShare
 
 ROUND_RETRY_SECONDS = 0.005
 ROUND_RETRY_MAXIMUM_SECONDS = 0.05
--- a/src/rowanrail/proxy/groups.py
+++ b/src/rowanrail/sql_proxy/groups.py
@@ -12,10 +12,10 @@
 
 from rowanrail.config.model import GroupSpec
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import BackendDriver
-from rowanrail.proxy.group import GroupOptions
-from rowanrail.proxy.services import GroupServices
-from rowanrail.proxy.share import UNKNOWN
+from rowanrail.sql_proxy.backend import BackendDriver
+from rowanrail.sql_proxy.group import GroupOptions
+from rowanrail.sql_proxy.services import GroupServices
+from rowanrail.sql_proxy.share import UNKNOWN
 
 ALWAYS_WATCHED_GROUPS = 16
 UNUSED_GROUP_SECONDS = 300.0
--- a/src/rowanrail/proxy/lease.py
+++ b/src/rowanrail/sql_proxy/lease.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from rowanrail.proxy.backend import StatementResult
-from rowanrail.proxy.group import Member
-from rowanrail.proxy.pool import PooledConnection, Priority
+from rowanrail.sql_proxy.backend import StatementResult
+from rowanrail.sql_proxy.group import Member
+from rowanrail.sql_proxy.pool import PooledConnection, Priority
 
 
 class Lease:
--- a/src/rowanrail/proxy/monitor.py
+++ b/src/rowanrail/sql_proxy/monitor.py
@@ -5,8 +5,9 @@
 from collections.abc import Callable
 
 from rowanrail.kernel.errors import BackendConnectError, BackendLostError, BackendRefusedError
-from rowanrail.proxy.backend import ORIGIN, BackendConnection, MemberRole, MemberStatus, Position
-from rowanrail.proxy.pool import Opener
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.sql_proxy.backend import BackendConnection, MemberRole, MemberStatus
+from rowanrail.sql_proxy.pool import Opener
 
 STATUS_TIMEOUT_SECONDS = 0.3
 RECONNECT_SECONDS = 0.1
--- a/src/rowanrail/proxy/policies.py
+++ b/src/rowanrail/sql_proxy/policies.py
@@ -8,7 +8,8 @@
 
 from rowanrail.kernel.errors import CallerError, NotRunError, OutcomeUnknownError
 from rowanrail.kernel.registry import register
-from rowanrail.proxy.backend import MemberRole, MemberStatus, Position
+from rowanrail.model.position import Position
+from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
 
 
 @register("proxy-guard", "freshness")
--- a/src/rowanrail/proxy/pool.py
+++ b/src/rowanrail/sql_proxy/pool.py
@@ -18,8 +18,8 @@
     BackendRefusedError,
     NotRunError,
 )
-from rowanrail.proxy.backend import BackendConnection, MemberStatus, StatementResult
-from rowanrail.proxy.policies import LateAnswerDiscard
+from rowanrail.sql_proxy.backend import BackendConnection, MemberStatus, StatementResult
+from rowanrail.sql_proxy.policies import LateAnswerDiscard
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 LATENCY_WEIGHT = 0.1
--- a/src/rowanrail/proxy/positions.py
+++ b/src/rowanrail/sql_proxy/positions.py
@@ -1,9 +1,10 @@
 """What a session has seen of each group, and the token that carries it."""
 
 from rowanrail.kernel.errors import InvalidRequestError
-from rowanrail.proxy.backend import ORIGIN, Position, StatementResult
-from rowanrail.proxy.services import GroupServices
-from rowanrail.proxy.token import decode_token, encode_token
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.sql_proxy.backend import StatementResult
+from rowanrail.sql_proxy.services import GroupServices
+from rowanrail.sql_proxy.token import decode_token, encode_token
 
 
 class SessionPositions:
--- a/src/rowanrail/proxy/reads.py
+++ b/src/rowanrail/sql_proxy/reads.py
@@ -8,12 +8,13 @@
     BackendRefusedError,
     NotRunError,
 )
-from rowanrail.proxy.backend import ORIGIN, Position, StatementResult
-from rowanrail.proxy.group import RETRY_AFTER_SECONDS, GroupRuntime, Member
-from rowanrail.proxy.lease import Lease
-from rowanrail.proxy.policies import OutcomeClassification
-from rowanrail.proxy.pool import Priority
-from rowanrail.proxy.statistics import GroupStatistics
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.sql_proxy.backend import StatementResult
+from rowanrail.sql_proxy.group import RETRY_AFTER_SECONDS, GroupRuntime, Member
+from rowanrail.sql_proxy.lease import Lease
+from rowanrail.sql_proxy.policies import OutcomeClassification
+from rowanrail.sql_proxy.pool import Priority
+from rowanrail.sql_proxy.statistics import GroupStatistics
 
 REPLICA_WAIT_SECONDS = 0.03
 RETRY_PAUSE_SECONDS = 0.005
--- a/src/rowanrail/proxy/report.py
+++ b/src/rowanrail/sql_proxy/report.py
@@ -4,9 +4,9 @@
 
 from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
-from rowanrail.control.messages import GroupReport, ProxyReport
-from rowanrail.proxy.core import ProxyCore
-from rowanrail.proxy.services import GroupServices
+from rowanrail.cluster.messages import GroupReport, ProxyReport
+from rowanrail.sql_proxy.core import ProxyCore
+from rowanrail.sql_proxy.services import GroupServices
 
 REPORTED_GROUPS = 8  # the most recently used ones: a report's size must be bounded
 _GROUP_METRICS = (
--- a/src/rowanrail/proxy/requests.py
+++ b/src/rowanrail/sql_proxy/requests.py
@@ -17,8 +17,9 @@
     NotRunError,
     RequestConflictError,
 )
-from rowanrail.proxy.backend import Position, StatementResult
-from rowanrail.proxy.pool import PooledConnection
+from rowanrail.model.position import Position
+from rowanrail.sql_proxy.backend import StatementResult
+from rowanrail.sql_proxy.pool import PooledConnection
 
 TABLE = "rowanrail_requests"
 DUPLICATE_KEY_CODE = 1062
--- a/src/rowanrail/proxy/rules.py
+++ b/src/rowanrail/sql_proxy/rules.py
@@ -1,7 +1,7 @@
 """Which reads the rules allow on a replica."""
 
 from rowanrail.config.model import RuleSpec, StatementKind
-from rowanrail.proxy.classify import Kind, Statement
+from rowanrail.sql_proxy.classify import Kind, Statement
 
 _RULE_KINDS = {
     Kind.READ: StatementKind.SELECT,
--- a/src/rowanrail/proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -8,12 +8,13 @@
 from rowanrail.config.model import Consistency, GroupSpec
 from rowanrail.kernel.errors import NotRunError
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import BackendDriver, Position
-from rowanrail.proxy.group import RETRY_AFTER_SECONDS, GroupOptions, GroupRuntime
-from rowanrail.proxy.policies import OutcomeClassification
-from rowanrail.proxy.reads import ReadRunner
-from rowanrail.proxy.statistics import GroupStatistics
-from rowanrail.proxy.writes import WriteRunner
+from rowanrail.model.position import Position
+from rowanrail.sql_proxy.backend import BackendDriver
+from rowanrail.sql_proxy.group import RETRY_AFTER_SECONDS, GroupOptions, GroupRuntime
+from rowanrail.sql_proxy.policies import OutcomeClassification
+from rowanrail.sql_proxy.reads import ReadRunner
+from rowanrail.sql_proxy.statistics import GroupStatistics
+from rowanrail.sql_proxy.writes import WriteRunner
 
 
 class GroupServices:
--- a/src/rowanrail/proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -11,9 +11,10 @@
     OutcomeUnknownError,
     UnknownDatabaseError,
 )
-from rowanrail.proxy.backend import ORIGIN, Column, StatementResult
-from rowanrail.proxy.classify import Kind, Statement, classify
-from rowanrail.proxy.commands import (
+from rowanrail.model.position import ORIGIN
+from rowanrail.sql_proxy.backend import Column, StatementResult
+from rowanrail.sql_proxy.classify import Kind, Statement, classify
+from rowanrail.sql_proxy.commands import (
     REQUEST_VARIABLE,
     TOKEN_VARIABLE,
     SetKind,
@@ -23,14 +24,14 @@
     parse_use,
     setting_key,
 )
-from rowanrail.proxy.lease import Lease
-from rowanrail.proxy.policies import Pinning
-from rowanrail.proxy.pool import Priority
-from rowanrail.proxy.positions import SessionPositions
-from rowanrail.proxy.requests import check_request_id
-from rowanrail.proxy.rules import allows_replica
-from rowanrail.proxy.services import GroupServices, SessionHost
-from rowanrail.proxy.transaction import Transaction, TransactionState
+from rowanrail.sql_proxy.lease import Lease
+from rowanrail.sql_proxy.policies import Pinning
+from rowanrail.sql_proxy.pool import Priority
+from rowanrail.sql_proxy.positions import SessionPositions
+from rowanrail.sql_proxy.requests import check_request_id
+from rowanrail.sql_proxy.rules import allows_replica
+from rowanrail.sql_proxy.services import GroupServices, SessionHost
+from rowanrail.sql_proxy.transaction import Transaction, TransactionState
 
 VAR_STRING_TYPE = 253
 REQUEST_ATTRIBUTE = "request_id"
--- a/src/rowanrail/proxy/token.py
+++ b/src/rowanrail/sql_proxy/token.py
@@ -13,7 +13,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from rowanrail.proxy.backend import Position
+from rowanrail.model.position import Position
 
 TOKEN_VERSION = 1
 MAXIMUM_TOKEN_BYTES = 8192
--- a/src/rowanrail/proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -9,13 +9,13 @@
     NotRunError,
     OutcomeUnknownError,
 )
-from rowanrail.proxy.backend import StatementResult
-from rowanrail.proxy.group import RETRY_AFTER_SECONDS
-from rowanrail.proxy.lease import Lease
-from rowanrail.proxy.policies import Pinning
-from rowanrail.proxy.pool import Priority
-from rowanrail.proxy.requests import request_digest
-from rowanrail.proxy.services import GroupServices
+from rowanrail.sql_proxy.backend import StatementResult
+from rowanrail.sql_proxy.group import RETRY_AFTER_SECONDS
+from rowanrail.sql_proxy.lease import Lease
+from rowanrail.sql_proxy.policies import Pinning
+from rowanrail.sql_proxy.pool import Priority
+from rowanrail.sql_proxy.requests import request_digest
+from rowanrail.sql_proxy.services import GroupServices
 
 
 class TransactionState(enum.Enum):
--- a/src/rowanrail/proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -10,12 +10,13 @@
     NotRunError,
     OutcomeUnknownError,
 )
-from rowanrail.proxy.backend import ORIGIN, Position, StatementResult
-from rowanrail.proxy.group import RETRY_AFTER_SECONDS, GroupRuntime
-from rowanrail.proxy.lease import Lease
-from rowanrail.proxy.policies import OutcomeClassification, RequestRecord
-from rowanrail.proxy.pool import Priority
-from rowanrail.proxy.requests import (
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.sql_proxy.backend import StatementResult
+from rowanrail.sql_proxy.group import RETRY_AFTER_SECONDS, GroupRuntime
+from rowanrail.sql_proxy.lease import Lease
+from rowanrail.sql_proxy.policies import OutcomeClassification, RequestRecord
+from rowanrail.sql_proxy.pool import Priority
+from rowanrail.sql_proxy.requests import (
     CREATE_TABLE,
     DUPLICATE_KEY_CODE,
     NO_SUCH_TABLE_CODE,
@@ -25,7 +26,7 @@
     insert_record,
     request_digest,
 )
-from rowanrail.proxy.statistics import GroupStatistics
+from rowanrail.sql_proxy.statistics import GroupStatistics
 
 RETRY_PAUSE_SECONDS = 0.01
 CLEAN_UP_EVERY_WRITES = 1000
--- a/tests/coordination/test_differences.py
+++ b/tests/coordination/test_differences.py
@@ -9,24 +9,23 @@
 
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.coordination import history
-from rowanrail.coordination.messages import (
+from rowanrail.coordination.commands import Announce, Remove, SetGateways
+from rowanrail.coordination.parts import difference_since, whole_for
+from rowanrail.coordination.service import CoordinationService
+from rowanrail.directory.messages import (
     WHOLE,
-    Announce,
     DirectoryReply,
     DirectoryRequest,
     GatewayRecord,
     GatewayReport,
     HeldRequest,
-    Remove,
-    SetGateways,
 )
-from rowanrail.coordination.parts import difference_since, pack, unpack, whole_for
-from rowanrail.coordination.service import CoordinationService
-from rowanrail.gateway.directory_copy import DirectoryCopy
-from rowanrail.gateway.directory_watch import DirectoryWatch
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.packing import pack, unpack
+from rowanrail.gateway.discovery.directory_copy import DirectoryCopy
+from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
+from rowanrail.model.members import MemberRecord
 from tests.coordination.test_directory import PlayedNode
 from tests.coordination.test_holders import commands, new_state
 from tests.support.control_cost import FollowingGateway, PlainFormat, document
--- a/tests/coordination/test_directory.py
+++ b/tests/coordination/test_directory.py
@@ -4,23 +4,16 @@
 
 import msgspec
 
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.log import Log
 from rowanrail.consensus.messages import Entry, EntryKind, Membership, Snapshot
-from rowanrail.control.policies import VersionMonotonic
-from rowanrail.coordination.messages import (
-    Announce,
-    DirectoryRequest,
-    GatewayRecord,
-    GatewayReport,
-    HeldRequest,
-    PutDocument,
-    SetGateways,
-)
+from rowanrail.coordination.commands import Announce, PutDocument, SetGateways
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.gateway.model import MemberRecord
-from rowanrail.relay.placement import rank
+from rowanrail.directory.messages import DirectoryRequest, GatewayRecord, GatewayReport, HeldRequest
+from rowanrail.model.members import MemberRecord
+from rowanrail.placement.hashed import rank
 
 MEMBERSHIP = Membership({"v1": "c1:1", "v2": "c2:1", "v3": "c3:1"})
 MEMBER = MemberRecord("m1", "db", "m1:1", "a", True, False, 3, 1)
--- a/tests/coordination/test_failed_storage.py
+++ b/tests/coordination/test_failed_storage.py
@@ -6,9 +6,9 @@
 from rowanlab.simulator.coordination_world import CoordinationWorld
 from rowanlab.simulator.permissive import registry_without
 from rowanlab.simulator.world import World
-from rowanrail.coordination.messages import DirectoryRequest, GatewayReport, HeldRequest
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.messages import DirectoryRequest, GatewayReport, HeldRequest
 from rowanrail.kernel.errors import RowanrailError
+from rowanrail.model.members import MemberRecord
 
 SEEDS = (1, 2, 3)
 GATEWAY = GatewayReport("g1", "z1", [])
--- a/tests/coordination/test_failover.py
+++ b/tests/coordination/test_failover.py
@@ -12,8 +12,8 @@
     ServiceView,
     decide,
 )
-from rowanrail.gateway.model import MemberRecord
-from rowanrail.proxy.backend import Position
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
 
 QUIET = 5.0  # seconds since the last heartbeat of a silent member
 
--- a/tests/coordination/test_forwarding.py
+++ b/tests/coordination/test_forwarding.py
@@ -6,9 +6,9 @@
 
 from rowanrail.coordination.forwarding import CENSUS_SECONDS, ReportForwarding
 from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS
-from rowanrail.coordination.messages import DirectoryRequest, GatewayReport
 from rowanrail.coordination.service import CoordinationService
-from rowanrail.gateway.model import PrimaryHealth
+from rowanrail.directory.messages import DirectoryRequest, GatewayReport
+from rowanrail.model.members import PrimaryHealth
 from rowanrail.scheduling.load_report import LoadReport
 from tests.coordination.test_directory import PlayedNode
 from tests.coordination.test_holders import new_state
--- a/tests/coordination/test_gathering.py
+++ b/tests/coordination/test_gathering.py
@@ -6,23 +6,16 @@
 import msgspec
 
 from rowanlab.simulator.event_clock import EventClock
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
-from rowanrail.control.policies import VersionMonotonic
+from rowanrail.coordination.commands import Announce, PutDocument, Remove, SetGateways
 from rowanrail.coordination.gathering import GATHER_MS, Gathering
-from rowanrail.coordination.messages import (
-    Announce,
-    DirectoryRequest,
-    GatewayRecord,
-    GatewayReport,
-    PutDocument,
-    Remove,
-    SetGateways,
-)
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.messages import DirectoryRequest, GatewayRecord, GatewayReport
 from rowanrail.kernel.clock import Clock
+from rowanrail.model.members import MemberRecord
 from tests.coordination.test_directory import PlayedNode
 
 HOLD_SECONDS = 1.0
--- a/tests/coordination/test_holders.py
+++ b/tests/coordination/test_holders.py
@@ -6,17 +6,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.log import Log
 from rowanrail.consensus.messages import Entry, EntryKind, Membership, Snapshot
-from rowanrail.control.policies import VersionMonotonic
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep
+from rowanrail.coordination.commands import Announce, Remove, SetGateways
 from rowanrail.coordination.holders import Holders
-from rowanrail.coordination.messages import Announce, GatewayRecord, Remove, SetGateways
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.replay import Replay
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.gateway.model import MemberRecord
-from rowanrail.relay.placement import METER, parts_of, rank
+from rowanrail.directory.messages import GatewayRecord
+from rowanrail.model.members import MemberRecord
+from rowanrail.placement.hashed import METER, parts_of, rank
 
 
 def ranked(state):
--- a/tests/coordination/test_member_questions.py
+++ b/tests/coordination/test_member_questions.py
@@ -4,9 +4,10 @@
 import unittest
 
 from rowanrail.coordination.member_questions import MemberQuestions, MemberStatus, StatusReader
-from rowanrail.gateway.channel import MemberDriver, Wire
-from rowanrail.gateway.model import Answer, Command, CommandKind, MemberRecord
-from rowanrail.proxy.backend import Position
+from rowanrail.members.channel import MemberDriver, Wire
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Command, CommandKind
 
 
 class PlainReader(StatusReader):
--- a/tests/coordination/test_messages.py
+++ b/tests/coordination/test_messages.py
@@ -5,13 +5,13 @@
 import msgspec
 
 from rowanrail.consensus.messages import AppendReply, AppendRequest
-from rowanrail.coordination.messages import (
+from rowanrail.directory.messages import (
     DirectoryReply,
     DirectoryRequest,
     GatewayReport,
     HeldRequest,
 )
-from rowanrail.gateway.model import PrimaryHealth
+from rowanrail.model.members import PrimaryHealth
 from rowanrail.rpc.codec import FrameKind, decode_frame, encode_frame
 
 NODE = "10.1.0.38:7520@fbf0426a60ad"
--- a/tests/coordination/test_planner.py
+++ b/tests/coordination/test_planner.py
@@ -4,24 +4,18 @@
 
 import msgspec
 
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
-from rowanrail.control.policies import VersionMonotonic
+from rowanrail.coordination.commands import Announce, SetGateways, SetPlan
 from rowanrail.coordination.loads import FORGET_MS, LoadBook
-from rowanrail.coordination.messages import (
-    Announce,
-    DirectoryRequest,
-    GatewayRecord,
-    GatewayReport,
-    SetGateways,
-    SetPlan,
-)
 from rowanrail.coordination.planner import ROUND_MS, PlanDuty, Planner
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.messages import DirectoryRequest, GatewayRecord, GatewayReport
 from rowanrail.kernel.errors import RowanrailError
-from rowanrail.relay.placement import rank
+from rowanrail.model.members import MemberRecord
+from rowanrail.placement.hashed import rank
 from rowanrail.scheduling.demand import SPANS
 from rowanrail.scheduling.load_report import LoadReport, PartLoad
 from rowanrail.scheduling.plan import Cause, Holding, PartPlan
--- a/tests/coordination/test_reports.py
+++ b/tests/coordination/test_reports.py
@@ -15,10 +15,11 @@
     report_view,
 )
 from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS, Liveness
-from rowanrail.coordination.messages import GatewayReport
-from rowanrail.coordination.reports import TOLD_PROOF_MS, ReportIndex, telling
-from rowanrail.gateway.model import MemberRecord, PrimaryHealth
-from rowanrail.proxy.backend import Position
+from rowanrail.coordination.reports import ReportIndex
+from rowanrail.directory.messages import GatewayReport
+from rowanrail.directory.reports import TOLD_PROOF_MS, telling
+from rowanrail.model.members import MemberRecord, PrimaryHealth
+from rowanrail.model.position import Position
 
 SERVICES = ("db1", "db2")
 HOLDING_SECONDS = 60.0
--- a/tests/coordination/test_service.py
+++ b/tests/coordination/test_service.py
@@ -4,13 +4,14 @@
 
 import msgspec
 
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
-from rowanrail.control.policies import VersionMonotonic
-from rowanrail.coordination.messages import AnnounceRequest, GatewayReport, HeartbeatNotice
+from rowanrail.coordination.messages import AnnounceRequest, HeartbeatNotice
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.gateway.model import MemberRecord, PrimaryHealth
+from rowanrail.directory.messages import GatewayReport
+from rowanrail.model.members import MemberRecord, PrimaryHealth
 
 
 class NotedNetwork:
--- a/tests/coordination/test_state.py
+++ b/tests/coordination/test_state.py
@@ -4,21 +4,21 @@
 
 import msgspec
 
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind, Membership
-from rowanrail.control.policies import VersionMonotonic
-from rowanrail.coordination.messages import (
+from rowanrail.coordination.commands import (
     Announce,
-    GatewayRecord,
     IntendPromotion,
     PutDocument,
-    PutVerdict,
     Remove,
     SetGateways,
 )
+from rowanrail.coordination.messages import PutVerdict
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.coordination.voters import NodeState, next_membership
-from rowanrail.gateway.model import MemberRecord
+from rowanrail.directory.messages import GatewayRecord
+from rowanrail.model.members import MemberRecord
 
 
 def record(instance="m1", sequence=1, address="10.0.0.1:1", **changes):
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -11,9 +11,9 @@
 from rowanrail.explain.lines import read_lines
 from rowanrail.explain.story import tell
 from rowanrail.gateway.events import KEY_WITHDRAWN, LINK_LOST
-from rowanrail.gateway.model import Answer, Refusal
 from rowanrail.kernel.catalogue import Level
 from rowanrail.kernel.decisions import DecisionLog
+from rowanrail.model.statements import Answer, Refusal
 from rowanrail.tenants.demand import Report
 from tests.gateway.test_tenants import TenantGateway
 from tests.support.gateway import PlayedGateway
--- a/tests/gateway/test_choice_of_member.py
+++ b/tests/gateway/test_choice_of_member.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from rowanrail.gateway.directory import Directory
-from rowanrail.gateway.model import Answer, Refusal, SessionState
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.placement import Population
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Refusal, SessionState
+from rowanrail.placement.hashed import Population
 from tests.support.gateway import PlayedGateway
 
 FULL = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
--- a/tests/gateway/test_crowded.py
+++ b/tests/gateway/test_crowded.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from rowanrail.gateway.model import Answer, Refusal, SessionState
-from rowanrail.proxy.backend import Position
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, Refusal, SessionState
 from tests.support.gateway import PlayedGateway
 
 DONE = Answer(rows=[b"row"], signature=b"sig", position=Position(1, 12), state=SessionState.IDLE)
--- a/tests/gateway/test_directory_watch.py
+++ b/tests/gateway/test_directory_watch.py
@@ -6,18 +6,18 @@
 
 from returns.result import Success
 
-from rowanrail.coordination.messages import (
+from rowanrail.directory.messages import (
     DirectoryReply,
     GatewayReport,
     HeldReply,
     HeldRequest,
     controls_mark,
 )
-from rowanrail.gateway.directory_watch import DirectoryWatch
-from rowanrail.gateway.held import longest_of_majority
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import RoutingConfiguration
+from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.discovery.held import longest_of_majority
+from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
+from rowanrail.model.routing import RoutingConfiguration
 
 LOCALITY = Locality("a1", {"a1": "a", "b1": "b", "c1": "c"})
 
--- a/tests/gateway/test_idle_services.py
+++ b/tests/gateway/test_idle_services.py
@@ -8,7 +8,7 @@
 import unittest.mock
 
 from rowanrail.gateway.gateway import TICK_SECONDS, TICKS_OF_IDLE
-from rowanrail.gateway.service import IN_USE_SECONDS, Service
+from rowanrail.gateway.services.service import IN_USE_SECONDS, Service
 from tests.support.gateway import PlayedGateway
 
 
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -7,10 +7,10 @@
 
 import unittest
 
-from rowanrail.gateway.connections import KEPT_SHARE
-from rowanrail.gateway.idle_channels import SPARE_IDLE_SECONDS, TENANT_IDLE_SECONDS
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.waiter import Waiter
+from rowanrail.gateway.pools.connections import KEPT_SHARE
+from rowanrail.gateway.pools.idle_channels import SPARE_IDLE_SECONDS, TENANT_IDLE_SECONDS
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.waiter import Waiter
 from rowanrail.scheduling.queue import Entry
 from tests.scheduling.member import SlottedMember
 from tests.support.gateway import ManualClock
--- a/tests/gateway/test_known_directory.py
+++ b/tests/gateway/test_known_directory.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from rowanrail.gateway.directory import Directory
-from rowanrail.gateway.known_directory import KnownDirectory
-from rowanrail.gateway.model import MemberRecord
-from rowanrail.relay.neighbours import Neighbour
-from rowanrail.relay.placement import Population
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.gateway.discovery.known_directory import KnownDirectory
+from rowanrail.gateway.relay.neighbours import Neighbour
+from rowanrail.model.members import MemberRecord
+from rowanrail.placement.hashed import Population
 
 NEIGHBOURS = [Neighbour("g1", "g1:1"), Neighbour("g2", "g2:1")]
 OTHERS = {"b": [Neighbour("g3", "g3:1")]}
--- a/tests/gateway/test_member_weight.py
+++ b/tests/gateway/test_member_weight.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rowanrail.gateway.gauges import gauges
-from rowanrail.gateway.model import Answer, CommandKind, Refusal, SessionState
+from rowanrail.model.statements import Answer, CommandKind, Refusal, SessionState
 from tests.support.gateway import PlayedGateway
 
 FAILED = Answer(refusal=Refusal.FAILED, state=SessionState.IDLE)
--- a/tests/gateway/test_samples.py
+++ b/tests/gateway/test_samples.py
@@ -3,12 +3,13 @@
 import doctest
 import unittest
 
-from rowanrail.gateway import locality, primary, samples
-from rowanrail.gateway.directory import Directory
-from rowanrail.gateway.model import CommandKind
-from rowanrail.gateway.samples import HISTORY_SECONDS, SampleHistory
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.placement import Population
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.gateway.services import locality
+from rowanrail.members import primary, samples
+from rowanrail.members.samples import HISTORY_SECONDS, SampleHistory
+from rowanrail.model.position import Position
+from rowanrail.model.statements import CommandKind
+from rowanrail.placement.hashed import Population
 from tests.support.gateway import PlayedGateway
 
 
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -3,10 +3,10 @@
 import json
 import unittest
 
-from rowanrail.gateway.directory import Directory
-from rowanrail.gateway.model import NOT_RUN, Answer, CommandKind, Refusal, SessionState
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.placement import Population
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.model.position import Position
+from rowanrail.model.statements import NOT_RUN, Answer, CommandKind, Refusal, SessionState
+from rowanrail.placement.hashed import Population
 from rowanrail.scheduling.queue import Entry
 from tests.support.gateway import PlayedGateway
 
--- a/tests/gateway/test_silent_members.py
+++ b/tests/gateway/test_silent_members.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rowanrail.gateway.model import CommandKind, Refusal
+from rowanrail.model.statements import CommandKind, Refusal
 from tests.support.gateway import PlayedGateway
 
 
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -2,9 +2,10 @@
 
 import unittest
 
-from rowanrail.gateway.model import Answer, Refusal, RoutingConfiguration, ServiceSpec, SessionState
-from rowanrail.gateway.session import Session
-from rowanrail.proxy.backend import Position
+from rowanrail.gateway.sessions.session import Session
+from rowanrail.model.position import Position
+from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
+from rowanrail.model.statements import Answer, Refusal, SessionState
 from rowanrail.tenants.demand import Report
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.support.gateway import PlayedClient, PlayedGateway, routes
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -3,18 +3,19 @@
 import unittest
 
 from rowanlab.simulator.relay_network import RelayNetwork
-from rowanrail.gateway.directory import Directory
+from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import Answer, Refusal, RoutingConfiguration, ServiceSpec
-from rowanrail.gateway.session import Session
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
+from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.neighbours import Neighbour, Neighbours
-from rowanrail.relay.placement import Population
-from rowanrail.relay.serving import Holder
+from rowanrail.model.position import Position
+from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
+from rowanrail.model.statements import Answer, Refusal
+from rowanrail.placement.hashed import Population
 from tests.support.gateway import (
     ManualClock,
     PlayedClient,
--- a/tests/relay/test_far_replicas.py
+++ b/tests/relay/test_far_replicas.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from rowanrail.gateway.directory import Directory
-from rowanrail.gateway.member_estimates import Wanted
-from rowanrail.gateway.model import Answer, Refusal, SessionState
-from rowanrail.relay.neighbours import Neighbour
+from rowanrail.gateway.discovery.directory import Directory
+from rowanrail.gateway.relay.neighbours import Neighbour
+from rowanrail.gateway.services.member_estimates import Wanted
+from rowanrail.model.statements import Answer, Refusal, SessionState
 from tests.relay.test_regions import GATEWAYS, POPULATION, REGIONS, Regions
 from tests.support.gateway import PlayedMember
 
--- a/tests/relay/test_forwarding.py
+++ b/tests/relay/test_forwarding.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from rowanrail.gateway.model import NOT_RUN, CommandKind, Refusal, SessionState
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.messages import Pong
+from rowanrail.gateway.relay.messages import Pong
+from rowanrail.model.position import Position
+from rowanrail.model.statements import NOT_RUN, CommandKind, Refusal, SessionState
 from tests.support.relay import PlayedZone
 
 
--- a/tests/relay/test_placement.py
+++ b/tests/relay/test_placement.py
@@ -3,8 +3,8 @@
 import doctest
 import unittest
 
-from rowanrail.relay import placement
-from rowanrail.relay.placement import Population, connection_limit, is_shared, rank
+from rowanrail.placement import hashed as placement
+from rowanrail.placement.hashed import Population, connection_limit, is_shared, rank
 
 
 class PlacementTest(unittest.TestCase):
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from rowanrail.gateway.model import Refusal
+from rowanrail.gateway.relay.load_meter import LOOK_MS, SPAN_MS, LoadMeter
 from rowanrail.kernel.clock import Clock
-from rowanrail.relay.load_meter import LOOK_MS, SPAN_MS, LoadMeter
-from rowanrail.relay.placement import Part, Population, even_share, planned_limit
-from rowanrail.relay.planned import HANDOVER_MS, PlannedHolders
+from rowanrail.model.statements import Refusal
+from rowanrail.placement.hashed import Part, Population, even_share, planned_limit
+from rowanrail.placement.planned import HANDOVER_MS, PlannedHolders
 from rowanrail.scheduling.plan import NO_PLAN, Cause, Holding, PartPlan, Plan
 from tests.support.gateway import ManualClock
 from tests.support.relay import PlayedZone
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rowanrail.relay.placement import Part, rank
+from rowanrail.placement.hashed import Part, rank
 from rowanrail.scheduling.plan import Cause, Holding, PartPlan, Plan
 from tests.relay.test_regions import PART_OF_A, Regions
 
--- a/tests/relay/test_prospects.py
+++ b/tests/relay/test_prospects.py
@@ -4,11 +4,13 @@
 
 import msgspec
 
-from rowanrail.gateway.model import Consistency, Refusal, Route, Trace
+from rowanrail.gateway.relay.messages import Reply, Run
+from rowanrail.gateway.relay.prospects import Asked, Prospects
+from rowanrail.gateway.relay.terms import Order, load_session, run_of
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.relay.messages import Reply, Run
-from rowanrail.relay.prospects import Asked, Prospects
-from rowanrail.relay.terms import Order, load_session, run_of
+from rowanrail.model.routing import Consistency, Route
+from rowanrail.model.statements import Refusal
+from rowanrail.model.trace import Trace
 from rowanrail.scheduling.load import ServiceLoad
 from tests.support.gateway import statement
 from tests.support.relay import PlayedZone
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -3,19 +3,20 @@
 import unittest
 
 from rowanlab.simulator.relay_network import RelayNetwork
-from rowanrail.gateway.directory import Directory
+from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import Refusal, RoutingConfiguration, ServiceSpec
-from rowanrail.gateway.session import Session
+from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.metering import Metering
+from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
+from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.registry import Registry
-from rowanrail.relay.detours import Detours
-from rowanrail.relay.metering import Metering
-from rowanrail.relay.neighbours import Neighbour, Neighbours
-from rowanrail.relay.placement import METER, Part, Population, rank
-from rowanrail.relay.planned import PlannedHolders
-from rowanrail.relay.serving import Holder
+from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
+from rowanrail.model.statements import Refusal
+from rowanrail.placement.hashed import METER, Part, Population, rank
+from rowanrail.placement.planned import PlannedHolders
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.relay.test_detours import CutDriver
 from tests.support.gateway import (
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -4,11 +4,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from rowanrail.gateway.channel import Channel
-from rowanrail.gateway.model import Answer, Command, CommandKind
-from rowanrail.gateway.place_in_line import PlaceInLine
-from rowanrail.gateway.pool import MemberPool
+from rowanrail.gateway.pools.place_in_line import PlaceInLine
+from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.kernel.clock import Clock
+from rowanrail.members.channel import Channel
+from rowanrail.model.statements import Answer, Command, CommandKind
 from rowanrail.scheduling.admission import Admit, judge_arriving
 from rowanrail.scheduling.queue import Entry
 from rowanrail.scheduling.returning import GOES_FIRST_AFTER, ReturnTimes, return_base
--- a/tests/scheduling/holders.py
+++ b/tests/scheduling/holders.py
@@ -5,7 +5,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from rowanrail.gateway.error_share import ErrorShare
+from rowanrail.gateway.pools.error_share import ErrorShare
 from rowanrail.kernel.clock import Clock
 from rowanrail.scheduling.choice import Candidate, choose
 from rowanrail.scheduling.member_weight import MemberWeight, Trouble
--- a/tests/scheduling/line.py
+++ b/tests/scheduling/line.py
@@ -4,13 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rowanrail.scheduling.admission import (
-    Forecast,
-    Reject,
-    Watch,
-    judge_arriving,
-    next_look,
-)
+from rowanrail.scheduling.admission import Forecast, Reject, Watch, judge_arriving, next_look
 from rowanrail.scheduling.forecast_error import ForecastError
 from rowanrail.scheduling.queue import Entry
 
--- a/tests/scheduling/member.py
+++ b/tests/scheduling/member.py
@@ -5,10 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from rowanrail.gateway.channel import Channel, MemberDriver, Wire
-from rowanrail.gateway.model import Answer, Command, CommandKind, MemberRecord, Refusal
-from rowanrail.gateway.pool import MemberPool
-from rowanrail.gateway.waiter import Waiter
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.waiter import Waiter
+from rowanrail.members.channel import Channel, MemberDriver, Wire
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
 from rowanrail.scheduling.queue import Entry
 from tests.support.gateway import ManualClock
 
--- a/tests/scheduling/test_rushes.py
+++ b/tests/scheduling/test_rushes.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from rowanrail.gateway.pool import MemberPool
+from rowanrail.gateway.pools.pool import MemberPool
 from tests.scheduling.clients import Crowd, Holder, Rush, play
 from tests.scheduling.member import SlottedMember
 from tests.support.gateway import ManualClock
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from rowanrail.gateway.channel import Channel
 from rowanrail.gateway.gauges import gauges
-from rowanrail.gateway.model import Refusal
-from rowanrail.gateway.pool import MemberPool
+from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.members.channel import Channel
+from rowanrail.model.statements import Refusal
 from rowanrail.scheduling.queue import Entry
 from tests.scheduling.member import Caller, Kind, SlottedMember, play
 from tests.support.gateway import ManualClock, PlayedGateway
--- a/tests/simulation/test_regressions.py
+++ b/tests/simulation/test_regressions.py
@@ -12,8 +12,8 @@
 from rowanrail.config.model import VersionedConfiguration
 from rowanrail.kernel.errors import NotRunError, OutcomeUnknownError
 from rowanrail.kernel.events import silence
-from rowanrail.proxy.backend import Position
-from rowanrail.proxy.token import encode_token
+from rowanrail.model.position import Position
+from rowanrail.sql_proxy.token import encode_token
 
 
 class RegressionTest(unittest.TestCase):
--- a/tests/simulation/test_requests.py
+++ b/tests/simulation/test_requests.py
@@ -8,7 +8,7 @@
 from rowanlab.simulator.world import FIRST_WALL_CLOCK, World
 from rowanrail.kernel.errors import NotRunError, RequestConflictError
 from rowanrail.kernel.events import silence
-from rowanrail.proxy.writes import CLEAN_UP_EVERY_WRITES
+from rowanrail.sql_proxy.writes import CLEAN_UP_EVERY_WRITES
 
 REQUEST_ID = f"{int(FIRST_WALL_CLOCK)}-request"
 INSERT = "INSERT INTO edits (operation) VALUES ('{}')"
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -11,23 +11,19 @@
 from returns.result import Success
 
 from rowanlab.simulator.loop import VirtualLoop
+from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
-from rowanrail.control.policies import VersionMonotonic
-from rowanrail.coordination.messages import (
-    Announce,
-    GatewayRecord,
-    GatewayReport,
-    PutDocument,
-    SetGateways,
-)
+from rowanrail.coordination.commands import Announce, PutDocument, SetGateways
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
-from rowanrail.coordination.reports import telling
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.gateway.directory_watch import DirectoryWatch
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import MemberRecord, PrimaryHealth, RoutingConfiguration
+from rowanrail.directory.messages import GatewayRecord, GatewayReport
+from rowanrail.directory.reports import telling
+from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
+from rowanrail.model.members import MemberRecord, PrimaryHealth
+from rowanrail.model.routing import RoutingConfiguration
 from rowanrail.rpc.codec import FrameKind, encode_frame
 from tests.coordination.test_directory import PlayedNode
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -4,29 +4,26 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from rowanrail.gateway.channel import Channel, MemberDriver, Wire
-from rowanrail.gateway.directory import Directory
+from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import (
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.sessions.session import Session
+from rowanrail.kernel.decisions import DecisionLog
+from rowanrail.kernel.registry import Registry
+from rowanrail.members.channel import Channel, MemberDriver, Wire
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
+from rowanrail.model.routing import Consistency, Route, RoutingConfiguration, ServiceSpec
+from rowanrail.model.statements import (
     Answer,
     Command,
     CommandKind,
-    Consistency,
-    MemberRecord,
     Refusal,
-    Route,
-    RoutingConfiguration,
-    ServiceSpec,
     SessionState,
     StatementKind,
     TypedStatement,
 )
-from rowanrail.gateway.session import Session
-from rowanrail.kernel.decisions import DecisionLog
-from rowanrail.kernel.registry import Registry
-from rowanrail.proxy.backend import Position
-from rowanrail.relay.placement import Population
+from rowanrail.placement.hashed import Population
 
 DATABASES = {
     "orders": Consistency.PRIMARY,
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,17 +1,17 @@
 """Gateways of one zone that share one gateway's connections, on a manual clock."""
 
 from rowanlab.simulator.relay_network import RelayNetwork
-from rowanrail.gateway.directory import Directory
+from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
-from rowanrail.gateway.locality import Locality
-from rowanrail.gateway.model import RoutingConfiguration, ServiceSpec
-from rowanrail.gateway.session import Session
+from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
+from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.services.locality import Locality
+from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.registry import Registry
-from rowanrail.relay.neighbours import Neighbour, Neighbours
-from rowanrail.relay.placement import Population, rank
-from rowanrail.relay.planned import PlannedHolders
-from rowanrail.relay.serving import Holder
+from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
+from rowanrail.placement.hashed import Population, rank
+from rowanrail.placement.planned import PlannedHolders
 from tests.support.gateway import (
     ManualClock,
     PlayedClient,
--- a/tests/support/stubs.py
+++ b/tests/support/stubs.py
@@ -9,12 +9,12 @@
     UserSpec,
     VersionedConfiguration,
 )
-from rowanrail.proxy.backend import (
+from rowanrail.model.position import Position
+from rowanrail.sql_proxy.backend import (
     BackendConnection,
     BackendDriver,
     MemberRole,
     MemberStatus,
-    Position,
     StatementResult,
 )
 
--- a/tests/tenants/test_quota.py
+++ b/tests/tenants/test_quota.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from rowanrail.gateway.relay.metering import LOOK_MS
 from rowanrail.kernel.clock import Clock
-from rowanrail.relay.metering import LOOK_MS
 from rowanrail.tenants.demand import GATEWAY_MS, REGION_MS, Demand, DemandBook, Report
 from rowanrail.tenants.model import Tenant, Tenants
 from rowanrail.tenants.quota import ALONE_MS, QuotaGuard
--- a/tests/unit/test_connection_share.py
+++ b/tests/unit/test_connection_share.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rowanrail.proxy.share import (
+from rowanrail.sql_proxy.share import (
     GROW_SECONDS,
     SETTLE_SECONDS,
     STARTING_CONNECTIONS,
--- a/tests/unit/test_groups.py
+++ b/tests/unit/test_groups.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from rowanrail.kernel.registry import Registry
-from rowanrail.proxy import groups
-from rowanrail.proxy.groups import ALWAYS_WATCHED_GROUPS, GroupTable
+from rowanrail.sql_proxy import groups
+from rowanrail.sql_proxy.groups import ALWAYS_WATCHED_GROUPS, GroupTable
 from tests.support.stubs import ZONES, StubDriver, configuration
 
 GROUPS = 40
--- a/tests/unit/test_pool.py
+++ b/tests/unit/test_pool.py
@@ -4,8 +4,8 @@
 import unittest
 
 from rowanrail.kernel.errors import NotRunError
-from rowanrail.proxy.policies import LateAnswerDiscard
-from rowanrail.proxy.pool import Pool, PoolLimits, Priority
+from rowanrail.sql_proxy.policies import LateAnswerDiscard
+from rowanrail.sql_proxy.pool import Pool, PoolLimits, Priority
 from tests.support.stubs import StubConnection, StubDriver
 
 DEADLINE_SECONDS = 60.0
--- a/tests/unit/test_proxy_decisions.py
+++ b/tests/unit/test_proxy_decisions.py
@@ -8,13 +8,14 @@
 
 from rowanrail.config.model import RuleSpec, StatementKind
 from rowanrail.kernel.errors import InvalidRequestError, RequestConflictError
-from rowanrail.proxy.backend import MemberRole, MemberStatus, Position
-from rowanrail.proxy.classify import Kind, classify
-from rowanrail.proxy.commands import SetKind, fill_session_functions, parse_set
-from rowanrail.proxy.policies import Freshness, TermConfirmation
-from rowanrail.proxy.requests import check_request_id
-from rowanrail.proxy.rules import allows_replica
-from rowanrail.proxy.token import decode_token, encode_token
+from rowanrail.model.position import Position
+from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
+from rowanrail.sql_proxy.classify import Kind, classify
+from rowanrail.sql_proxy.commands import SetKind, fill_session_functions, parse_set
+from rowanrail.sql_proxy.policies import Freshness, TermConfirmation
+from rowanrail.sql_proxy.requests import check_request_id
+from rowanrail.sql_proxy.rules import allows_replica
+from rowanrail.sql_proxy.token import decode_token, encode_token
 
 positions = st.builds(Position, st.integers(0, 2**40), st.integers(0, 2**60))
 
--- a/tests/unit/test_storage.py
+++ b/tests/unit/test_storage.py
@@ -10,9 +10,9 @@
 from rowanlab.simulator.disk import SimulatedDisk
 from rowanrail.consensus.messages import Entry, EntryKind, HardState, Membership, Snapshot
 from rowanrail.consensus.storage import Identity, Storage
-from rowanrail.control.messages import ReadRequest
 from rowanrail.kernel.errors import StorageError, TransportError
 from rowanrail.rpc.codec import FrameKind, decode_frame, encode_frame
+from rowanrail.sql_control.messages import ReadRequest
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=150, database=None)
 SEGMENT = "log-00000000000000000002"
--- a/tests/unit/test_tcp.py
+++ b/tests/unit/test_tcp.py
@@ -5,7 +5,7 @@
 import socket
 import unittest
 
-from rowanrail.control.messages import BarrierReply, BarrierRequest
+from rowanrail.cluster.messages import BarrierReply, BarrierRequest
 from rowanrail.kernel.errors import TransportError
 from rowanrail.kernel.sockets import limit_silence
 from rowanrail.rpc.tcp import TcpNetwork
