--- a/Makefile
+++ b/Makefile
@@ -22,6 +22,7 @@
 	$(BIN)/ruff format --check src platform tests
 	$(BIN)/ruff check src platform tests
 	$(BIN)/mypy
+	$(BIN)/lint-imports --no-cache
 
 format: setup
 	$(BIN)/ruff format src platform tests
