--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -37,7 +37,7 @@
 
 CLUSTER = "gateways"
 JOIN_SECONDS = 0.3  # between looks whether to ask for admission
-FIRST_ELECTION_SECONDS = 0.2  # at a start there is nobody to wait for (round 1, docs/DECISIONS.md)
+FIRST_ELECTION_SECONDS = 0.2  # at a start there is nobody to wait for
 REPEATED_ELECTION_SECONDS = 0.45  # above ten round trips between regions (0.4 s)
 JOIN_CALL_SECONDS = 1.0  # a commit at a slow disk fits in
 UNHEARD_SECONDS = 2.5  # more than five elections
