--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -13,7 +13,7 @@
 from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.operation import Stage
-from rowanrail.gateway.work.statement import HOLD_SHARE, busy, rejection
+from rowanrail.gateway.work.refusals import busy, defer_seconds, rejection
 from rowanrail.gateway.work.work import LocalWork
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Respond
@@ -216,7 +216,7 @@
 
     def _place_later(self, reason: str) -> None:
         """Look for a place again in a moment, or refuse once it can't be in time any more."""
-        hold = HOLD_SHARE * self._route.objective_seconds * 1000
+        hold = defer_seconds(self._route.objective_seconds) * 1000
         if self._work.clock.now + RETRY_MS > self._began + hold:
             self._turn_away(reason)
             return
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -11,7 +11,7 @@
 from rowanrail.gateway.relay.link import Counted, Link, Lost, Outcome, Refused, Replied, Told
 from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.gateway.work.statement import LATE
+from rowanrail.gateway.work.refusals import LATE
 from rowanrail.gateway.work.work import SingleStatement, WorkInTransaction
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
--- a/src/rowanrail/gateway/relay/prospects.py
+++ b/src/rowanrail/gateway/relay/prospects.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.work.statement import busy, rejection
+from rowanrail.gateway.work.refusals import busy, rejection
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -5,25 +5,21 @@
 from rowanrail.gateway.events import KEY_UNKNOWN, KEY_WITHDRAWN, OVER_QUOTA, ROUTE_MISSING
 from rowanrail.gateway.policies import KeyCheck
 from rowanrail.gateway.sessions.session import Session
-from rowanrail.gateway.work.statement import busy
+from rowanrail.gateway.work.refusals import busy, limit_retry_after_ms
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.routing import RoutingConfiguration
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Cause
-from rowanrail.scheduling.returning import GOES_FIRST_AFTER, Label, Returners, client_label, spread
+from rowanrail.scheduling.returning import GOES_FIRST_AFTER, Label, Returners, client_label
 from rowanrail.tenants.demand import DemandBook
 from rowanrail.tenants.model import Identity, Tenants, key_digest
-from rowanrail.tenants.quota import OverLimit, QuotaGuard
+from rowanrail.tenants.quota import QuotaGuard
 from rowanrail.tenants.terms import QuotaTerms
 
 __all__ = ["Access"]
 
-SHORTEST_RETURN_MS = 200.0  # told to clients over a limit: two steps of its count
-# Times are spread from the one that follows from the limit to this many times it: who was refused
-# at one step of the count does not come back at one step.
-SPREAD_FACTOR = 2.0
 UNKNOWN_URGENCY = 1  # of a database whose route has gone
 
 
@@ -151,7 +147,8 @@
         over = self._quota.begin(session.identity.tenant, urgency)
         if over is None:
             return None
-        return_in = self._return_in(over)
+        self._over_limit += 1
+        return_in = limit_retry_after_ms(self._over_limit, over.wait)
         self._decisions.note(
             OVER_QUOTA,
             session=session.label,
@@ -169,12 +166,6 @@
         self._note_returning(session, Cause.TENANT_LIMIT.value, urgency, return_in)
         return busy("the tenant is at its limit", return_in)
 
-    def _return_in(self, over: OverLimit) -> float:
-        """Return when a client over a limit had better come back, in milliseconds."""
-        soonest = max(SHORTEST_RETURN_MS, over.wait)
-        self._over_limit += 1
-        return spread(self._over_limit, soonest, SPREAD_FACTOR * soonest)
-
     def _urgency(self, session: Session) -> int:
         known = self._configuration
         route = known.routes.get(session.database) if known is not None else None
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -3,18 +3,22 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.work.attempts import (
+    ReadStep,
+    Sent,
+    has_attempts_left,
+    step_after_read,
+    unanswered,
+)
 from rowanrail.gateway.work.freshness import oldest_sample, prefetch
 from rowanrail.gateway.work.operation import Operation, Stage
-from rowanrail.gateway.work.statement import LATE, PRIMARY_RETURN_MS, busy
+from rowanrail.gateway.work.refusals import LATE, PRIMARY_RETRY_AFTER_MS, busy
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 from rowanrail.scheduling.admission import Cause
 
-READ_ATTEMPTS = 6  # twice each of three members
-ERROR_ATTEMPTS = 3  # members that may fail a read before the client is told
-
 
 class LoneRead(Operation):
     """A single read: a floor, then any member whose log holds it."""
@@ -63,7 +67,9 @@
         if self.respond is None:
             return
         if position is None:
-            self.turn_away(Cause.NO_PRIMARY, "no primary confirms its position", PRIMARY_RETURN_MS)
+            self.turn_away(
+                Cause.NO_PRIMARY, "no primary confirms its position", PRIMARY_RETRY_AFTER_MS
+            )
             return
         own = self.session.floors.get(self.service.spec.name, ORIGIN)
         self.floor = max(position, own)
@@ -72,7 +78,7 @@
     def _choose(self) -> None:
         self.attempts += 1
         pool = self.service.choose(self.excluded, self.wanted())
-        if pool is None or self.attempts > READ_ATTEMPTS:
+        if pool is None or not has_attempts_left(self.attempts):
             if self.service.primary.failing_since and self.hand_over(self.statement, writes=False):
                 return
             self.excluded.clear()
@@ -130,41 +136,31 @@
             self.release(self.clock.time() - self.sent_at)
             self.finish(answer)
             return
-        if answer.refusal is Refusal.BEHIND:
-            self._behind()
-        elif answer.refusal is Refusal.FAILED:
-            self._failed(answer)
-        elif answer.refusal in (Refusal.TIMEOUT, Refusal.INVALID):
-            self.release()
-            self.finish(answer)
-        else:
-            if answer.refusal is Refusal.UNKNOWN_NAME and self.channel is not None:
-                self.channel.prepared.clear()
-            self.release()
-            self.try_next_member()
-
-    def _failed(self, answer: Answer) -> None:
-        """Ask another member: a read that failed at one changes nothing there."""
-        assert self.pool is not None
-        self.pool.note_error()
-        self._errors += 1
-        self.release()
-        if self._errors >= ERROR_ATTEMPTS:
-            self.finish(answer)
-            return
-        self.try_next_member()
+        self._refused(answer, answer.refusal)
 
-    def _behind(self) -> None:
+    def _refused(self, answer: Answer, refusal: Refusal) -> None:
         assert self.pool is not None
         instance = self.pool.record.instance
+        if refusal is Refusal.FAILED:
+            self.pool.note_error()
+            self._errors += 1
+        elif refusal is Refusal.UNKNOWN_NAME and self.channel is not None:
+            self.channel.prepared.clear()
         self.release()
-        if instance == self.service.primary.believed:
-            # Its log lacks the floor: commits were rolled back. Begin with a new sample.
-            self._asked_since = self.clock.time()
-            self.excluded.clear()
-            self._need_floor()
-            return
-        self.excluded.add(instance)
+        match step_after_read(refusal, self._errors, instance == self.service.primary.believed):
+            case ReadStep.ANSWER:
+                self.finish(answer)
+            case ReadStep.NEXT_MEMBER:
+                self.try_next_member()
+            case ReadStep.NEW_SAMPLE:
+                self._asked_since = self.clock.time()
+                self.excluded.clear()
+                self._need_floor()
+            case ReadStep.PRIMARY:
+                self.excluded.add(instance)
+                self._ask_primary()
+
+    def _ask_primary(self) -> None:
         if self._go_home():
             return
         primary = self.service.primary_pool()
@@ -183,5 +179,5 @@
         if self.channel is None:
             self.refuse_unplaced(busy(LATE))
             return
-        self.finish(Answer(refusal=Refusal.TIMEOUT, message=LATE))
+        self.finish(Answer(refusal=unanswered(Sent.READ), message=LATE))
         self.discard()
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -1,8 +1,9 @@
 """A single write, at the primary; what was sent is never sent again."""
 
+from rowanrail.gateway.work.attempts import Sent, WriteStep, step_after_write, unanswered
 from rowanrail.gateway.work.freshness import note_commit
 from rowanrail.gateway.work.operation import Operation, Stage
-from rowanrail.gateway.work.statement import LATE, busy
+from rowanrail.gateway.work.refusals import LATE, busy
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 
@@ -60,25 +61,24 @@
             note_commit(self.service, self.session, instance, self.sent_at, answer.position)
             self.finish(answer)
             return
-        if answer.refusal is Refusal.LOST:
-            self.release()
-            self.finish(Answer(refusal=Refusal.OUTCOME_UNKNOWN, message="the connection was lost"))
-            return
         if answer.refusal is Refusal.UNKNOWN_NAME and self.channel is not None:
             self.channel.prepared.clear()
         self.release()
         if answer.refusal is Refusal.NOT_PRIMARY:
             self.service.primary.note_not_primary(instance)
-            self.retry_later(self._find_primary, answer)
-        elif answer.refusal in (Refusal.BUSY, Refusal.UNKNOWN_NAME):
-            self.retry_later(self._find_primary, answer)
-        else:
-            self.finish(answer)
+        match step_after_write(answer.refusal):
+            case WriteStep.ANSWER:
+                self.finish(answer)
+            case WriteStep.RETRY:
+                self.retry_later(self._find_primary, answer)
+            case WriteStep.UNKNOWN:
+                refusal = unanswered(Sent.WRITE)
+                self.finish(Answer(refusal=refusal, message="the connection was lost"))
 
     def on_timeout(self) -> None:
         """See :meth:`Operation.on_timeout`."""
         if self.channel is None:
             self.refuse_unplaced(busy(LATE))
             return
-        self.finish(Answer(refusal=Refusal.OUTCOME_UNKNOWN, message=LATE))
+        self.finish(Answer(refusal=unanswered(Sent.WRITE), message=LATE))
         self.discard()
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -12,7 +12,13 @@
 from rowanrail.gateway.services.member_estimates import Wanted
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
-from rowanrail.gateway.work.statement import PRIMARY_RETURN_MS, Statement, busy
+from rowanrail.gateway.work.attempts import (
+    OPEN_ATTEMPT_SECONDS,
+    answer_limit_seconds,
+    is_prompt,
+)
+from rowanrail.gateway.work.refusals import PRIMARY_RETRY_AFTER_MS, busy, primary_trouble
+from rowanrail.gateway.work.statement import Statement
 from rowanrail.gateway.work.work_port import SingleStatement, Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler, Timer
 from rowanrail.members.channel import Channel, Respond
@@ -24,13 +30,6 @@
 from rowanrail.scheduling.queue import Entry
 from rowanrail.scheduling.returning import return_base
 
-# Of the objective: a read goes elsewhere rather than wait for longer, which leaves as much for its
-# run.
-PROMPT_SHARE = 0.5
-READ_ATTEMPT_SHARE = 0.6  # of the objective: after it a silent member is given up for a read
-READ_ATTEMPT_LATENCIES = 8  # usual latencies: the same, if that is sooner
-MINIMUM_ATTEMPT_SECONDS = 0.4  # the slowest reads take that long, also on a calm day
-OPEN_ATTEMPT_SECONDS = 0.15  # for a member with no connection yet
 # Reads, writes and commits. A member begins and ends a transaction without a slot, so that the
 # time of such an answer says nothing of its queue.
 SLOT_TAKERS = frozenset({CommandKind.STATEMENT, CommandKind.EXECUTE})
@@ -100,11 +99,11 @@
     def on_hold(self) -> None:
         """Refuse what nobody could run so far if the primary is lost, or has no connection left."""
         tracker = self.service.primary
-        if self.channel is not None or not (tracker.failing_since or tracker.is_crowded):
+        trouble = primary_trouble(tracker.failing_since, tracker.is_crowded)
+        if self.channel is not None or not trouble:
             return
         tracker.forget(self.floor_callback())
-        state = "is lost" if tracker.failing_since else "has no connection left"
-        self.turn_away(Cause.NO_PRIMARY, f"the primary {state}", PRIMARY_RETURN_MS)
+        self.turn_away(Cause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
 
     def floor_callback(self) -> Callable[[Position | None], None] | None:
         """Return what waits for a sample of the primary, if anything does."""
@@ -168,8 +167,8 @@
     def limit_answer(self) -> None:
         """Give the member up for a read if its answer takes much longer than usual."""
         assert self.pool is not None
-        usual = max(MINIMUM_ATTEMPT_SECONDS, READ_ATTEMPT_LATENCIES * self.pool.latency_seconds)
-        self._limit_attempt(min(READ_ATTEMPT_SHARE * self.route.objective_seconds, usual))
+        objective = self.route.objective_seconds
+        self._limit_attempt(answer_limit_seconds(objective, self.pool.latency_seconds))
 
     def _limit_attempt(self, seconds: float) -> None:
         self.end_attempt()
@@ -256,8 +255,7 @@
         """Return whether a member has room soon enough for an answer within the objective."""
         forecast = pool.forecast(self.entry())
         waited = self.time_given - self.time_left
-        soon = PROMPT_SHARE * self.route.objective_seconds * 1000 - waited
-        return forecast.has_room or forecast.wait <= soon
+        return is_prompt(forecast, self.route.objective_seconds, waited)
 
     # Choice
 
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -6,31 +6,25 @@
 
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.work.attempts import RETRY_SECONDS
+from rowanrail.gateway.work.refusals import (
+    busy,
+    defer_seconds,
+    judge_unplaced,
+    left_seconds,
+    may_defer,
+    rejection,
+    shortest_retry_after_ms,
+)
 from rowanrail.kernel.clock import Scheduler, Timer
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
-from rowanrail.model.statements import Answer, Refusal
+from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Cause, Forecast
-from rowanrail.scheduling.returning import SHORTEST_RETURN_MS
-
-__all__ = [
-    "HOLD_SHARE",
-    "LATE",
-    "PRIMARY_RETURN_MS",
-    "RETRY_SECONDS",
-    "Statement",
-    "busy",
-    "rejection",
-]
-
-HOLD_SHARE = 0.7  # of the objective: while a new primary may still come in time
-RETRY_SECONDS = 0.02  # about a round trip inside a region
-SHORTEST_SECONDS = 0.001  # a statement that is out of time still gets its answer
-# Milliseconds, told to clients while a primary is lost: about what is left of finding and
-# promoting a successor after they have been held.
-PRIMARY_RETURN_MS = 1000.0
-LATE = "no answer in time"
+
+__all__ = ["Statement"]
+
 UNKNOWN = Forecast(0.0, 0.0)  # of no member
 
 
@@ -70,7 +64,7 @@
     @property
     def hold_until(self) -> float:
         """Moment after which a statement that no member could run is refused."""
-        return self.arrived_at + HOLD_SHARE * self.route.objective_seconds
+        return self.arrived_at + defer_seconds(self.route.objective_seconds)
 
     @property
     def time_given(self) -> float:
@@ -88,8 +82,8 @@
         self.arrived_at = self.clock.time()
         self.rejection = None
         self.timer = self.clock.call_later(self.route.timeout_seconds, self.on_timeout)
-        hold_seconds = HOLD_SHARE * self.route.objective_seconds
-        self.hold_timer = self.clock.call_later(hold_seconds, self.on_hold)
+        limit = defer_seconds(self.route.objective_seconds)
+        self.hold_timer = self.clock.call_later(limit, self.on_hold)
 
     def on_timeout(self) -> None:
         """Answer at the end of the statement's time."""
@@ -104,13 +98,13 @@
         waited = self.clock.time() - self.arrived_at
         return msgspec.structs.replace(
             self.route,
-            timeout_seconds=max(SHORTEST_SECONDS, self.route.timeout_seconds - waited),
-            objective_seconds=max(SHORTEST_SECONDS, self.route.objective_seconds - waited),
+            timeout_seconds=left_seconds(self.route.timeout_seconds, waited),
+            objective_seconds=left_seconds(self.route.objective_seconds, waited),
         )
 
     def retry_later(self, function: Callable[[], None], answer: Answer) -> None:
         """Try again in a moment, or give the refusal if the time to hold is over."""
-        if self.clock.time() + RETRY_SECONDS > self.hold_until:
+        if not may_defer(self.clock.time(), self.hold_until):
             self.refuse_unplaced(answer)
             return
 
@@ -123,12 +117,12 @@
     def refuse_unplaced(self, answer: Answer) -> None:
         """Refuse what found no place; one that is busy tells when to come back."""
         tracker = self.service.primary
-        if answer.refusal is not Refusal.BUSY:
+        has_primary = bool(tracker.believed) and not tracker.failing_since
+        verdict = judge_unplaced(answer.refusal, has_primary)
+        if verdict is None:
             self.finish(answer)
-        elif tracker.failing_since or not tracker.believed:
-            self.turn_away(Cause.NO_PRIMARY, answer.message, PRIMARY_RETURN_MS)
         else:
-            self.turn_away(Cause.NO_PLACE, answer.message)
+            self.turn_away(verdict.cause, answer.message, verdict.return_in)
 
     def turn_away(
         self, cause: Cause, reason: str, base: float = 0.0, forecast: Forecast = UNKNOWN
@@ -142,7 +136,7 @@
         """
         urgency = self.route.priority
         told = self.service.returns.next(
-            max(base, SHORTEST_RETURN_MS), forecast.interval, (cause, urgency)
+            shortest_retry_after_ms(base), forecast.interval, (cause, urgency)
         )
         self.rejection = rejection(cause, forecast, self.time_left, urgency, told)
         self.finish(busy(reason, told))
@@ -164,35 +158,3 @@
 
     def let_go(self, answer: Answer) -> None:
         """Give up what was asked of others: the statement has its answer."""
-
-
-def busy(message: str, return_in: float | None = None) -> Answer:
-    """Return the refusal of a statement that was not run for want of a place.
-
-    Parameters
-    ----------
-    return_in : float or None
-        Milliseconds after which the client had better come back.
-
-    Examples
-    --------
-    >>> busy("m1 is crowded for 900 ms", 350).message
-    'm1 is crowded for 900 ms; retry in 0.35 s'
-    """
-    if return_in is not None:
-        message = f"{message or 'busy'}; retry in {return_in / 1000:.2f} s"
-    return Answer(refusal=Refusal.BUSY, message=message)
-
-
-def rejection(
-    cause: Cause, forecast: Forecast, left: float, urgency: int, return_in: float
-) -> Rejection:
-    """Return what is logged of a statement that is turned away; times in milliseconds."""
-    return Rejection(
-        cause.value,
-        round(forecast.wait),
-        round(forecast.run),
-        round(left),
-        urgency,
-        round(return_in),
-    )
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -10,9 +10,16 @@
     is_write,
     replay_in_transaction,
 )
+from rowanrail.gateway.work.attempts import (
+    Sent,
+    busy_pause_seconds,
+    may_retry_in_transaction,
+    refusal_of_lost,
+    unanswered,
+)
 from rowanrail.gateway.work.freshness import note_commit, oldest_sample, prefetch
 from rowanrail.gateway.work.operation import Operation, Stage
-from rowanrail.gateway.work.statement import LATE, RETRY_SECONDS, busy
+from rowanrail.gateway.work.refusals import LATE, busy
 from rowanrail.gateway.work.work_port import Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, Respond
@@ -23,13 +30,10 @@
     Command,
     CommandKind,
     Refusal,
-    SessionState,
     StatementKind,
     TypedStatement,
 )
 
-BUSY_RETRIES = 3  # after 20, 40 and 60 ms, when slots have come free
-
 
 class Transaction(Operation):
     """A transaction: its connection from the first statement to the end.
@@ -85,6 +89,12 @@
         """See :meth:`Operation.kind`."""
         return self.route.name if self.read_only else f"{self.route.name} transactions"
 
+    @property
+    def _sent(self) -> Sent:
+        """What was sent last, by what may be kept of it."""
+        commits = self.statement.kind is StatementKind.COMMIT and self.wrote
+        return Sent.COMMIT if commits else Sent.IN_TRANSACTION
+
     def floor_callback(self) -> Callable[[Position | None], None] | None:
         """See :meth:`Operation.floor_callback`."""
         return self._with_floor
@@ -221,8 +231,7 @@
             self.service.primary.note_not_primary(instance)
         else:
             self._excluded.add(instance)
-        if answer.refusal is Refusal.LOST:
-            answer = Answer(refusal=Refusal.ABORTED, message=answer.message)
+        answer = _for_client(answer, Sent.IN_TRANSACTION)
         if answer.refusal is Refusal.BEHIND and instance == self.service.primary.believed:
             self._begun_at = self.clock.time()
         self.retry_later(self._begin, answer)
@@ -255,19 +264,19 @@
                 self.pool.note_resting(self)  # until its next statement, perhaps at once
             self.finish(answer)
             return
-        if self._may_retry(answer):
-            self._busy_retries += 1
-            self.clock.call_later(RETRY_SECONDS * self._busy_retries, self._retry_statement)
+        if self._retries(answer):
             return
         self._fail(answer)
 
-    def _may_retry(self, answer: Answer) -> bool:
-        return (
-            answer.refusal is Refusal.BUSY
-            and answer.state is SessionState.TRANSACTION
-            and self._busy_retries < BUSY_RETRIES
-            and self.respond is not None
-        )
+    def _retries(self, answer: Answer) -> bool:
+        """Send the statement again in a moment if that may help; return whether it will be."""
+        if self.respond is None or not may_retry_in_transaction(
+            answer.refusal, answer.state, self._busy_retries
+        ):
+            return False
+        self._busy_retries += 1
+        self.clock.call_later(busy_pause_seconds(self._busy_retries), self._retry_statement)
+        return True
 
     def _retry_statement(self) -> None:
         if self.respond is None:
@@ -284,11 +293,9 @@
             self.service.primary.note_not_primary(self.pool.record.instance)
         if answer.refusal is Refusal.FAILED and self.read_only:
             self.pool.note_error()
-        if answer.refusal is Refusal.LOST:
-            answer = Answer(refusal=Refusal.ABORTED, message=answer.message)
         self.failed = True
         self.end()
-        self.finish(answer)
+        self.finish(_for_client(answer, Sent.IN_TRANSACTION))
 
     def _commit_answered(self, answer: Answer) -> None:
         assert self.pool is not None
@@ -301,17 +308,12 @@
                 note_commit(self.service, self.session, instance, self.sent_at, answer.position)
             self.finish(answer)
             return
-        if self._may_retry(answer):
-            self._busy_retries += 1
-            self.clock.call_later(RETRY_SECONDS * self._busy_retries, self._retry_statement)
+        if self._retries(answer):
             return
         if answer.refusal is Refusal.NOT_PRIMARY:
             self.service.primary.note_not_primary(instance)
-        if answer.refusal is Refusal.LOST:
-            refusal = Refusal.OUTCOME_UNKNOWN if self.wrote else Refusal.ABORTED
-            answer = Answer(refusal=refusal, message=answer.message)
         self.end()
-        self.finish(answer)
+        self.finish(_for_client(answer, self._sent))
 
     # The end
 
@@ -359,7 +361,14 @@
         if self.channel is None:
             self.refuse_unplaced(busy(LATE))
             return
-        committing = self.statement.kind is StatementKind.COMMIT
-        refusal = Refusal.OUTCOME_UNKNOWN if committing and self.wrote else Refusal.ABORTED
-        self.finish(Answer(refusal=refusal, message=LATE))
+        self.finish(Answer(refusal=unanswered(self._sent), message=LATE))
         self.discard()
+
+
+def _for_client(answer: Answer, sent: Sent) -> Answer:
+    """Return what the client is told of a member's refusal."""
+    assert answer.refusal is not None
+    refusal = refusal_of_lost(answer.refusal, sent)
+    if refusal is answer.refusal:
+        return answer
+    return Answer(refusal=refusal, message=answer.message)
