--- a/src/rowanrail/gateway/work/freshness.py
+++ b/src/rowanrail/gateway/work/freshness.py
@@ -1,26 +1,44 @@
-"""Floors of reads: how new a sample of the primary's position must be, and a session's own."""
+"""Floors of reads: how new a sample of the primary's position must be, and a session's own.
+
+For reads and transactions that only read. Owns nothing: the samples belong to the tracker
+of the primary, the floors to the session. Relies on samples that carry the moment at which they
+were asked for.
+"""
 
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency, Route
 
-PREFETCH_SHARE = 0.5  # of the staleness: age of a sample at which the next one is asked for
+# Of the staleness: age of a sample at which the next one is asked for, so that it is there before
+# the one at hand is too old. Chosen.
+PREFETCH_SHARE = 0.5
 
 
 def oldest_sample(route: Route, arrived_at: float) -> float:
-    """Return since when a sample must have been asked for to serve a read of the route."""
+    """Return since when a sample must have been asked for to serve a read of the route; seconds.
+
+    A sample that was asked for before that may lack a commit that the read has to see.
+    """
     if route.consistency is Consistency.PRIMARY:
         return arrived_at
     return arrived_at - route.staleness_seconds
 
 
+def wants_next_sample(route: Route, age_seconds: float) -> bool:
+    """Return whether the sample at hand is old enough to ask for the next one.
+
+    Never for reads of the primary, each of which needs one that was asked for after it came.
+    """
+    if route.consistency is Consistency.PRIMARY:
+        return False
+    return age_seconds > PREFETCH_SHARE * route.staleness_seconds
+
+
 def prefetch(service: Service, route: Route, now: float) -> None:
     """Ask for the next sample before the one at hand is too old."""
-    if route.consistency is Consistency.PRIMARY:
-        return
     sample = service.primary.sample
-    if sample is not None and now - sample.asked_at > PREFETCH_SHARE * route.staleness_seconds:
+    if sample is not None and wants_next_sample(route, now - sample.asked_at):
         service.primary.prefetch()
 
 
--- a/tests/gateway/test_statement_rules.py
+++ b/tests/gateway/test_statement_rules.py
@@ -2,8 +2,9 @@
 
 import unittest
 
-from rowanrail.gateway.work import attempts, refusals
+from rowanrail.gateway.work import attempts, freshness, refusals
 from rowanrail.gateway.work.attempts import ReadStep, Sent, WriteStep
+from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import NOT_RUN, Refusal, SessionState
 from rowanrail.scheduling.admission import Cause, Forecast
 from rowanrail.scheduling.returning import SHORTEST_RETURN_MS
@@ -11,6 +12,24 @@
 OPEN = SessionState.TRANSACTION
 
 
+def route(consistency):
+    return Route("r", "db", "s", consistency, 1.0, 0.5, staleness_seconds=0.4)
+
+
+class FreshnessTest(unittest.TestCase):
+    def test_a_read_accepts_a_sample_as_old_as_its_route_says(self):
+        self.assertEqual(freshness.oldest_sample(route(Consistency.BOUNDED), 10.0), 9.6)
+
+    def test_a_read_of_the_primary_needs_one_asked_for_after_it_came(self):
+        self.assertEqual(freshness.oldest_sample(route(Consistency.PRIMARY), 10.0), 10.0)
+        self.assertFalse(freshness.wants_next_sample(route(Consistency.PRIMARY), 9.0))
+
+    def test_the_next_one_is_asked_for_at_half_of_the_staleness(self):
+        ages = (0.2, 0.201)
+        wanted = [freshness.wants_next_sample(route(Consistency.BOUNDED), age) for age in ages]
+        self.assertEqual(wanted, [False, True])
+
+
 class AttemptTimeTest(unittest.TestCase):
     def test_a_member_that_is_usually_fast_still_gets_the_minimum(self):
         for usual in (0.0, 0.001, 0.05):
