--- a/src/rowanrail/cli/explain.py
+++ b/src/rowanrail/cli/explain.py
@@ -1,4 +1,8 @@
-"""``rowanrail explain``: the story of one request from decision logs."""
+"""``rowanrail explain``: the diagnosis of one request from decision logs.
+
+For operators. Owns reading the logs, standard input too, and how a diagnosis is printed; relies on
+:mod:`rowanrail.explain` for what it says.
+"""
 
 import sys
 import tempfile
@@ -11,9 +15,9 @@
 import msgspec
 
 from rowanrail.cli.output import ExitCode, fail
+from rowanrail.explain.diagnosis import AROUND_SECONDS, Diagnosis, diagnose
 from rowanrail.explain.lines import LogLine
 from rowanrail.explain.search import Source, search
-from rowanrail.explain.story import AROUND_SECONDS, Story, tell
 
 PROGRESS_SECONDS = 2.0  # between lines on standard error, for a search of many logs
 
@@ -35,13 +39,13 @@
         ]
         progress = _Progress(len(sources))
         result = search(request, sources, options["around"], options["since"], progress.note)
-    story = tell(request, result.lines, options["around"])
-    story.around = _filtered(story.around, options["member"], options["event"])
+    diagnosis = diagnose(request, result.lines, options["around"])
+    diagnosis.around = _filtered(diagnosis.around, options["member"], options["event"])
     if options["as_json"]:
-        click.echo(msgspec.json.encode(story))
+        click.echo(msgspec.json.encode(diagnosis))
     else:
-        _print(story, result.damaged)
-    if not story.statements:
+        _print(diagnosis, result.damaged)
+    if not diagnosis.statements:
         raise SystemExit(ExitCode.FAILED)
 
 
@@ -80,13 +84,13 @@
     def __init__(self, sources: int) -> None:
         self._sources = sources
         self._read = 0
-        self._told_at = time.monotonic()
+        self._reported_at = time.monotonic()
 
     def note(self, passed: int, source: Source) -> None:
         """Note that a log is about to be read."""
         now = time.monotonic()
-        if now - self._told_at >= PROGRESS_SECONDS:
-            self._told_at = now
+        if now - self._reported_at >= PROGRESS_SECONDS:
+            self._reported_at = now
             click.echo(f"read {self._read} of {2 * self._sources} logs, pass {passed}", err=True)
         self._read += 1
 
@@ -99,20 +103,20 @@
     return lines
 
 
-def _print(story: Story, damaged: int) -> None:
-    click.echo(f"request {story.request}: {story.outcome}")
-    click.echo(f"cause: {story.cause}")
-    click.echo(f"promise to the client: {story.promise}")
-    for gap in story.missing:
+def _print(diagnosis: Diagnosis, damaged: int) -> None:
+    click.echo(f"request {diagnosis.request}: {diagnosis.outcome}")
+    click.echo(f"cause: {diagnosis.cause}")
+    click.echo(f"promise to the client: {diagnosis.promise}")
+    for gap in diagnosis.missing:
         click.echo(f"missing: {gap}")
     if damaged:
         click.echo(f"missing: {damaged} lines could not be read")
-    if not story.statements:
+    if not diagnosis.statements:
         return
-    answered_at = story.statements[-1].time
+    answered_at = diagnosis.statements[-1].time
     click.echo("timeline (seconds before or after the answer):")
-    for line in sorted([*story.statements, *story.around], key=lambda line: line.time):
+    for line in sorted([*diagnosis.statements, *diagnosis.around], key=lambda line: line.time):
         offset = line.time - answered_at
         click.echo(f"  {offset:+8.3f}  {line.process:<24} RR{line.event:04d} {line.text}")
-    decided = {k: v for k, v in story.statements[-1].fields.items() if v not in ("", None)}
+    decided = {k: v for k, v in diagnosis.statements[-1].fields.items() if v not in ("", None)}
     click.echo("decided by: " + ", ".join(f"{k}={v}" for k, v in decided.items()))
--- a/src/rowanrail/explain/search.py
+++ b/src/rowanrail/explain/search.py
@@ -1,7 +1,7 @@
-"""Which lines of many decision logs belong to the story of one request, read as a stream.
+"""Which lines of many decision logs belong to the diagnosis of one request, read as a stream.
 
 Two passes: the first finds the request's own statements, the second the lines around them. Only
-what belongs to the story is kept, so that the logs of hundreds of processes can be searched in
+what belongs to it is kept, so that the logs of hundreds of processes can be searched in
 little memory.
 """
 
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from rowanrail.coordination.events import NODE_STARTED
+from rowanrail.explain.diagnosis import STATEMENT_EVENTS
 from rowanrail.explain.lines import LineHead, LogLine, ReadResult, read_head, read_line
-from rowanrail.explain.story import STATEMENT_EVENTS
 from rowanrail.kernel.decisions import LEFT_OUT
 
 __all__ = ["Source", "search"]
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -8,8 +8,8 @@
 
 from rowanrail.cli.main import main
 from rowanrail.coordination.events import PROMOTION_DECIDED
+from rowanrail.explain.diagnosis import diagnose
 from rowanrail.explain.lines import read_lines
-from rowanrail.explain.story import tell
 from rowanrail.gateway.events import KEY_WITHDRAWN, LINK_LOST
 from rowanrail.kernel.catalogue import Level
 from rowanrail.kernel.decisions import DecisionLog
@@ -25,7 +25,7 @@
         self.played = PlayedGateway()
 
     def story(self, request, extra=()):
-        return tell(request, read_lines([*self.played.logs(), *extra]).lines)
+        return diagnose(request, read_lines([*self.played.logs(), *extra]).lines)
 
     def control_log(self):
         with tempfile.TemporaryFile() as file:
@@ -135,7 +135,7 @@
         self.fill(pool, lambda: self.played.client("orders").ask("WRITE b 2"))
         self.played.client("orders").run("WRITE a 1")
         line = [text for text in self.played.logs() if '"cause":"crowded"' in text][-1]
-        story = tell("q1", read_lines([line]).lines)
+        story = diagnose("q1", read_lines([line]).lines)
         self.assertIn("m1 of db had no connection free in time (m1 is crowded for", story.cause)
         self.assertRegex(
             story.cause,
@@ -149,7 +149,7 @@
         self.fill(pool, lambda: self.played.client("orders").ask("WRITE b 2"))
         self.played.clock.advance(1.0)
         line = [text for text in self.played.logs() if '"cause":"hopeless"' in text][-1]
-        story = tell("q1", read_lines([line]).lines)
+        story = diagnose("q1", read_lines([line]).lines)
         self.assertRegex(story.cause, r"while it waited about \d+ ms still lay before it and")
 
     def test_turned_away_by_what_the_holder_had_told(self):
@@ -160,7 +160,7 @@
         self.fill(pool, lambda: zone.last.client("orders").ask("WRITE b 2"))
         zone.clock.advance(0.05)
         client.run("WRITE b 2")
-        story = tell("q2", read_lines(zone.last.logs()).lines)
+        story = diagnose("q2", read_lines(zone.last.logs()).lines)
         self.assertIn(f"{zone.first.name} had told of a line of", story.cause)
         self.assertIn("so that it was not sent there", story.cause)
 
@@ -173,7 +173,7 @@
         zone.clock.advance(0.05)
         zone.kill(zone.first)
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
-        story = tell("q2", lines)
+        story = diagnose("q2", lines)
         self.assertEqual(story.outcome, Refusal.OUTCOME_UNKNOWN.value)
         self.assertIn(f"sent to gateway {zone.first.name}, whose link was lost", story.cause)
         self.assertTrue([line for line in story.around if line.event == LINK_LOST.number])
@@ -185,7 +185,7 @@
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.5)
         lines = read_lines(zone.last.logs()).lines
-        story = tell("q1", lines)
+        story = diagnose("q1", lines)
         self.assertIn("no gateway of its zone held connections to db", story.cause)
         self.assertEqual(story.promise, "nothing of it is kept; it may be sent again")
 
@@ -198,7 +198,7 @@
         zone.clock.advance(0.1)
         client.run("READ b", seconds=1.0)
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
-        story = tell("q2", lines)
+        story = diagnose("q2", lines)
         self.assertEqual(story.outcome, Refusal.BUSY.value)
         self.assertIn("it could not run: the primary of db was lost", story.cause)
 
@@ -207,11 +207,11 @@
         zone.primary.primary = False
         zone.last.client("orders").run("WRITE a 1", seconds=1.0)
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
-        self.assertIn(f" s at {zone.first.name})", tell("q1", lines).cause)
+        self.assertIn(f" s at {zone.first.name})", diagnose("q1", lines).cause)
         zone.primary.primary = True
         zone.last.client("orders").run("WRITE b 2", seconds=1.0)
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
-        self.assertIn(f"it ran at m1 through {zone.first.name}", tell("q1", lines).cause)
+        self.assertIn(f"it ran at m1 through {zone.first.name}", diagnose("q1", lines).cause)
 
     def test_a_request_that_no_line_names(self):
         story = self.story("nothing")
--- a/tests/explain/test_search.py
+++ b/tests/explain/test_search.py
@@ -8,9 +8,9 @@
 
 from rowanrail.cli import explain as command
 from rowanrail.cli.main import main
+from rowanrail.explain.diagnosis import diagnose
 from rowanrail.explain.lines import read_lines
 from rowanrail.explain.search import search
-from rowanrail.explain.story import tell
 from tests.support.gateway import PlayedGateway
 
 
@@ -46,7 +46,7 @@
         everything = read_lines([line for log in logs for line in log])
         for request in ("q1", "q2", "q9"):
             found = search(request, [Log(log) for log in logs], 6.0)
-            self.assertEqual(tell(request, found.lines), tell(request, everything.lines))
+            self.assertEqual(diagnose(request, found.lines), diagnose(request, everything.lines))
             self.assertEqual(found.damaged, everything.damaged)
 
     def test_statements_of_others_are_not_kept(self):
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -6,7 +6,7 @@
 
 MODULES = (
     "rowanrail.cli.load_view",
-    "rowanrail.explain.turned_away",
+    "rowanrail.explain.rejections",
     "rowanrail.gateway.pools.error_share",
     "rowanrail.gateway.services.locality",
     "rowanrail.members.monitor_interval",
