--- a/src/rowanlab/simulator/gateway_world.py
+++ b/src/rowanlab/simulator/gateway_world.py
@@ -11,7 +11,7 @@
 from rowanlab.simulator.gateway_plans import SimulatedPlans
 from rowanlab.simulator.relay_network import RelayNetwork
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.gateway import Gateway, Peers
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.serving import Holder
@@ -88,9 +88,7 @@
                 self.clock,
                 log,
                 registry,
-                neighbours,
-                detours,
-                planned=PlannedHolders(name, group, relay_clock),
+                Peers(neighbours, detours, PlannedHolders(name, group, relay_clock)),
             )
             self._groups.setdefault(group, []).append(Neighbour(name, name))
             gateway.start()
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -1,9 +1,16 @@
-"""The gateway daemon: the proxy for typed statements as a process."""
+"""The gateway daemon: the proxy for typed statements as a process.
+
+For the command line of the platform, which reads the settings. Owns the parts of the process: they
+are made, wired, served and stopped here, each step a function. Relies on the plug-ins that the
+settings' protocol names, and on the running event loop.
+"""
 
 import asyncio
 import os
 import signal
 from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
 
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
 from rowanrail.directory.messages import GatewayReport
@@ -15,7 +22,7 @@
     GATEWAY_STOPPED,
     GATEWAY_STOPPING,
 )
-from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.gateway import Gateway, Peers
 from rowanrail.gateway.gauges import directory_gauges, gauges, relay_gauges, tenant_gauges
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.load_meter import LoadMeter
@@ -27,9 +34,9 @@
 from rowanrail.gateway.sessions.frontend import Frontend
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.decisions import DecisionLog
-from rowanrail.kernel.http import HttpRequest, HttpResponse, error_response, serve
+from rowanrail.kernel.http import HttpRequest, HttpResponse, HttpServer, error_response, serve
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
-from rowanrail.kernel.metrics import Metrics, log_gauge, serve_metrics
+from rowanrail.kernel.metrics import Metrics, Reading, log_gauge, serve_metrics
 from rowanrail.kernel.registry import Registry
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.rpc.network import Network
@@ -39,7 +46,7 @@
 LEAVE_SHARE = 0.37  # of the time to stop: until then clients still come, not knowing better
 ABORT_SHARE = 0.5  # of the time to stop: how long open transactions may go on
 END_SHARE = 0.75  # of the time to stop: when statements that still run are cut
-POLL_SECONDS = 0.05  # between looks at what still runs during a planned stop
+POLL_SECONDS = 0.05  # between checks of what still runs during a planned stop
 
 ReloadSettings = Callable[[], GatewaySettings | None]
 
@@ -81,110 +88,225 @@
     return bool(frontend.busy_sessions() or holder.running or holder.open_transactions)
 
 
+@dataclass(frozen=True, slots=True)
+class GatewayParts:
+    """What one gateway process consists of.
+
+    Parameters
+    ----------
+    settings : GatewaySettings
+        Of the process.
+    decisions : DecisionLog
+        Its log.
+    network : Network
+        To the control nodes.
+    neighbours, detours : Neighbours, Detours
+        The gateways of its group, and those of others.
+    gateway : Gateway
+        Sessions and services.
+    metering : Metering
+        Exchange of what tenants' clients ask for.
+    holder, holder_server : Holder, TcpHolderServer
+        What runs here for other gateways, and where they connect.
+    meter : LoadMeter
+        What is reported for the plan of holders; started only if there is one.
+    frontend : Frontend
+        Where clients connect.
+    watch : DirectoryWatch
+        Follows the control nodes.
+    """
+
+    settings: GatewaySettings
+    decisions: DecisionLog
+    network: Network
+    neighbours: Neighbours
+    detours: Detours
+    gateway: Gateway
+    metering: Metering
+    holder: Holder
+    holder_server: TcpHolderServer
+    meter: LoadMeter
+    frontend: Frontend
+    watch: DirectoryWatch
+
+    @property
+    def is_planned(self) -> bool:
+        """Whether control nodes plan who holds connections."""
+        return self.settings.holders is Holders.PLANNED
+
+
 async def run_gateway(settings: GatewaySettings, reload_settings: ReloadSettings) -> None:
     """Run a gateway until a stop signal, then stop as planned.
 
     :raises RowanrailError: if an address can't be used.
     """
     os.set_blocking(1, False)
+    parts = make_parts(settings)
+    wire_parts(parts)
+    reload = partial(reload_control_nodes, parts, reload_settings)
+    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
+    ready_server = await listen(parts)
+    start_parts(parts)
+    parts.decisions.note(
+        GATEWAY_STARTED, name=settings.name, zone=settings.zone, listen=settings.listen
+    )
+    await wait_for_stop_signal()
+    await stop_parts(parts, ready_server)
+
+
+def make_parts(settings: GatewaySettings) -> GatewayParts:
+    """Make the parts of a gateway; none of them does anything yet."""
     registry = Registry()
     loop = asyncio.get_running_loop()
     budget = settings.log_lines_per_second
     decisions = DecisionLog(settings.name, 1, budget // 10, budget, level=settings.log_level)
     network: Network = registry.create("network", "tcp")
-    driver = registry.create("member-driver", settings.protocol)
     clock = Clock(loop)
-    neighbours = Neighbours(settings.name, clock, TcpLinkOpener())
+    peers = _make_peers(settings, clock)
     locality = Locality(settings.zone, settings.regions)
-    detours = Detours(settings.name, clock, TcpLinkOpener())
+    driver = registry.create("member-driver", settings.protocol)
     terms = QuotaTerms(
         settings.quota_window_seconds * 1000, settings.quota_excess, settings.quota_slack
     )
-    region = settings.sharing_group or settings.zone
-    is_planned = settings.holders is Holders.PLANNED
-    planned = PlannedHolders(settings.name, region, clock) if is_planned else None
-    gateway = Gateway(
-        locality, driver, loop, decisions, registry, neighbours, detours, terms, planned
-    )
-    metering = Metering(
-        settings.name,
-        region,
-        clock,
-        neighbours,
-        detours,
-        gateway.access.quota,
-        gateway.access.demand,
-    )
+    gateway = Gateway(locality, driver, loop, decisions, registry, peers, terms)
     holder = Holder(gateway, clock)
-    holder.on_region = metering.pass_on
     holder_server = TcpHolderServer(holder)
     meter = LoadMeter(clock, lambda: holder_server.unsent_bytes)
-    if is_planned:
-        gateway.holdings.meter = meter
-        holder.on_run = gateway.holdings.note_held
-    relay_address = f"{settings.listen.rpartition(':')[0]}:{settings.rpc_port}"
-    frontend: Frontend = registry.create("frontend", settings.protocol, gateway)
-
-    def make_report() -> GatewayReport:
-        return GatewayReport(
-            settings.name,
-            settings.zone,
-            telling(gateway.health()),
-            relay_address=relay_address,
-            group=settings.sharing_group,
-            load=meter.latest,
-        )
-
-    watch = DirectoryWatch(
-        gateway,
-        network,
-        rpc_addresses(settings.control_nodes, settings.rpc_port),
-        registry.create("configuration-format", settings.protocol),
-        make_report,
+    assert peers.neighbours is not None and peers.detours is not None
+    return GatewayParts(
+        settings,
         decisions,
-        locality,
-        is_planned,
+        network,
+        peers.neighbours,
+        peers.detours,
+        gateway,
+        _make_metering(settings, clock, peers.neighbours, peers.detours, gateway),
+        holder,
+        holder_server,
+        meter,
+        registry.create("frontend", settings.protocol, gateway),
+        DirectoryWatch(
+            gateway,
+            network,
+            rpc_addresses(settings.control_nodes, settings.rpc_port),
+            registry.create("configuration-format", settings.protocol),
+            partial(make_report, settings, gateway, meter),
+            decisions,
+            locality,
+            peers.planned is not None,
+        ),
     )
 
-    gateway.on_alarm = watch.report_now
 
-    def reload() -> None:
-        loaded = reload_settings()
-        decisions.note(GATEWAY_RELOADED, reason="SIGHUP", usable=loaded is not None)
-        if loaded is not None:
-            watch.set_seeds(rpc_addresses(loaded.control_nodes, loaded.rpc_port))
+def _region(settings: GatewaySettings) -> str:
+    return settings.sharing_group or settings.zone
+
+
+def _make_peers(settings: GatewaySettings, clock: Clock) -> Peers:
+    planned = None
+    if settings.holders is Holders.PLANNED:
+        planned = PlannedHolders(settings.name, _region(settings), clock)
+    return Peers(
+        Neighbours(settings.name, clock, TcpLinkOpener()),
+        Detours(settings.name, clock, TcpLinkOpener()),
+        planned,
+    )
 
-    loop.add_signal_handler(signal.SIGHUP, reload)
-    ready_server = await serve(settings.ready_listen, ReadyApi(gateway).handle)
-    await holder_server.start(relay_address)
-    await frontend.start(settings.listen)
+
+def _make_metering(
+    settings: GatewaySettings,
+    clock: Clock,
+    neighbours: Neighbours,
+    detours: Detours,
+    gateway: Gateway,
+) -> Metering:
+    access = gateway.access
+    region = _region(settings)
+    return Metering(settings.name, region, clock, neighbours, detours, access.quota, access.demand)
+
+
+def wire_parts(parts: GatewayParts) -> None:
+    """Have the parts tell each other what happens."""
+    parts.holder.on_region = parts.metering.pass_on
+    if parts.is_planned:
+        parts.gateway.holdings.meter = parts.meter
+        parts.holder.on_run = parts.gateway.holdings.note_held
+    parts.gateway.on_alarm = parts.watch.report_now
+
+
+def _relay_address(settings: GatewaySettings) -> str:
+    return f"{settings.listen.rpartition(':')[0]}:{settings.rpc_port}"
+
+
+def make_report(settings: GatewaySettings, gateway: Gateway, meter: LoadMeter) -> GatewayReport:
+    """Return what the control nodes are told of this gateway."""
+    return GatewayReport(
+        settings.name,
+        settings.zone,
+        telling(gateway.health()),
+        relay_address=_relay_address(settings),
+        group=settings.sharing_group,
+        load=meter.latest,
+    )
+
+
+def reload_control_nodes(parts: GatewayParts, reload_settings: ReloadSettings) -> None:
+    """Read the settings again, and take the list of control nodes from them."""
+    loaded = reload_settings()
+    parts.decisions.note(GATEWAY_RELOADED, reason="SIGHUP", usable=loaded is not None)
+    if loaded is not None:
+        parts.watch.set_seeds(rpc_addresses(loaded.control_nodes, loaded.rpc_port))
+
+
+async def listen(parts: GatewayParts) -> HttpServer:
+    """Listen for the platform, other gateways, clients and readers of metrics, in this order.
+
+    Returns
+    -------
+    HttpServer
+        What answers the platform's probe.
+    """
+    settings = parts.settings
+    ready_server = await serve(settings.ready_listen, ReadyApi(parts.gateway).handle)
+    await parts.holder_server.start(_relay_address(settings))
+    await parts.frontend.start(settings.listen)
     if settings.metrics:
-        metrics = Metrics(
-            "rowanrail_gateway",
-            lambda: [
-                *gauges(gateway),
-                *directory_gauges(watch),
-                *tenant_gauges(gateway),
-                *relay_gauges(neighbours, holder, detours),
-                log_gauge(decisions),
-            ],
-        )
-        gateway.outcomes.on_outcome = metrics.note_statement
-        gateway.access.on_rejection = metrics.note_rejection
+        metrics = Metrics("rowanrail_gateway", partial(read_gauges, parts))
+        parts.gateway.outcomes.on_outcome = metrics.note_statement
+        parts.gateway.access.on_rejection = metrics.note_rejection
         await serve_metrics(settings.listen.rpartition(":")[0], settings.metrics, metrics)
-    gateway.start()
-    holder.start()
-    metering.start()
-    if is_planned:
-        meter.start()
-    watch.start()
-    decisions.note(GATEWAY_STARTED, name=settings.name, zone=settings.zone, listen=settings.listen)
-    await wait_for_stop_signal()
-    decisions.note(GATEWAY_STOPPING, name=settings.name, sessions=len(gateway.sessions))
-    await plan_stop(gateway, frontend, holder, settings.stop_seconds)
-    holder_server.close()
-    watch.stop()
+    return ready_server
+
+
+def read_gauges(parts: GatewayParts) -> list[Reading]:
+    """Return all that the process measures of itself."""
+    return [
+        *gauges(parts.gateway),
+        *directory_gauges(parts.watch),
+        *tenant_gauges(parts.gateway),
+        *relay_gauges(parts.neighbours, parts.holder, parts.detours),
+        log_gauge(parts.decisions),
+    ]
+
+
+def start_parts(parts: GatewayParts) -> None:
+    """Begin with what goes on by time: everything that others are told rests on it."""
+    parts.gateway.start()
+    parts.holder.start()
+    parts.metering.start()
+    if parts.is_planned:
+        parts.meter.start()
+    parts.watch.start()
+
+
+async def stop_parts(parts: GatewayParts, ready_server: HttpServer) -> None:
+    """Stop as planned; the answer to the probe and the control nodes' watch end last."""
+    name, decisions = parts.settings.name, parts.decisions
+    decisions.note(GATEWAY_STOPPING, name=name, sessions=len(parts.gateway.sessions))
+    await plan_stop(parts.gateway, parts.frontend, parts.holder, parts.settings.stop_seconds)
+    parts.holder_server.close()
+    parts.watch.stop()
     ready_server.close()
-    await network.close()
-    decisions.note(GATEWAY_STOPPED, name=settings.name)
+    await parts.network.close()
+    decisions.note(GATEWAY_STOPPED, name=name)
     decisions.flush()
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -2,6 +2,7 @@
 
 import functools
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.discovery.known_directory import KnownDirectory
@@ -54,6 +55,28 @@
 START_HOLD_SECONDS = 1.2  # clients wait for the answer to their start for 2 s
 
 
+@dataclass(frozen=True, slots=True)
+class Peers:
+    """The other gateways, as far as this one has to do with them.
+
+    Parameters
+    ----------
+    neighbours : Neighbours or None
+        Those of the same group, where connections are shared; None if they are not.
+    detours : Detours or None
+        Those of other groups; None if none is ever asked.
+    planned : PlannedHolders or None
+        Who holds connections by the control nodes' plan; None if holders are hashed.
+    """
+
+    neighbours: Neighbours | None = None
+    detours: Detours | None = None
+    planned: PlannedHolders | None = None
+
+
+NO_PEERS = Peers()
+
+
 class Gateway:
     """Sessions and services of one proxy."""
 
@@ -64,10 +87,8 @@
         clock: Scheduler,
         decisions: DecisionLog,
         registry: Registry,
-        neighbours: Neighbours | None = None,
-        detours: Detours | None = None,
+        peers: Peers = NO_PEERS,
         quota_terms: QuotaTerms = QuotaTerms(),  # noqa: B008 - it is frozen
-        planned: PlannedHolders | None = None,
     ) -> None:
         self.clock = clock
         self.names = PreparedNames()
@@ -75,39 +96,50 @@
         self.services: dict[str, Service] = {}
         self.sessions: dict[Session, None] = {}
         self.stopping = False
-        self.holdings = Holdings(self, neighbours, detours, planned, decisions)
         self.on_alarm: Callable[[], None] = lambda: None
         self._locality = locality
         self._driver = driver
         self._decisions = decisions
+        self._peers = peers
         self._policies = GatewayPolicies.create(registry)
-        self._known = KnownDirectory(neighbours, detours)
-        self._prospects = Prospects(Clock(clock))
-        self._neighbours = neighbours
-        self._detours = detours
-        if neighbours is not None:
-            neighbours.on_link = self._note_link
-        if detours is not None:
-            detours.on_found = self._note_detour
-            detours.on_lost = self._prospects.forget
         self._timer: Timer | None = None
+        self._ticks = 0
         self._unconfigured: list[PendingStart] = []
         self._session_count = 0
-        self._ticks = 0
-        check = self._policies.key_check
-        self.access = Access(Clock(clock), decisions, check, quota_terms)
-        self._places = WorkPlaces(
-            locality,
+        self.access = Access(Clock(clock), decisions, self._policies.key_check, quota_terms)
+        self.outcomes = Outcomes(decisions, self.access)
+        self.holdings = Holdings(self, peers.neighbours, peers.detours, peers.planned, decisions)
+        self.outcomes.on_trace = self.holdings.note_own
+        self._known = KnownDirectory(peers.neighbours, peers.detours)
+        self._prospects = Prospects(Clock(clock))
+        self._places = self._make_places()
+        self._follow_peers()
+
+    def _make_places(self) -> WorkPlaces:
+        return WorkPlaces(
+            self._locality,
             self.names,
-            clock,
+            self.clock,
             self._policies.link_outcome,
             self._prospects,
-            neighbours,
-            detours,
+            self._peers.neighbours,
+            self._peers.detours,
             lambda: self.access.version,
         )
-        self.outcomes = Outcomes(decisions, self.access)
-        self.outcomes.on_trace = self.holdings.note_own
+
+    def _follow_peers(self) -> None:
+        """Learn what becomes of links to other gateways, and which detours are found."""
+        neighbours, detours = self._peers.neighbours, self._peers.detours
+        if neighbours is not None:
+            neighbours.on_link = self._note_link
+        if detours is not None:
+            detours.on_found = self._note_detour
+            detours.on_lost = self._prospects.forget
+
+    @property
+    def peers(self) -> Peers:
+        """The other gateways."""
+        return self._peers
 
     def start(self) -> None:
         """Begin to watch the services."""
@@ -330,8 +362,8 @@
             session.close()
         for service in self.services.values():
             service.close()
-        if self._neighbours is not None:
-            self._neighbours.close()
-        if self._detours is not None:
-            self._detours.close()
+        if self._peers.neighbours is not None:
+            self._peers.neighbours.close()
+        if self._peers.detours is not None:
+            self._peers.detours.close()
         self._decisions.flush()
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -4,7 +4,7 @@
 
 from rowanlab.simulator.relay_network import RelayNetwork
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.gateway import Gateway, Peers
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.serving import Holder
@@ -52,7 +52,12 @@
         detours = Detours(name, relay_clock, opener)
         self.log = RecordingLog(name, wall_clock=world.clock.time)
         self.gateway = Gateway(
-            Locality(name), self.driver, world.clock, self.log, Registry(), self.neighbours, detours
+            Locality(name),
+            self.driver,
+            world.clock,
+            self.log,
+            Registry(),
+            Peers(self.neighbours, detours),
         )
         self.gateway.start()
         self.gateway.apply(RoutingConfiguration(1, routes(), {"db": ServiceSpec("db", 30)}, 3.0))
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -83,6 +83,6 @@
         self.assertLessEqual(limit, 30 - 3 - 6, "all parts of the region are held there")
 
     def test_the_order_without_a_plan_is_that_of_the_hash(self):
-        neighbours = self.world.far.gateway._neighbours
+        neighbours = self.world.far.gateway.peers.neighbours
         part = Part.of("db", "somebody")
         self.assertEqual(neighbours._order(part.key), rank(part.key, ["ga1", "ga2"]))
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -4,7 +4,7 @@
 
 from rowanlab.simulator.relay_network import RelayNetwork
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.gateway import Gateway, Peers
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.metering import Metering
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
@@ -56,9 +56,7 @@
             world.clock,
             self.log,
             Registry(),
-            neighbours,
-            detours,
-            planned=PlannedHolders(name, REGIONS[zone], clock),
+            Peers(neighbours, detours, PlannedHolders(name, REGIONS[zone], clock)),
         )
         self.metering = Metering(
             name,
@@ -190,9 +188,9 @@
             for one in self.world.gateways.values()
             if not one.gateway.services["db"].has_connections
         )
-        links = len(idle.gateway._neighbours.links)
+        links = len(idle.gateway.peers.neighbours.links)
         self.world.clock.advance(1.0)
-        self.assertEqual(len(idle.gateway._neighbours.links), links)
+        self.assertEqual(len(idle.gateway.peers.neighbours.links), links)
         self.assertEqual(links, 0)
 
     def test_a_gateway_that_stops_gives_its_connections_up(self):
@@ -275,7 +273,7 @@
         # where half of it was in reach, since each sent its sums to a gateway that nobody asked.
         _, other = rank(METER, ["gb1", "gb2"])
         for name in ("ga1", "ga2"):
-            detours = self.world.gateways[name].gateway._detours
+            detours = self.world.gateways[name].gateway.peers.detours
             detours.place_in = lambda group, held, detours=detours: detours._keeper.look(other)
         for one, number in zip(self.world.gateways.values(), (5, 7, 11, 13), strict=True):
             self.ask(one, number)
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -2,7 +2,7 @@
 
 from rowanlab.simulator.relay_network import RelayNetwork
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.gateway import Gateway, Peers
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.serving import Holder
 from rowanrail.gateway.services.locality import Locality
@@ -40,8 +40,7 @@
             zone.clock,
             self.decisions,
             Registry(),
-            self.neighbours,
-            planned=PlannedHolders(name, "a", zone.relay_clock),
+            Peers(self.neighbours, planned=PlannedHolders(name, "a", zone.relay_clock)),
         )
         self.holder = Holder(self.gateway, zone.relay_clock)
         self.gateway.start()
