--- a/src/rowanrail/coordination/gathering.py
+++ b/src/rowanrail/coordination/change_batch.py
@@ -1,22 +1,24 @@
-"""When gateways are told of a change: at once, or together with what follows it soon.
+"""Batching of change notices: which revision of the directory gateways are told of now.
 
-At a start, members and gateways come by hundreds within seconds, and each gateway would be told
-of each. What nobody is harmed by knowing a moment later waits for more of its kind. A member that
-leaves or is gone, another primary and a new configuration do not wait, and take along what does.
+At a start, members and gateways come by hundreds within seconds, and each change would wake each
+gateway's long poll. Changes whose delay harms nobody wait for others; a member that leaves or is
+gone, another primary and a new configuration are told at once, together with what waited.
+
+Owns the revision that is released and the timer of a batch; relies on ``kernel.clock``.
 """
 
 from collections.abc import Callable
 
 from rowanrail.kernel.clock import Clock, Timer
 
-__all__ = ["GATHER_MS", "Gathering"]
+__all__ = ["BATCH_MS", "ChangeBatch"]
 
 # After the first change that waits. A member that came is used this much later, beside the 1.2 s
 # between its heartbeats and about 0.1 s for the log.
-GATHER_MS = 250.0
+BATCH_MS = 250.0
 
 
-class Gathering:
+class ChangeBatch:
     """Knows up to which revision gateways are to be told.
 
     Parameters
@@ -53,7 +55,7 @@
         if urgent_revision > self._released:
             self._release()
         elif revision > self._released and self._timer is None:
-            self._timer = self._clock.call_in(GATHER_MS, self._end_wait)
+            self._timer = self._clock.call_in(BATCH_MS, self._end_wait)
 
     def _end_wait(self) -> None:
         self._release()
--- a/src/rowanrail/coordination/changes.py
+++ b/src/rowanrail/coordination/changes.py
@@ -69,5 +69,5 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether gateways are told at once; see :mod:`rowanrail.coordination.gathering`."""
+        """Whether gateways are told at once; see :mod:`rowanrail.coordination.change_batch`."""
         return any(step.is_urgent for step in self.members)
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -7,7 +7,7 @@
 
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.coordination.gathering import Gathering
+from rowanrail.coordination.change_batch import ChangeBatch
 from rowanrail.coordination.parts import DirectoryParts, PartCounts, whole_for
 from rowanrail.coordination.replay import Replay
 from rowanrail.coordination.state import CoordinationState
@@ -65,7 +65,7 @@
         self._state = state
         self._zone = zone
         self._now = now
-        self._gathering = Gathering(Clock(_LoopTime(now)), self.notice_change)
+        self._batch = ChangeBatch(Clock(_LoopTime(now)), self.notice_change)
         self._parts = DirectoryParts(state)
         self._replay = Replay(state)
         self._held_parts = DirectoryParts(state)
@@ -87,9 +87,9 @@
 
     def notice_change(self) -> None:
         """Wake those who wait if something changed that they are to be told."""
-        self._gathering.note(self._state.revision, self._state.urgent_revision)
+        self._batch.note(self._state.revision, self._state.urgent_revision)
         state = self._state
-        seen = (state.version, self._gathering.released, state.plan.number, self.is_current)
+        seen = (state.version, self._batch.released, state.plan.number, self.is_current)
         if seen != self._seen:
             self._seen = seen
             self._changed.set()
@@ -142,7 +142,7 @@
         return (
             self._wants_whole(request)
             or self._state.version > request.known_version
-            or self._gathering.released > request.known_revision
+            or self._batch.released > request.known_revision
             or self._has_plan(request)
         )
 
--- a/tests/coordination/test_gathering.py
+++ b/tests/coordination/test_change_batch.py
@@ -8,8 +8,8 @@
 from rowanlab.simulator.event_clock import EventClock
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
+from rowanrail.coordination.change_batch import BATCH_MS, ChangeBatch
 from rowanrail.coordination.commands import Announce, PutDocument, Remove, SetGateways
-from rowanrail.coordination.gathering import GATHER_MS, Gathering
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
@@ -22,35 +22,35 @@
 AT_ONCE_SECONDS = 0.1
 
 
-class GatheringTest(unittest.TestCase):
+class ChangeBatchTest(unittest.TestCase):
     def setUp(self):
         self.time = EventClock()
         self.released = []
-        self.gathering = Gathering(Clock(self.time), self._note)
+        self.batch = ChangeBatch(Clock(self.time), self._note)
 
     def _note(self):
-        self.released.append((round(self.time.now * 1000), self.gathering.released))
+        self.released.append((round(self.time.now * 1000), self.batch.released))
 
     def test_changes_that_may_wait_are_told_together_after_the_bound(self):
         begun = self.time.now
         for revision in range(1, 11):
-            self.gathering.note(revision, 0)
+            self.batch.note(revision, 0)
             self.time.run_until(begun + revision * 0.02)
-        self.assertEqual(self.gathering.released, 0)
+        self.assertEqual(self.batch.released, 0)
         self.time.run_until(begun + 1.0)
-        self.assertEqual(self.released, [(round(begun * 1000 + GATHER_MS), 10)])
+        self.assertEqual(self.released, [(round(begun * 1000 + BATCH_MS), 10)])
 
     def test_an_urgent_change_takes_along_what_waits(self):
-        self.gathering.note(1, 0)
-        self.gathering.note(2, 2)
-        self.assertEqual(self.gathering.released, 2)
+        self.batch.note(1, 0)
+        self.batch.note(2, 2)
+        self.assertEqual(self.batch.released, 2)
         self.time.run_until(self.time.now + 1.0)
         self.assertEqual(self.released, [])
 
     def test_a_state_that_was_read_again_from_the_disk_is_told_as_far_as_it_goes(self):
-        self.gathering.note(9, 9)
-        self.gathering.note(4, 4)
-        self.assertEqual(self.gathering.released, 4)
+        self.batch.note(9, 9)
+        self.batch.note(4, 4)
+        self.assertEqual(self.batch.released, 4)
 
 
 def member(instance, sequence=1, **changes):
@@ -95,7 +95,7 @@
         news = [Announce(member("m3")), Announce(member("m4")), SetGateways([gateway], [])]
         reply, seconds = await self.answered_after(*news)
         self.assertEqual((len(reply.members), reply.gateways), (4, 1))
-        self.assertGreaterEqual(seconds, GATHER_MS / 1000 - 0.01)
+        self.assertGreaterEqual(seconds, BATCH_MS / 1000 - 0.01)
         self.assertLess(seconds, HOLD_SECONDS - 0.2)
 
     async def test_what_binds_is_told_at_once(self):
