--- a/src/rowanrail/coordination/duty.py
+++ b/src/rowanrail/coordination/duty.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.coordination.commands import IntendPromotion, Promotion, SetGateways
+from rowanrail.coordination.commands import IntendPromotion, Promotion
 from rowanrail.coordination.events import PROMOTION_ANSWERED, PROMOTION_DECIDED, PROMOTION_WAITS
 from rowanrail.coordination.failover import (
     Action,
@@ -22,9 +22,9 @@
     decide,
     report_view,
 )
+from rowanrail.coordination.gateway_census import GatewayCensus
 from rowanrail.coordination.member_questions import MemberQuestions, MemberStatus, StatusReader
 from rowanrail.coordination.service import CoordinationService
-from rowanrail.directory.messages import GatewayRecord
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.members.channel import MemberDriver
@@ -34,10 +34,7 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Command, CommandKind
 
-STEP_SECONDS = 0.1  # between looks at all services; a gap grows by half of it on average
-GATEWAYS_SECONDS = 1.0  # between comparisons of the gateways heard with those in the log
-GONE_SECONDS = 8.0  # a gateway not heard may be alive with its connections
-GATEWAYS_TASK = "gateways"
+CHECK_SECONDS = 0.1  # between checks of all services; a failover gap grows by half of it on average
 OWN_SOURCE = "failover-duty"
 
 
@@ -95,8 +92,7 @@
         self._known_revision = -1
         self._indexed_revision = -1
         self._by_service: dict[str, list[MemberRecord]] = {}
-        self._gateways_due = 0.0
-        self._missing_since: dict[str, float] = {}
+        self._census = GatewayCensus(service.state, service.liveness, service.propose, self._now)
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -108,11 +104,12 @@
         for task in (self._task, *self._tasks):
             if task is not None:
                 task.cancel()
+        self._census.stop()
         self._release()
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(STEP_SECONDS)
+            await asyncio.sleep(CHECK_SECONDS)
             self._decisions.flush()
             if not self._node.raft.is_established_leader:
                 self._release()
@@ -123,7 +120,7 @@
             for name, tracker in self._trackers.items():
                 tracker.tick(in_use=True)
                 self._consider(name)
-            self._follow_gateways()
+            self._census.tick()
 
     @staticmethod
     def _now() -> float:
@@ -181,7 +178,7 @@
     def _is_calm(self, service: str) -> bool:
         """Return whether nobody has a reason to replace a primary, which is so nearly always.
 
-        It spares a look at what all gateways say; :func:`decide` would wait as well.
+        It spares going through what all gateways say; :func:`decide` would wait as well.
         """
         if self._trackers[service].failing_since or self._service.liveness.fails(service):
             return False
@@ -300,34 +297,3 @@
             outcome=outcome.value,
             seconds=round(self._now() - attempt.started_at, 3),
         )
-
-    # The gateways that share connections
-
-    def _follow_gateways(self) -> None:
-        now = self._now()
-        if now < self._gateways_due or GATEWAYS_TASK in self._busy:
-            return
-        self._gateways_due = now + GATEWAYS_SECONDS
-        heard = self._service.liveness.gateways()
-        known = self._service.state.gateways
-        present = [record for name, record in heard.items() if known.get(name) != record]
-        absent = self._gone(heard, now)
-        if present or (absent and heard):
-            self._busy.add(GATEWAYS_TASK)
-            task = asyncio.ensure_future(self._log_gateways(SetGateways(present, absent)))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
-
-    def _gone(self, heard: dict[str, GatewayRecord], now: float) -> list[str]:
-        """Return the gateways that have not been heard for long."""
-        missing = [name for name in self._service.state.gateways if name not in heard]
-        self._missing_since = {name: self._missing_since.get(name, now) for name in missing}
-        return [name for name, since in self._missing_since.items() if now - since > GONE_SECONDS]
-
-    async def _log_gateways(self, change: SetGateways) -> None:
-        try:
-            await self._service.propose(change)
-        except RowanrailError:
-            pass  # the census is compared with the log again after GATEWAYS_SECONDS
-        finally:
-            self._busy.discard(GATEWAYS_TASK)
--- a/tests/coordination/test_reports.py
+++ b/tests/coordination/test_reports.py
@@ -112,6 +112,8 @@
 
 
 class PlayedService:
+    propose = None  # nothing is logged here
+
     def __init__(self, members, liveness):
         self.state, self.liveness = PlayedState(members), liveness
 
