--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -12,16 +12,8 @@
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.storage import Identity, Storage
+from rowanrail.coordination.change_notes import ChangeNotes
 from rowanrail.coordination.duty import FailoverDuty, Promoter
-from rowanrail.coordination.events import (
-    DIRECTORY_COMMITTED,
-    LEADER_KNOWN,
-    LEADER_LOST,
-    MEMBERSHIP_CHANGED,
-    STORAGE_LOST,
-    STORAGE_REGAINED,
-    VERSION_COMMITTED,
-)
 from rowanrail.coordination.member_questions import StatusReader
 from rowanrail.coordination.planner import PlanDuty
 from rowanrail.coordination.service import CoordinationService
@@ -65,11 +57,6 @@
         self._format = configuration_format
         self._listener: Listener | None = None
         self._joining: asyncio.Task[None] | None = None
-        self._seen_leader = ("", 0)
-        self._seen_version = 0
-        self._seen_revision = 0
-        self._seen_membership = 0
-        self._told_failure = False
         self._parsed_version = 0
         self._configuration: RoutingConfiguration | None = None
 
@@ -78,6 +65,17 @@
 
         :raises StorageError: if the folder can't be used.
         """
+        identity = await self._open_folder()
+        self._make_log(identity)
+        settings = self._settings
+        self._listener = await self._network.serve(settings.rpc_listen, self.service.handle)
+        self.consensus.start()
+        self.service.members.start()
+        self._start_duties(driver, reader, promoter)
+        self._joining = asyncio.ensure_future(self._join_when_unheard(identity))
+
+    async def _open_folder(self) -> Identity:
+        """Return the identity of the node's folder, setting an empty one up."""
         settings = self._settings
         nodes = [NodeAddress(address, address) for address in settings.peers]
         is_first = settings.bootstrap and settings.rpc_listen in settings.peers
@@ -85,9 +83,11 @@
             nodes.append(NodeAddress(settings.rpc_listen, settings.rpc_listen))
         owner = FolderOwner(CLUSTER, settings.rpc_listen, nodes, settings.data_folder)
         guard = self._registry.create("consensus-guard", "learner-first")
-        identity = await open_folder(
-            owner, self._storage, self._network, self._random, guard, is_first
-        )
+        return await open_folder(owner, self._storage, self._network, self._random, guard, is_first)
+
+    def _make_log(self, identity: Identity) -> None:
+        """Make the replicated state, the node of its log, and the service before both."""
+        settings = self._settings
         monotonic = self._registry.create("control-guard", "version-monotonic")
         fence = self._registry.create("coordination-guard", "fencing-token")
         incarnation = self._registry.create("coordination-guard", "incarnation")
@@ -97,10 +97,13 @@
         self.service.members = VoterManager(
             self.consensus, CLUSTER, settings.voters, self.service.now
         )
+        self._notes = ChangeNotes(
+            self.consensus, self.state, self._decisions, self.service.forward_reports
+        )
         self.consensus.on_change = self._on_change
-        self._listener = await self._network.serve(settings.rpc_listen, self.service.handle)
-        self.consensus.start()
-        self.service.members.start()
+
+    def _start_duties(self, driver: MemberDriver, reader: StatusReader, promoter: Promoter) -> None:
+        """Begin what a node does while it leads: failover, and the plan of holders."""
         self.duty = FailoverDuty(
             self.consensus,
             self.service,
@@ -112,12 +115,11 @@
             self._acknowledging_replicas,
         )
         self.duty.start()
-        is_planned = settings.holders is Holders.PLANNED
+        is_planned = self._settings.holders is Holders.PLANNED
         self.planning = PlanDuty(
             self.consensus, self.service, self._decisions, is_planned, self._connections
         )
         self.planning.start()
-        self._joining = asyncio.ensure_future(self._join_when_unheard(identity))
 
     def _acknowledging_replicas(self, service: str) -> int:
         """Return how many replicas the configuration wants to hold a commit."""
@@ -186,58 +188,7 @@
 
     def _on_change(self) -> None:
         self.service.notice_change()
-        raft = self.consensus.raft
-        if (self.consensus.failure is not None) != self._told_failure:
-            self._note_storage()
-        leader = (raft.leader, raft.term)
-        if leader != self._seen_leader:
-            self._note_leader(leader)
-        if self.state.version != self._seen_version:
-            self._seen_version = self.state.version
-            self._decisions.note(
-                VERSION_COMMITTED, version=self.state.version, index=self.consensus.applied
-            )
-        if self.state.revision != self._seen_revision:
-            self._seen_revision = self.state.revision
-            self._decisions.note(
-                DIRECTORY_COMMITTED,
-                revision=self.state.revision,
-                members=len(self.state.members),
-                leaving=sorted(m.instance for m in self.state.members.values() if m.leaving),
-                primaries=sorted(m.instance for m in self.state.members.values() if m.primary),
-            )
-        if raft.log.membership_index != self._seen_membership:
-            self._seen_membership = raft.log.membership_index
-            self._decisions.note(
-                MEMBERSHIP_CHANGED,
-                index=raft.log.membership_index,
-                voters=sorted(raft.membership.voters),
-                learners=sorted(raft.membership.learners),
-            )
-
-    def _note_storage(self) -> None:
-        failure = self.consensus.failure
-        self._told_failure = failure is not None
-        if failure is None:
-            self._decisions.note(STORAGE_REGAINED, term=self.consensus.raft.term)
-            return
-        self._decisions.note(
-            STORAGE_LOST,
-            reason=str(failure),
-            role=self.consensus.role_at_failure.value,
-            term=self.consensus.raft.term,
-            version=self.state.version,
-            revision=self.state.revision,
-        )
-
-    def _note_leader(self, leader: tuple[str, int]) -> None:
-        was_known = self._seen_leader[0] != ""
-        self._seen_leader = leader
-        if leader[0]:
-            self._decisions.note(LEADER_KNOWN, leader=leader[0], term=leader[1])
-            self.service.forward_reports()
-        elif was_known:
-            self._decisions.note(LEADER_LOST, term=leader[1])
+        self._notes.compare()
 
     async def stop(self) -> None:
         """Stop serving."""
