--- a/src/rowanlab/simulator/coordination_world.py
+++ b/src/rowanlab/simulator/coordination_world.py
@@ -14,7 +14,7 @@
 from rowanlab.simulator.world import World
 from rowanrail.config.settings import CoordinatorSettings
 from rowanrail.coordination.duty import Promoter, PromotionOutcome
-from rowanrail.coordination.member_questions import MemberStatus, StatusReader
+from rowanrail.coordination.member_questions import StatusReader, StatusReply
 from rowanrail.coordination.messages import PutReply
 from rowanrail.coordination.node import Coordinator
 from rowanrail.coordination.watches import CURRENT_SECONDS
@@ -126,7 +126,7 @@
 
 
 class _NoReader(StatusReader):
-    def read(self, answer: Answer) -> MemberStatus | None:
+    def read(self, answer: Answer) -> StatusReply | None:
         return None
 
 
--- a/src/rowanlab/simulator/promotion_world.py
+++ b/src/rowanlab/simulator/promotion_world.py
@@ -15,7 +15,7 @@
 from rowanlab.simulator.gateway_members import Group, Member, SimulatedDriver
 from rowanlab.simulator.world import World
 from rowanrail.coordination.duty import Promoter, PromotionOutcome
-from rowanrail.coordination.member_questions import MemberStatus, StatusReader
+from rowanrail.coordination.member_questions import StatusReader, StatusReply
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer
@@ -104,11 +104,11 @@
 
 
 class _Reader(StatusReader):
-    def read(self, answer: Answer) -> MemberStatus | None:
+    def read(self, answer: Answer) -> StatusReply | None:
         if answer.refusal is not None or not answer.rows:
             return None
         role, term, last_term, index = answer.rows[0].decode().split(" ")
-        return MemberStatus(role == "primary", int(term), Position(int(last_term), int(index)))
+        return StatusReply(role == "primary", int(term), Position(int(last_term), int(index)))
 
 
 class PromotionWorld(CoordinationWorld):
--- a/src/rowanrail/cluster/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -6,6 +6,7 @@
 """
 
 import asyncio
+from collections.abc import Callable, Collection
 
 import msgspec
 
@@ -16,8 +17,8 @@
 from rowanrail.consensus.raft_types import MembershipBusy
 from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
 
-CAUGHT_UP_ENTRIES = 10
-STEP_SECONDS = 0.2
+LEARNER_BEHIND_ENTRIES = 10  # a learner this close to the log's end gets a vote; chosen
+LEARNER_CHECK_SECONDS = 0.2  # between checks for such a learner; chosen
 
 
 def name_of(node: str) -> str:
@@ -25,6 +26,54 @@
     return node.split("@")[0]
 
 
+def without_voters(membership: Membership, nodes: Collection[str]) -> Membership:
+    """Return a membership in which some nodes no longer vote."""
+    voters = {node: a for node, a in membership.voters.items() if node not in nodes}
+    return Membership(voters, dict(membership.learners))
+
+
+def with_voter(membership: Membership, learner: str) -> Membership:
+    """Return a membership in which a learner votes."""
+    voters = {**membership.voters, learner: membership.learners[learner]}
+    learners = {node: a for node, a in membership.learners.items() if node != learner}
+    return Membership(voters, learners)
+
+
+def admit_one(
+    membership: Membership, match_of: Callable[[str], int], last_index: int
+) -> Membership | None:
+    """Return the next step by which a learner that is caught up gets a vote, None if there is none.
+
+    An older node of the same name goes first: each step changes the voters by one name, so that
+    any two majorities of successive memberships overlap.
+
+    Parameters
+    ----------
+    match_of : callable
+        Returns up to which index a node is known to hold the log; 0 if it has confirmed nothing.
+    last_index : int
+        Index of the log's last entry.
+
+    Examples
+    --------
+    >>> membership = Membership({"a@1": "a:1", "b@1": "b:1"}, {"b@2": "b:1"})
+    >>> step = admit_one(membership, lambda node: 40, 45)
+    >>> sorted(step.voters), sorted(step.learners)
+    (['a@1'], ['b@2'])
+    >>> sorted(admit_one(step, lambda node: 40, 45).voters)
+    ['a@1', 'b@2']
+    >>> admit_one(membership, lambda node: 0, 5) is None
+    True
+    """
+    for learner in sorted(membership.learners):
+        match = match_of(learner)
+        if match == 0 or last_index - match > LEARNER_BEHIND_ENTRIES:
+            continue
+        older = [node for node in membership.voters if name_of(node) == name_of(learner)]
+        return without_voters(membership, older) if older else with_voter(membership, learner)
+    return None
+
+
 class MembershipManager:
     """Carries out membership changes while its node leads."""
 
@@ -113,7 +162,7 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(STEP_SECONDS)
+            await asyncio.sleep(LEARNER_CHECK_SECONDS)
             if self._node.raft.is_established_leader:
                 try:
                     await self._promote_one()
@@ -122,19 +171,6 @@
 
     async def _promote_one(self) -> None:
         raft = self._node.raft
-        for learner, address in sorted(raft.membership.learners.items()):
-            match = raft.match_of(learner)
-            if match == 0 or raft.log.last_index - match > CAUGHT_UP_ENTRIES:
-                continue
-            older = [n for n in raft.membership.voters if name_of(n) == name_of(learner)]
-            voters = dict(raft.membership.voters)
-            if older:
-                # First the lost node goes, then the new one comes: each step changes one voter.
-                for node in older:
-                    del voters[node]
-                await self._change(Membership(voters, dict(raft.membership.learners)))
-                return
-            voters[learner] = address
-            learners = {n: a for n, a in raft.membership.learners.items() if n != learner}
-            await self._change(Membership(voters, learners))
-            return
+        changed = admit_one(raft.membership, raft.match_of, raft.log.last_index)
+        if changed is not None:
+            await self._change(changed)
--- a/src/rowanrail/coordination/announcements.py
+++ b/src/rowanrail/coordination/announcements.py
@@ -1,4 +1,8 @@
-"""What a leading control node makes of members' own words: news, late words, ends, second lives."""
+"""What the leader makes of members' announcements: changes, late ones, ends, second lives.
+
+Owns which displaced members go on to announce themselves. Relies on the state for what the log
+holds, on :mod:`liveness` for heartbeats, and on the log to make a change durable.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -15,14 +19,14 @@
 
 @dataclass(slots=True)
 class _Claim:
-    """Since when a displaced member has gone on to beat, and when it was heard last, in seconds."""
+    """Moments, in seconds, since a displaced member announces itself again, and of the last one."""
 
     since: float
     heard_at: float
 
 
 class Announcements:
-    """Turns members' words into commands of the log, where they are news.
+    """Turns members' announcements into commands of the log, where they are news.
 
     Parameters
     ----------
@@ -49,8 +53,8 @@
         self._now = now
         self._claims: dict[str, _Claim] = {}
 
-    async def hear(self, record: MemberRecord) -> None:
-        """Take what a member says of itself.
+    async def take(self, record: MemberRecord) -> None:
+        """Take what a member announces of itself.
 
         The log knows the sequence of a member's last change only. Leaving counts whenever it
         comes; anything else that is older than what was heard since is out of date.
@@ -58,28 +62,30 @@
         is_late = self._liveness.is_late(record.instance, record.sequence) and not record.leaving
         self._liveness.heartbeat(record.instance, record.sequence)
         if record.instance in self._state.displaced:
-            await self._hear_displaced(record, is_late)
+            await self._take_displaced(record, is_late)
         elif not is_late and self._state.needs_announcement(record):
             await self._propose(Announce(record))
 
     async def end(self, instance: str) -> None:
-        """Take a member's word that it has ended."""
+        """Take a member's announcement that it has ended."""
         self._liveness.forget_member(instance)
         self._claims.pop(instance, None)
         if not self._state.has_ended(instance):
             await self._propose(Remove(instance))
 
-    async def _hear_displaced(self, record: MemberRecord, is_late: bool) -> None:
+    async def _take_displaced(self, record: MemberRecord, is_late: bool) -> None:
         if record.leaving:
-            await self._propose(Remove(record.instance))  # no earlier word may bring it back
+            # No earlier announcement may bring it back.
+            await self._propose(Remove(record.instance))
         elif not is_late and self._state.may_return(record) and self._is_place_free(record):
             await self._propose(Readmit(record))
 
     def _is_place_free(self, record: MemberRecord) -> bool:
-        """Return whether a member beats while nobody else at its address does.
+        """Return whether a member sends heartbeats while nobody else at its address does.
 
-        A heartbeat that a cut held up may come when its sender has ended and the next life has
-        registered there, and look like a newer one. Only who runs goes on to beat.
+        A heartbeat that a network cut delayed may arrive after its sender has ended and a new
+        life of the member has registered at the address, and look newer than it is. Only a
+        member that runs goes on to send them.
         """
         occupant = self._state.occupant(record)
         silent = self._liveness.heartbeat_ago(occupant.instance) if occupant else float("inf")
@@ -89,7 +95,7 @@
         return True
 
     def _claimed_seconds(self, instance: str) -> float:
-        """Return for how long a displaced member has gone on to beat, this time included."""
+        """Return for how long a displaced member has announced itself again, now included."""
         now = self._now()
         claim = self._claims.get(instance)
         if claim is None or now - claim.heard_at > OCCUPANT_SILENT_SECONDS:
--- a/src/rowanrail/coordination/changes.py
+++ b/src/rowanrail/coordination/changes.py
@@ -1,4 +1,7 @@
-"""What one entry of the log changed in the directory of members and gateways."""
+"""What one entry of the log changed in the directory of members and gateways.
+
+Plain values, made while a command is applied; history, holders and watches go by them.
+"""
 
 from dataclasses import dataclass, field
 
--- a/src/rowanrail/coordination/commands.py
+++ b/src/rowanrail/coordination/commands.py
@@ -21,7 +21,7 @@
 
 
 class Remove(msgspec.Struct, frozen=True, tag="remove"):
-    """A member has ended, by its own word."""
+    """A member has ended, as it announced itself."""
 
     instance: str
 
--- a/src/rowanrail/coordination/daemon.py
+++ b/src/rowanrail/coordination/daemon.py
@@ -1,4 +1,8 @@
-"""The control daemon for gateways: a control node as a process."""
+"""The control program for gateways: one control node as a process.
+
+Makes the ports (network, disk, drivers, outside API) from the registry, runs the node until a stop
+signal, and owns nothing else.
+"""
 
 import asyncio
 import os
--- a/src/rowanrail/coordination/duty.py
+++ b/src/rowanrail/coordination/duty.py
@@ -23,7 +23,7 @@
     report_view,
 )
 from rowanrail.coordination.gateway_census import GatewayCensus
-from rowanrail.coordination.member_questions import MemberQuestions, MemberStatus, StatusReader
+from rowanrail.coordination.member_questions import MemberQuestions, StatusReader, StatusReply
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
@@ -212,7 +212,7 @@
             self._decisions.note(PROMOTION_WAITS, service=service, cause=cause, reason=reason)
 
     def _view(
-        self, service: str, statuses: dict[str, MemberStatus], statuses_fresh: bool = False
+        self, service: str, statuses: dict[str, StatusReply], statuses_fresh: bool = False
     ) -> ServiceView:
         now = self._now()
         liveness = self._service.liveness
@@ -252,8 +252,8 @@
         return [record for record in self._members(service) if not record.primary]
 
     async def _pause_replicas(
-        self, service: str, statuses: dict[str, MemberStatus]
-    ) -> dict[str, MemberStatus]:
+        self, service: str, statuses: dict[str, StatusReply]
+    ) -> dict[str, StatusReply]:
         """Stop the replicas from receiving, so that nothing is acknowledged any more.
 
         What they hold then is all that ever was acknowledged. The promotion, or RESUME, ends it.
--- a/src/rowanrail/coordination/events.py
+++ b/src/rowanrail/coordination/events.py
@@ -1,4 +1,7 @@
-"""Log events of control nodes for gateways (numbers 400 to 499)."""
+"""Log events of control nodes for gateways (numbers 400 to 499).
+
+Numbers and fields are read by operators' tools and by ``rowanrail explain``: they don't change.
+"""
 
 from rowanrail.kernel.catalogue import Level, define
 
--- a/src/rowanrail/coordination/forwarding.py
+++ b/src/rowanrail/coordination/forwarding.py
@@ -1,4 +1,8 @@
-"""Which reports of gateways a control node sends on to the leader."""
+"""Which reports of gateways a control node that doesn't lead passes on to the leader.
+
+Owns what was passed on last of each gateway; it leaves out reports that say nothing new, since they
+are most of a control node's bytes.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,7 +22,7 @@
 
     at: float
     leader: str
-    told: bool
+    says_something: bool
     place: tuple[str, str, str]
 
 
@@ -46,7 +50,7 @@
         if (
             sent is not None
             and not _tells_something(report)
-            and not sent.told
+            and not sent.says_something
             and (sent.leader, sent.place) == (leader, place)
             and now - sent.at < CENSUS_SECONDS
         ):
--- a/src/rowanrail/coordination/loads.py
+++ b/src/rowanrail/coordination/gateway_loads.py
@@ -1,4 +1,8 @@
-"""What gateways told of their load: soft state of a control node, of use to the one that leads."""
+"""The load that gateways report, as the leader's plan of holders reads it.
+
+Owns each gateway's latest spans and whether it is slow. It is soft state of one control node: a new
+leader begins without it. Relies on the reports of :mod:`rowanrail.directory.messages`.
+"""
 
 from collections import defaultdict, deque
 from collections.abc import Callable, Iterable
@@ -9,10 +13,10 @@
 from rowanrail.scheduling.group_draft import GatewayLoad
 from rowanrail.scheduling.load_report import LoadReport
 
-__all__ = ["LoadBook"]
+__all__ = ["GatewayLoads"]
 
 # Without word a span counts no more: three of them, as long as a gateway counts as being there.
-FORGET_MS = 15_000.0
+FORGET_LOAD_MS = 15_000.0
 # Heard for so long, a gateway may be given something to hold: as long as demand has to last.
 SETTLED_MS = 20_000.0
 SLOW_SPANS = 2  # in succession make a gateway slow: one pause doesn't
@@ -20,8 +24,8 @@
 
 
 @dataclass(slots=True)
-class _Told:
-    """What one gateway told."""
+class _Reported:
+    """What one gateway reported."""
 
     heard_since: float
     heard_at: float
@@ -40,7 +44,7 @@
             self.is_slow = False
 
 
-class LoadBook:
+class GatewayLoads:
     """Loads of all gateways.
 
     Parameters
@@ -51,34 +55,35 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._told: dict[str, _Told] = {}
+        self._reported: dict[str, _Reported] = {}
 
     def note(self, gateway: str, report: LoadReport | None) -> None:
-        """Note what a gateway told; a span that is told again counts once."""
+        """Note what a gateway reported; a span that is reported again counts once."""
         now = self._now()
-        told = self._told.get(gateway)
-        if told is not None and now - told.heard_at > FORGET_MS:
-            told = None
+        reported = self._reported.get(gateway)
+        if reported is not None and now - reported.heard_at > FORGET_LOAD_MS:
+            reported = None
         if report is None:
             return
-        if told is None:
-            told = self._told[gateway] = _Told(now, now, report)
-            told.take(report)
-        elif report != told.report or now - told.heard_at > report.span / 2:
-            told.take(report)
-            told.heard_at = now
-
-    def _fresh(self) -> dict[str, _Told]:
-        limit = self._now() - FORGET_MS
-        self._told = {name: told for name, told in self._told.items() if told.heard_at >= limit}
-        return self._told
+        if reported is None:
+            reported = self._reported[gateway] = _Reported(now, now, report)
+            reported.take(report)
+        elif report != reported.report or now - reported.heard_at > report.span / 2:
+            reported.take(report)
+            reported.heard_at = now
+
+    def _fresh(self) -> dict[str, _Reported]:
+        limit = self._now() - FORGET_LOAD_MS
+        fresh = {name: one for name, one in self._reported.items() if one.heard_at >= limit}
+        self._reported = fresh
+        return fresh
 
     def demand(self, gateways: Iterable[GatewayRecord]) -> dict[str, dict[str, PartDemand]]:
-        """Return the sum of what gateways told last, by group and part."""
-        told = self._fresh()
+        """Return the sum of what gateways reported last, by group and part."""
+        reported = self._fresh()
         sums: dict[str, _GroupSum] = defaultdict(_GroupSum)
         for gateway in gateways:
-            known = told.get(gateway.name)
+            known = reported.get(gateway.name)
             if known is not None:
                 sums[gateway.sharing_group].add(known.report)
         return {group: total.demand() for group, total in sums.items()}
@@ -88,14 +93,14 @@
         fresh = self._fresh()
         return [self._load(g, fresh[g.name]) for g in gateways if g.name in fresh]
 
-    def _load(self, gateway: GatewayRecord, told: _Told) -> GatewayLoad:
+    def _load(self, gateway: GatewayRecord, reported: _Reported) -> GatewayLoad:
         return GatewayLoad(
             gateway.name,
             gateway.sharing_group,
             gateway.relay_address,
-            sum(told.own) / len(told.own),
-            told.is_slow,
-            bool(gateway.relay_address) and self._now() - told.heard_since >= SETTLED_MS,
+            sum(reported.own) / len(reported.own),
+            reported.is_slow,
+            bool(gateway.relay_address) and self._now() - reported.heard_since >= SETTLED_MS,
         )
 
 
--- a/src/rowanrail/coordination/gauges.py
+++ b/src/rowanrail/coordination/gauges.py
@@ -1,4 +1,4 @@
-"""What a control node measures of itself at the moment when it is asked."""
+"""Metrics of a control node, read from its parts when a scrape asks for them."""
 
 from rowanrail.coordination.node import Coordinator
 from rowanrail.kernel.metrics import Reading
--- a/src/rowanrail/coordination/history.py
+++ b/src/rowanrail/coordination/history.py
@@ -1,4 +1,7 @@
-"""Which records of the directory changed since a revision, as far back as is remembered."""
+"""Which records of the directory changed since a revision, as far back as is remembered.
+
+Owns that memory and the digests of each group's whole directory; the state notes each change here.
+"""
 
 from collections import deque
 from collections.abc import Iterable
--- a/src/rowanrail/coordination/liveness.py
+++ b/src/rowanrail/coordination/liveness.py
@@ -1,4 +1,8 @@
-"""What the leader hears and no log keeps: heartbeats of members, reports of gateways."""
+"""When members and gateways were last heard, and what gateways report of primaries.
+
+Owns these moments and reports. They are soft state: the log doesn't keep them, and a new leader
+learns them anew. Relies on :mod:`reports` for the index of reports by service.
+"""
 
 from collections.abc import Callable
 
@@ -7,7 +11,7 @@
 from rowanrail.directory.messages import GatewayRecord, GatewayReport
 
 FORGET_GATEWAY_SECONDS = 12.0  # longer than a gateway takes to come back; links tell sooner
-DIRECT_REPORT_SECONDS = 1.3  # a gateway that is there has told something since
+DIRECT_REPORT_SECONDS = 1.3  # a gateway that runs has reported since: it does so each second
 NEVER_SECONDS = 1e9  # an age that is above all limits
 
 
@@ -28,7 +32,7 @@
         self._heartbeats[instance] = self._now()
 
     def is_late(self, instance: str, sequence: int) -> bool:
-        """Return whether a later word of the member was heard already."""
+        """Return whether a later announcement of the member was heard already."""
         return sequence < self._sequences.get(instance, -1)
 
     def forget_member(self, instance: str) -> None:
@@ -46,7 +50,7 @@
         self._reports.put(report, self._now())
 
     def direct_reports(self) -> list[GatewayReport]:
-        """Return what gateways told this node itself a short while ago."""
+        """Return what gateways reported to this node itself a short while ago."""
         limit = self._now() - DIRECT_REPORT_SECONDS
         return [report for report, at in self._reports.reports if at >= limit and not report.hops]
 
--- a/src/rowanrail/coordination/member_questions.py
+++ b/src/rowanrail/coordination/member_questions.py
@@ -1,4 +1,8 @@
-"""Questions that the failover duty asks of members, each on a connection of its own."""
+"""Status questions of the failover duty to members, each on a connection of its own.
+
+Owns how long members are waited for. Relies on the driver of ``members`` for connections and on a
+reader for what a status answer means.
+"""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -14,7 +18,7 @@
 SILENT_PRIMARY_SECONDS = 0.15  # three ways there and back between regions: connect, start, status
 
 
-class MemberStatus(msgspec.Struct, frozen=True):
+class StatusReply(msgspec.Struct, frozen=True):
     """A member's status, parsed by the driver."""
 
     leads: bool
@@ -26,7 +30,7 @@
     """Port: how a status answer of a member reads."""
 
     @abstractmethod
-    def read(self, answer: Answer) -> MemberStatus | None:
+    def read(self, answer: Answer) -> StatusReply | None:
         """Return the status in an answer, None if it holds none."""
 
 
@@ -38,7 +42,7 @@
     """
 
     def __init__(self, reader: StatusReader, records: list[MemberRecord]) -> None:
-        self.statuses: dict[str, MemberStatus] = {}
+        self.statuses: dict[str, StatusReply] = {}
         self.done = asyncio.get_running_loop().create_future()
         self._reader = reader
         self._outstanding = {record.instance: record for record in records}
@@ -81,7 +85,7 @@
         self._driver = driver
         self._reader = reader
 
-    async def ask(self, records: list[MemberRecord], command: Command) -> dict[str, MemberStatus]:
+    async def ask(self, records: list[MemberRecord], command: Command) -> dict[str, StatusReply]:
         """Return the statuses of the members that answered the command."""
         asked = _Round(self._reader, records)
         channels = []
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -1,4 +1,9 @@
-"""One control node for gateways, apart from its process."""
+"""One control node for gateways, apart from its process.
+
+Makes, starts and stops its parts: the folder, the replicated log, the service, and the duties of a
+leader. Owns the order in which they start and the requests for admission of a node that no leader
+speaks to; relies on ``cluster`` and ``consensus``.
+"""
 
 import asyncio
 import random
@@ -28,10 +33,10 @@
 from rowanrail.rpc.network import Listener, Network
 
 CLUSTER = "gateways"
-JOIN_SECONDS = 0.3  # between looks whether to ask for admission
+ADMISSION_CHECK_SECONDS = 0.3  # between checks whether to ask for admission
 FIRST_ELECTION_SECONDS = 0.2  # at a start there is nobody to wait for
 REPEATED_ELECTION_SECONDS = 0.45  # above ten round trips between regions (0.4 s)
-JOIN_CALL_SECONDS = 1.0  # a commit at a slow disk fits in
+ADMISSION_CALL_SECONDS = 1.0  # a commit at a slow disk fits in
 UNHEARD_SECONDS = 2.5  # more than five elections
 
 
@@ -172,7 +177,7 @@
         name = self._settings.rpc_listen
         request = JoinRequest(name, identity.node, name, CLUSTER)
         while True:
-            await asyncio.sleep(JOIN_SECONDS)
+            await asyncio.sleep(ADMISSION_CHECK_SECONDS)
             raft = self.consensus.raft
             is_new = identity.node not in raft.membership.addresses()
             unheard = raft.heard_seconds_ago(loop.time()) > UNHEARD_SECONDS
@@ -181,7 +186,7 @@
             addresses = {*self._settings.peers, *raft.membership.addresses().values()} - {name}
             for address in sorted(addresses):
                 try:
-                    await self._network.call(address, request, JOIN_CALL_SECONDS)
+                    await self._network.call(address, request, ADMISSION_CALL_SECONDS)
                     break
                 except RowanrailError:
                     continue  # the next one is asked, and all again after a while
--- a/src/rowanrail/coordination/parts.py
+++ b/src/rowanrail/coordination/parts.py
@@ -1,4 +1,8 @@
-"""The directory as it is sent to a group's gateways: whole, or what changed since a revision."""
+"""The directory as it is sent to a group's gateways: whole, or what changed since a revision.
+
+Owns the packed parts of the present revision, made once for all gateways that need the same. Relies
+on the state's history and on :mod:`rowanrail.directory.packing`.
+"""
 
 from dataclasses import dataclass
 
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -15,7 +15,7 @@
     PLAN_NOT_LOGGED,
     SHARES_CHANGED,
 )
-from rowanrail.coordination.loads import LoadBook
+from rowanrail.coordination.gateway_loads import GatewayLoads
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.kernel.decisions import DecisionLog
@@ -26,21 +26,21 @@
 
 __all__ = ["PlanDuty", "Planner"]
 
-ROUND_MS = 5000.0  # between looks; a gateway's span
+ROUND_MS = 5000.0  # between checks; a gateway's span
 REST_MS = 20_000.0  # between changes of a part, ten handovers; the lost are replaced at once
 
 _Demand = dict[str, dict[str, PartDemand]]
 
 
 class Planner:
-    """Looks at the demand once a round, and says what the plan should be.
+    """Checks the demand once a round, and says what the plan should be.
 
     Parameters
     ----------
     state : CoordinationState
         What the log holds: members, gateways, the plan in force.
-    loads : LoadBook
-        What gateways told.
+    loads : GatewayLoads
+        What gateways reported.
     now : callable
         Returns the steady time in milliseconds.
     connections : callable
@@ -50,7 +50,7 @@
     def __init__(
         self,
         state: CoordinationState,
-        loads: LoadBook,
+        loads: GatewayLoads,
         now: Callable[[], float],
         connections: Callable[[str], int] = lambda service: 0,
     ) -> None:
@@ -68,7 +68,7 @@
         self._changed_at.clear()
         self.lasting = {}
 
-    def look(self) -> Proposal:
+    def check(self) -> Proposal:
         """Note the demand of a round, and return a better plan if there is one."""
         gateways = list(self._state.gateways.values())
         self._window.add(self._loads.demand(gateways))
@@ -170,12 +170,12 @@
                 self._decisions.note(PLAN_NOT_LOGGED, reason=str(error))
 
     async def step(self) -> None:
-        """Look once, and have a better plan logged.
+        """Check once, and have a better plan logged.
 
         Raises
         ------
         RowanrailError
-            If it was not, or may not have been; the next look sees which plan is in force.
+            If it was not, or may not have been; the next check sees which plan is in force.
         """
         if not self._node.raft.is_established_leader:
             self._planner.release()
@@ -191,13 +191,13 @@
             self._decisions.note(PLAN_ENDED, number=plan.number)
 
     async def _improve(self) -> None:
-        proposal = self._planner.look()
+        proposal = self._planner.check()
         plan = proposal.plan
         if plan is None:
             return
         is_taken = await self._service.propose(SetPlan(plan.number, plan.groups, plan.addresses))
         if not is_taken:
-            return  # another one came before it, which the next look goes by
+            return  # another one came before it, which the next check starts from
         self._planner.note_changed(proposal)
         self._note(proposal)
 
--- a/src/rowanrail/coordination/policies.py
+++ b/src/rowanrail/coordination/policies.py
@@ -1,4 +1,7 @@
-"""Guards of the control nodes for gateways, as plug-ins of kind ``coordination-guard``."""
+"""Guards of the control nodes for gateways, as plug-ins of kind ``coordination-guard``.
+
+Each carries one guarantee, which a test can take away to see that it is needed.
+"""
 
 import msgspec
 
--- a/src/rowanrail/coordination/replay.py
+++ b/src/rowanrail/coordination/replay.py
@@ -1,4 +1,8 @@
-"""The state to which a control node's whole log leads, committed or not."""
+"""The state to which a control node's whole log leads, committed or not.
+
+Owns a second state beside the committed one, for gateways that start while no leader is known.
+Relies on the rules of :mod:`state`, whose own state it doesn't change.
+"""
 
 from rowanrail.consensus.log import Log
 from rowanrail.coordination.state import CoordinationState
--- a/src/rowanrail/coordination/reports.py
+++ b/src/rowanrail/coordination/reports.py
@@ -1,4 +1,7 @@
-"""What gateways report of primaries: what has weight in a decision, kept by service."""
+"""The gateways' reports of primaries at the leader, by service.
+
+Owns the latest report of each gateway. Relies on :mod:`failover` for the view of one report.
+"""
 
 from rowanrail.coordination.failover import ReportView, report_view
 from rowanrail.directory.messages import GatewayReport
@@ -11,8 +14,8 @@
 class ReportIndex:
     """The latest report of each gateway, by service.
 
-    A leader looks at each service ten times a second, and each gateway reports each second: what
-    is looked at is found without going through all reports.
+    A leader checks each service ten times a second, and each gateway reports each second: a check
+    doesn't go through all reports.
     """
 
     def __init__(self) -> None:
@@ -46,9 +49,9 @@
             self._forget(health.service, gateway)
 
     def _forget(self, service: str, gateway: str) -> None:
-        told = self._by_service.get(service, {})
-        told.pop(gateway, None)
-        if not told:
+        views = self._by_service.get(service, {})
+        views.pop(gateway, None)
+        if not views:
             self._by_service.pop(service, None)
         failing = self._failing.get(service, set())
         failing.discard(gateway)
--- a/src/rowanrail/coordination/service.py
+++ b/src/rowanrail/coordination/service.py
@@ -1,4 +1,9 @@
-"""The service of one control node: configuration, members, watches of gateways."""
+"""The service of one control node: configuration, members, watches of gateways.
+
+Answers gateways, other control nodes and the outside API; passes to the leader what only the leader
+may do. Owns the liveness and loads that gateways report; relies on the replicated state and its
+node, and on the network for calls to the leader.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,8 +18,8 @@
 from rowanrail.coordination.announcements import Announcements
 from rowanrail.coordination.commands import Command, PutDocument
 from rowanrail.coordination.forwarding import ReportForwarding
+from rowanrail.coordination.gateway_loads import GatewayLoads
 from rowanrail.coordination.liveness import Liveness
-from rowanrail.coordination.loads import LoadBook
 from rowanrail.coordination.messages import (
     AnnounceRequest,
     DocumentReply,
@@ -41,7 +46,7 @@
 
 LEADER_CALL_SECONDS = 0.8  # within REQUEST_SECONDS, so that another leader can be asked
 REQUEST_SECONDS = 0.9  # callers go to the next node after 1 s of silence
-RETRY_SECONDS = 0.05  # between looks for a leader; an election takes 0.1 to 0.5 s
+RETRY_SECONDS = 0.05  # between checks for a leader; an election takes 0.1 to 0.5 s
 
 
 class CoordinationService:
@@ -54,7 +59,7 @@
         self.state = state
         self.members = MembershipManager(node, "")
         self.liveness = Liveness(self.now)
-        self.loads = LoadBook(lambda: self.now() * 1000)
+        self.loads = GatewayLoads(lambda: self.now() * 1000)
         self._announcements = Announcements(state, self.liveness, self.propose, self.now)
         self._network = network
         self._forwarding = ReportForwarding(self.now)
@@ -175,7 +180,7 @@
 
     async def _announce(self, request: msgspec.Struct) -> msgspec.Struct:
         assert isinstance(request, AnnounceRequest)
-        await self._announcements.hear(request.record)
+        await self._announcements.take(request.record)
         return Done()
 
     async def _remove(self, request: msgspec.Struct) -> msgspec.Struct:
@@ -227,7 +232,7 @@
         return "" if self.node.raft.is_leader else self.node.leader_address()
 
     async def remove(self, instance: str) -> None:
-        """Take a member's own word that it has ended.
+        """Take a member's announcement that it has ended.
 
         :raises RowanrailError: if it could not be made durable.
         """
@@ -237,7 +242,7 @@
     # Watches
 
     def notice_change(self) -> None:
-        """Wake the watches if something changed that gateways are to be told."""
+        """Wake the watches if something changed that gateways wait for."""
         self._watches.notice_change()
 
     @property
--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -1,4 +1,8 @@
-"""The replicated state: configuration, members, promotions. Depends on the log only."""
+"""The replicated state: configuration, members, gateways, promotions, plan of holders.
+
+A function of the log alone: each node that applied the same entries holds the same state. Owns the
+snapshot's form; relies on the commands and on guards that each carry one guarantee.
+"""
 
 import msgspec
 
@@ -25,9 +29,9 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.scheduling.plan import NO_PLAN, Plan
 
-REMEMBERED_REMOVED = 2000  # identities; a late word of a removed member is seconds old
+REMEMBERED_REMOVED = 2000  # identities; a late announcement of a removed member is seconds old
 
-REMEMBERED_DISPLACED = 200  # records; who still runs has a word to say within some seconds
+REMEMBERED_DISPLACED = 200  # records; a member that still runs announces itself within seconds
 
 
 class SavedState(msgspec.Struct, frozen=True):
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from rowanrail.cluster.membership import MembershipManager, name_of
+from rowanrail.cluster.membership import MembershipManager, name_of, with_voter, without_voters
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
 
-CAUGHT_UP_ENTRIES = 50  # behind the leader; little beside what a restart misses
-SILENT_SECONDS = 2.0  # of a voter, before a learner takes its vote; four elections
+STANDBY_BEHIND_ENTRIES = 50  # entries behind the leader; few beside what a restart misses
+SILENT_SECONDS = 2.0  # for which a voter is silent before a learner takes its vote; 4 elections
 
 
 class NodeState(msgspec.Struct, frozen=True):
@@ -29,7 +29,7 @@
         """Whether the node holds nearly all of the log and answers."""
         if not self.held:
             return False  # it has confirmed nothing yet, however short the log is
-        return self.behind <= CAUGHT_UP_ENTRIES and self.silent_seconds < SILENT_SECONDS
+        return self.behind <= STANDBY_BEHIND_ENTRIES and self.silent_seconds < SILENT_SECONDS
 
 
 def next_membership(
@@ -42,23 +42,12 @@
     learner = ready[0]
     replaced = [node for node in membership.voters if name_of(node) == name_of(learner)]
     if replaced:
-        return _without(membership, replaced[0])
+        return without_voters(membership, replaced[:1])
     if len(membership.voters) < target:
-        return _with(membership, learner)
+        return with_voter(membership, learner)
     silent = {node: state(node).silent_seconds for node in membership.voters}
     longest = max(silent, key=lambda node: silent[node])
-    return _without(membership, longest) if silent[longest] >= SILENT_SECONDS else None
-
-
-def _without(membership: Membership, node: str) -> Membership:
-    voters = {known: address for known, address in membership.voters.items() if known != node}
-    return Membership(voters, dict(membership.learners))
-
-
-def _with(membership: Membership, learner: str) -> Membership:
-    voters = {**membership.voters, learner: membership.learners[learner]}
-    learners = {n: address for n, address in membership.learners.items() if n != learner}
-    return Membership(voters, learners)
+    return without_voters(membership, [longest]) if silent[longest] >= SILENT_SECONDS else None
 
 
 class VoterManager(MembershipManager):
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -1,4 +1,8 @@
-"""Long polls of gateways: what a control node tells them of its state, and when."""
+"""Long polls of gateways: what a control node tells them of its state, and when.
+
+Owns who waits and what was told last. Relies on :mod:`change_batch` for when a change is told, on
+:mod:`parts` for its encoding, and on the log's node for whether this node is sure of its state.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +27,7 @@
 
 __all__ = ["Watches"]
 
-CURRENT_SECONDS = 1.5  # since word of the leader; more than ten heartbeats
+CURRENT_SECONDS = 1.5  # since the leader was heard; more than ten heartbeats
 MAXIMUM_HOLD_SECONDS = 3.0  # of a long poll, whatever is asked for
 
 
--- a/tests/coordination/test_member_questions.py
+++ b/tests/coordination/test_member_questions.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from rowanrail.coordination.member_questions import MemberQuestions, MemberStatus, StatusReader
+from rowanrail.coordination.member_questions import MemberQuestions, StatusReader, StatusReply
 from rowanrail.members.channel import MemberDriver, Wire
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
@@ -12,7 +12,7 @@
 
 class PlainReader(StatusReader):
     def read(self, answer):
-        return None if answer.refusal else MemberStatus(False, 1, Position(1, 4))
+        return None if answer.refusal else StatusReply(False, 1, Position(1, 4))
 
 
 class AnsweringWire(Wire):
--- a/tests/coordination/test_planner.py
+++ b/tests/coordination/test_planner.py
@@ -7,7 +7,7 @@
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.coordination.commands import Announce, SetGateways, SetPlan
-from rowanrail.coordination.loads import FORGET_MS, LoadBook
+from rowanrail.coordination.gateway_loads import FORGET_LOAD_MS, GatewayLoads
 from rowanrail.coordination.planner import ROUND_MS, PlanDuty, Planner
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
@@ -94,7 +94,7 @@
         self.now = 0.0
         self.rates = {}
         self.slow, self.silent = set(), set()
-        self.books = [LoadBook(lambda: self.now) for _ in self.log.states]
+        self.books = [GatewayLoads(lambda: self.now) for _ in self.log.states]
         self.planners = [
             Planner(state, book, lambda: self.now)
             for state, book in zip(self.log.states, self.books, strict=True)
@@ -123,7 +123,7 @@
         for _ in range(rounds):
             self.now += ROUND_MS
             self.report()
-            proposal = self.planners[leader].look()
+            proposal = self.planners[leader].check()
             if proposal.plan is not None:
                 plan = proposal.plan
                 self.log.append(SetPlan(plan.number, plan.groups, plan.addresses))
@@ -191,7 +191,7 @@
         self.fleet.play(SPANS + 2)
         lost = self.fleet.holder("a")
         self.fleet.silent.add(lost)
-        self.fleet.play(1 + int(FORGET_MS / ROUND_MS) + 1)
+        self.fleet.play(1 + int(FORGET_LOAD_MS / ROUND_MS) + 1)
         self.assertNotEqual(self.fleet.holder("a"), lost)
         self.fleet.silent.clear()
         after = self.fleet.holder("a")
@@ -216,7 +216,7 @@
         state.restore(saved)
         self.assertEqual(state.plan, self.fleet.log.states[0].plan)
         self.fleet.log.states[0] = state
-        self.fleet.books[0] = LoadBook(lambda: self.fleet.now)
+        self.fleet.books[0] = GatewayLoads(lambda: self.fleet.now)
         self.fleet.planners[0] = Planner(state, self.fleet.books[0], lambda: self.fleet.now)
         self.fleet.rates = {("a", "db"): 5.0, ("b", "db"): 100.0, ("c", "db"): 5.0}
         self.assertEqual(self.fleet.play(SPANS - 1), [])
@@ -241,8 +241,8 @@
         self.fleet.report()
         other = Planner(self.fleet.log.states[1], self.fleet.books[1], lambda: self.fleet.now)
         for _ in range(SPANS):
-            late = other.look().plan
-        first = self.fleet.planners[0].look().plan
+            late = other.check().plan
+        first = self.fleet.planners[0].check().plan
         taken = [
             self.fleet.log.append(SetPlan(plan.number, plan.groups, plan.addresses))
             for plan in (first, late)
@@ -330,10 +330,10 @@
         self.assertEqual(self.log.states[0].plan, before)
 
 
-class LoadBookTest(unittest.TestCase):
+class GatewayLoadsTest(unittest.TestCase):
     def setUp(self):
         self.now = 0.0
-        self.book = LoadBook(lambda: self.now)
+        self.book = GatewayLoads(lambda: self.now)
         self.gateways = [GatewayRecord("g1", "a", "g1:1"), GatewayRecord("g2", "a", "g2:1")]
 
     def rate(self):
@@ -352,7 +352,7 @@
 
     def test_a_gateway_that_is_not_heard_counts_no_more(self):
         self.book.note("g1", LoadReport(5000, 0, False, [PartLoad("db", 50)]))
-        self.now += FORGET_MS + 1
+        self.now += FORGET_LOAD_MS + 1
         self.assertEqual(self.book.demand(self.gateways), {})
         self.assertEqual(self.book.loads(self.gateways), [])
 
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -5,6 +5,10 @@
 import unittest
 
 MODULES = (
+    "rowanrail.cluster.membership",
+    "rowanrail.coordination.gateway_census",
+    "rowanrail.directory.digests",
+    "rowanrail.directory.reports",
     "rowanrail.cli.load_view",
     "rowanrail.explain.turned_away",
     "rowanrail.gateway.pools.error_share",
