--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 VENV := .venv
 BIN := $(VENV)/bin
 
-.PHONY: setup demo test check format docs bench clean
+.PHONY: setup demo test check format docs clean
 
 setup: $(VENV)/.installed
 
--- a/src/rowanlab/load/commands.py
+++ b/src/rowanlab/load/commands.py
@@ -11,7 +11,6 @@
 
 from rowanlab.fleet.profiles import PROFILES
 from rowanlab.load.applies import applies
-from rowanlab.load.bench import bench
 from rowanlab.load.demo import demo
 from rowanlab.load.overload import overload
 from rowanlab.load.torture import torture
@@ -73,25 +72,6 @@
     )
 
 
-@click.command("bench")
-@_profile_option
-@click.option("--seconds", default=8.0, show_default=True, help="For each variant.")
-@click.option("--seed", default=1, show_default=True)
-@_folder_option
-def bench_command(profile: str, seconds: float, seed: int, folder: Path | None) -> None:
-    """Measure read share, latency and failover gap beside baselines. The last line is JSON."""
-    report = _in_folder(folder, lambda chosen: bench(PROFILES[profile], seconds, seed, chosen))
-    for item in report.variants:
-        click.echo(
-            f"{item.variant:13} replica reads {item.replica_read_share:6.1%}  "
-            f"read p50 {item.read.p50_ms:7.2f} p99 {item.read.p99_ms:7.2f} ms  "
-            f"write p50 {item.write.p50_ms:7.2f} p99 {item.write.p99_ms:7.2f} ms  "
-            f"failover gap {item.failover_gap_ms:6.0f} ms  stale {item.stale_reads}"
-        )
-    click.echo(f"direct        read p50 {report.direct_read.p50_ms:7.2f} ms")
-    _finish(report)
-
-
 @click.command("overload")
 @_profile_option
 @_folder_option
@@ -104,6 +84,5 @@
     demo_command,
     torture_command,
     applies_command,
-    bench_command,
     overload_command,
 ]
--- a/src/rowanlab/load/workload.py
+++ b/src/rowanlab/load/workload.py
@@ -82,7 +82,6 @@
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self.name = name
-        self.latencies_seconds: list[tuple[bool, float]] = []
         self.write_times = WriteTimes()
         self._connect = connect
         self._oracle = oracle
@@ -96,16 +95,13 @@
 
     async def run(self, until: Callable[[], bool]) -> None:
         """Send requests until ``until`` says so."""
-        loop = asyncio.get_running_loop()
         while not until():
-            began = loop.time()
             is_read = self._random.random() < self._options.read_share
             try:
                 if is_read:
                     await self._read()
                 else:
                     await self._write()
-                self.latencies_seconds.append((is_read, loop.time() - began))
             except CallError as error:
                 await self._after_error(error)
             pause = self._options.pause_seconds * self._random.uniform(0.5, 1.5)
