--- a/src/rowanlab/documents.py
+++ b/src/rowanlab/documents.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from rowanrail.cluster import events as _cluster_events
 from rowanrail.config import model, settings
 from rowanrail.coordination import events as _coordination_events
 from rowanrail.gateway import events as _gateway_events
@@ -14,6 +15,7 @@
 from rowanrail.sql_proxy import events as _proxy_events
 
 EVENT_MODULES = (
+    _cluster_events,
     _control_events,
     _coordination_events,
     _decision_events,
