--- a/src/rowanlab/cli.py
+++ b/src/rowanlab/cli.py
@@ -18,7 +18,6 @@
 from rowanlab.fleet.profiles import PROFILES
 from rowanlab.fleet.runner import Fleet, free_subnet, load_fleet
 from rowanlab.load.commands import LOAD_COMMANDS
-from rowanlab.rounds import rounds_command
 from rowanlab.simulator.command import simulate_command
 from rowanlab.standin.directory import DirectorySettings, run_directory
 from rowanlab.standin.member import FaultRequest, MemberSettings
@@ -73,7 +72,6 @@
 
 
 main.add_command(simulate_command)
-main.add_command(rounds_command)
 for load_command in LOAD_COMMANDS:
     main.add_command(load_command)
 
