--- a/src/rowanrail/config/model.py
+++ b/src/rowanrail/config/model.py
@@ -100,13 +100,6 @@
     groups: list[GroupSpec] = []
     users: list[UserSpec] = []
 
-    def group_of(self, database: str) -> GroupSpec | None:
-        """Return the group that serves ``database``."""
-        for group in self.groups:
-            if database in group.databases:
-                return group
-        return None
-
     def zones(self) -> set[str]:
         """Return the zones of all sites."""
         return {zone for site in self.sites for zone in site.zones}
--- a/src/rowanrail/explain/story.py
+++ b/src/rowanrail/explain/story.py
@@ -12,7 +12,6 @@
 
 AROUND_SECONDS = 6.0  # a replacement of a primary takes up to 4 s, with what led to it
 SHOWN_LINES = 40  # about a screen
-LONG_STAGE_SECONDS = 0.05
 
 STATEMENT_EVENTS = {gateway_events.ANSWERED.number, gateway_events.REFUSED.number}
 _PRIMARY_EVENTS = {
--- a/src/rowanrail/sql_control/service.py
+++ b/src/rowanrail/sql_control/service.py
@@ -52,15 +52,6 @@
 READ_HISTORY = 200
 
 ChangeRequest = ApplyRequest | DrainRequest | RollbackRequest
-LEADER_REQUESTS = (
-    ApplyRequest,
-    DrainRequest,
-    RollbackRequest,
-    ReadRequest,
-    BarrierRequest,
-    NodesRequest,
-    JoinRequest,
-)
 
 
 class ControlService:
--- a/src/rowanrail/sql_proxy/core.py
+++ b/src/rowanrail/sql_proxy/core.py
@@ -5,7 +5,6 @@
 
 import asyncio
 import hashlib
-import hmac
 import random
 import time
 from collections.abc import Callable
@@ -82,11 +81,6 @@
 
     # Sessions
 
-    def check_password(self, user: str, password_hash: str) -> bool:
-        """Return whether ``password_hash`` is the double SHA-1 of the user's password."""
-        stored = self.stored_password_hash(user)
-        return stored is not None and hmac.compare_digest(stored, password_hash.lower())
-
     def stored_password_hash(self, user: str) -> str | None:
         """Return the stored double SHA-1 of a user's password, or None if unknown."""
         for spec in self.in_force.configuration.users:
