--- a/src/rowanlab/fleet/layout.py
+++ b/src/rowanlab/fleet/layout.py
@@ -41,8 +41,6 @@
     port: int
     pid: int = 0
     data_dir: str = ""
-    direct_host: str = ""
-    direct_port: int = 0
     rpc: str = ""
     command: list[str] = []
 
@@ -89,10 +87,6 @@
 
     subnet: int
     groups: int = 3
-    delays: bool = True
-    semi_synchronous: bool = False
-    service_seconds: float = 0.001
-    consistency: str = "session"
 
 
 class _Links:
@@ -122,7 +116,7 @@
             target_zone=target.zone,
             listen=listen,
             address=address,
-            delay_seconds=delay if self._options.delays else 0.0,
+            delay_seconds=delay,
         )
         self.by_zone.setdefault(source_zone, []).append(link)
         return listen
@@ -159,7 +153,6 @@
         self._write_directory(directory, groups)
         configuration = self._write_configuration(groups)
         for proxy in proxies:
-            proxy.direct_host, proxy.direct_port = proxy.host, proxy.port
             reached = self._links.route("callers", CALLER_ZONE, proxy, f"{proxy.host}:{proxy.port}")
             host, _, port = reached.rpartition(":")
             proxy.host, proxy.port = host, int(port)
@@ -279,8 +272,6 @@
                 slots=self._profile.slots,
                 connections=self._profile.connections,
                 connect_seconds=self._profile.connect_seconds,
-                service_seconds=self._options.service_seconds,
-                semi_synchronous=self._options.semi_synchronous,
             )
             self._save(member, settings)
 
@@ -332,7 +323,7 @@
                 {
                     "name": group.name,
                     "databases": [group.database],
-                    "consistency": self._options.consistency,
+                    "consistency": "session",
                     "members": [
                         {
                             "name": member.name,
--- a/src/rowanlab/fleet/profiles.py
+++ b/src/rowanlab/fleet/profiles.py
@@ -17,11 +17,9 @@
     slots: int
     connections: int
     zone_delay_seconds: float
-    region_delay_seconds: float
     caller_delay_seconds: float
     connect_seconds: float = 0.01
     read_share: float = 0.9
-    members_per_group: int = 3
 
 
 BLUE_MAHOE = Profile(
@@ -32,7 +30,6 @@
     slots=5,
     connections=40,
     zone_delay_seconds=0.0015,
-    region_delay_seconds=0.020,
     caller_delay_seconds=0.003,
     read_share=0.95,
 )
@@ -45,7 +42,6 @@
     slots=10,
     connections=100,
     zone_delay_seconds=0.0005,
-    region_delay_seconds=0.010,
     caller_delay_seconds=0.003,
     read_share=0.7,
 )
--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -40,10 +40,7 @@
 
 
 class MemberSettings(msgspec.Struct, frozen=True):
-    """Settings of a stand-in member.
-
-    :param semi_synchronous: acknowledge a commit only once a majority has it.
-    """
+    """Settings of a stand-in member."""
 
     group: str
     name: str
@@ -59,7 +56,6 @@
     connections: int = 40
     connect_seconds: float = 0.01
     service_seconds: float = 0.001
-    semi_synchronous: bool = False
     heartbeat_seconds: float = 0.05
     election_timeout_seconds: float = 0.4
     lock_wait_seconds: float = 3.0
--- a/src/rowanlab/standin/session.py
+++ b/src/rowanlab/standin/session.py
@@ -119,8 +119,6 @@
                 self._unlock()
                 self._statements = []
                 self._in_transaction = False
-            if member.settings.semi_synchronous:
-                await member.node.wait_applied(position.index)
         self._in_transaction = False
         return StatementResult(position=position)
 
