--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from rowanrail.gateway.relay.liveness import Silence, judge_silence
 from rowanrail.gateway.relay.messages import (
     AskSample,
     CountDemand,
@@ -40,12 +41,7 @@
     "Told",
 ]
 
-WATCH_MS = 50.0  # between looks at a link that owes answers
-PING_MS = 100.0  # of silence, while answers are owed; twice the time of a usual statement
-# Without an answer to a ping. A gateway answers within the time there and back, at most 50 ms
-# between regions, and after the 100 ms for which a spent quota of processor time stops it.
-SUSPECT_MS = 150.0  # new work goes elsewhere, and what keeps nothing is lost
-GONE_MS = 500.0  # the neighbour counts as gone
+WATCH_MS = 50.0  # chosen: between checks of a link that owes answers
 
 
 class LinkPort(Protocol):
@@ -277,25 +273,25 @@
             owed.settle(outcome)
 
     def _watch(self) -> None:
-        """Ask a silent neighbour whether it is there; suspect it, then give it up.
-
-        Nothing is held against it before it had a question and time to answer: the silence may
-        be this process's own, which was stopped for a while.
-        """
+        """Ask a silent neighbour whether it is there; suspect it, then give it up."""
         self._timer = None
         if self._state is LinkState.DOWN or not (self._calls or self._suspect):
             return
         now = self._clock.now
-        if self._pinged_at is None:
-            if now - self._heard >= PING_MS:
+        heard_ago = now - self._heard
+        pinged_ago = None if self._pinged_at is None else now - self._pinged_at
+        match judge_silence(heard_ago, pinged_ago):
+            case Silence.PING:
                 self._pinged_at = now
                 self.tell(Ping())
-        elif now - self._pinged_at >= GONE_MS:
-            self._go_down(f"no word for {now - self._heard:.0f} ms")
-            return
-        elif now - self._pinged_at >= SUSPECT_MS:
-            self._suspect = True
-            self._give_up_harmless(f"no word for {now - self._heard:.0f} ms")
+            case Silence.SUSPECT:
+                self._suspect = True
+                self._give_up_harmless(f"no word for {heard_ago:.0f} ms")
+            case Silence.LOST:
+                self._go_down(f"no word for {heard_ago:.0f} ms")
+                return
+            case Silence.BEARABLE:
+                pass
         self._watch_again()
 
     def _watch_again(self) -> None:
--- a/src/rowanrail/gateway/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -6,6 +6,7 @@
 from itertools import chain
 
 from rowanrail.gateway.relay.link import Link, LinkState
+from rowanrail.gateway.relay.liveness import Backoff
 from rowanrail.kernel.clock import Clock
 from rowanrail.placement.hashed import Part, rank
 from rowanrail.placement.planned import PlannedHolders
@@ -13,8 +14,6 @@
 __all__ = ["At", "Here", "LinkKeeper", "LinkOpener", "Neighbour", "Neighbours", "Nowhere", "Place"]
 
 CANDIDATES = 2  # gateways of the order that are kept connected; the others stand behind them
-FIRST_BACKOFF_MS = 200.0  # a process that was killed needs about this to start
-LONGEST_BACKOFF_MS = 2000.0  # a gateway that came back is used after this at the latest
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,13 +58,12 @@
 class _Peer:
     """What is known of one neighbour."""
 
-    __slots__ = ("backoff", "down_until", "link", "neighbour")
+    __slots__ = ("backoff", "link", "neighbour")
 
     def __init__(self, neighbour: Neighbour) -> None:
         self.neighbour = neighbour
         self.link: Link | None = None
-        self.down_until = 0.0
-        self.backoff = FIRST_BACKOFF_MS
+        self.backoff = Backoff()
 
 
 class LinkKeeper:
@@ -113,7 +111,7 @@
         if peer is None:
             return None
         if peer.link is None:
-            if self._clock.now < peer.down_until:
+            if not peer.backoff.is_over(self._clock.now):
                 return None
             peer.link = Link(peer.neighbour.name, self._clock, self._on_down)
             self._opener.open(peer.neighbour.address, peer.link)
@@ -127,15 +125,13 @@
         if peer is None or peer.link is not link:
             return
         peer.link = None
-        peer.down_until = self._clock.now + peer.backoff
-        peer.backoff = min(2 * peer.backoff, LONGEST_BACKOFF_MS)
+        peer.backoff.note_loss(self._clock.now)
         self.on_link(link.peer, False, reason)
 
     def note_up(self, link: Link) -> None:
         """Note that a gateway answered: the next loss is waited out from the start."""
         peer = self._peers.get(link.peer)
-        if peer is not None and peer.link is link and peer.backoff != FIRST_BACKOFF_MS:
-            peer.backoff = FIRST_BACKOFF_MS
+        if peer is not None and peer.link is link and peer.backoff.note_answer():
             self.on_link(link.peer, True, "it answers")
 
     def close(self) -> None:
