--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -7,13 +7,25 @@
 import msgspec
 
 from rowanrail.gateway.policies import LinkOutcome
+from rowanrail.gateway.relay.forwarding_rules import (
+    HOLDER_RETRY_AFTER_MS,
+    PLACE_RETRY_MS,
+    LostAtHolder,
+    PlaceLater,
+    PlaceNow,
+    Refuse,
+    Reject,
+    Sent,
+    Verdict,
+    without_holder,
+)
 from rowanrail.gateway.relay.link import Link, Outcome, Replied
 from rowanrail.gateway.relay.neighbours import At, Here, Nowhere, Place
 from rowanrail.gateway.relay.prospects import Asked, Prospects
 from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.operation import Stage
-from rowanrail.gateway.work.statement import HOLD_SHARE, busy, rejection
+from rowanrail.gateway.work.statement import busy, rejection
 from rowanrail.gateway.work.work import LocalWork
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Respond
@@ -25,11 +37,6 @@
 
 __all__ = ["Forwarded", "ForwardingTerms", "Placement"]
 
-RETRY_MS = 10.0  # a link inside a zone opens within it
-# Milliseconds, told to clients while no holder is known: about the time until one is found or the
-# next gateway of the order takes over.
-HOLDER_RETURN_MS = 1000.0
-
 
 class Placement(Protocol):
     """Says at which gateway a service's statements run."""
@@ -123,8 +130,8 @@
         self._timer = self._work.clock.call_in(timeout, self._timed_out)
 
     @property
-    def _keeps_nothing(self) -> bool:
-        """Whether nothing is kept of the statement, though it may have run at the holder."""
+    def _known(self) -> Sent:
+        """What is known of the statement, for the rules."""
         raise NotImplementedError
 
     def _ask(self, link: Link, transaction: int = 0, read_only: bool = False) -> None:
@@ -145,7 +152,7 @@
             begins=not self._ran,
             version=self._work.version,
         )
-        link.ask(run_of(order, self._call), self._settled, self._keeps_nothing)
+        link.ask(run_of(order, self._call), self._settled, not self._known.may_be_kept)
 
     def _settled(self, outcome: Outcome) -> None:
         raise NotImplementedError
@@ -194,7 +201,7 @@
             case At(link=link):
                 self._run_at(link)
             case Nowhere():
-                self._place_later("no gateway of the zone holds connections")
+                self._wait_for_holder("no gateway of the zone holds connections")
 
     def _replied(self, outcome: Replied) -> Answer:
         reply, link = outcome.reply, self._link
@@ -214,17 +221,33 @@
         self._work.prospects.forget(self._peer)
         return Answer(refusal=self._work.link_outcome.refusal(may_be_kept), message=reason)
 
-    def _place_later(self, reason: str) -> None:
-        """Look for a place again in a moment, or refuse once it can't be in time any more."""
-        hold = HOLD_SHARE * self._route.objective_seconds * 1000
-        if self._work.clock.now + RETRY_MS > self._began + hold:
-            self._turn_away(reason)
-            return
-        self._retry = self._work.clock.call_in(RETRY_MS, self._place)
-
-    def _turn_away(self, reason: str) -> None:
-        """Refuse, as not run, what found no place."""
-        told = self._work.prospects.return_in(HOLDER_RETURN_MS)
+    def _follow(self, verdict: Verdict, reason: str) -> None:
+        """Do what the rules say."""
+        match verdict:
+            case PlaceNow():
+                self._work.prospects.forget(self._peer)
+                self._place()
+            case PlaceLater():
+                self._wait_for_holder(reason)
+            case Reject():
+                self._reject(reason)
+            case Refuse(refusal=refusal):
+                self._finish(Answer(refusal=refusal, message=reason))
+            case LostAtHolder(may_be_kept=may_be_kept):
+                self._finish(self._lost(may_be_kept, reason))
+
+    def _wait_for_holder(self, reason: str) -> None:
+        """Look for a holder again in a moment, or reject what can't be in time any more."""
+        objective = self._route.objective_seconds * 1000
+        match without_holder(self._work.clock.now, self._began, objective):
+            case PlaceLater():
+                self._retry = self._work.clock.call_in(PLACE_RETRY_MS, self._place)
+            case Reject():
+                self._reject(reason)
+
+    def _reject(self, reason: str) -> None:
+        """Answer that nothing ran, and when to retry: no holder was found in time."""
+        told = self._work.prospects.return_in(HOLDER_RETRY_AFTER_MS)
         nowhere = Forecast(0.0, 0.0)
         self._rejection = rejection(Cause.NO_PLACE, nowhere, self._left, self._route.priority, told)
         self._finish(busy(reason, told))
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -8,6 +8,12 @@
 import msgspec
 
 from rowanrail.gateway.relay.forwarded import Forwarded, ForwardingTerms, Placement
+from rowanrail.gateway.relay.forwarding_rules import (
+    Sent,
+    after_loss,
+    after_not_served,
+    after_timeout,
+)
 from rowanrail.gateway.relay.link import Counted, Link, Lost, Outcome, Refused, Replied, Told
 from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
@@ -15,7 +21,7 @@
 from rowanrail.gateway.work.work import SingleStatement, WorkInTransaction
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
-from rowanrail.model.statements import Answer, Refusal, StatementKind, TypedStatement
+from rowanrail.model.statements import Answer, StatementKind, TypedStatement
 from rowanrail.model.trace import Trace
 
 __all__ = ["ForwardedStatement", "ForwardedTransaction", "ForwardedWork", "Placement"]
@@ -57,8 +63,8 @@
         return super().trace() if self._here is None else self._here.trace()
 
     @property
-    def _keeps_nothing(self) -> bool:
-        return not self._writes
+    def _known(self) -> Sent:
+        return Sent(in_transaction=False, may_be_kept=self._writes)
 
     def _run_at(self, link: Link) -> None:
         if not self._refuse_hopeless(link, self._writes):
@@ -79,23 +85,15 @@
             case Refused(reason=reason):
                 self._call = 0
                 self._sent = False
-                self._place_later(reason)
+                self._follow(after_not_served(self._known), reason)
             case Lost(reason=reason):
                 self._call = 0
-                self._work.prospects.forget(self._peer)
-                if self._keeps_nothing:
-                    self._place()
-                else:
-                    self._finish(self._lost(True, reason))
+                self._follow(after_loss(self._known), reason)
             case Told() | Counted():
                 pass  # neither was asked for here
 
     def _timed_out(self) -> None:
-        if not self._call:
-            self._turn_away(LATE)
-            return
-        refusal = Refusal.OUTCOME_UNKNOWN if self._writes else Refusal.TIMEOUT
-        self._finish(Answer(refusal=refusal, message=LATE))
+        self._follow(after_timeout(self._known, is_owed=self._call > 0), LATE)
 
     def finish(self, answer: Answer) -> None:
         """See :meth:`rowanrail.gateway.work.work.SingleStatement.finish`."""
@@ -149,8 +147,8 @@
         self._here.run(statement, respond)
 
     @property
-    def _keeps_nothing(self) -> bool:
-        return not (self._commits and self._wrote)
+    def _known(self) -> Sent:
+        return Sent(True, may_be_kept=self._commits and self._wrote, has_run=self._ran)
 
     @property
     def _commits(self) -> bool:
@@ -166,27 +164,17 @@
             case Refused(reason=reason):
                 self._call = 0
                 self._sent = False
-                self._refused(reason)
+                self._number = 0
+                self._follow(after_not_served(self._known), reason)
             case Lost(reason=reason):
                 self._call = 0
                 self._end_there()
-                self._finish(self._lost(not self._keeps_nothing, reason))
+                self._follow(after_loss(self._known), reason)
             case Told() | Counted():
                 pass  # neither was asked for here
 
-    def _refused(self, reason: str) -> None:
-        """Begin elsewhere if nothing of the transaction ran; else it is over."""
-        self._number = 0
-        if self._ran:
-            self._finish(Answer(refusal=Refusal.ABORTED, message=reason))
-        else:
-            self._place_later(reason)
-
     def _timed_out(self) -> None:
-        if self._call:
-            self._finish(self._lost(not self._keeps_nothing, LATE))
-        else:
-            self._turn_away(LATE)
+        self._follow(after_timeout(self._known, is_owed=self._call > 0), LATE)
         self.end()
 
     def end(self) -> None:
--- /dev/null
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -0,0 +1,161 @@
+"""What becomes of a statement that was sent to another gateway which doesn't answer it.
+
+The rules promise a client that nothing was kept only where that is certain. A read is asked for
+again elsewhere, a write or a commit never is; a transaction whose holder is lost is over, since
+what ran of it can't be moved.
+
+Owns nothing; the functions take plain values, with times in milliseconds. Relies on ``work`` for
+the share of an objective that a statement waits for somebody to run it. :mod:`forwarded` and
+:mod:`forwarding` act on the verdicts.
+"""
+
+from dataclasses import dataclass
+
+from rowanrail.gateway.work.statement import HOLD_SHARE
+from rowanrail.model.statements import Refusal
+
+__all__ = [
+    "HOLDER_RETRY_AFTER_MS",
+    "PLACE_RETRY_MS",
+    "LostAtHolder",
+    "PlaceLater",
+    "PlaceNow",
+    "Refuse",
+    "Reject",
+    "Sent",
+    "Verdict",
+    "after_loss",
+    "after_not_served",
+    "after_timeout",
+    "without_holder",
+]
+
+PLACE_RETRY_MS = 10.0  # until a holder is looked for again: a link inside a zone opens within it
+# Told to clients, in milliseconds, while no holder is known: about the time until one is found or
+# the next gateway of the order takes over.
+HOLDER_RETRY_AFTER_MS = 1000.0
+
+
+@dataclass(frozen=True, slots=True)
+class Sent:
+    """What is known of a statement at the gateway that sent it.
+
+    Parameters
+    ----------
+    in_transaction : bool
+        Whether it belongs to a transaction.
+    may_be_kept : bool
+        Whether the database may have kept something if it ran: a write on its own, or the commit
+        of a transaction that wrote.
+    has_run : bool
+        Whether a statement of its transaction was answered before.
+    """
+
+    in_transaction: bool
+    may_be_kept: bool
+    has_run: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class PlaceNow:
+    """Look for a holder at once: nothing of the statement is kept anywhere."""
+
+
+@dataclass(frozen=True, slots=True)
+class PlaceLater:
+    """Look for a holder again after ``PLACE_RETRY_MS``."""
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Answer that nothing ran, and after how long to retry."""
+
+
+@dataclass(frozen=True, slots=True)
+class Refuse:
+    """Answer with a refusal."""
+
+    refusal: Refusal
+
+
+@dataclass(frozen=True, slots=True)
+class LostAtHolder:
+    """Answer with what the guard of lost links promises; assume nothing of the holder's load."""
+
+    may_be_kept: bool
+
+
+Verdict = PlaceNow | PlaceLater | Reject | Refuse | LostAtHolder
+
+
+def after_not_served(sent: Sent) -> PlaceLater | Refuse:
+    """Return what follows where the holder ran nothing of a statement and can't run it.
+
+    What begins may begin elsewhere. A transaction of which something ran is over.
+
+    Examples
+    --------
+    >>> after_not_served(Sent(in_transaction=True, may_be_kept=False, has_run=True))
+    Refuse(refusal=<Refusal.ABORTED: 'aborted'>)
+    """
+    return Refuse(Refusal.ABORTED) if sent.has_run else PlaceLater()
+
+
+def after_loss(sent: Sent) -> PlaceNow | LostAtHolder:
+    """Return what follows where the link was lost while an answer was owed.
+
+    Examples
+    --------
+    >>> after_loss(Sent(in_transaction=False, may_be_kept=False))
+    PlaceNow()
+    >>> after_loss(Sent(in_transaction=False, may_be_kept=True))
+    LostAtHolder(may_be_kept=True)
+    """
+    if sent.in_transaction or sent.may_be_kept:
+        return LostAtHolder(sent.may_be_kept)
+    return PlaceNow()
+
+
+def after_timeout(sent: Sent, is_owed: bool) -> Reject | Refuse | LostAtHolder:
+    """Return what follows at the end of a statement's time.
+
+    Parameters
+    ----------
+    sent : Sent
+        The statement.
+    is_owed : bool
+        Whether a holder has it and owes an answer; if not, nothing ran.
+
+    Examples
+    --------
+    >>> after_timeout(Sent(in_transaction=False, may_be_kept=True), is_owed=True)
+    Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
+    """
+    if not is_owed:
+        return Reject()
+    if sent.in_transaction:
+        return LostAtHolder(sent.may_be_kept)
+    return Refuse(Refusal.OUTCOME_UNKNOWN if sent.may_be_kept else Refusal.TIMEOUT)
+
+
+def without_holder(now: float, began: float, objective: float) -> PlaceLater | Reject:
+    """Return what follows while no gateway is known to run a statement.
+
+    It waits for one as long as a new primary would be waited for, so that a holder that is
+    replaced costs clients a delay and no refusal.
+
+    Parameters
+    ----------
+    now, began : float
+        On the steady clock; ``began`` is when the client's statement came.
+    objective : float
+        Latency that its operation should stay within.
+
+    Examples
+    --------
+    >>> without_holder(1100.0, 1000.0, objective=200.0), without_holder(1131.0, 1000.0, 200.0)
+    (PlaceLater(), Reject())
+    """
+    if now + PLACE_RETRY_MS > began + HOLD_SHARE * objective:
+        return Reject()
+    return PlaceLater()
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -8,6 +8,8 @@
     "rowanrail.cli.load_view",
     "rowanrail.explain.turned_away",
     "rowanrail.gateway.pools.error_share",
+    "rowanrail.gateway.relay.forwarding_rules",
+    "rowanrail.gateway.relay.liveness",
     "rowanrail.gateway.services.locality",
     "rowanrail.members.monitor_interval",
     "rowanrail.members.samples",
