--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -19,8 +19,8 @@
     Verdict,
     without_holder,
 )
+from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, NoHolder, WhereHeld
 from rowanrail.gateway.relay.link import Link, Outcome, Replied
-from rowanrail.gateway.relay.neighbours import At, Here, Nowhere, Place
 from rowanrail.gateway.relay.prospects import Asked, Prospects
 from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
@@ -41,7 +41,7 @@
 class Placement(Protocol):
     """Says at which gateway a service's statements run."""
 
-    def place_part(self, part: Part) -> Place:
+    def where_held(self, part: Part) -> WhereHeld:
         """Return where statements of a service, or of some tenants of it, run now."""
 
     @property
@@ -195,12 +195,12 @@
         if self._respond is None:
             return
         part = Part.of(self._route.service, self._session.identity.tenant)
-        match self._work.neighbours.place_part(part):
-            case Here():
+        match self._work.neighbours.where_held(part):
+            case HeldHere():
                 self._run_here()
-            case At(link=link):
+            case HeldAt(link=link):
                 self._run_at(link)
-            case Nowhere():
+            case NoHolder():
                 self._wait_for_holder("no gateway of the zone holds connections")
 
     def _replied(self, outcome: Replied) -> Answer:
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -5,8 +5,9 @@
 
 from rowanrail.gateway.events import HOLDING_BEGUN, HOLDING_ENDED, PLAN_TAKEN
 from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.holder_choice import HeldHere
 from rowanrail.gateway.relay.load_meter import LoadMeter
-from rowanrail.gateway.relay.neighbours import Here, Neighbours
+from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.services.service import Service
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.trace import Trace
@@ -175,6 +176,6 @@
         if self._neighbours is None:
             return frozenset(parts)
         named = service.planned_parts
-        place = self._neighbours.place_part
-        here = frozenset(p for p in parts if p not in named and isinstance(place(p), Here))
+        where_held = self._neighbours.where_held
+        here = frozenset(p for p in parts if p not in named and isinstance(where_held(p), HeldHere))
         return named | here
--- a/src/rowanrail/gateway/relay/homes.py
+++ b/src/rowanrail/gateway/relay/homes.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, WhereHeld
 from rowanrail.gateway.relay.link import Link
-from rowanrail.gateway.relay.neighbours import At, Here, Place
 from rowanrail.placement.hashed import Part
 
 __all__ = ["HomePlacement"]
@@ -37,11 +37,11 @@
         self._region = region
         self._was_tried = False
 
-    def place_part(self, part: Part) -> Place:
-        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.place_part`."""
-        found = self._detours.place_part_in(self._region, part)
-        if self._was_tried or not isinstance(found, At):
-            return Here()
+    def where_held(self, part: Part) -> WhereHeld:
+        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.where_held`."""
+        found = self._detours.holder_in(self._region, part)
+        if self._was_tried or not isinstance(found, HeldAt):
+            return HeldHere()
         self._was_tried = True
         return found
 
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -10,9 +10,10 @@
 import msgspec
 
 from rowanrail.gateway.relay.detours import Detours
+from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, NoHolder
 from rowanrail.gateway.relay.link import Counted, Outcome
 from rowanrail.gateway.relay.messages import CountDemand
-from rowanrail.gateway.relay.neighbours import At, Here, Neighbours, Nowhere
+from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.kernel.clock import Clock
 from rowanrail.placement.hashed import METER
 from rowanrail.tenants.counts import REPORT_MS
@@ -80,15 +81,15 @@
 
     def _report(self, is_early: bool) -> None:
         report = msgspec.structs.replace(self._guard.report(), is_early=is_early)
-        match self._neighbours.place(METER):
-            case Here():
+        match self._neighbours.hashed_holder(METER):
+            case HeldHere():
                 self._book.note_gateway(self._life, report)
                 self._guard.take_fleet(self._book.fleet())
                 self._tell_regions()
-            case At(link=link):
+            case HeldAt(link=link):
                 question = CountDemand(link.number_call(), self._life, report)
                 link.ask(question, self._settled, keeps_nothing=True)
-            case Nowhere():
+            case NoHolder():
                 pass  # the guard sees by the age of what it knows that it is alone
 
     def pass_on(self, message: CountDemand) -> None:
@@ -99,9 +100,9 @@
         """
         if message.is_passed_on:
             return  # two that take each other for the meter would go on for ever
-        place = self._neighbours.place(METER)
-        if isinstance(place, At):
-            link = place.link
+        holder = self._neighbours.hashed_holder(METER)
+        if isinstance(holder, HeldAt):
+            link = holder.link
             passed_on = msgspec.structs.replace(message, call=link.number_call(), is_passed_on=True)
             link.ask(passed_on, lambda outcome: None, keeps_nothing=True)
 
@@ -112,8 +113,8 @@
     def _tell_regions(self) -> None:
         report = self._book.tell_region()
         for group in self._detours.groups:
-            place = self._detours.place_in(group, METER)
-            if isinstance(place, At):
-                link = place.link
+            holder = self._detours.hashed_holder_in(group, METER)
+            if isinstance(holder, HeldAt):
+                link = holder.link
                 question = CountDemand(link.number_call(), self._region, report, is_region=True)
                 link.ask(question, lambda outcome: None, keeps_nothing=True)
--- a/src/rowanrail/gateway/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -1,19 +1,32 @@
-"""The gateways of one's own zone, and the links to those that hold services' connections."""
+"""The gateways with which this one shares connections, and the links to them.
+
+Owns a link for each gateway that is wanted, opened when it is and again after a while when it was
+lost. Relies on :mod:`holder_choice` for which of them runs a service's statements, on
+:mod:`liveness` for when a lost one is tried again, and on a transport that opens connections.
+"""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from itertools import chain
 
-from rowanrail.gateway.relay.link import Link, LinkState
+from rowanrail.gateway.relay.holder_choice import (
+    HeldAt,
+    HeldHere,
+    NoHolder,
+    WhereHeld,
+    choose_holder,
+    usable,
+)
+from rowanrail.gateway.relay.link import Link
 from rowanrail.gateway.relay.liveness import Backoff
 from rowanrail.kernel.clock import Clock
 from rowanrail.placement.hashed import Part, rank
 from rowanrail.placement.planned import PlannedHolders
 
-__all__ = ["At", "Here", "LinkKeeper", "LinkOpener", "Neighbour", "Neighbours", "Nowhere", "Place"]
+__all__ = ["LinkKeeper", "LinkOpener", "Neighbour", "Neighbours"]
 
-CANDIDATES = 2  # gateways of the order that are kept connected; the others stand behind them
+CONNECTED = 2  # gateways of an order that are kept connected, so that one can take over at once
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,26 +37,6 @@
     address: str
 
 
-@dataclass(frozen=True, slots=True)
-class Here:
-    """This gateway holds the connections itself."""
-
-
-@dataclass(frozen=True, slots=True)
-class At:
-    """A neighbour holds them, and its link stands."""
-
-    link: Link
-
-
-@dataclass(frozen=True, slots=True)
-class Nowhere:
-    """Nobody is known to hold them right now."""
-
-
-Place = Here | At | Nowhere
-
-
 class LinkOpener(ABC):
     """Port: opens the connection below a link.
 
@@ -105,8 +98,8 @@
             if name not in self._peers:
                 self._peers[name] = _Peer(neighbour)
 
-    def look(self, name: str) -> At | Nowhere | None:
-        """Return the place at a gateway, None if it counts as down; opens a link if needed."""
+    def reach(self, name: str) -> HeldAt | NoHolder | None:
+        """Return where a gateway is reached, None if it counts as down; opens a link if needed."""
         peer = self._peers.get(name)
         if peer is None:
             return None
@@ -115,10 +108,7 @@
                 return None
             peer.link = Link(peer.neighbour.name, self._clock, self._on_down)
             self._opener.open(peer.neighbour.address, peer.link)
-        link = peer.link
-        if link is None or link.state is LinkState.LEAVING or link.is_suspect:
-            return None
-        return At(link) if link.state is LinkState.UP else Nowhere()
+        return None if peer.link is None else usable(peer.link)
 
     def _on_down(self, link: Link, reason: str) -> None:
         peer = self._peers.get(link.peer)
@@ -170,38 +160,26 @@
         super().set_neighbours(n for n in neighbours if n.name != self._name)
         self._orders.clear()
 
-    def place_part(self, part: Part) -> Place:
-        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.place_part`."""
+    def where_held(self, part: Part) -> WhereHeld:
+        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.where_held`."""
         order = self._order(part.key)
         planned = self.planned.order_here(part) if self.planned is not None else []
         if not planned:
             return self._first(order)
         return self._first(chain(planned, (name for name in order if name not in planned)))
 
-    def place(self, held: str) -> Place:
-        """Return where statements run now for which a gateway holds connections, by the hash."""
-        return self._first(self._order(held))
+    def hashed_holder(self, key: str) -> WhereHeld:
+        """Return which gateway of the group holds something, by the hash."""
+        return self._first(self._order(key))
 
-    def _order(self, held: str) -> list[str]:
-        order = self._orders.get(held)
+    def _order(self, key: str) -> list[str]:
+        order = self._orders.get(key)
         if order is None:
-            order = self._orders[held] = rank(held, [*self._peers, self._name])
+            order = self._orders[key] = rank(key, [*self._peers, self._name])
         return order
 
-    def _first(self, order: Iterable[str]) -> Place:
-        """Return the first gateway of an order that stands.
-
-        The first ones that were not found down a moment ago are kept connected.
-        """
-        chosen: Place = Nowhere()
-        seen = 0
-        for name in order:
-            if seen == CANDIDATES:
-                break
-            found = Here() if name == self._name else self.look(name)
-            if found is None:
-                continue
-            seen += 1
-            if isinstance(chosen, Nowhere):
-                chosen = found
-        return chosen
+    def _first(self, order: Iterable[str]) -> WhereHeld:
+        return choose_holder(order, self._reach_or_self, CONNECTED)
+
+    def _reach_or_self(self, name: str) -> WhereHeld | None:
+        return HeldHere() if name == self._name else self.reach(name)
--- a/src/rowanrail/gateway/relay/work_places.py
+++ b/src/rowanrail/gateway/relay/work_places.py
@@ -6,8 +6,9 @@
 from rowanrail.gateway.policies import LinkOutcome
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.forwarding import ForwardedWork, Placement
+from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere
 from rowanrail.gateway.relay.homes import HomePlacement
-from rowanrail.gateway.relay.neighbours import At, Here, Neighbours
+from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.prospects import Prospects
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
@@ -68,7 +69,7 @@
         if self._neighbours is None or not service.is_shared:
             return local
         part = Part.of(service.spec.name, tenant)
-        if isinstance(self._neighbours.place_part(part), Here):
+        if isinstance(self._neighbours.where_held(part), HeldHere):
             return local
         return self._forwarded(self._neighbours, service, local)
 
@@ -99,14 +100,14 @@
             return None
         region = self._locality.region_of(pool.record.zone)
         part = Part.of(service.spec.name, tenant)
-        if not isinstance(self._detours.place_part_in(region, part), At):
+        if not isinstance(self._detours.holder_in(region, part), HeldAt):
             return None
         return self._forwarded(HomePlacement(self._detours, region), service, is_detour=True)
 
     def _find_detour(self, service: Service) -> ForwardedWork | None:
         """Return work at a gateway that reaches a service's primary, if one is known."""
         detours = self._detours
-        if detours is None or not detours.knows_a_way(service.spec.name):
+        if detours is None or not detours.knows_detour(service.spec.name):
             return None
         return self._forwarded(detours, service, is_detour=True)
 
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -276,7 +276,9 @@
         _, other = rank(METER, ["gb1", "gb2"])
         for name in ("ga1", "ga2"):
             detours = self.world.gateways[name].gateway._detours
-            detours.place_in = lambda group, held, detours=detours: detours._keeper.look(other)
+            detours.hashed_holder_in = lambda group, key, detours=detours: detours._keeper.reach(
+                other
+            )
         for one, number in zip(self.world.gateways.values(), (5, 7, 11, 13), strict=True):
             self.ask(one, number)
         self.world.clock.advance(1.3)
