--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -16,7 +16,7 @@
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.holdings import Holdings
 from rowanrail.gateway.relay.neighbours import Neighbours
-from rowanrail.gateway.relay.prospects import Prospects
+from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.relay.work_places import WorkPlaces
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.primary_lines import note_primary
@@ -82,14 +82,14 @@
         self._decisions = decisions
         self._policies = GatewayPolicies.create(registry)
         self._known = KnownDirectory(neighbours, detours)
-        self._prospects = Prospects(Clock(clock))
+        self._remote_admission = RemoteAdmission(Clock(clock))
         self._neighbours = neighbours
         self._detours = detours
         if neighbours is not None:
             neighbours.on_link = self._note_link
         if detours is not None:
             detours.on_found = self._note_detour
-            detours.on_lost = self._prospects.forget
+            detours.on_lost = self._remote_admission.forget
         self._timer: Timer | None = None
         self._unconfigured: list[PendingStart] = []
         self._session_count = 0
@@ -101,7 +101,7 @@
             self.names,
             clock,
             self._policies.link_outcome,
-            self._prospects,
+            self._remote_admission,
             neighbours,
             detours,
             lambda: self.access.version,
@@ -211,7 +211,7 @@
 
     def _note_link(self, peer: str, is_up: bool, reason: str) -> None:
         if not is_up:
-            self._prospects.forget(peer)
+            self._remote_admission.forget(peer)
         self._decisions.note(LINK_REGAINED if is_up else LINK_LOST, peer=peer, reason=reason)
 
     def _note_primary(self, service: Service) -> None:
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -21,7 +21,7 @@
 )
 from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, NoHolder, WhereHeld
 from rowanrail.gateway.relay.link import Link, Outcome, Replied
-from rowanrail.gateway.relay.prospects import Asked, Prospects
+from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
 from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.operation import Stage
@@ -63,8 +63,8 @@
         Time and timers.
     link_outcome : LinkOutcome
         Says what a lost link leaves in doubt.
-    prospects : Prospects
-        What is assumed of the holders.
+    remote_admission : RemoteAdmission
+        Rejects what the holders would reject.
     is_detour : bool
         Whether they go to a gateway that reaches the primary because this one does not.
     version : int
@@ -75,7 +75,7 @@
     local: LocalWork
     clock: Clock
     link_outcome: LinkOutcome
-    prospects: Prospects
+    remote_admission: RemoteAdmission
     is_detour: bool = False
     version: int = 0
 
@@ -166,29 +166,26 @@
     def _run_at(self, link: Link) -> None:
         raise NotImplementedError
 
-    def _refuse_hopeless(self, link: Link, writes: bool) -> bool:
-        """Refuse what its holder would refuse, or can't answer in time; return whether it was.
-
-        Only what may begin anywhere is judged, never a statement of a transaction that has begun.
-        """
-        turned = self._work.prospects.judge(
-            Asked(
+    def _is_rejected(self, link: Link, writes: bool) -> bool:
+        """Return whether its holder would reject it or can't answer in time; then answer so."""
+        rejected = self._work.remote_admission.judge(
+            RemoteRequest(
                 link.peer,
                 self._route.service,
                 self._session.identity.tenant,
                 self._route.priority,
                 writes,
-                left=self._left,
-                whole=self._route.timeout_seconds * 1000,
-                way=reply_margin(self._work.is_detour),
-                returned=self._session.returned,
+                time_left=self._left,
+                time_given=self._route.timeout_seconds * 1000,
+                round_trip=reply_margin(self._work.is_detour),
+                is_retry=self._session.returned,
             )
         )
-        if turned is None:
+        if rejected is None:
             return False
         self._peer = link.peer
-        self._rejection = turned.rejection
-        self._finish(turned.answer)
+        self._rejection = rejected.rejection
+        self._finish(rejected.answer)
         return True
 
     def _place(self) -> None:
@@ -214,18 +211,20 @@
             self._session.floors[service] = reply.floor
         self._work.local.note_doubts(reply.doubts)
         self._told = reply.trace
-        self._work.prospects.note(self._peer, service, self._session.identity.tenant, reply.load)
+        self._work.remote_admission.note(
+            self._peer, service, self._session.identity.tenant, reply.load
+        )
         return answer_of(reply)
 
     def _lost(self, may_be_kept: bool, reason: str) -> Answer:
-        self._work.prospects.forget(self._peer)
+        self._work.remote_admission.forget(self._peer)
         return Answer(refusal=self._work.link_outcome.refusal(may_be_kept), message=reason)
 
     def _follow(self, verdict: Verdict, reason: str) -> None:
         """Do what the rules say."""
         match verdict:
             case PlaceNow():
-                self._work.prospects.forget(self._peer)
+                self._work.remote_admission.forget(self._peer)
                 self._place()
             case PlaceLater():
                 self._wait_for_holder(reason)
@@ -247,10 +246,12 @@
 
     def _reject(self, reason: str) -> None:
         """Answer that nothing ran, and when to retry: no holder was found in time."""
-        told = self._work.prospects.return_in(HOLDER_RETRY_AFTER_MS)
-        nowhere = Forecast(0.0, 0.0)
-        self._rejection = rejection(Cause.NO_PLACE, nowhere, self._left, self._route.priority, told)
-        self._finish(busy(reason, told))
+        retry_after = self._work.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
+        unknown = Forecast(0.0, 0.0)
+        self._rejection = rejection(
+            Cause.NO_PLACE, unknown, self._left, self._route.priority, retry_after
+        )
+        self._finish(busy(reason, retry_after))
 
     def finish(self, answer: Answer) -> None:
         """See :meth:`rowanrail.gateway.work.work.SingleStatement.finish`."""
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -67,7 +67,7 @@
         return Sent(in_transaction=False, may_be_kept=self._writes)
 
     def _run_at(self, link: Link) -> None:
-        if not self._refuse_hopeless(link, self._writes):
+        if not self._is_rejected(link, self._writes):
             self._ask(link)
 
     def _run_here(self) -> None:
@@ -132,7 +132,7 @@
         return super().trace() if self._here is None else self._here.trace()
 
     def _run_at(self, link: Link) -> None:
-        if self._refuse_hopeless(link, writes=not self._read_only):
+        if self._is_rejected(link, writes=not self._read_only):
             return
         self._number = link.number_transaction()
         self._ask(link, self._number, self._read_only)
--- a/src/rowanrail/gateway/relay/work_places.py
+++ b/src/rowanrail/gateway/relay/work_places.py
@@ -9,7 +9,7 @@
 from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere
 from rowanrail.gateway.relay.homes import HomePlacement
 from rowanrail.gateway.relay.neighbours import Neighbours
-from rowanrail.gateway.relay.prospects import Prospects
+from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames
@@ -34,8 +34,8 @@
         Time and timers.
     link_outcome : LinkOutcome
         Says what a lost link leaves in doubt.
-    prospects : Prospects
-        What other holders told of their load.
+    remote_admission : RemoteAdmission
+        Rejects what other holders would reject.
     neighbours : Neighbours or None
         Gateways that share connections with this one.
     detours : Detours or None
@@ -50,7 +50,7 @@
         names: PreparedNames,
         clock: Scheduler,
         link_outcome: LinkOutcome,
-        prospects: Prospects,
+        remote_admission: RemoteAdmission,
         neighbours: Neighbours | None,
         detours: Detours | None,
         version: Callable[[], int],
@@ -59,7 +59,7 @@
         self._names = names
         self._clock = clock
         self._link_outcome = link_outcome
-        self._prospects = prospects
+        self._remote_admission = remote_admission
         self._neighbours = neighbours
         self._detours = detours
         self._version = version
@@ -125,7 +125,7 @@
             local,
             Clock(self._clock),
             self._link_outcome,
-            self._prospects,
+            self._remote_admission,
             is_detour,
             self._version(),
         )
--- a/tests/relay/test_prospects.py
+++ b/tests/relay/test_remote_admission.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from rowanrail.gateway.relay.messages import Reply, Run
-from rowanrail.gateway.relay.prospects import Asked, Prospects
+from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
 from rowanrail.gateway.relay.terms import Order, load_session, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.model.routing import Consistency, Route
@@ -19,46 +19,46 @@
 def asked(**changes):
     """Return a write with 800 ms to a holder 40 ms away."""
     terms = {"peer": "g1", "service": "db", "tenant": "anna", "urgency": 1, "writes": True}
-    terms |= {"left": 800.0, "whole": 800.0, "way": 80.0}
-    return Asked(**(terms | changes))
+    terms |= {"time_left": 800.0, "time_given": 800.0, "round_trip": 80.0}
+    return RemoteRequest(**(terms | changes))
 
 
-class ProspectsTest(unittest.TestCase):
+class RemoteAdmissionTest(unittest.TestCase):
     def setUp(self):
         self.zone = PlayedZone()
-        self.prospects = Prospects(self.zone.relay_clock)
-        self.prospects.note("g1", "db", "anna", ServiceLoad([0, 3000], [0, 0], 400))
+        self.remote_admission = RemoteAdmission(self.zone.relay_clock)
+        self.remote_admission.note("g1", "db", "anna", ServiceLoad([0, 3000], [0, 0], 400))
 
     def test_what_the_holder_would_refuse_is_not_sent(self):
-        turned = self.prospects.judge(asked())
-        self.assertEqual(turned.answer.refusal, Refusal.BUSY)
-        self.assertRegex(turned.answer.message, r"^g1 is crowded .*; retry in \d\.\d\d s$")
-        self.assertEqual(turned.rejection.cause, "holder-crowded")
-        self.assertEqual(turned.rejection.left, 800)
+        rejected = self.remote_admission.judge(asked())
+        self.assertEqual(rejected.answer.refusal, Refusal.BUSY)
+        self.assertRegex(rejected.answer.message, r"^g1 is crowded .*; retry in \d\.\d\d s$")
+        self.assertEqual(rejected.rejection.cause, "holder-crowded")
+        self.assertEqual(rejected.rejection.left, 800)
 
     def test_what_is_more_urgent_or_only_reads_is_sent(self):
-        self.assertIsNone(self.prospects.judge(asked(urgency=0)))
-        self.assertIsNone(self.prospects.judge(asked(writes=False)))
+        self.assertIsNone(self.remote_admission.judge(asked(urgency=0)))
+        self.assertIsNone(self.remote_admission.judge(asked(writes=False)))
 
     def test_another_tenant_s_statement_is_sent(self):
-        self.assertIsNone(self.prospects.judge(asked(tenant="bob")))
+        self.assertIsNone(self.remote_admission.judge(asked(tenant="bob")))
 
     def test_who_has_returned_is_sent_since_the_holder_knows_its_place(self):
-        self.assertIsNone(self.prospects.judge(asked(returned=True)))
+        self.assertIsNone(self.remote_admission.judge(asked(is_retry=True)))
 
     def test_what_has_no_time_for_the_way_is_not_sent_even_as_a_probe(self):
         self.zone.clock.advance(0.5)
-        turned = self.prospects.judge(asked(left=70.0))
-        self.assertEqual(turned.rejection.cause, "way-too-long")
+        rejected = self.remote_admission.judge(asked(time_left=70.0))
+        self.assertEqual(rejected.rejection.cause, "way-too-long")
 
     def test_a_probe_is_sent_each_tenth_of_a_second(self):
-        self.assertIsNotNone(self.prospects.judge(asked()))
+        self.assertIsNotNone(self.remote_admission.judge(asked()))
         self.zone.clock.advance(0.11)
-        self.assertIsNone(self.prospects.judge(asked()))
-        self.assertIsNotNone(self.prospects.judge(asked()))
+        self.assertIsNone(self.remote_admission.judge(asked()))
+        self.assertIsNotNone(self.remote_admission.judge(asked()))
 
     def test_many_refused_at_one_moment_are_told_different_moments(self):
-        told = {self.prospects.judge(asked()).rejection.return_in for _ in range(50)}
+        told = {self.remote_admission.judge(asked()).rejection.return_in for _ in range(50)}
         self.assertGreater(len(told), 40)
 
 
@@ -179,7 +179,7 @@
         reply = Reply(1, [], b"", None, "", None, None, Trace("db", "sent"), ServiceLoad([1]))
         old = msgspec.msgpack.decode(msgspec.msgpack.encode(reply))
         *shorter, _, _ = old  # neither a load nor doubts
-        shorter[-1] = shorter[-1][:-1]  # nor does its trace say why a statement was turned away
+        shorter[-1] = shorter[-1][:-1]  # nor does its trace say why a statement was rejected
         decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(shorter), type=Reply)
         self.assertIsNone(decoded.load)
         self.assertEqual(decoded.doubts, {})
