--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -17,7 +17,7 @@
 from rowanrail.gateway.relay.holdings import Holdings
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
-from rowanrail.gateway.relay.work_places import WorkPlaces
+from rowanrail.gateway.relay.work_routing import WorkRouter
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.primary_lines import note_primary
 from rowanrail.gateway.services.service import Service
@@ -96,7 +96,7 @@
         self._ticks = 0
         check = self._policies.key_check
         self.access = Access(Clock(clock), decisions, check, quota_terms)
-        self._places = WorkPlaces(
+        self._router = WorkRouter(
             locality,
             self.names,
             clock,
@@ -159,7 +159,7 @@
                 continue
             service = Service(spec, self._locality, self._driver, self.clock, self._policies)
             service.primary.on_alarm = functools.partial(self._note_primary, service)
-            service.primary.on_trouble = functools.partial(self._places.ask_around, service)
+            service.primary.on_trouble = functools.partial(self._router.ask_for_samples, service)
             told = functools.partial(note_weight, self._decisions, service)
             service.estimates.weights.on_change = told
             service.set_population(self._known.population)
@@ -257,12 +257,12 @@
         local = self.local_work(route.service) if route is not None else None
         if route is None or local is None:
             return self.access.refuse_database(database)
-        return route, self._places.place(self.services[route.service], tenant, local)
+        return route, self._router.work_for(self.services[route.service], tenant, local)
 
     def local_work(self, service: str, is_detour: bool = False) -> LocalWork | None:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.local_work`."""
         known = self.services.get(service)
-        return None if known is None else self._places.local(known, is_detour)
+        return None if known is None else self._router.local_work(known, is_detour)
 
     def _note_detour(self, service: str, peer: str) -> None:
         self._decisions.note(DETOUR_FOUND, service=service, peer=peer)
--- a/src/rowanrail/gateway/relay/homes.py
+++ b/src/rowanrail/gateway/relay/remote_holder.py
@@ -2,8 +2,11 @@
 
 A connection belongs to one tenant, so that many small holders of a member's few connections would
 open them over and over. The gateways of a member's own region therefore hold nearly all of them,
-and other regions send work there: one way there and back, as the statement itself would take,
-and an opening, where one is needed, takes place next to the member.
+and other regions send work there: one round trip, as the statement itself would take, and an
+opening, where one is needed, is made next to the member.
+
+Owns whether the holder was tried, for one statement or transaction. Relies on :mod:`detours` for
+the gateways of other regions.
 """
 
 from collections.abc import Callable
@@ -13,11 +16,11 @@
 from rowanrail.gateway.relay.link import Link
 from rowanrail.placement.hashed import Part
 
-__all__ = ["HomePlacement"]
+__all__ = ["RemoteHolder"]
 
 
-class HomePlacement:
-    """Places one statement, or transaction, at the holder of another region.
+class RemoteHolder:
+    """Places one statement, or transaction, at the holder in the member's region.
 
     It is asked for again only if nothing ran there; then the statement runs on the few connections
     that this gateway has itself, since the holder may not reach the member.
--- a/src/rowanrail/gateway/relay/work_places.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -1,4 +1,21 @@
-"""Where statements of a service run: here, at a neighbour, in a member's region, around a cut."""
+"""Where a statement runs: here, at the holder of its group or of the member's region, on a detour.
+
+Four rules, asked in this order:
+
+1. Where the gateways of a zone or region share a service's connections, a client's statement runs
+   at the holder of its shard (:meth:`WorkRouter.work_for`). All the rest is the holder's affair.
+2. What came on a detour runs on own connections or not at all, so that nothing goes round in
+   circles; not where its sender may have better ones (:func:`detour_may_run`).
+3. A statement for a member of another region runs at the holder there, where one is reached.
+4. While this gateway gets no answer of a primary, statements for it run at a gateway that reaches
+   it, where one is known.
+
+The first and the second are decided when a statement comes. The others are handed to the work on
+own connections, which asks when it has chosen a member, or found none.
+
+Owns no state. Relies on :mod:`neighbours` and :mod:`detours` for who is reached, on ``work`` for
+statements on own connections and on :mod:`forwarding` for those at other gateways.
+"""
 
 import functools
 from collections.abc import Callable
@@ -7,9 +24,9 @@
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.forwarding import ForwardedWork, Placement
 from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere
-from rowanrail.gateway.relay.homes import HomePlacement
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
+from rowanrail.gateway.relay.remote_holder import RemoteHolder
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames
@@ -18,10 +35,32 @@
 from rowanrail.model.position import Position
 from rowanrail.placement.hashed import Part
 
-__all__ = ["WorkPlaces"]
+__all__ = ["WorkRouter", "detour_may_run"]
+
+
+def detour_may_run(is_regional: bool, primary_fails: bool) -> bool:
+    """Return whether a statement that came on a detour may run on connections of this gateway.
 
+    Where regions share, every region opens a few connections to each member, so that the sender of
+    a detour may reach a primary that this gateway does not. Elsewhere this gateway is the only one
+    of its zone that has any, and its own may come back in time.
 
-class WorkPlaces:
+    Parameters
+    ----------
+    is_regional : bool
+        Whether the gateways of a region share the service's connections.
+    primary_fails : bool
+        Whether this gateway gets no answer of the service's primary now.
+
+    Examples
+    --------
+    >>> detour_may_run(is_regional=True, primary_fails=True), detour_may_run(False, True)
+    (False, True)
+    """
+    return not (is_regional and primary_fails)
+
+
+class WorkRouter:
     """Chooses among a gateway's own connections and those of others.
 
     Parameters
@@ -64,8 +103,8 @@
         self._detours = detours
         self._version = version
 
-    def place(self, service: Service, tenant: str, local: LocalWork) -> Work:
-        """Return where a tenant's work is done: here, or through a neighbour's connections."""
+    def work_for(self, service: Service, tenant: str, local: LocalWork) -> Work:
+        """Return the work for a tenant's statements: here, or through a holder's connections."""
         if self._neighbours is None or not service.is_shared:
             return local
         part = Part.of(service.spec.name, tenant)
@@ -73,13 +112,14 @@
             return local
         return self._forwarded(self._neighbours, service, local)
 
-    def local(self, service: Service, is_detour: bool = False) -> LocalWork | None:
-        """Return work on own connections; None if another gateway had better try.
+    def local_work(self, service: Service, is_detour: bool = False) -> LocalWork | None:
+        """Return work on own connections; None if the sender had better run it itself.
 
         What comes on a detour is sent no further.
         """
-        if is_detour and service.is_regional and service.primary.failing_since:
-            return None  # the sender's own connections may still reach the primary
+        primary_fails = bool(service.primary.failing_since)
+        if is_detour and not detour_may_run(service.is_regional, primary_fails):
+            return None
         if is_detour or self._detours is None:
             return LocalWork(service, self._names, self._clock)
         return LocalWork(
@@ -87,13 +127,15 @@
             self._names,
             self._clock,
             functools.partial(self._find_detour, service),
-            functools.partial(self._find_home, service),
+            functools.partial(self._find_remote_holder, service),
         )
 
-    def _find_home(self, service: Service, tenant: str, instance: str = "") -> ForwardedWork | None:
-        """Return work at the holder of another region's member, None if it is this region's.
+    def _find_remote_holder(
+        self, service: Service, tenant: str, instance: str = ""
+    ) -> ForwardedWork | None:
+        """Return work at the holder in a member's region, None if that is this one.
 
-        Without a member's name the primary is meant.
+        Without a member's name the primary is meant. None, too, where no such holder is reached.
         """
         pool = service.pools.get(instance) if instance else service.primary_pool()
         if self._detours is None or pool is None or not service.is_far(pool):
@@ -102,7 +144,7 @@
         part = Part.of(service.spec.name, tenant)
         if not isinstance(self._detours.holder_in(region, part), HeldAt):
             return None
-        return self._forwarded(HomePlacement(self._detours, region), service, is_detour=True)
+        return self._forwarded(RemoteHolder(self._detours, region), service, is_detour=True)
 
     def _find_detour(self, service: Service) -> ForwardedWork | None:
         """Return work at a gateway that reaches a service's primary, if one is known."""
@@ -130,7 +172,7 @@
             self._version(),
         )
 
-    def ask_around(self, service: Service) -> None:
+    def ask_for_samples(self, service: Service) -> None:
         """Ask other gateways for a sample of a primary that this one gets none of."""
         if self._detours is None:
             return
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -12,6 +12,7 @@
     "rowanrail.gateway.relay.forwarding_rules",
     "rowanrail.gateway.relay.holder_choice",
     "rowanrail.gateway.relay.liveness",
+    "rowanrail.gateway.relay.work_routing",
     "rowanrail.gateway.services.locality",
     "rowanrail.members.monitor_interval",
     "rowanrail.members.samples",
