--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -9,7 +9,7 @@
 
 from rowanrail.gateway.relay.forwarded import Forwarded, ForwardingTerms, Placement
 from rowanrail.gateway.relay.forwarding_rules import (
-    Sent,
+    SentStatement,
     after_loss,
     after_not_served,
     after_timeout,
@@ -17,7 +17,7 @@
 from rowanrail.gateway.relay.link import Counted, Link, Lost, Outcome, Refused, Replied, Told
 from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.gateway.work.statement import LATE
+from rowanrail.gateway.work.refusals import LATE
 from rowanrail.gateway.work.work import SingleStatement, WorkInTransaction
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
@@ -63,8 +63,8 @@
         return super().trace() if self._here is None else self._here.trace()
 
     @property
-    def _known(self) -> Sent:
-        return Sent(in_transaction=False, may_be_kept=self._writes)
+    def _known(self) -> SentStatement:
+        return SentStatement(in_transaction=False, may_be_kept=self._writes)
 
     def _run_at(self, link: Link) -> None:
         if not self._is_rejected(link, self._writes):
@@ -147,8 +147,8 @@
         self._here.run(statement, respond)
 
     @property
-    def _known(self) -> Sent:
-        return Sent(True, may_be_kept=self._commits and self._wrote, has_run=self._ran)
+    def _known(self) -> SentStatement:
+        return SentStatement(True, may_be_kept=self._commits and self._wrote, has_run=self._ran)
 
     @property
     def _commits(self) -> bool:
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.work.statement import busy, rejection
+from rowanrail.gateway.work.refusals import busy, rejection
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -9,7 +9,7 @@
     PlaceNow,
     Refuse,
     Reject,
-    Sent,
+    SentStatement,
     after_loss,
     after_not_served,
     after_timeout,
@@ -17,11 +17,11 @@
 )
 from rowanrail.model.statements import Refusal
 
-READ = Sent(in_transaction=False, may_be_kept=False)
-WRITE = Sent(in_transaction=False, may_be_kept=True)
-FIRST = Sent(in_transaction=True, may_be_kept=False)
-LATER = Sent(in_transaction=True, may_be_kept=False, has_run=True)
-COMMIT = Sent(in_transaction=True, may_be_kept=True, has_run=True)
+READ = SentStatement(in_transaction=False, may_be_kept=False)
+WRITE = SentStatement(in_transaction=False, may_be_kept=True)
+FIRST = SentStatement(in_transaction=True, may_be_kept=False)
+LATER = SentStatement(in_transaction=True, may_be_kept=False, has_run=True)
+COMMIT = SentStatement(in_transaction=True, may_be_kept=True, has_run=True)
 
 
 class NotServedTest(unittest.TestCase):
