--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -45,7 +45,7 @@
 from rowanrail.tenants.model import Identity, Tenants
 from rowanrail.tenants.terms import QuotaTerms
 
-TICK_SECONDS = 0.05  # a sixth of the shortest time that is watched, PROBE_TIMEOUT_SECONDS
+TICK_SECONDS = 0.05  # a sixth of the shortest time that is watched, SAMPLE_TIMEOUT_SECONDS
 # Of them, between looks at services that nobody uses. 75 such services took 0.7 % of a core when
 # each was looked at at every tick.
 TICKS_OF_IDLE = 10
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -51,7 +51,7 @@
         self.policies = policies
         self.primary = PrimaryTracker(spec.name, driver, clock, policies.leadership_proof)
         self.primary.on_proof = self._note_proof
-        self.primary.lender = self
+        self.primary.set_lender(self)
         self.pools: dict[str, MemberPool] = {}
         milliseconds = Clock(clock)
         self.estimates = MemberEstimates(locality, self.primary, milliseconds)
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -26,7 +26,7 @@
         if self.refuse_long_lost():
             return
         if pool is None or pool.is_failing:
-            self.service.primary.prefetch()
+            self.service.primary.request_sample()
             self.retry_later(self._find_primary, busy("no primary is known"))
             return
         if not self.may_wait_at(pool):
--- a/src/rowanrail/gateway/work/freshness.py
+++ b/src/rowanrail/gateway/work/freshness.py
@@ -21,7 +21,7 @@
         return
     sample = service.primary.sample
     if sample is not None and now - sample.asked_at > PREFETCH_SHARE * route.staleness_seconds:
-        service.primary.prefetch()
+        service.primary.request_sample()
 
 
 def note_commit(
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -137,7 +137,7 @@
         if self.refuse_long_lost():
             return
         if pool is None or pool.is_failing:
-            self.service.primary.prefetch()
+            self.service.primary.request_sample()
             self.retry_later(self._begin, busy("no primary is known"))
             return
         if not self.may_wait_at(pool):
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -152,7 +152,7 @@
         home = self.world.home
         home.driver.cut.add("m1")
         service = home.gateway.services["db"]
-        service.primary.failing_since = self.world.clock.now
+        service.primary.belief.failing_since = self.world.clock.now
         answer = self.world.client("orders").run("WRITE a 1", seconds=0.4)
         self.assertIsNone(answer.refusal, answer)
         self.assertGreater(self.world.far.gateway.services["db"].pools["m1"].open_count, 0)
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -10,6 +10,8 @@
     "rowanrail.gateway.pools.error_share",
     "rowanrail.gateway.services.locality",
     "rowanrail.members.monitor_interval",
+    "rowanrail.members.primary_belief",
+    "rowanrail.members.sampling_rules",
     "rowanrail.members.samples",
     "rowanrail.gateway.work.statement",
     "rowanrail.placement.hashed",
