--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import sys
+from pathlib import Path
 
 import click
 
@@ -13,16 +14,25 @@
 @click.option("--seeds", default="1", help="A seed of faults and clients, or FIRST-LAST.")
 @click.option("--network", default=0, help="Differs for soaks that run side by side, 0 to 255.")
 @click.option("--holders", default="hashed", help="`planned` needs about 35 s until it plans.")
-def main(seconds: float, seeds: str, network: int, holders: str) -> None:
+@click.option(
+    "--beside",
+    type=click.Path(exists=True, file_okay=False, resolve_path=True, path_type=Path),
+    help="Another checkout: every other process is started from it, and some change sides when "
+    "they are started again, as in an upgrade in steps. Both run on this Python's packages.",
+)
+def main(seconds: float, seeds: str, network: int, holders: str, beside: Path | None) -> None:
     """Run fault soaks and print a verdict of each; exit code 1 if a rule was broken."""
     first, _, last = seeds.partition("-")
     broken = 0
     for seed in range(int(first), int(last or first) + 1):
-        soak = Soak(seconds, seed, network, holders)
+        soak = Soak(seconds, seed, network, holders, beside)
         verdict = asyncio.run(soak.run())
         broken += bool(verdict.problems)
         click.echo(f"seed {seed}, faults: {', '.join(soak.log)}")
         click.echo(f"seed {seed}, {verdict}")
+        if beside is not None:
+            starts, others = soak.starts
+            click.echo(f"seed {seed}, {others} of {starts} starts of processes from {beside}")
     sys.exit(1 if broken else 0)
 
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -4,6 +4,7 @@
 import random
 import signal
 from collections.abc import Callable
+from pathlib import Path
 
 from tests.soak.members import SlottedMember
 from tests.soak.oracle import TENANTS, Oracle, Verdict
@@ -172,8 +173,14 @@
     """One run: a fleet, clients, and faults two at a time."""
 
     def __init__(
-        self, seconds: float, seed: int, network: int = 0, holders: str = "hashed"
+        self,
+        seconds: float,
+        seed: int,
+        network: int = 0,
+        holders: str = "hashed",
+        beside: Path | None = None,
     ) -> None:
+        self.beside = beside
         self.network = network
         self.holders = holders
         self.seconds = seconds
@@ -201,6 +208,7 @@
             network=self.network,
             member_type=SlottedMember,
             holders=self.holders,
+            beside=self.beside,
         )
         assert isinstance(fleet.group, WatchedGroup)
         fleet.group.oracle = self.oracle
@@ -253,6 +261,12 @@
             count += 'links{state="up"} 0.0' not in await self.fleet.metrics(host)
         return count
 
+    @property
+    def starts(self) -> tuple[int, int]:
+        """Number of starts of processes, and how many of them were from the other checkout."""
+        checkouts = [each for host in self.fleet.started.values() for each in host]
+        return len(checkouts), checkouts.count(self.beside) if self.beside else 0
+
     # Faults
 
     async def _cause_faults(self) -> None:
--- a/tests/support/platform_fleet.py
+++ b/tests/support/platform_fleet.py
@@ -52,7 +52,12 @@
 
 
 class PlatformFleet:
-    """``controls`` control nodes and ``proxies`` proxies, three members, one promote call."""
+    """``controls`` control nodes and ``proxies`` proxies, three members, one promote call.
+
+    :param beside: another checkout, from which every other process is started. Each zone gets
+        processes of both. A process that is started again comes from the other checkout the
+        first time, from the same one the second time, and so on.
+    """
 
     def __init__(
         self,
@@ -65,7 +70,10 @@
         network: int = 0,
         member_type: type[Member] = Member,
         holders: str = "hashed",
+        beside: Path | None = None,
     ) -> None:
+        self.checkouts = [ROOT] if beside is None else [ROOT, beside]
+        self.started: dict[str, list[Path]] = {}
         # Fleets that run side by side differ in the second number of their addresses.
         self.promote_host = f"127.{network}.10.1"
         self.regions = regions or {}
@@ -153,7 +161,8 @@
             f"bootstrap: {'true' if bootstrap else 'false'}",
             f"metrics: {METRICS}",
         ]
-        self._start("control", host, lines)
+        number = self.control_hosts.index(host)
+        self._start("control", host, lines, self._checkout(host, number, len(self.control_zones)))
 
     @contextlib.contextmanager
     def in_hand(self, name: str) -> Iterator[None]:
@@ -182,17 +191,25 @@
             f"regions: {self.regions}",
             f"features: {['tenants'] if self.regions else []}",
         ]
-        self._start("proxy", host, lines)
+        number = self.proxy_hosts.index(host)
+        self._start("proxy", host, lines, self._checkout(host, number, len(self.zones)))
+
+    def _checkout(self, host: str, number: int, zones: int) -> Path:
+        """Return where the next start of a process takes its code from."""
+        again = len(self.started.get(host, []))
+        first = number + number // zones  # both checkouts in each zone
+        return self.checkouts[(first + (again + 1) // 2) % len(self.checkouts)]
 
-    def _start(self, role: str, host: str, lines: list[str]) -> None:
+    def _start(self, role: str, host: str, lines: list[str], checkout: Path) -> None:
         seeds = [f"{control}:{CONTROL_PORT}" for control in self.control_hosts]
         common = [f"control_nodes: {seeds}", f"rpc_port: {RPC_PORT}", "protocol: lines"]
         common.append(f"holders: {self.holders}")
         path = self.folder / f"{host}.yaml"
         path.write_text("\n".join([*lines, *common]) + "\n")
+        self.started.setdefault(host, []).append(checkout)
         with (self.folder / f"{host}.log").open("ab") as log:
             self.processes[host] = subprocess.Popen(
-                [sys.executable, str(ROOT / "platform" / "main.py"), role],
+                [sys.executable, str(checkout / "platform" / "main.py"), role],
                 env={**os.environ, "ROWANRAIL_CONFIG": str(path)},
                 stdout=log,
                 stderr=log,
