--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -108,7 +108,7 @@
         return self._directory(request)
 
     async def tell_held(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Tell what the log holds; see :mod:`rowanrail.gateway.discovery.held`."""
+        """Tell what the log holds; see :mod:`rowanrail.gateway.discovery.provisional`."""
         assert isinstance(request, HeldRequest)
         self._node.check_failure("tell what is held")  # the log in memory is not what is on disk
         log = self._node.raft.log
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -8,7 +8,7 @@
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
 from rowanrail.directory.messages import GatewayReport
 from rowanrail.directory.reports import telling
-from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
     GATEWAY_STARTED,
@@ -135,7 +135,7 @@
             load=meter.latest,
         )
 
-    watch = DirectoryWatch(
+    follower = ControlFollower(
         gateway,
         network,
         rpc_addresses(settings.control_nodes, settings.rpc_port),
@@ -146,13 +146,13 @@
         is_planned,
     )
 
-    gateway.on_alarm = watch.report_now
+    gateway.on_alarm = follower.report_now
 
     def reload() -> None:
         loaded = reload_settings()
         decisions.note(GATEWAY_RELOADED, reason="SIGHUP", usable=loaded is not None)
         if loaded is not None:
-            watch.set_seeds(rpc_addresses(loaded.control_nodes, loaded.rpc_port))
+            follower.set_seeds(rpc_addresses(loaded.control_nodes, loaded.rpc_port))
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     ready_server = await serve(settings.ready_listen, ReadyApi(gateway).handle)
@@ -163,7 +163,7 @@
             "rowanrail_gateway",
             lambda: [
                 *gauges(gateway),
-                *directory_gauges(watch),
+                *directory_gauges(follower),
                 *tenant_gauges(gateway),
                 *relay_gauges(neighbours, holder, detours),
                 log_gauge(decisions),
@@ -177,13 +177,13 @@
     metering.start()
     if is_planned:
         meter.start()
-    watch.start()
+    follower.start()
     decisions.note(GATEWAY_STARTED, name=settings.name, zone=settings.zone, listen=settings.listen)
     await wait_for_stop_signal()
     decisions.note(GATEWAY_STOPPING, name=settings.name, sessions=len(gateway.sessions))
     await plan_stop(gateway, frontend, holder, settings.stop_seconds)
     holder_server.close()
-    watch.stop()
+    follower.stop()
     ready_server.close()
     await network.close()
     decisions.note(GATEWAY_STOPPED, name=settings.name)
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -1,6 +1,6 @@
 """What a gateway measures of itself at the moment when it is asked."""
 
-from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.link import LinkState
@@ -76,9 +76,9 @@
     return readings
 
 
-def directory_gauges(watch: DirectoryWatch) -> list[Reading]:
+def directory_gauges(follower: ControlFollower) -> list[Reading]:
     """Return how the directory came: whole, by difference, and by difference that differed."""
-    counts = watch.counts.items()
+    counts = follower.counts.items()
     return [("directories_taken", {"kind": kind}, count) for kind, count in counts]
 
 
--- a/tests/coordination/test_differences.py
+++ b/tests/coordination/test_differences.py
@@ -21,8 +21,8 @@
     HeldRequest,
 )
 from rowanrail.directory.packing import pack, unpack
+from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.discovery.directory_copy import DirectoryCopy
-from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
 from rowanrail.model.members import MemberRecord
@@ -313,7 +313,7 @@
     def watch(self, network):
         self.gateway = FollowingGateway()
         self.log = NotedEvents()
-        return DirectoryWatch(
+        return ControlFollower(
             self.gateway,
             network,
             list(network.nodes),
--- a/tests/gateway/test_directory_watch.py
+++ b/tests/gateway/test_control_follower.py
@@ -13,8 +13,8 @@
     HeldRequest,
     controls_mark,
 )
-from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
-from rowanrail.gateway.discovery.held import longest_of_majority
+from rowanrail.gateway.discovery.control_follower import ControlFollower
+from rowanrail.gateway.discovery.provisional import longest_of_majority
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
 from rowanrail.model.routing import RoutingConfiguration
@@ -108,7 +108,7 @@
 class DirectoryWatchTest(unittest.IsolatedAsyncioTestCase):
     async def follow(self, controls, seconds):
         self.gateway = TakenGateway()
-        watch = DirectoryWatch(
+        watch = ControlFollower(
             self.gateway,
             controls,
             ["n1", "n2", "n3"],
@@ -150,7 +150,7 @@
 
     def setUp(self):
         self.network = PlayedControls()
-        self.watch = DirectoryWatch(
+        self.watch = ControlFollower(
             TakenGateway(),
             self.network,
             ["n1"],
@@ -173,7 +173,7 @@
 
     async def poll(self):
         self.assertTrue(await self.watch._poll("n1", 0.0))
-        return list(self.watch._controls)
+        return list(self.watch.controls)
 
     async def test_who_was_told_of_them_is_not_told_again_and_keeps_them(self):
         self.follow(["n1", "n2", "n3"])
@@ -192,7 +192,7 @@
         await self.poll()
         self.watch.set_seeds(["n3"])
         await self.poll()
-        self.assertCountEqual(self.watch._controls, ["n1", "n2", "n3"])
+        self.assertCountEqual(self.watch.controls, ["n1", "n2", "n3"])
         self.assertEqual(self.known[-1], 0)
 
 
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -19,7 +19,7 @@
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.directory.messages import GatewayRecord, GatewayReport
 from rowanrail.directory.reports import telling
-from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
 from rowanrail.model.members import MemberRecord, PrimaryHealth
@@ -164,7 +164,7 @@
     def _follow(self, record):
         gateway = FollowingGateway()
         health = [PrimaryHealth(f"db{n}", "", -1, 0) for n in range(self.services)]
-        watch = DirectoryWatch(
+        watch = ControlFollower(
             gateway,
             self.network,
             ["c1:1"],
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -7,6 +7,8 @@
 MODULES = (
     "rowanrail.cli.load_view",
     "rowanrail.explain.turned_away",
+    "rowanrail.gateway.discovery.control_choice",
+    "rowanrail.gateway.discovery.provisional",
     "rowanrail.gateway.pools.error_share",
     "rowanrail.gateway.relay.detour_rules",
     "rowanrail.gateway.relay.forwarding_rules",
