--- a/src/rowanrail/coordination/changes.py
+++ b/src/rowanrail/coordination/changes.py
@@ -1,4 +1,7 @@
-"""What one entry of the log changed in the directory of members and gateways."""
+"""What one entry of the log changed in the directory of members and gateways.
+
+Plain values, made while a command is applied; history, holders and watches go by them.
+"""
 
 from dataclasses import dataclass, field
 
@@ -69,5 +72,5 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether gateways are told at once; see :mod:`rowanrail.coordination.gathering`."""
+        """Whether gateways are told at once; see :mod:`rowanrail.coordination.change_batch`."""
         return any(step.is_urgent for step in self.members)
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -15,7 +15,7 @@
     PlaceNow,
     Refuse,
     Reject,
-    Sent,
+    SentStatement,
     Verdict,
     without_holder,
 )
@@ -25,7 +25,7 @@
 from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.operation import Stage
-from rowanrail.gateway.work.statement import busy, rejection
+from rowanrail.gateway.work.refusals import busy, rejection
 from rowanrail.gateway.work.work import LocalWork
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Respond
@@ -130,7 +130,7 @@
         self._timer = self._work.clock.call_in(timeout, self._timed_out)
 
     @property
-    def _known(self) -> Sent:
+    def _known(self) -> SentStatement:
         """What is known of the statement, for the rules."""
         raise NotImplementedError
 
--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.work.statement import HOLD_SHARE
+from rowanrail.gateway.work.refusals import DEFER_SHARE
 from rowanrail.model.statements import Refusal
 
 __all__ = [
@@ -22,7 +22,7 @@
     "PlaceNow",
     "Refuse",
     "Reject",
-    "Sent",
+    "SentStatement",
     "Verdict",
     "after_loss",
     "after_not_served",
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentStatement:
     """What is known of a statement at the gateway that sent it.
 
     Parameters
@@ -88,27 +88,27 @@
 Verdict = PlaceNow | PlaceLater | Reject | Refuse | LostAtHolder
 
 
-def after_not_served(sent: Sent) -> PlaceLater | Refuse:
+def after_not_served(sent: SentStatement) -> PlaceLater | Refuse:
     """Return what follows where the holder ran nothing of a statement and can't run it.
 
     What begins may begin elsewhere. A transaction of which something ran is over.
 
     Examples
     --------
-    >>> after_not_served(Sent(in_transaction=True, may_be_kept=False, has_run=True))
+    >>> after_not_served(SentStatement(in_transaction=True, may_be_kept=False, has_run=True))
     Refuse(refusal=<Refusal.ABORTED: 'aborted'>)
     """
     return Refuse(Refusal.ABORTED) if sent.has_run else PlaceLater()
 
 
-def after_loss(sent: Sent) -> PlaceNow | LostAtHolder:
+def after_loss(sent: SentStatement) -> PlaceNow | LostAtHolder:
     """Return what follows where the link was lost while an answer was owed.
 
     Examples
     --------
-    >>> after_loss(Sent(in_transaction=False, may_be_kept=False))
+    >>> after_loss(SentStatement(in_transaction=False, may_be_kept=False))
     PlaceNow()
-    >>> after_loss(Sent(in_transaction=False, may_be_kept=True))
+    >>> after_loss(SentStatement(in_transaction=False, may_be_kept=True))
     LostAtHolder(may_be_kept=True)
     """
     if sent.in_transaction or sent.may_be_kept:
@@ -116,19 +116,19 @@
     return PlaceNow()
 
 
-def after_timeout(sent: Sent, is_owed: bool) -> Reject | Refuse | LostAtHolder:
+def after_timeout(sent: SentStatement, is_owed: bool) -> Reject | Refuse | LostAtHolder:
     """Return what follows at the end of a statement's time.
 
     Parameters
     ----------
-    sent : Sent
+    sent : SentStatement
         The statement.
     is_owed : bool
         Whether a holder has it and owes an answer; if not, nothing ran.
 
     Examples
     --------
-    >>> after_timeout(Sent(in_transaction=False, may_be_kept=True), is_owed=True)
+    >>> after_timeout(SentStatement(in_transaction=False, may_be_kept=True), is_owed=True)
     Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
     """
     if not is_owed:
@@ -156,6 +156,6 @@
     >>> without_holder(1100.0, 1000.0, objective=200.0), without_holder(1131.0, 1000.0, 200.0)
     (PlaceLater(), Reject())
     """
-    if now + PLACE_RETRY_MS > began + HOLD_SHARE * objective:
+    if now + PLACE_RETRY_MS > began + DEFER_SHARE * objective:
         return Reject()
     return PlaceLater()
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -5,8 +5,12 @@
 import unittest
 
 MODULES = (
+    "rowanrail.cluster.membership",
+    "rowanrail.coordination.gateway_census",
+    "rowanrail.directory.digests",
+    "rowanrail.directory.reports",
     "rowanrail.cli.load_view",
-    "rowanrail.explain.turned_away",
+    "rowanrail.explain.rejections",
     "rowanrail.gateway.discovery.control_choice",
     "rowanrail.gateway.discovery.provisional",
     "rowanrail.gateway.pools.error_share",
@@ -18,7 +22,8 @@
     "rowanrail.gateway.services.locality",
     "rowanrail.members.monitor_interval",
     "rowanrail.members.samples",
-    "rowanrail.gateway.work.statement",
+    "rowanrail.gateway.work.attempts",
+    "rowanrail.gateway.work.refusals",
     "rowanrail.placement.hashed",
     "rowanrail.scheduling.admission",
     "rowanrail.scheduling.concurrency",
