--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -15,8 +15,8 @@
     PlaceNow,
     Refuse,
     Reject,
-    SentStatement,
     Verdict,
+    may_be_kept,
     without_holder,
 )
 from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, NoHolder, WhereHeld
@@ -24,6 +24,7 @@
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
 from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.work.attempts import Sent
 from rowanrail.gateway.work.operation import Stage
 from rowanrail.gateway.work.refusals import busy, rejection
 from rowanrail.gateway.work.work import LocalWork
@@ -130,8 +131,8 @@
         self._timer = self._work.clock.call_in(timeout, self._timed_out)
 
     @property
-    def _known(self) -> SentStatement:
-        """What is known of the statement, for the rules."""
+    def _kind(self) -> Sent:
+        """What the statement is, for the rules."""
         raise NotImplementedError
 
     def _ask(self, link: Link, transaction: int = 0, read_only: bool = False) -> None:
@@ -152,7 +153,7 @@
             begins=not self._ran,
             version=self._work.version,
         )
-        link.ask(run_of(order, self._call), self._settled, not self._known.may_be_kept)
+        link.ask(run_of(order, self._call), self._settled, not may_be_kept(self._kind))
 
     def _settled(self, outcome: Outcome) -> None:
         raise NotImplementedError
@@ -216,9 +217,9 @@
         )
         return answer_of(reply)
 
-    def _lost(self, may_be_kept: bool, reason: str) -> Answer:
+    def _lost(self, is_kept: bool, reason: str) -> Answer:
         self._work.remote_admission.forget(self._peer)
-        return Answer(refusal=self._work.link_outcome.refusal(may_be_kept), message=reason)
+        return Answer(refusal=self._work.link_outcome.refusal(is_kept), message=reason)
 
     def _follow(self, verdict: Verdict, reason: str) -> None:
         """Do what the rules say."""
@@ -232,8 +233,8 @@
                 self._reject(reason)
             case Refuse(refusal=refusal):
                 self._finish(Answer(refusal=refusal, message=reason))
-            case LostAtHolder(may_be_kept=may_be_kept):
-                self._finish(self._lost(may_be_kept, reason))
+            case LostAtHolder(may_be_kept=is_kept):
+                self._finish(self._lost(is_kept, reason))
 
     def _wait_for_holder(self, reason: str) -> None:
         """Look for a holder again in a moment, or reject what can't be in time any more."""
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -9,7 +9,6 @@
 
 from rowanrail.gateway.relay.forwarded import Forwarded, ForwardingTerms, Placement
 from rowanrail.gateway.relay.forwarding_rules import (
-    SentStatement,
     after_loss,
     after_not_served,
     after_timeout,
@@ -17,6 +16,7 @@
 from rowanrail.gateway.relay.link import Counted, Link, Lost, Outcome, Refused, Replied, Told
 from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
+from rowanrail.gateway.work.attempts import Sent
 from rowanrail.gateway.work.refusals import LATE
 from rowanrail.gateway.work.work import SingleStatement, WorkInTransaction
 from rowanrail.members.channel import Respond
@@ -63,8 +63,8 @@
         return super().trace() if self._here is None else self._here.trace()
 
     @property
-    def _known(self) -> SentStatement:
-        return SentStatement(in_transaction=False, may_be_kept=self._writes)
+    def _kind(self) -> Sent:
+        return Sent.WRITE if self._writes else Sent.READ
 
     def _run_at(self, link: Link) -> None:
         if not self._is_rejected(link, self._writes):
@@ -85,15 +85,15 @@
             case Refused(reason=reason):
                 self._call = 0
                 self._sent = False
-                self._follow(after_not_served(self._known), reason)
+                self._follow(after_not_served(has_run=False), reason)
             case Lost(reason=reason):
                 self._call = 0
-                self._follow(after_loss(self._known), reason)
+                self._follow(after_loss(self._kind), reason)
             case Told() | Counted():
                 pass  # neither was asked for here
 
     def _timed_out(self) -> None:
-        self._follow(after_timeout(self._known, is_owed=self._call > 0), LATE)
+        self._follow(after_timeout(self._kind, is_owed=self._call > 0), LATE)
 
     def finish(self, answer: Answer) -> None:
         """See :meth:`rowanrail.gateway.work.work.SingleStatement.finish`."""
@@ -147,8 +147,8 @@
         self._here.run(statement, respond)
 
     @property
-    def _known(self) -> SentStatement:
-        return SentStatement(True, may_be_kept=self._commits and self._wrote, has_run=self._ran)
+    def _kind(self) -> Sent:
+        return Sent.COMMIT if self._commits and self._wrote else Sent.IN_TRANSACTION
 
     @property
     def _commits(self) -> bool:
@@ -165,16 +165,16 @@
                 self._call = 0
                 self._sent = False
                 self._number = 0
-                self._follow(after_not_served(self._known), reason)
+                self._follow(after_not_served(self._ran), reason)
             case Lost(reason=reason):
                 self._call = 0
                 self._end_there()
-                self._follow(after_loss(self._known), reason)
+                self._follow(after_loss(self._kind), reason)
             case Told() | Counted():
                 pass  # neither was asked for here
 
     def _timed_out(self) -> None:
-        self._follow(after_timeout(self._known, is_owed=self._call > 0), LATE)
+        self._follow(after_timeout(self._kind, is_owed=self._call > 0), LATE)
         self.end()
 
     def end(self) -> None:
--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -11,6 +11,7 @@
 
 from dataclasses import dataclass
 
+from rowanrail.gateway.work.attempts import Sent, unanswered
 from rowanrail.gateway.work.refusals import DEFER_SHARE
 from rowanrail.model.statements import Refusal
 
@@ -22,11 +23,11 @@
     "PlaceNow",
     "Refuse",
     "Reject",
-    "SentStatement",
     "Verdict",
     "after_loss",
     "after_not_served",
     "after_timeout",
+    "may_be_kept",
     "without_holder",
 ]
 
@@ -36,26 +37,6 @@
 HOLDER_RETRY_AFTER_MS = 1000.0
 
 
-@dataclass(frozen=True, slots=True)
-class SentStatement:
-    """What is known of a statement at the gateway that sent it.
-
-    Parameters
-    ----------
-    in_transaction : bool
-        Whether it belongs to a transaction.
-    may_be_kept : bool
-        Whether the database may have kept something if it ran: a write on its own, or the commit
-        of a transaction that wrote.
-    has_run : bool
-        Whether a statement of its transaction was answered before.
-    """
-
-    in_transaction: bool
-    may_be_kept: bool
-    has_run: bool = False
-
-
 @dataclass(frozen=True, slots=True)
 class PlaceNow:
     """Look for a holder at once: nothing of the statement is kept anywhere."""
@@ -88,54 +69,68 @@
 Verdict = PlaceNow | PlaceLater | Reject | Refuse | LostAtHolder
 
 
-def after_not_served(sent: SentStatement) -> PlaceLater | Refuse:
+def may_be_kept(sent: Sent) -> bool:
+    """Return whether the database may have kept something if the statement ran.
+
+    Examples
+    --------
+    >>> [sent.value for sent in Sent if may_be_kept(sent)]
+    ['write', 'commit']
+    """
+    return sent is Sent.WRITE or sent is Sent.COMMIT
+
+
+def after_not_served(has_run: bool) -> PlaceLater | Refuse:
     """Return what follows where the holder ran nothing of a statement and can't run it.
 
     What begins may begin elsewhere. A transaction of which something ran is over.
 
+    Parameters
+    ----------
+    has_run : bool
+        Whether a statement of the same transaction was answered before.
+
     Examples
     --------
-    >>> after_not_served(SentStatement(in_transaction=True, may_be_kept=False, has_run=True))
+    >>> after_not_served(has_run=True)
     Refuse(refusal=<Refusal.ABORTED: 'aborted'>)
     """
-    return Refuse(Refusal.ABORTED) if sent.has_run else PlaceLater()
+    return Refuse(Refusal.ABORTED) if has_run else PlaceLater()
 
 
-def after_loss(sent: SentStatement) -> PlaceNow | LostAtHolder:
+def after_loss(sent: Sent) -> PlaceNow | LostAtHolder:
     """Return what follows where the link was lost while an answer was owed.
 
     Examples
     --------
-    >>> after_loss(SentStatement(in_transaction=False, may_be_kept=False))
-    PlaceNow()
-    >>> after_loss(SentStatement(in_transaction=False, may_be_kept=True))
-    LostAtHolder(may_be_kept=True)
+    >>> after_loss(Sent.READ), after_loss(Sent.WRITE)
+    (PlaceNow(), LostAtHolder(may_be_kept=True))
     """
-    if sent.in_transaction or sent.may_be_kept:
-        return LostAtHolder(sent.may_be_kept)
-    return PlaceNow()
+    return PlaceNow() if sent is Sent.READ else LostAtHolder(may_be_kept(sent))
 
 
-def after_timeout(sent: SentStatement, is_owed: bool) -> Reject | Refuse | LostAtHolder:
+def after_timeout(sent: Sent, is_owed: bool) -> Reject | Refuse | LostAtHolder:
     """Return what follows at the end of a statement's time.
 
     Parameters
     ----------
-    sent : SentStatement
-        The statement.
+    sent : Sent
+        What the statement is.
     is_owed : bool
         Whether a holder has it and owes an answer; if not, nothing ran.
 
     Examples
     --------
-    >>> after_timeout(SentStatement(in_transaction=False, may_be_kept=True), is_owed=True)
+    >>> after_timeout(Sent.WRITE, is_owed=True)
     Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
     """
     if not is_owed:
         return Reject()
-    if sent.in_transaction:
-        return LostAtHolder(sent.may_be_kept)
-    return Refuse(Refusal.OUTCOME_UNKNOWN if sent.may_be_kept else Refusal.TIMEOUT)
+    match sent:
+        case Sent.READ | Sent.WRITE:
+            return Refuse(unanswered(sent))
+        case Sent.IN_TRANSACTION | Sent.COMMIT:
+            return LostAtHolder(may_be_kept(sent))
 
 
 def without_holder(now: float, began: float, objective: float) -> PlaceLater | Reject:
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -9,55 +9,45 @@
     PlaceNow,
     Refuse,
     Reject,
-    SentStatement,
     after_loss,
     after_not_served,
     after_timeout,
     without_holder,
 )
+from rowanrail.gateway.work.attempts import Sent
 from rowanrail.model.statements import Refusal
 
-READ = SentStatement(in_transaction=False, may_be_kept=False)
-WRITE = SentStatement(in_transaction=False, may_be_kept=True)
-FIRST = SentStatement(in_transaction=True, may_be_kept=False)
-LATER = SentStatement(in_transaction=True, may_be_kept=False, has_run=True)
-COMMIT = SentStatement(in_transaction=True, may_be_kept=True, has_run=True)
-
 
 class NotServedTest(unittest.TestCase):
     def test_what_begins_may_begin_elsewhere(self):
-        for sent in (READ, WRITE, FIRST):
-            self.assertEqual(after_not_served(sent), PlaceLater())
+        self.assertEqual(after_not_served(has_run=False), PlaceLater())
 
     def test_a_transaction_of_which_something_ran_is_aborted(self):
-        for sent in (LATER, COMMIT):
-            self.assertEqual(after_not_served(sent), Refuse(Refusal.ABORTED))
+        self.assertEqual(after_not_served(has_run=True), Refuse(Refusal.ABORTED))
 
 
 class LossTest(unittest.TestCase):
     def test_only_a_read_on_its_own_runs_again(self):
-        verdicts = {sent: after_loss(sent) for sent in (READ, WRITE, FIRST, LATER, COMMIT)}
-        again = [sent for sent, verdict in verdicts.items() if verdict == PlaceNow()]
-        self.assertEqual(again, [READ])
+        again = [sent for sent in Sent if after_loss(sent) == PlaceNow()]
+        self.assertEqual(again, [Sent.READ])
 
     def test_a_write_and_a_commit_may_be_kept_and_nothing_else(self):
-        self.assertEqual(after_loss(WRITE), LostAtHolder(may_be_kept=True))
-        self.assertEqual(after_loss(COMMIT), LostAtHolder(may_be_kept=True))
-        self.assertEqual(after_loss(FIRST), LostAtHolder(may_be_kept=False))
-        self.assertEqual(after_loss(LATER), LostAtHolder(may_be_kept=False))
+        self.assertEqual(after_loss(Sent.WRITE), LostAtHolder(may_be_kept=True))
+        self.assertEqual(after_loss(Sent.COMMIT), LostAtHolder(may_be_kept=True))
+        self.assertEqual(after_loss(Sent.IN_TRANSACTION), LostAtHolder(may_be_kept=False))
 
 
 class TimeoutTest(unittest.TestCase):
     def test_what_no_holder_has_is_rejected_as_not_run(self):
-        for sent in (READ, WRITE, FIRST, LATER, COMMIT):
+        for sent in Sent:
             self.assertEqual(after_timeout(sent, is_owed=False), Reject())
 
     def test_what_a_holder_has_is_promised_nothing_that_is_not_certain(self):
         for sent, verdict in (
-            (READ, Refuse(Refusal.TIMEOUT)),
-            (WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
-            (LATER, LostAtHolder(may_be_kept=False)),
-            (COMMIT, LostAtHolder(may_be_kept=True)),
+            (Sent.READ, Refuse(Refusal.TIMEOUT)),
+            (Sent.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
+            (Sent.IN_TRANSACTION, LostAtHolder(may_be_kept=False)),
+            (Sent.COMMIT, LostAtHolder(may_be_kept=True)),
         ):
             with self.subTest(sent):
                 self.assertEqual(after_timeout(sent, is_owed=True), verdict)
