--- a/src/rowanrail/coordination/commands.py
+++ b/src/rowanrail/coordination/commands.py
@@ -4,7 +4,7 @@
 
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
-from rowanrail.scheduling.plan import PartPlan
+from rowanrail.scheduling.plan import ShardPlan
 
 
 class PutDocument(msgspec.Struct, frozen=True, tag="document"):
@@ -57,7 +57,7 @@
     """
 
     base: int
-    groups: dict[str, dict[str, PartPlan]]
+    groups: dict[str, dict[str, ShardPlan]]
     addresses: dict[str, str]
 
 
--- a/src/rowanrail/coordination/gateway_loads.py
+++ b/src/rowanrail/coordination/gateway_loads.py
@@ -79,7 +79,7 @@
         return fresh
 
     def demand(self, gateways: Iterable[GatewayRecord]) -> dict[str, dict[str, PartDemand]]:
-        """Return the sum of what gateways reported last, by group and part."""
+        """Return the sum of what gateways reported last, by group and shard."""
         reported = self._fresh()
         sums: dict[str, _GroupSum] = defaultdict(_GroupSum)
         for gateway in gateways:
@@ -112,10 +112,10 @@
         self._tenants: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
 
     def add(self, report: LoadReport) -> None:
-        for part in report.parts:
-            self._rates[part.key] += 1000 * part.count / max(1, report.span)
-            if part.tenant:
-                self._tenants[part.key][part.tenant] += 1000 * part.largest / max(1, report.span)
+        for shard in report.shards:
+            self._rates[shard.key] += 1000 * shard.count / max(1, report.span)
+            if shard.tenant:
+                self._tenants[shard.key][shard.tenant] += 1000 * shard.largest / max(1, report.span)
 
     def demand(self) -> dict[str, PartDemand]:
         return {
--- a/src/rowanrail/coordination/gauges.py
+++ b/src/rowanrail/coordination/gauges.py
@@ -32,14 +32,14 @@
 
 
 def _plan_gauges(node: Coordinator) -> list[Reading]:
-    """Return the plan of holders: its number, and what each part is asked for at the leader."""
+    """Return the plan of holders: its number, and what each shard is asked for at the leader."""
     plan = node.state.plan
     readings: list[Reading] = [("plan_number", {}, plan.number)]
-    for group, parts in plan.groups.items():
-        for key, part in parts.items():
-            for holding in part.holdings:
+    for group, shards in plan.groups.items():
+        for key, shard in shards.items():
+            for holding in shard.holdings:
                 labels = {"group": group, "part": key, "gateway": holding.gateway}
-                labels["cause"] = part.cause.value
+                labels["cause"] = shard.cause.value
                 readings.append(("planned_share", labels, holding.share))
     for group, demand in node.planning.demand.items():
         for key, part_demand in demand.items():
--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -10,7 +10,7 @@
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep, MemberStep
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
-from rowanrail.placement.hashed import METER, claim, parts_of
+from rowanrail.placement.hashed import METER, claim, shards_of
 
 __all__ = ["Holders"]
 
@@ -64,7 +64,7 @@
 
     def _keys(self, service: str) -> list[str]:
         if self._regional:
-            return [part.key for part in parts_of(service)]
+            return [shard.key for shard in shards_of(service)]
         return [service]
 
     def _rank_all(self) -> None:
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -20,14 +20,14 @@
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
-from rowanrail.placement.hashed import Part, parts_of, rank
+from rowanrail.placement.hashed import Shard, rank, shards_of
 from rowanrail.scheduling.demand import DemandWindow, PartDemand
 from rowanrail.scheduling.planner import Layout, Proposal, propose
 
 __all__ = ["PlanDuty", "Planner"]
 
 ROUND_MS = 5000.0  # between checks; a gateway's span
-REST_MS = 20_000.0  # between changes of a part, ten handovers; the lost are replaced at once
+REST_MS = 20_000.0  # between changes of a shard, ten handovers; the lost are replaced at once
 
 _Demand = dict[str, dict[str, PartDemand]]
 
@@ -89,7 +89,7 @@
 
     def _resting(self) -> set[tuple[str, str]]:
         limit = self._now() - REST_MS
-        self._changed_at = {part: at for part, at in self._changed_at.items() if at > limit}
+        self._changed_at = {shard: at for shard, at in self._changed_at.items() if at > limit}
         return set(self._changed_at)
 
     def _layout(self, demand: _Demand) -> Layout:
@@ -100,13 +100,13 @@
             by_group.setdefault(gateway.sharing_group, []).append(gateway.name)
         is_regional = any(gateway.group for gateway in state.gateways.values())
         of_interest = {key for keys in demand.values() for key in keys}
-        of_interest |= {key for parts in state.plan.groups.values() for key in parts}
+        of_interest |= {key for shards in state.plan.groups.values() for key in shards}
         defaults = {}
         for service in sorted({member.service for member in state.members.values()}):
-            parts = parts_of(service) if is_regional else [Part(service)]
-            if any(part.key in of_interest for part in parts):
+            shards = shards_of(service) if is_regional else [Shard(service)]
+            if any(shard.key in of_interest for shard in shards):
                 defaults[service] = {
-                    group: {part.key: rank(part.key, names)[0] for part in parts}
+                    group: {shard.key: rank(shard.key, names)[0] for shard in shards}
                     for group, names in by_group.items()
                 }
         known = {service: self._connections(service) for service in defaults}
@@ -149,7 +149,7 @@
 
     @property
     def demand(self) -> _Demand:
-        """What is asked for lastingly, by group and part; empty at nodes that don't lead."""
+        """What is asked for lastingly, by group and shard; empty at nodes that don't lead."""
         return self._planner.lasting
 
     def start(self) -> None:
@@ -228,10 +228,10 @@
             )
 
     def _shares_of(self, service: str) -> dict[str, float]:
-        keys = {service, *(part.key for part in parts_of(service))}
+        keys = {service, *(shard.key for shard in shards_of(service))}
         return {
-            f"{group} {key}": round(part.share, 3)
-            for group, parts in self._service.state.plan.groups.items()
-            for key, part in parts.items()
+            f"{group} {key}": round(shard.share, 3)
+            for group, shards in self._service.state.plan.groups.items()
+            for key, shard in shards.items()
             if key in keys
         }
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -52,12 +52,12 @@
 
 
 def _plan_gauges(gateway: Gateway) -> list[Reading]:
-    """Return the plan's number, and the parts that are held here by it, with their cause."""
+    """Return the plan's number, and the shards that are held here by it, with their cause."""
     planned = gateway.holdings.planned
     if planned is None:
         return []
     readings: list[Reading] = [("plan_number", {}, planned.plan.number)]
-    for held in planned.held_parts(list(gateway.services)):
+    for held in planned.held_shards(list(gateway.services)):
         labels = {"service": held.service, "part": held.key, "cause": held.cause}
         readings.append(("held_share", labels, held.share))
     return readings
--- a/src/rowanrail/gateway/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -18,7 +18,7 @@
 from rowanrail.gateway.relay.neighbours import LinkKeeper, LinkOpener, Neighbour
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.position import Position
-from rowanrail.placement.hashed import Part, rank
+from rowanrail.placement.hashed import Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 
 __all__ = ["Detours", "TakeSample"]
@@ -91,13 +91,13 @@
         """Return which gateway of another group holds something there, by the hash."""
         return self._first(rank(key, self._zones.get(group, [])))
 
-    def holder_in(self, group: str, part: Part) -> WhereHeld:
-        """Return which gateway of another group holds a part there."""
-        return self._first(self._order(group, part))
+    def holder_in(self, group: str, shard: Shard) -> WhereHeld:
+        """Return which gateway of another group holds a shard there."""
+        return self._first(self._order(group, shard))
 
-    def _order(self, group: str, part: Part) -> list[str]:
-        planned = self.planned.order(group, part) if self.planned is not None else []
-        return [*planned, *rank(part.key, self._zones.get(group, []))]
+    def _order(self, group: str, shard: Shard) -> list[str]:
+        planned = self.planned.order(group, shard) if self.planned is not None else []
+        return [*planned, *rank(shard.key, self._zones.get(group, []))]
 
     def _first(self, order: Sequence[str]) -> WhereHeld:
         return choose_holder(order, self._keeper.reach)
@@ -117,7 +117,7 @@
         """
         if not self._book.may_ask(service, self._clock.now):
             return
-        orders = [self._order(zone, Part(service)) for zone in self._zones]
+        orders = [self._order(zone, Shard(service)) for zone in self._zones]
         for name in gateways_to_ask(service, orders, self._own_zone, with_own_zone):
             self._ask_one(name, service, take)
 
@@ -144,9 +144,9 @@
         """Return whether a gateway is known that reaches the service's primary."""
         return isinstance(self._reaching(service), HeldAt)
 
-    def where_held(self, part: Part) -> WhereHeld:
+    def where_held(self, shard: Shard) -> WhereHeld:
         """See :meth:`rowanrail.gateway.relay.forwarding.Placement.where_held`."""
-        return self._reaching(part.service)
+        return self._reaching(shard.service)
 
     def _reaching(self, service: str) -> WhereHeld:
         """Return the gateway that reaches the service's primary, if one is known."""
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -33,7 +33,7 @@
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
-from rowanrail.placement.hashed import Part
+from rowanrail.placement.hashed import Shard
 from rowanrail.scheduling.admission import Cause, Forecast
 
 __all__ = ["Forwarded", "ForwardingTerms", "Placement"]
@@ -42,7 +42,7 @@
 class Placement(Protocol):
     """Says at which gateway a service's statements run."""
 
-    def where_held(self, part: Part) -> WhereHeld:
+    def where_held(self, shard: Shard) -> WhereHeld:
         """Return where statements of a service, or of some tenants of it, run now."""
 
     @property
@@ -192,8 +192,8 @@
     def _place(self) -> None:
         if self._respond is None:
             return
-        part = Part.of(self._route.service, self._session.identity.tenant)
-        match self._work.neighbours.where_held(part):
+        shard = Shard.of(self._route.service, self._session.identity.tenant)
+        match self._work.neighbours.where_held(shard):
             case HeldHere():
                 self._run_here()
             case HeldAt(link=link):
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -11,7 +11,7 @@
 from rowanrail.gateway.services.service import Service
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.trace import Trace
-from rowanrail.placement.hashed import Part, Population, even_share, parts_of, rank
+from rowanrail.placement.hashed import Population, Shard, even_share, rank, shards_of
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.plan import Plan
 
@@ -68,10 +68,10 @@
         """The plan; None if holders are hashed."""
         return self._planned
 
-    def note_held(self, part: Part) -> None:
+    def note_held(self, shard: Shard) -> None:
         """Count a statement that another gateway sent here."""
-        if self.meter is not None and self._is_shared(part.service):
-            self.meter.note_held(part)
+        if self.meter is not None and self._is_shared(shard.service):
+            self.meter.note_held(shard)
 
     def note_own(self, tenant: str, trace: Trace | None) -> None:
         """Count a statement of a client of this gateway, held here if no other one ran it."""
@@ -79,7 +79,7 @@
             return
         self.meter.note_own()
         if not trace.via:
-            self.meter.note_held(Part.of(trace.service, tenant))
+            self.meter.note_held(Shard.of(trace.service, tenant))
 
     def _is_shared(self, name: str) -> bool:
         service = self._host.services.get(name)
@@ -103,7 +103,7 @@
         self.apply()
 
     def _hashed_share(self, key: str) -> float:
-        """Return the share that this gateway has of a part by the hash; 0 if others hold it."""
+        """Return the share that this gateway has of a shard by the hash; 0 if others hold it."""
         assert self._neighbours is not None
         name = self._neighbours.name
         is_first = rank(key, [*self._neighbours.names, name])[0] == name
@@ -111,17 +111,17 @@
 
     def _note(self, before: Iterable[str], planned: PlannedHolders, plan: Plan) -> None:
         held = planned.held
-        parts = sum(len(parts) for parts in plan.groups.values())
-        self._decisions.note(PLAN_TAKEN, number=plan.number, parts=parts, held=sorted(held))
+        shards = sum(len(shards) for shards in plan.groups.values())
+        self._decisions.note(PLAN_TAKEN, number=plan.number, parts=shards, held=sorted(held))
         for key in sorted(set(held) - set(before)):
-            part = held[key]
+            shard = held[key]
             self._decisions.note(
                 HOLDING_BEGUN,
                 number=plan.number,
                 part=key,
-                share=round(part.share / len(part.holdings), 3),
-                holders=part.gateways,
-                cause=part.cause.value,
+                share=round(shard.share / len(shard.holdings), 3),
+                holders=shard.gateways,
+                cause=shard.cause.value,
             )
         for key in sorted(set(before) - set(held)):
             self._decisions.note(HOLDING_ENDED, number=plan.number, part=key)
@@ -163,19 +163,21 @@
             allowance = self._planned.allowance(name, is_regional)
         service.set_allowance(allowance)
         if service.has_connections and (is_regional or allowance is not None):
-            service.set_parts(self._parts_held(service))
+            service.set_shards(self._shards_held(service))
         elif allowance is not None:
-            service.set_parts(allowance.parts)
+            service.set_shards(allowance.shards)
 
-    def _parts_held(self, service: Service) -> frozenset[Part]:
-        """Return for which parts of a service statements come to this gateway."""
+    def _shards_held(self, service: Service) -> frozenset[Shard]:
+        """Return for which shards of a service statements come to this gateway."""
         if self._host.stopping:
             return frozenset()
         name = service.spec.name
-        parts = parts_of(name) if service.is_regional else [Part(name)]
+        shards = shards_of(name) if service.is_regional else [Shard(name)]
         if self._neighbours is None:
-            return frozenset(parts)
-        named = service.planned_parts
+            return frozenset(shards)
+        named = service.planned_shards
         where_held = self._neighbours.where_held
-        here = frozenset(p for p in parts if p not in named and isinstance(where_held(p), HeldHere))
+        here = frozenset(
+            p for p in shards if p not in named and isinstance(where_held(p), HeldHere)
+        )
         return named | here
--- a/src/rowanrail/gateway/relay/load_meter.py
+++ b/src/rowanrail/gateway/relay/load_meter.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.placement.hashed import Part
-from rowanrail.scheduling.load_report import LoadReport, PartLoad
+from rowanrail.placement.hashed import Shard
+from rowanrail.scheduling.load_report import LoadReport, ShardLoad
 
 __all__ = ["SPAN_MS", "LoadMeter"]
 
@@ -18,7 +18,7 @@
 # the half within which the most urgent ones told of are wanted.
 SLOW_LAG_MS = 50.0
 CHOKED_SHARE = 0.5  # of the looks of a span at which bytes waited for a link
-MOST_PARTS = 8  # that are told, about 150 bytes; the others are small ones
+MOST_SHARDS = 8  # that are told, about 150 bytes; the others are small ones
 
 
 class LoadMeter:
@@ -35,7 +35,7 @@
     def __init__(self, clock: Clock, unsent: Callable[[], int] = lambda: 0) -> None:
         self._clock = clock
         self._unsent = unsent
-        self._parts: Counter[str] = Counter()
+        self._shards: Counter[str] = Counter()
         self._tenants: dict[str, Counter[str]] = {}
         self._own = 0
         self._looks = 0
@@ -55,12 +55,12 @@
         self._began = self._clock.now
         self._look_later()
 
-    def note_held(self, part: Part) -> None:
+    def note_held(self, shard: Shard) -> None:
         """Count a statement that this gateway takes as a holder."""
-        key = part.key
-        self._parts[key] += 1
-        if part.tenant:
-            self._tenants.setdefault(key, Counter())[part.tenant] += 1
+        key = shard.key
+        self._shards[key] += 1
+        if shard.tenant:
+            self._tenants.setdefault(key, Counter())[shard.tenant] += 1
 
     def note_own(self) -> None:
         """Count a statement of a client of this gateway."""
@@ -83,17 +83,17 @@
 
     def _end_span(self) -> None:
         span = round(self._clock.now - self._began)
-        parts = [self._part(key, count) for key, count in self._parts.most_common(MOST_PARTS)]
-        self._told = LoadReport(span, self._own, self._is_slow, parts)
-        self._parts.clear()
+        shards = [self._shard(key, count) for key, count in self._shards.most_common(MOST_SHARDS)]
+        self._told = LoadReport(span, self._own, self._is_slow, shards)
+        self._shards.clear()
         self._tenants.clear()
         self._own = self._looks = self._choked = 0
         self._lag = 0.0
         self._began = self._clock.now
 
-    def _part(self, key: str, count: int) -> PartLoad:
+    def _shard(self, key: str, count: int) -> ShardLoad:
         tenants = self._tenants.get(key)
         if not tenants:
-            return PartLoad(key, count)
+            return ShardLoad(key, count)
         ((tenant, largest),) = tenants.most_common(1)
-        return PartLoad(key, count, tenant, largest)
+        return ShardLoad(key, count, tenant, largest)
--- a/src/rowanrail/gateway/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -21,7 +21,7 @@
 from rowanrail.gateway.relay.link import Link
 from rowanrail.gateway.relay.liveness import Backoff
 from rowanrail.kernel.clock import Clock
-from rowanrail.placement.hashed import Part, rank
+from rowanrail.placement.hashed import Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 
 __all__ = ["LinkKeeper", "LinkOpener", "Neighbour", "Neighbours"]
@@ -160,10 +160,10 @@
         super().set_neighbours(n for n in neighbours if n.name != self._name)
         self._orders.clear()
 
-    def where_held(self, part: Part) -> WhereHeld:
+    def where_held(self, shard: Shard) -> WhereHeld:
         """See :meth:`rowanrail.gateway.relay.forwarding.Placement.where_held`."""
-        order = self._order(part.key)
-        planned = self.planned.order_here(part) if self.planned is not None else []
+        order = self._order(shard.key)
+        planned = self.planned.order_here(shard) if self.planned is not None else []
         if not planned:
             return self._first(order)
         return self._first(chain(planned, (name for name in order if name not in planned)))
--- a/src/rowanrail/gateway/relay/remote_holder.py
+++ b/src/rowanrail/gateway/relay/remote_holder.py
@@ -14,7 +14,7 @@
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, WhereHeld
 from rowanrail.gateway.relay.link import Link
-from rowanrail.placement.hashed import Part
+from rowanrail.placement.hashed import Shard
 
 __all__ = ["RemoteHolder"]
 
@@ -40,9 +40,9 @@
         self._region = region
         self._was_tried = False
 
-    def where_held(self, part: Part) -> WhereHeld:
+    def where_held(self, shard: Shard) -> WhereHeld:
         """See :meth:`rowanrail.gateway.relay.forwarding.Placement.where_held`."""
-        found = self._detours.holder_in(self._region, part)
+        found = self._detours.holder_in(self._region, shard)
         if self._was_tried or not isinstance(found, HeldAt):
             return HeldHere()
         self._was_tried = True
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -27,7 +27,7 @@
 from rowanrail.members.samples import Sample
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Trace
-from rowanrail.placement.hashed import Part
+from rowanrail.placement.hashed import Shard
 from rowanrail.scheduling.load import LoadTeller, ServiceLoad
 from rowanrail.tenants.demand import DemandBook, Report
 from rowanrail.tenants.model import Identity
@@ -109,7 +109,7 @@
     Attributes
     ----------
     on_run : callable
-        Gets the part to which each statement of a neighbour belongs.
+        Gets the shard to which each statement of a neighbour belongs.
     """
 
     def __init__(self, host: HolderHost, clock: Clock) -> None:
@@ -118,7 +118,7 @@
         self.teller = LoadTeller(clock, host.load)
         self.on_region: Callable[[CountDemand], None] = lambda message: None
         self._links: dict[ServedLink, None] = {}
-        self.on_run: Callable[[Part], None] = lambda part: None
+        self.on_run: Callable[[Shard], None] = lambda shard: None
 
     @property
     def open_transactions(self) -> int:
@@ -193,7 +193,7 @@
     def receive(self, message: FromGateway) -> None:
         """Take a message of the neighbour."""
         if isinstance(message, Run):
-            self._holder.on_run(Part.of(message.service, message.tenant))
+            self._holder.on_run(Shard.of(message.service, message.tenant))
         match message:
             case Run(transaction=0):
                 self._run_single(message)
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -33,7 +33,7 @@
 from rowanrail.gateway.work.work import LocalWork, Work
 from rowanrail.kernel.clock import Clock, Scheduler
 from rowanrail.model.position import Position
-from rowanrail.placement.hashed import Part
+from rowanrail.placement.hashed import Shard
 
 __all__ = ["WorkRouter", "detour_may_run"]
 
@@ -107,8 +107,8 @@
         """Return the work for a tenant's statements: here, or through a holder's connections."""
         if self._neighbours is None or not service.is_shared:
             return local
-        part = Part.of(service.spec.name, tenant)
-        if isinstance(self._neighbours.where_held(part), HeldHere):
+        shard = Shard.of(service.spec.name, tenant)
+        if isinstance(self._neighbours.where_held(shard), HeldHere):
             return local
         return self._forwarded(self._neighbours, service, local)
 
@@ -141,8 +141,8 @@
         if self._detours is None or pool is None or not service.is_far(pool):
             return None
         region = self._locality.region_of(pool.record.zone)
-        part = Part.of(service.spec.name, tenant)
-        if not isinstance(self._detours.holder_in(region, part), HeldAt):
+        shard = Shard.of(service.spec.name, tenant)
+        if not isinstance(self._detours.holder_in(region, shard), HeldAt):
             return None
         return self._forwarded(RemoteHolder(self._detours, region), service, is_detour=True)
 
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -18,15 +18,15 @@
 from rowanrail.model.routing import ServiceSpec
 from rowanrail.placement.hashed import (
     ASSUMED_GATEWAYS,
-    PARTS,
-    Part,
+    SHARDS,
     Population,
+    Shard,
     connection_limit,
     even_share,
     is_shared,
     planned_limit,
 )
-from rowanrail.placement.planned import HANDOVER_PART, Allowance
+from rowanrail.placement.planned import HANDOVER_SHARE_FACTOR, Allowance
 from rowanrail.scheduling.choice import choose
 from rowanrail.scheduling.queue import tenant_weight
 from rowanrail.scheduling.returning import ReturnTimes
@@ -65,7 +65,7 @@
         self._driver = driver
         self._clock = clock
         self._population = Population()
-        self._parts: frozenset[Part] = frozenset()
+        self._shards: frozenset[Shard] = frozenset()
         self._allowance: Allowance | None = None
         self._tenants = Tenants()
 
@@ -116,7 +116,7 @@
         if self._allowance is not None and self.is_shared:
             return self._planned_limit(self._allowance, is_near)
         return connection_limit(
-            self.spec.connections, self._population, is_near, max(1, len(self._parts))
+            self.spec.connections, self._population, is_near, max(1, len(self._shards))
         )
 
     def _planned_limit(self, allowance: Allowance, is_near: bool) -> int:
@@ -132,8 +132,8 @@
         go by another plan, and finishes what it began.
         """
         even = even_share(self._population)
-        share = allowance.share + even * len(self._parts - allowance.parts)
-        return share or even * HANDOVER_PART
+        share = allowance.share + even * len(self._shards - allowance.shards)
+        return share or even * HANDOVER_SHARE_FACTOR
 
     def _holders(self, record: MemberRecord) -> int:
         """Return how many gateways are thought to use a member as much as this one does."""
@@ -144,8 +144,8 @@
             return max(1, round(1 / self._planned_share(self._allowance)))
         if not self.is_regional:
             return self._population.zones
-        near = math.ceil(PARTS / max(1, len(self._parts)))
-        return near if is_near else PARTS * self._population.zones
+        near = math.ceil(SHARDS / max(1, len(self._shards)))
+        return near if is_near else SHARDS * self._population.zones
 
     def set_tenants(self, tenants: Tenants) -> None:
         """Know whose statements come."""
@@ -193,15 +193,15 @@
         return self._allowance is not None
 
     @property
-    def planned_parts(self) -> frozenset[Part]:
-        """The parts for which the plan names this gateway."""
-        return frozenset() if self._allowance is None else self._allowance.parts
+    def planned_shards(self) -> frozenset[Shard]:
+        """The shards for which the plan names this gateway."""
+        return frozenset() if self._allowance is None else self._allowance.shards
 
     @property
     def has_connections(self) -> bool:
         """Whether any connection to a member is open or being opened.
 
-        Most gateways hold none of most services; looking for their parts 20 times a second took
+        Most gateways hold none of most services; looking for their shards 20 times a second took
         three times the processor time of all else at 25 services (a day of 100 machines).
         """
         return any(pool.open_count for pool in self.pools.values())
@@ -238,10 +238,10 @@
         if weights.wants_probe(instance, self._sampling_gateways):
             weights.note_probe(instance)
 
-    def set_parts(self, parts: frozenset[Part]) -> None:
-        """Note for which parts of the service statements come to this gateway."""
-        if parts != self._parts:
-            self._parts = parts
+    def set_shards(self, shards: frozenset[Shard]) -> None:
+        """Note for which shards of the service statements come to this gateway."""
+        if shards != self._shards:
+            self._shards = shards
             self._apply_limit()
 
     def set_allowance(self, allowance: Allowance | None) -> None:
@@ -257,8 +257,8 @@
         full refuses a third of them.
         """
         if self.is_regional:
-            return not tenant or Part.of(self.spec.name, tenant) in self._parts
-        return self._allowance is None or Part(self.spec.name) in self._parts
+            return not tenant or Shard.of(self.spec.name, tenant) in self._shards
+        return self._allowance is None or Shard(self.spec.name) in self._shards
 
     def tick(self) -> None:
         """Let time pass."""
--- a/src/rowanrail/placement/hashed.py
+++ b/src/rowanrail/placement/hashed.py
@@ -12,14 +12,14 @@
 __all__ = [
     "METER",
     "MINIMUM_CONNECTIONS",
-    "PARTS",
-    "Part",
+    "SHARDS",
+    "Shard",
     "Population",
     "claim",
     "connection_limit",
     "even_share",
     "is_shared",
-    "parts_of",
+    "shards_of",
     "planned_limit",
     "rank",
 ]
@@ -38,7 +38,7 @@
 # Gateways of a region that divide a service's tenants among them. A front machine's link passes
 # 250 KB a second, and a statement takes about 1.7 KB of it each way, so that one holder would be
 # choked by 150 statements a second, which a primary's region gets while replicas lag.
-PARTS = 3
+SHARDS = 3
 ROUNDING = 0.01  # connections that a share may lack by the rounding of its digits
 METER = "tenants' demand"  # ranked like a service: the gateway that sums it for a region
 SMALLEST_OWN_SHARE = 3  # connections a gateway; below it a zone shares one gateway's
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class Shard:
     """What a gateway holds connections for: a service, or some tenants of it.
 
     Parameters
@@ -72,11 +72,11 @@
     number : int or None
         Which tenants; None for a service that is not divided.
     tenant : str
-        Whose statement is placed, if one is; it makes no other part.
+        Whose statement is placed, if one is; it makes no other shard.
 
     Examples
     --------
-    >>> Part.of("orders", "").key, Part.of("orders", "anna").key
+    >>> Shard.of("orders", "").key, Shard.of("orders", "anna").key
     ('orders', 'orders/1')
     """
 
@@ -86,12 +86,12 @@
 
     @classmethod
     @functools.lru_cache(maxsize=4096)
-    def of(cls, service: str, tenant: str) -> "Part":
-        """Return the part to which a tenant's statements on a service belong."""
+    def of(cls, service: str, tenant: str) -> "Shard":
+        """Return the shard to which a tenant's statements on a service belong."""
         if not tenant:
             return cls(service)
         digest = hashlib.blake2b(tenant.encode(), digest_size=4).digest()
-        return cls(service, int.from_bytes(digest, "big") % PARTS, tenant)
+        return cls(service, int.from_bytes(digest, "big") % SHARDS, tenant)
 
     @property
     def key(self) -> str:
@@ -99,9 +99,9 @@
         return self.service if self.number is None else f"{self.service}/{self.number}"
 
 
-def parts_of(service: str) -> list[Part]:
-    """Return the parts of a service whose connections belong to tenants."""
-    return [Part(service, number) for number in range(PARTS)]
+def shards_of(service: str) -> list[Shard]:
+    """Return the shards of a service whose connections belong to tenants."""
+    return [Shard(service, number) for number in range(SHARDS)]
 
 
 def is_shared(connections: int, population: Population) -> bool:
@@ -129,7 +129,7 @@
 
 
 def connection_limit(
-    connections: int, population: Population, is_near: bool = True, parts: int = 1
+    connections: int, population: Population, is_near: bool = True, shards: int = 1
 ) -> int:
     """Return how many connections a gateway may open to one member.
 
@@ -145,8 +145,8 @@
         The gateways among which they are divided.
     is_near : bool
         Whether the member stands in the gateway's own region.
-    parts : int
-        How many parts of the service the gateway holds, where regions share.
+    shards : int
+        How many shards of the service the gateway holds, where regions share.
 
     Examples
     --------
@@ -157,7 +157,7 @@
     >>> connection_limit(40, Population(72, 6))
     5
     >>> region = Population(58, 3, is_regional=True)
-    >>> [connection_limit(32, region, is_near=True, parts=n) for n in (1, 2, 3)]
+    >>> [connection_limit(32, region, is_near=True, shards=n) for n in (1, 2, 3)]
     [6, 12, 17]
     >>> connection_limit(32, region, is_near=False)
     2
@@ -165,8 +165,8 @@
     left = connections - RESERVED_CONNECTIONS
     if population.is_regional and is_shared(connections, population):
         others = population.zones - 1
-        near = left - SUCCESSOR_CONNECTIONS - others * PARTS  # a sample's each
-        share = math.ceil(near * min(parts, PARTS) / PARTS)
+        near = left - SUCCESSOR_CONNECTIONS - others * SHARDS  # a sample's each
+        share = math.ceil(near * min(shards, SHARDS) / SHARDS)
         return max(MINIMUM_CONNECTIONS, share) if is_near else FAR_CONNECTIONS
     if is_shared(connections, population):
         zones = max(1, population.zones)
@@ -180,10 +180,10 @@
 
     Examples
     --------
-    >>> even_share(Population(84, 4)), even_share(Population(90, 3, is_regional=True)) == 1 / PARTS
+    >>> even_share(Population(84, 4)), even_share(Population(90, 3, is_regional=True)) == 1 / SHARDS
     (0.25, True)
     """
-    return 1 / PARTS if population.is_regional else 1 / max(1, population.zones)
+    return 1 / SHARDS if population.is_regional else 1 / max(1, population.zones)
 
 
 def planned_limit(
--- a/src/rowanrail/placement/planned.py
+++ b/src/rowanrail/placement/planned.py
@@ -1,4 +1,4 @@
-"""The plan of holders as one gateway goes by it: who holds a part, and how much is held here.
+"""The plan of holders as one gateway goes by it: who holds a shard, and how much is held here.
 
 Without a word of the plan all is as the hash says. Gateways that go by different plans cost each
 other a detour: a holder runs whatever comes, and members refuse what is beyond their connections.
@@ -8,16 +8,18 @@
 from dataclasses import dataclass
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.placement.hashed import Part, parts_of, rank
-from rowanrail.scheduling.plan import NO_PLAN, PartPlan, Plan
+from rowanrail.placement.hashed import Shard, rank, shards_of
+from rowanrail.scheduling.plan import NO_PLAN, Plan, ShardPlan
 
-__all__ = ["HANDOVER_MS", "Allowance", "HeldPart", "PlannedHolders"]
+__all__ = ["HANDOVER_MS", "Allowance", "HeldShard", "PlannedHolders"]
 
 # For which a holder that gains opens no more than before, a new one half of its share. Those that
 # lose hear of the plan within the hold of a poll (1 s) if their control node changes, and close
 # what is idle 0.1 s later.
 HANDOVER_MS = 2000.0
-HANDOVER_PART = 0.5  # of a new holder's share, meanwhile; the one before keeps at most as much
+HANDOVER_SHARE_FACTOR = (
+    0.5  # of a new holder's share, meanwhile; the one before keeps at most as much
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,26 +32,26 @@
         Of each member's connections; 0 if the plan names other gateways only.
     samplers : int
         Holders that open one connection more to sample a primary.
-    parts : frozenset of Part
+    shards : frozenset of Shard
         For which the plan names the gateway.
     """
 
     share: float
     samplers: int
-    parts: frozenset[Part]
+    shards: frozenset[Shard]
 
 
 @dataclass(frozen=True, slots=True)
 class _Handover:
-    """Until when a part that grows here has which share."""
+    """Until when a shard that grows here has which share."""
 
     until: float
     share: float
 
 
 @dataclass(frozen=True, slots=True)
-class HeldPart:
-    """A part that this gateway holds by the plan, and why."""
+class HeldShard:
+    """A shard that this gateway holds by the plan, and why."""
 
     service: str
     key: str
@@ -84,10 +86,10 @@
         return self._plan
 
     @property
-    def held(self) -> dict[str, PartPlan]:
-        """The parts for which the plan names this gateway, by key."""
-        parts = self._plan.groups.get(self._group, {})
-        return {key: part for key, part in parts.items() if self._name in part.gateways}
+    def held(self) -> dict[str, ShardPlan]:
+        """The shards for which the plan names this gateway, by key."""
+        shards = self._plan.groups.get(self._group, {})
+        return {key: shard for key, shard in shards.items() if self._name in shard.gateways}
 
     @property
     def is_handing_over(self) -> bool:
@@ -103,7 +105,7 @@
         plan : Plan
             The plan.
         hashed_share : callable
-            Returns the share that this gateway has of a part by the hash, by key.
+            Returns the share that this gateway has of a shard by the hash, by key.
         """
         if plan.number <= self._plan.number:
             return False
@@ -122,78 +124,78 @@
     @staticmethod
     def _meanwhile(share: float, before: float) -> float:
         """Return the share during the handover: others still have what is gained."""
-        return min(share, before) if before else share * HANDOVER_PART
+        return min(share, before) if before else share * HANDOVER_SHARE_FACTOR
 
-    def order_here(self, part: Part) -> list[str]:
-        """Return the holders of a part in the gateway's own group, see :meth:`order`."""
-        return self.order(self._group, part)
+    def order_here(self, shard: Shard) -> list[str]:
+        """Return the holders of a shard in the gateway's own group, see :meth:`order`."""
+        return self.order(self._group, shard)
 
-    def order(self, group: str, part: Part) -> list[str]:
-        """Return the holders that the plan names for a part, the one to be asked first at first.
+    def order(self, group: str, shard: Shard) -> list[str]:
+        """Return the holders that the plan names for a shard, the one to be asked first at first.
 
         Clients' gateways, or tenants, are spread over several; one that is added takes over a
         part of what each had.
         """
-        planned = self._plan.part(group, part.key)
+        planned = self._plan.shard(group, shard.key)
         if planned is None:
             return []
         names = planned.gateways
         if len(names) == 1:
             return names
-        return rank(f"{part.key} {self._chooser(part, planned)}", names)
+        return rank(f"{shard.key} {self._chooser(shard, planned)}", names)
 
-    def _chooser(self, part: Part, planned: PartPlan) -> str:
-        if not part.tenant:
+    def _chooser(self, shard: Shard, planned: ShardPlan) -> str:
+        if not shard.tenant:
             return self._name
-        return f"{part.tenant} {self._name}" if planned.is_split else part.tenant
+        return f"{shard.tenant} {self._name}" if planned.is_split else shard.tenant
 
     def allowance(self, service: str, is_regional: bool) -> Allowance | None:
         """Return what may be opened here of a service's connections, None if it isn't named."""
-        parts = parts_of(service) if is_regional else [Part(service)]
+        shards = shards_of(service) if is_regional else [Shard(service)]
         mine = self._plan.groups.get(self._group, {})
-        if not any(part.key in mine for part in parts):
+        if not any(shard.key in mine for shard in shards):
             return None
-        held = frozenset(part for part in parts if self._holds(part.key))
-        share = sum(self._share_now(part.key) for part in held)
+        held = frozenset(shard for shard in shards if self._holds(shard.key))
+        share = sum(self._share_now(shard.key) for shard in held)
         if service not in self._samplers:
-            self._samplers[service] = self._count_samplers(parts, is_regional)
+            self._samplers[service] = self._count_samplers(shards, is_regional)
         return Allowance(share, self._samplers[service], held)
 
     def _holds(self, key: str) -> bool:
-        planned = self._plan.part(self._group, key)
+        planned = self._plan.shard(self._group, key)
         return planned is not None and self._name in planned.gateways
 
     def _share_now(self, key: str) -> float:
-        """Return the share of a part that may be opened here at the moment."""
+        """Return the share of a shard that may be opened here at the moment."""
         handover = self._handovers.get(key)
         if handover is not None and self._clock.now < handover.until:
             return handover.share
         return self._share(key)
 
     def _share(self, key: str) -> float:
-        planned = self._plan.part(self._group, key)
+        planned = self._plan.shard(self._group, key)
         if planned is None:
             return 0.0
         return sum(h.share for h in planned.holdings if h.gateway == self._name)
 
-    def _count_samplers(self, parts: list[Part], is_regional: bool) -> int:
+    def _count_samplers(self, shards: list[Shard], is_regional: bool) -> int:
         """Return how many holders sample the primary beside those who divide its connections."""
         named = {
             name
             for group, planned in self._plan.groups.items()
             if not (is_regional and group == self._group)
-            for part in parts
-            if part.key in planned
-            for name in planned[part.key].gateways
+            for shard in shards
+            if shard.key in planned
+            for name in planned[shard.key].gateways
         }
         return len(named)
 
-    def held_parts(self, services: list[str]) -> Iterator[HeldPart]:
+    def held_shards(self, services: list[str]) -> Iterator[HeldShard]:
         """Yield what is held here by the plan, and why."""
         for service in services:
-            for part in [Part(service), *parts_of(service)]:
-                planned = self._plan.part(self._group, part.key)
-                if planned is not None and self._holds(part.key):
-                    yield HeldPart(
-                        service, part.key, self._share_now(part.key), planned.cause.value
+            for shard in [Shard(service), *shards_of(service)]:
+                planned = self._plan.shard(self._group, shard.key)
+                if planned is not None and self._holds(shard.key):
+                    yield HeldShard(
+                        service, shard.key, self._share_now(shard.key), planned.cause.value
                     )
--- a/src/rowanrail/scheduling/demand.py
+++ b/src/rowanrail/scheduling/demand.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartDemand:
-    """What is asked for of one part of a service.
+    """What is asked for of one shard of a service.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
 
 
 GroupDemand = Mapping[str, PartDemand]
-"""Demand in one group, by the key of a part."""
+"""Demand in one group, by the key of a shard."""
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
         self._spans.clear()
 
     def lasting(self) -> dict[str, dict[str, PartDemand]]:
-        """Return the median of the spans, by group and part."""
+        """Return the median of the spans, by group and shard."""
         groups = {group for span in self._spans for group in span}
         return {group: self._of_group(group) for group in groups}
 
@@ -81,6 +81,6 @@
 def _median(spans: list[GroupDemand], key: str) -> PartDemand:
     known = [span.get(key, _NONE) for span in spans]
     return PartDemand(
-        statistics.median(part.rate for part in known),
-        statistics.median(part.largest for part in known),
+        statistics.median(shard.rate for shard in known),
+        statistics.median(shard.largest for shard in known),
     )
--- a/src/rowanrail/scheduling/group_draft.py
+++ b/src/rowanrail/scheduling/group_draft.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 
 from rowanrail.scheduling.demand import GroupDemand, PartDemand
-from rowanrail.scheduling.plan import Cause, PartPlan
+from rowanrail.scheduling.plan import Cause, ShardPlan
 
 __all__ = ["Change", "GatewayLoad", "GroupDraft"]
 
-# Of what one holder carries of a part, in statements a second: half of what a link of 1.4 Mbit/s
+# Of what one holder carries of a shard, in statements a second: half of what a link of 1.4 Mbit/s
 # passes at 1.7 KB each. Above it, statements wait for the link as long as they take on it.
 DIVIDE_AT = 50.0
 JOIN_SHARE = 0.6  # of DIVIDE_AT, for fewer holders; less would divide and join by turns
@@ -66,12 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A part whose holders change, with the figures that decided it.
+    """A shard whose holders change, with the figures that decided it.
 
     Parameters
     ----------
     rate : float
-        Statements a second that are asked for of the part.
+        Statements a second that are asked for of the shard.
     load_before, load_after : float
         Of the busiest of the gateways that it concerns.
     """
@@ -106,20 +106,20 @@
     gateways : dict of str to GatewayLoad
         Those of the group that were heard a short while ago.
     demand : mapping of str to PartDemand
-        By the key of a part.
+        By the key of a shard.
     defaults : mapping of str to str
-        Whom the hash names for each part.
-    current : mapping of str to PartPlan
+        Whom the hash names for each shard.
+    current : mapping of str to ShardPlan
         The plan in force.
     most_holders : mapping of str to int
-        Over how many holders the connections of each part may be divided.
+        Over how many holders the connections of each shard may be divided.
     """
 
     group: str
     gateways: dict[str, GatewayLoad]
     demand: GroupDemand
     defaults: Mapping[str, str]
-    current: Mapping[str, PartPlan]
+    current: Mapping[str, ShardPlan]
     most_holders: Mapping[str, int]
     changes: list[Change] = field(default_factory=list)
     _holders: dict[str, list[str]] = field(default_factory=dict)
@@ -127,20 +127,20 @@
 
     def __post_init__(self) -> None:
         for key, default in self.defaults.items():
-            part = self.current.get(key)
-            self._holders[key] = part.gateways if part is not None else [default]
+            shard = self.current.get(key)
+            self._holders[key] = shard.gateways if shard is not None else [default]
             self._count(key, 1.0)
 
     def holders(self, key: str) -> list[str]:
-        """Return who holds a part by the draft."""
+        """Return who holds a shard by the draft."""
         return self._holders[key]
 
     def rate(self, key: str) -> float:
-        """Return the statements a second that are asked for of a part."""
+        """Return the statements a second that are asked for of a shard."""
         return self.demand.get(key, _NO_DEMAND).rate
 
     def is_split(self, key: str) -> bool:
-        """Return whether one tenant alone is more than an even share of a divided part."""
+        """Return whether one tenant alone is more than an even share of a divided shard."""
         count = len(self._holders[key])
         return count > 1 and self.demand.get(key, _NO_DEMAND).largest > 1 / count
 
@@ -157,7 +157,7 @@
         Parameters
         ----------
         resting : collection of (str, str)
-            Group and part of what was changed a short while ago; only the lost are replaced there.
+            Group and shard of what was changed a short while ago; only the lost are replaced there.
         """
         for key in self._holders:
             self._replace_lost(key)
@@ -176,7 +176,7 @@
     def _replace_lost(self, key: str) -> None:
         """Have others hold what a gateway held that is not heard any more.
 
-        What the hash names stands in already, and is taken first. A part that the plan does not
+        What the hash names stands in already, and is taken first. A shard that the plan does not
         name needs no word: links tell who is gone, and the hash goes on.
         """
         holders = self._holders[key]
@@ -264,8 +264,8 @@
     def _count(self, key: str, sign: float) -> None:
         holders = self._holders[key]
         for name in holders:
-            part = sign * self.rate(key) / len(holders)
-            self._held[name] = self._held.get(name, 0.0) + part
+            each = sign * self.rate(key) / len(holders)
+            self._held[name] = self._held.get(name, 0.0) + each
 
     def _least_loaded(self, excluded: Collection[str], count: int) -> list[str]:
         """Return the gateways with the least load that may be given something to hold."""
--- a/src/rowanrail/scheduling/load_report.py
+++ b/src/rowanrail/scheduling/load_report.py
@@ -2,16 +2,16 @@
 
 import msgspec
 
-__all__ = ["LoadReport", "PartLoad"]
+__all__ = ["LoadReport", "ShardLoad"]
 
 
-class PartLoad(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Statements of one part of a service that a gateway ran, or passed on, for whoever came.
+class ShardLoad(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """Statements of one shard of a service that a gateway ran, or passed on, for whoever came.
 
     Parameters
     ----------
     key : str
-        Of the part.
+        Of the shard.
     count : int
         Statements in the span.
     tenant : str
@@ -37,11 +37,11 @@
         Statements of its own clients.
     is_slow : bool
         Whether its loop lagged, or its links choked, for most of it.
-    parts : list of PartLoad
-        The largest parts.
+    shards : list of ShardLoad
+        The largest shards.
     """
 
     span: int
     own: int
     is_slow: bool
-    parts: list[PartLoad]
+    shards: list[ShardLoad]
--- a/src/rowanrail/scheduling/plan.py
+++ b/src/rowanrail/scheduling/plan.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-__all__ = ["NO_PLAN", "Cause", "Holding", "PartPlan", "Plan"]
+__all__ = ["NO_PLAN", "Cause", "Holding", "ShardPlan", "Plan"]
 
 
 class Cause(enum.Enum):
-    """Why a part is held as the plan says."""
+    """Why a shard is held as the plan says."""
 
     HASH = "hash"  # as the hash says; it is named for its share
     BUSY = "busy"  # its holder carried more than others
@@ -19,14 +19,14 @@
 
 
 class Holding(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What one gateway holds of a part.
+    """What one gateway holds of a shard.
 
     Parameters
     ----------
     gateway : str
         Name of the gateway.
     share : float
-        Share of each member's connections that it may open for the part, 0 to 1: of those for the
+        Share of each member's connections that it may open for the shard, 0 to 1: of those for the
         whole system, or for the member's region where regions share.
     """
 
@@ -34,8 +34,8 @@
     share: float
 
 
-class PartPlan(msgspec.Struct, array_like=True, frozen=True):
-    """Who holds one part of a service in one group of gateways.
+class ShardPlan(msgspec.Struct, array_like=True, frozen=True):
+    """Who holds one shard of a service in one group of gateways.
 
     Parameters
     ----------
@@ -69,25 +69,25 @@
     ----------
     number : int
         Rises with each plan; the highest that was heard is in force. 0 if there was none.
-    groups : dict of str to dict of str to PartPlan
-        By zone, or region where those share, and by the key of a part. A part that is missing
+    groups : dict of str to dict of str to ShardPlan
+        By zone, or region where those share, and by the key of a shard. A shard that is missing
         falls back to rendezvous hashing.
     addresses : dict of str to str
         Where the holders take statements, by name.
 
     Examples
     --------
-    >>> plan = Plan(3, {"east": {"orders": PartPlan([Holding("g1", 0.25)])}})
-    >>> plan.part("east", "orders").gateways, plan.part("west", "orders")
+    >>> plan = Plan(3, {"east": {"orders": ShardPlan([Holding("g1", 0.25)])}})
+    >>> plan.shard("east", "orders").gateways, plan.shard("west", "orders")
     (['g1'], None)
     """
 
     number: int = 0
-    groups: dict[str, dict[str, PartPlan]] = {}
+    groups: dict[str, dict[str, ShardPlan]] = {}
     addresses: dict[str, str] = {}
 
-    def part(self, group: str, key: str) -> PartPlan | None:
-        """Return who holds a part in a group, None if the hash says it."""
+    def shard(self, group: str, key: str) -> ShardPlan | None:
+        """Return who holds a shard in a group, None if the hash says it."""
         return self.groups.get(group, {}).get(key)
 
 
--- a/src/rowanrail/scheduling/planner.py
+++ b/src/rowanrail/scheduling/planner.py
@@ -9,7 +9,7 @@
 
 from rowanrail.scheduling.demand import GroupDemand
 from rowanrail.scheduling.group_draft import Change, GatewayLoad, GroupDraft
-from rowanrail.scheduling.plan import Cause, Holding, PartPlan, Plan
+from rowanrail.scheduling.plan import Cause, Holding, Plan, ShardPlan
 
 __all__ = ["Layout", "Proposal", "SharesChange", "propose", "shares_by_demand"]
 
@@ -22,12 +22,12 @@
 # the share of any zone of 19 that has gone.
 SHARE_TOLERANCE = 0.01
 
-# Of each member, for one of several holders of a part: with fewer, a transaction at rest and an
+# Of each member, for one of several holders of a shard: with fewer, a transaction at rest and an
 # opening leave nothing for others, and one holder's statements wait while another's room is idle.
 LEAST_CONNECTIONS = 4
-MOST_HOLDERS = 4  # of a part; each samples the primary
+MOST_HOLDERS = 4  # of a shard; each samples the primary
 
-_PartOf = tuple[str, str]  # a group, and the key of a part
+_ShardOf = tuple[str, str]  # a group, and the key of a shard
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     Parameters
     ----------
     defaults : dict of str to dict of str to dict of str to str
-        By service, by group, by the key of a part.
+        By service, by group, by the key of a shard.
     is_regional : bool
         Whether regions share: a member's connections are those of its region. Else all zones
         divide them.
@@ -50,18 +50,18 @@
     connections: Mapping[str, int] = field(default_factory=dict)
 
     def of_group(self, group: str) -> dict[str, str]:
-        """Return whom the hash names in a group, by the key of a part."""
+        """Return whom the hash names in a group, by the key of a shard."""
         services = self.defaults.values()
         return {key: name for groups in services for key, name in groups.get(group, {}).items()}
 
-    def parts(self, service: str) -> list[_PartOf]:
-        """Return the parts of a service in all groups."""
+    def shards(self, service: str) -> list[_ShardOf]:
+        """Return the shards of a service in all groups."""
         return [(group, key) for group, keys in self.defaults[service].items() for key in keys]
 
-    def divided_together(self, service: str) -> list[list[_PartOf]]:
-        """Return the parts of a service, those together that divide the same connections."""
+    def divided_together(self, service: str) -> list[list[_ShardOf]]:
+        """Return the shards of a service, those together that divide the same connections."""
         if not self.is_regional:
-            return [self.parts(service)]
+            return [self.shards(service)]
         return [[(group, key) for key in keys] for group, keys in self.defaults[service].items()]
 
 
@@ -98,8 +98,8 @@
     shares: list[SharesChange] = field(default_factory=list)
 
 
-def shares_by_demand(rates: Mapping[_PartOf, float]) -> dict[_PartOf, float]:
-    """Return the share of the connections for each part: half evenly, half by demand.
+def shares_by_demand(rates: Mapping[_ShardOf, float]) -> dict[_ShardOf, float]:
+    """Return the share of the connections for each shard: half evenly, half by demand.
 
     Examples
     --------
@@ -113,24 +113,24 @@
     if not total:
         return dict.fromkeys(rates, even)
     by_demand = 1 - EVEN_SHARE
-    return {part: EVEN_SHARE * even + by_demand * rate / total for part, rate in rates.items()}
+    return {shard: EVEN_SHARE * even + by_demand * rate / total for shard, rate in rates.items()}
 
 
-def _most_holders(demand: Mapping[str, GroupDemand], layout: Layout) -> dict[_PartOf, int]:
-    """Return for each part over how many holders its connections may be divided."""
+def _most_holders(demand: Mapping[str, GroupDemand], layout: Layout) -> dict[_ShardOf, int]:
+    """Return for each shard over how many holders its connections may be divided."""
     most = {}
     for service in layout.defaults:
         connections = layout.connections.get(service, LEAST_CONNECTIONS * MOST_HOLDERS**2)
         for together in layout.divided_together(service):
-            for part, share in shares_by_demand(_rates(demand, together)).items():
+            for shard, share in shares_by_demand(_rates(demand, together)).items():
                 enough = int(share * connections / LEAST_CONNECTIONS)
-                most[part] = max(1, min(MOST_HOLDERS, enough))
+                most[shard] = max(1, min(MOST_HOLDERS, enough))
     return most
 
 
-def _rates(demand: Mapping[str, GroupDemand], parts: list[_PartOf]) -> dict[_PartOf, float]:
-    asked = {(group, key): demand.get(group, {}).get(key) for group, key in parts}
-    return {part: 0.0 if known is None else known.rate for part, known in asked.items()}
+def _rates(demand: Mapping[str, GroupDemand], shards: list[_ShardOf]) -> dict[_ShardOf, float]:
+    asked = {(group, key): demand.get(group, {}).get(key) for group, key in shards}
+    return {shard: 0.0 if known is None else known.rate for shard, known in asked.items()}
 
 
 def propose(
@@ -138,14 +138,14 @@
     gateways: Iterable[GatewayLoad],
     layout: Layout,
     current: Plan,
-    resting: Collection[_PartOf] = (),
+    resting: Collection[_ShardOf] = (),
 ) -> Proposal:
     """Return a plan that is better than the one in force, if there is one.
 
     Parameters
     ----------
     demand : mapping of str to mapping of str to PartDemand
-        What is asked for, by group and by the key of a part.
+        What is asked for, by group and by the key of a shard.
     gateways : iterable of GatewayLoad
         Those that were heard a short while ago.
     layout : Layout
@@ -153,7 +153,7 @@
     current : Plan
         The plan in force.
     resting : collection of (str, str)
-        Group and part of what was changed a short while ago; an empty group and a service for
+        Group and shard of what was changed a short while ago; an empty group and a service for
         its shares.
     """
     drafts = _drafts(demand, gateways, layout, current)
@@ -164,8 +164,8 @@
     moved = {(change.group, change.key) for change in changes}
     kept, divided, shares = [], [], []
     for service in layout.defaults:
-        parts = layout.parts(service)
-        is_moved = not moved.isdisjoint(parts)
+        shards = layout.shards(service)
+        is_moved = not moved.isdisjoint(shards)
         found = None if ("", service) in resting else planner.shortest(service)
         if is_moved or found is not None or planner.is_torn(service):
             divided.append(service)
@@ -207,21 +207,23 @@
 
 def _is_outdated(current: Plan, layout: Layout) -> bool:
     """Return whether the plan names something that is no more."""
-    known = {part for service in layout.defaults for part in layout.parts(service)}
+    known = {shard for service in layout.defaults for shard in layout.shards(service)}
     return any((group, key) not in known for group, keys in current.groups.items() for key in keys)
 
 
 def _addresses(
-    groups: Mapping[str, Mapping[str, PartPlan]], drafts: Mapping[str, GroupDraft], current: Plan
+    groups: Mapping[str, Mapping[str, ShardPlan]], drafts: Mapping[str, GroupDraft], current: Plan
 ) -> dict[str, str]:
     heard = {g.name: g.address for draft in drafts.values() for g in draft.gateways.values()}
     known = {**current.addresses, **heard}
-    names = {name for parts in groups.values() for part in parts.values() for name in part.gateways}
+    names = {
+        name for shards in groups.values() for shard in shards.values() for name in shard.gateways
+    }
     return {name: known[name] for name in sorted(names) if name in known}
 
 
 class _Shares:
-    """Connections of each part: as they are, and as they should be."""
+    """Connections of each shard: as they are, and as they should be."""
 
     def __init__(
         self,
@@ -237,67 +239,69 @@
 
     def is_named(self, service: str) -> bool:
         """Return whether the plan in force names a service."""
-        return any(self._current.part(*part) is not None for part in self._layout.parts(service))
+        return any(
+            self._current.shard(*shard) is not None for shard in self._layout.shards(service)
+        )
 
     def is_torn(self, service: str) -> bool:
         """Return whether it names a service in some groups only: one has come since, or gone."""
-        parts = self._layout.parts(service)
-        named = [part for part in parts if self._current.part(*part) is not None]
+        shards = self._layout.shards(service)
+        named = [shard for shard in shards if self._current.shard(*shard) is not None]
         if not named:
             return False
         # A group that has gone took its share with it.
-        total = sum(planned.share for part in named if (planned := self._current.part(*part)))
+        total = sum(planned.share for shard in named if (planned := self._current.shard(*shard)))
         sets = len(self._layout.divided_together(service))
-        return len(named) < len(parts) or total < sets - SHARE_TOLERANCE
+        return len(named) < len(shards) or total < sets - SHARE_TOLERANCE
 
     def shortest(self, service: str) -> SharesChange | None:
-        """Return the part that lacks most of its share, None if none is short by much."""
+        """Return the shard that lacks most of its share, None if none is short by much."""
         worst: SharesChange | None = None
         for together in self._layout.divided_together(service):
-            for part, share in self._wanted(together).items():
-                short = share / self._share_now(part, len(together))
+            for shard, share in self._wanted(together).items():
+                short = share / self._share_now(shard, len(together))
                 if short >= SHORT_FACTOR and (worst is None or short > worst.short):
-                    worst = SharesChange(service, short, *part)
+                    worst = SharesChange(service, short, *shard)
         return worst
 
-    def _share_now(self, part: _PartOf, count: int) -> float:
-        planned = self._current.part(*part)
+    def _share_now(self, shard: _ShardOf, count: int) -> float:
+        planned = self._current.shard(*shard)
         return planned.share if planned is not None else 1 / count
 
-    def _wanted(self, together: list[_PartOf]) -> dict[_PartOf, float]:
+    def _wanted(self, together: list[_ShardOf]) -> dict[_ShardOf, float]:
         return shares_by_demand(_rates(self._demand, together))
 
-    def groups(self, kept: list[str], divided: list[str]) -> dict[str, dict[str, PartPlan]]:
+    def groups(self, kept: list[str], divided: list[str]) -> dict[str, dict[str, ShardPlan]]:
         """Return the whole plan: some services as they are named now, some anew."""
-        groups: dict[str, dict[str, PartPlan]] = {}
-        for (group, key), planned in self._parts(kept, divided):
+        groups: dict[str, dict[str, ShardPlan]] = {}
+        for (group, key), planned in self._shards(kept, divided):
             groups.setdefault(group, {})[key] = planned
         return groups
 
-    def _parts(self, kept: list[str], divided: list[str]) -> Iterator[tuple[_PartOf, PartPlan]]:
+    def _shards(self, kept: list[str], divided: list[str]) -> Iterator[tuple[_ShardOf, ShardPlan]]:
         for service in kept:
-            for part in self._layout.parts(service):
-                planned = self._current.part(*part)
+            for shard in self._layout.shards(service):
+                planned = self._current.shard(*shard)
                 if planned is not None:
-                    yield part, planned
+                    yield shard, planned
         for service in divided:
             for together in self._layout.divided_together(service):
-                for part, share in self._wanted(together).items():
-                    yield part, self._planned(part, share)
+                for shard, share in self._wanted(together).items():
+                    yield shard, self._planned(shard, share)
 
-    def _planned(self, part: _PartOf, share: float) -> PartPlan:
-        group, key = part
+    def _planned(self, shard: _ShardOf, share: float) -> ShardPlan:
+        group, key = shard
         draft = self._drafts[group]
         holders = draft.holders(key)
         each = round(share / len(holders), SHARE_DIGITS)
-        return PartPlan(
-            [Holding(name, each) for name in holders], self._cause(part), draft.is_split(key)
+        return ShardPlan(
+            [Holding(name, each) for name in holders], self._cause(shard), draft.is_split(key)
         )
 
-    def _cause(self, part: _PartOf) -> Cause:
-        """Return why a part has the holders that it gets: the last change of them."""
-        for change in self._drafts[part[0]].changes:
-            if change.key == part[1]:
+    def _cause(self, shard: _ShardOf) -> Cause:
+        """Return why a shard has the holders that it gets: the last change of them."""
+        for change in self._drafts[shard[0]].changes:
+            if change.key == shard[1]:
                 return change.cause
-        planned = self._current.part(*part)
+        planned = self._current.shard(*shard)
         return Cause.HASH if planned is None else planned.cause
--- a/tests/coordination/test_planner.py
+++ b/tests/coordination/test_planner.py
@@ -17,8 +17,8 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.placement.hashed import rank
 from rowanrail.scheduling.demand import SPANS
-from rowanrail.scheduling.load_report import LoadReport, PartLoad
-from rowanrail.scheduling.plan import Cause, Holding, PartPlan
+from rowanrail.scheduling.load_report import LoadReport, ShardLoad
+from rowanrail.scheduling.plan import Cause, Holding, ShardPlan
 from tests.support.gateway import RecordingLog
 
 ZONES = ("a", "b", "c")
@@ -101,18 +101,18 @@
         ]
 
     def holder(self, zone, service="db"):
-        part = self.log.states[0].plan.part(zone, service)
-        return part.gateways[0] if part is not None else rank(service, names(zone))[0]
+        shard = self.log.states[0].plan.shard(zone, service)
+        return shard.gateways[0] if shard is not None else rank(service, names(zone))[0]
 
     def report(self):
         for zone in ZONES:
             for name in names(zone):
-                parts = [
-                    PartLoad(service, int(rate * SPAN / 1000))
+                shards = [
+                    ShardLoad(service, int(rate * SPAN / 1000))
                     for (where, service), rate in self.rates.items()
                     if where == zone and self.holder(zone, service) == name
                 ]
-                report = LoadReport(SPAN, 10, name in self.slow, parts)
+                report = LoadReport(SPAN, 10, name in self.slow, shards)
                 if name not in self.silent:
                     for book in self.books:
                         book.note(name, report)
@@ -149,8 +149,8 @@
         self.fleet.rates["a", "db"] = 200.0
         self.assertEqual(len(self.fleet.play(SPANS + 6)), 1)
         plan = self.fleet.log.states[0].plan
-        self.assertGreater(len(plan.part("a", "db").gateways), 1)
-        self.assertGreater(plan.part("a", "db").share, 0.5)
+        self.assertGreater(len(plan.shard("a", "db").gateways), 1)
+        self.assertGreater(plan.shard("a", "db").share, 0.5)
 
     def test_a_gateway_that_has_just_come_is_given_nothing(self):
         self.fleet.play(SPANS)
@@ -168,8 +168,8 @@
         proposals = self.fleet.play(12)
         self.assertEqual(len(proposals), 1)
         plan = self.fleet.log.states[0].plan
-        self.assertGreater(plan.part("b", "db").share, 1.25 / 3)
-        self.assertAlmostEqual(sum(plan.part(zone, "db").share for zone in ZONES), 1.0, places=2)
+        self.assertGreater(plan.shard("b", "db").share, 1.25 / 3)
+        self.assertAlmostEqual(sum(plan.shard(zone, "db").share for zone in ZONES), 1.0, places=2)
 
     def test_a_slow_holder_is_relieved_within_half_a_minute(self):
         self.fleet.play(SPANS)
@@ -267,8 +267,8 @@
 
     async def report(self):
         for zone, rate in zip(ZONES, (200, 20, 20), strict=True):
-            parts = [PartLoad("db", rate * 5)]
-            load = LoadReport(SPAN, 10, False, parts)
+            shards = [ShardLoad("db", rate * 5)]
+            load = LoadReport(SPAN, 10, False, shards)
             await self.service.handle(
                 GatewayReport(rank("db", names(zone))[0], zone, [], load=load)
             )
@@ -325,7 +325,7 @@
     async def test_a_plan_worked_out_from_another_one_is_not_taken(self):
         await self.plan(self.duty())
         before = self.log.states[0].plan
-        stale = SetPlan(0, {"a": {"db": PartPlan([Holding("a1", 0.5)])}}, {})
+        stale = SetPlan(0, {"a": {"db": ShardPlan([Holding("a1", 0.5)])}}, {})
         self.assertFalse(self.log.append(stale))
         self.assertEqual(self.log.states[0].plan, before)
 
@@ -342,22 +342,22 @@
     def test_the_sum_of_a_group_is_what_its_gateways_told_last(self):
         for name, count in (("g1", 50), ("g2", 100), ("g1", 60)):
             self.now += 1000
-            self.book.note(name, LoadReport(5000, 0, False, [PartLoad("db", count)]))
+            self.book.note(name, LoadReport(5000, 0, False, [ShardLoad("db", count)]))
         self.assertEqual(self.rate(), 32.0)
 
     def test_a_report_without_a_span_changes_nothing(self):
-        self.book.note("g1", LoadReport(5000, 0, False, [PartLoad("db", 50)]))
+        self.book.note("g1", LoadReport(5000, 0, False, [ShardLoad("db", 50)]))
         self.book.note("g1", None)
         self.assertEqual(self.rate(), 10.0)
 
     def test_a_gateway_that_is_not_heard_counts_no_more(self):
-        self.book.note("g1", LoadReport(5000, 0, False, [PartLoad("db", 50)]))
+        self.book.note("g1", LoadReport(5000, 0, False, [ShardLoad("db", 50)]))
         self.now += FORGET_LOAD_MS + 1
         self.assertEqual(self.book.demand(self.gateways), {})
         self.assertEqual(self.book.loads(self.gateways), [])
 
     def test_the_largest_tenant_of_a_part_is_summed_over_gateways(self):
         for name in ("g1", "g2"):
-            part = PartLoad("db/1", 100, "large", 60)
-            self.book.note(name, LoadReport(5000, 0, False, [part]))
+            shard = ShardLoad("db/1", 100, "large", 60)
+            self.book.note(name, LoadReport(5000, 0, False, [shard]))
         self.assertAlmostEqual(self.book.demand(self.gateways)["a"]["db/1"].largest, 0.6)
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -5,9 +5,9 @@
 from rowanrail.gateway.relay.load_meter import LOOK_MS, SPAN_MS, LoadMeter
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Refusal
-from rowanrail.placement.hashed import Part, Population, even_share, planned_limit
+from rowanrail.placement.hashed import Population, Shard, even_share, planned_limit
 from rowanrail.placement.planned import HANDOVER_MS, PlannedHolders
-from rowanrail.scheduling.plan import NO_PLAN, Cause, Holding, PartPlan, Plan
+from rowanrail.scheduling.plan import NO_PLAN, Cause, Holding, Plan, ShardPlan
 from tests.support.gateway import ManualClock
 from tests.support.relay import PlayedZone
 
@@ -17,9 +17,9 @@
 
 def plan(number, *holders, share=1 / 6):
     """Return a plan that names holders of the played zone; five other zones have one each."""
-    own = PartPlan([Holding(name, share / len(holders)) for name in holders], Cause.BUSY)
+    own = ShardPlan([Holding(name, share / len(holders)) for name in holders], Cause.BUSY)
     rest = (1 - share) / len(OTHER_ZONES)
-    groups = {zone: {"db": PartPlan([Holding(f"{zone}1", rest)])} for zone in OTHER_ZONES}
+    groups = {zone: {"db": ShardPlan([Holding(f"{zone}1", rest)])} for zone in OTHER_ZONES}
     return Plan(number, {"a": {"db": own}, **groups}, {name: name for name in holders})
 
 
@@ -255,19 +255,19 @@
 
 
 class SpreadTest(unittest.TestCase):
-    def holders(self, part, known, name="g1"):
+    def holders(self, shard, known, name="g1"):
         planned = PlannedHolders(name, "a", Clock(ManualClock()))
         planned.take(known, lambda key: 0.0)
-        return planned.order_here(part)
+        return planned.order_here(shard)
 
     def known(self, is_split):
         holdings = [Holding(name, 0.1) for name in ("h1", "h2", "h3")]
-        parts = {f"db/{n}": PartPlan(holdings, Cause.DIVIDED, is_split) for n in range(3)}
-        return Plan(1, {"a": parts})
+        shards = {f"db/{n}": ShardPlan(holdings, Cause.DIVIDED, is_split) for n in range(3)}
+        return Plan(1, {"a": shards})
 
     def first_of(self, tenant, is_split):
         names = [f"g{n}" for n in range(30)]
-        return {self.holders(Part.of("db", tenant), self.known(is_split), n)[0] for n in names}
+        return {self.holders(Shard.of("db", tenant), self.known(is_split), n)[0] for n in names}
 
     def test_tenants_of_a_divided_part_are_spread_and_each_stays_with_one_holder(self):
         firsts = [self.first_of(f"tenant{n}", is_split=False) for n in range(40)]
@@ -279,13 +279,13 @@
 
     def test_a_service_without_tenants_is_spread_by_clients_gateways(self):
         holdings = [Holding(name, 0.1) for name in ("h1", "h2")]
-        known = Plan(1, {"a": {"db": PartPlan(holdings, Cause.DIVIDED)}})
-        firsts = [self.holders(Part("db"), known, f"g{n}")[0] for n in range(40)]
+        known = Plan(1, {"a": {"db": ShardPlan(holdings, Cause.DIVIDED)}})
+        firsts = [self.holders(Shard("db"), known, f"g{n}")[0] for n in range(40)]
         self.assertGreater(min(firsts.count("h1"), firsts.count("h2")), 10)
 
     def test_the_others_stand_behind_the_first(self):
         self.assertEqual(
-            sorted(self.holders(Part.of("db", "t"), self.known(False))), ["h1", "h2", "h3"]
+            sorted(self.holders(Shard.of("db", "t"), self.known(False))), ["h1", "h2", "h3"]
         )
 
 
@@ -317,24 +317,26 @@
     def test_it_tells_a_span_for_a_while_and_then_no_more(self):
         self.assertIsNone(self.meter.latest)
         for _ in range(10):
-            self.meter.note_held(Part("db"))
+            self.meter.note_held(Shard("db"))
             self.meter.note_own()
         report = self.span()
-        self.assertEqual((report.own, [(p.key, p.count) for p in report.parts]), (10, [("db", 10)]))
+        self.assertEqual(
+            (report.own, [(p.key, p.count) for p in report.shards]), (10, [("db", 10)])
+        )
         self.clock.advance(2.0)
         self.assertIsNone(self.meter.latest)
 
     def test_it_names_the_largest_parts_and_their_largest_tenant(self):
         for number in range(12):
             for _ in range(number + 1):
-                self.meter.note_held(Part(f"db{number}"))
+                self.meter.note_held(Shard(f"db{number}"))
         for tenant in ("a", "b", "b"):
-            part = Part.of("db", tenant)
+            shard = Shard.of("db", tenant)
             for _ in range(50):
-                self.meter.note_held(part)
+                self.meter.note_held(shard)
         report = self.span()
-        self.assertEqual(len(report.parts), 8)
-        self.assertIn("b", [part.tenant for part in report.parts])
+        self.assertEqual(len(report.shards), 8)
+        self.assertIn("b", [shard.tenant for shard in report.shards])
 
     def test_links_that_choke_for_most_of_a_span_make_it_slow(self):
         self.unsent = 4000
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -1,9 +1,9 @@
-"""Regions whose parts are held as a plan says: homes of members, and tenants' connections."""
+"""Regions whose shards are held as a plan says: homes of members, and tenants' connections."""
 
 import unittest
 
-from rowanrail.placement.hashed import Part, rank
-from rowanrail.scheduling.plan import Cause, Holding, PartPlan, Plan
+from rowanrail.placement.hashed import Shard, rank
+from rowanrail.scheduling.plan import Cause, Holding, Plan, ShardPlan
 from tests.relay.test_regions import PART_OF_A, Regions
 
 
@@ -19,10 +19,10 @@
         )
 
     def plan(self, number, home, share=1 / 3):
-        parts = [f"db/{n}" for n in range(3)]
-        east = {key: PartPlan([Holding(self.far.name, 1 / 3)]) for key in parts}
-        west = {key: PartPlan([Holding(home.name, 1 / 3)], Cause.BUSY) for key in parts}
-        west[PART_OF_A.key] = PartPlan([Holding(home.name, share)], Cause.BUSY)
+        shards = [f"db/{n}" for n in range(3)]
+        east = {key: ShardPlan([Holding(self.far.name, 1 / 3)]) for key in shards}
+        west = {key: ShardPlan([Holding(home.name, 1 / 3)], Cause.BUSY) for key in shards}
+        west[PART_OF_A.key] = ShardPlan([Holding(home.name, share)], Cause.BUSY)
         return Plan(number, {"a": east, "b": west}, {home.name: home.name})
 
     def tell(self, plan, *only):
@@ -80,9 +80,9 @@
         self.world.clock.advance(0.1)
         limit = self.new.gateway.services["db"].pools["m1"].limit
         self.assertGreater(limit, even)
-        self.assertLessEqual(limit, 30 - 3 - 6, "all parts of the region are held there")
+        self.assertLessEqual(limit, 30 - 3 - 6, "all shards of the region are held there")
 
     def test_the_order_without_a_plan_is_that_of_the_hash(self):
         neighbours = self.world.far.gateway._neighbours
-        part = Part.of("db", "somebody")
-        self.assertEqual(neighbours._order(part.key), rank(part.key, ["ga1", "ga2"]))
+        shard = Shard.of("db", "somebody")
+        self.assertEqual(neighbours._order(shard.key), rank(shard.key, ["ga1", "ga2"]))
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Refusal
-from rowanrail.placement.hashed import METER, Part, Population, rank
+from rowanrail.placement.hashed import METER, Population, Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.relay.test_detours import CutDriver
@@ -30,7 +30,7 @@
 
 REGIONS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 GATEWAYS = {"ga1": "a1", "ga2": "a2", "gb1": "b1", "gb2": "b2"}
-PART_OF_A = Part.of("db", "a")
+PART_OF_A = Shard.of("db", "a")
 POPULATION = Population(4, 2, is_regional=True)
 
 
--- a/tests/scheduling/test_planner.py
+++ b/tests/scheduling/test_planner.py
@@ -57,18 +57,18 @@
 def busiest(plan, demand, layout):
     """Return the most that one gateway carries, in statements a second."""
     held = {}
-    for group, parts in demand.items():
-        for key, part in parts.items():
-            planned = plan.part(group, key)
+    for group, shards in demand.items():
+        for key, shard in shards.items():
+            planned = plan.shard(group, key)
             default = layout.of_group(group)[key]
             names = planned.gateways if planned is not None else [default]
             for name in names:
-                held[name] = held.get(name, 0.0) + part.rate / len(names)
+                held[name] = held.get(name, 0.0) + shard.rate / len(names)
     return max(held.values())
 
 
 def shares(plan, key):
-    return {group: parts[key].share for group, parts in plan.groups.items() if key in parts}
+    return {group: shards[key].share for group, shards in plan.groups.items() if key in shards}
 
 
 class MovesTest(unittest.TestCase):
@@ -97,7 +97,7 @@
             (change.group, change.before, change.cause), ("z1", ("z1-g0",), Cause.SLOW)
         )
         self.assertNotIn(change.after[0], ("z1-g0", "z1-g1"))
-        self.assertEqual(proposal.plan.part("z2", "db1").gateways, ["z2-g0"])
+        self.assertEqual(proposal.plan.shard("z2", "db1").gateways, ["z2-g0"])
 
     def test_what_was_changed_a_moment_ago_rests(self):
         demand = rates(z1=(30, 30), z2=(3, 3), z3=(3, 3), z4=(3, 3))
@@ -115,7 +115,7 @@
         demand = rates(z1=(30, 30), z2=(30, 30), z3=(30, 30), z4=(30, 30))
         plan = propose(demand, gateways(), zone_layout(), NO_PLAN).plan
         named = {
-            name for parts in plan.groups.values() for p in parts.values() for name in p.gateways
+            name for shards in plan.groups.values() for p in shards.values() for name in p.gateways
         }
         self.assertEqual(plan.addresses, {name: f"{name}:1" for name in named})
 
@@ -124,9 +124,9 @@
     def test_a_busy_service_is_divided_and_a_small_one_is_not(self):
         demand = rates(z1=(140, 12), z2=(12, 12), z3=(12, 12), z4=(12, 12))
         plan, _ = settle(demand, gateways(), zone_layout())
-        self.assertEqual(len(plan.part("z1", "db1").gateways), 3)
+        self.assertEqual(len(plan.shard("z1", "db1").gateways), 3)
         for zone in ("z2", "z3", "z4"):
-            self.assertEqual(len(plan.part(zone, "db1").gateways), 1)
+            self.assertEqual(len(plan.shard(zone, "db1").gateways), 1)
         self.assertLess(busiest(plan, demand, zone_layout()), DIVIDE_AT + 12, "db2 may stay there")
 
     def test_a_tenant_with_a_third_of_all_work_is_carried_by_several_holders(self):
@@ -141,12 +141,12 @@
         }
         loads = gateways(("east", "west"))
         plan, _ = settle(demand, loads, region_layout())
-        self.assertGreaterEqual(len(plan.part("east", "db/0").gateways), 3)
-        self.assertTrue(plan.part("east", "db/0").is_split)
-        self.assertFalse(plan.part("east", "db/1").is_split, "its tenants are small")
-        self.assertFalse(any(part.is_split for part in plan.groups["west"].values()))
+        self.assertGreaterEqual(len(plan.shard("east", "db/0").gateways), 3)
+        self.assertTrue(plan.shard("east", "db/0").is_split)
+        self.assertFalse(plan.shard("east", "db/1").is_split, "its tenants are small")
+        self.assertFalse(any(shard.is_split for shard in plan.groups["west"].values()))
         self.assertLessEqual(busiest(plan, demand, region_layout()), DIVIDE_AT)
-        self.assertGreater(plan.part("east", "db/0").share, 0.45)
+        self.assertGreater(plan.shard("east", "db/0").share, 0.45)
 
     def test_a_part_with_few_connections_is_not_divided(self):
         # Two holders of two connections each serve less than one of four.
@@ -155,16 +155,16 @@
         for connections, expected in ((20, 1), (36, 2), (79, 3)):
             bounded = Layout(layout.defaults, connections={"db1": connections})
             plan, _ = settle(demand, gateways(), bounded)
-            self.assertEqual(len(plan.part("z1", "db1").gateways), expected, connections)
+            self.assertEqual(len(plan.shard("z1", "db1").gateways), expected, connections)
 
     def test_holders_are_joined_again_only_when_much_less_is_asked_for(self):
         loads, layout = gateways(), zone_layout()
         plan, _ = settle(rates(z1=(90, 0), z2=(0, 0), z3=(0, 0), z4=(0, 0)), loads, layout)
-        self.assertEqual(len(plan.part("z1", "db1").gateways), 2)
+        self.assertEqual(len(plan.shard("z1", "db1").gateways), 2)
         for rate, expected in ((60, 2), (40, 2), (25, 1)):
             demand = rates(z1=(rate, 0), z2=(0, 0), z3=(0, 0), z4=(0, 0))
             after, _ = settle(demand, loads, layout, plan)
-            self.assertEqual(len(after.part("z1", "db1").gateways), expected, rate)
+            self.assertEqual(len(after.shard("z1", "db1").gateways), expected, rate)
 
 
 class SharesTest(unittest.TestCase):
@@ -198,10 +198,10 @@
         }
         plan, _ = settle(demand, gateways(("east", "west")), region_layout())
         for region in ("east", "west"):
-            total = sum(part.share for part in plan.groups[region].values())
+            total = sum(shard.share for shard in plan.groups[region].values())
             self.assertAlmostEqual(total, 1.0, places=2)
-        self.assertGreater(plan.part("east", "db/0").share, 0.5)
-        self.assertAlmostEqual(plan.part("west", "db/0").share, 1 / 3, places=2)
+        self.assertGreater(plan.shard("east", "db/0").share, 0.5)
+        self.assertAlmostEqual(plan.shard("west", "db/0").share, 1 / 3, places=2)
 
 
 class LostTest(unittest.TestCase):
@@ -211,8 +211,8 @@
         self.plan, _ = settle(self.demand, gateways(), self.layout)
 
     def holder_beside_the_hash(self):
-        named = [part for key in ("db1", "db2") if (part := self.plan.part("z1", key))]
-        (other,) = {name for part in named for name in part.gateways} - {"z1-g0"}
+        named = [shard for key in ("db1", "db2") if (shard := self.plan.shard("z1", key))]
+        (other,) = {name for shard in named for name in shard.gateways} - {"z1-g0"}
         return other
 
     def test_what_a_lost_holder_held_goes_to_others_though_it_rests(self):
@@ -236,12 +236,12 @@
         zones = (*ZONES, "z5")
         plan, _ = settle(self.demand, gateways(zones), zone_layout(zones), self.plan)
         self.assertAlmostEqual(sum(shares(plan, "db1").values()), 1.0, places=2)
-        self.assertGreater(plan.part("z5", "db1").share, 0)
+        self.assertGreater(plan.shard("z5", "db1").share, 0)
 
     def test_a_service_that_is_gone_leaves_the_plan(self):
         layout = zone_layout(services=("db1",))
         plan, _ = settle(self.demand, gateways(), layout, self.plan)
-        self.assertFalse(any("db2" in parts for parts in plan.groups.values()))
+        self.assertFalse(any("db2" in shards for shards in plan.groups.values()))
 
 
 class WaveTest(unittest.TestCase):
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -69,7 +69,7 @@
 
     @property
     def work_share(self) -> float:
-        """Part of the slots' time that ended statements took, of 8 s."""
+        """Shard of the slots' time that ended statements took, of 8 s."""
         return sum(len(kind.times) * kind.work for kind in self.kinds) / (8.0 * self.member.slots)
 
 
