--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -21,6 +21,8 @@
     "rowanrail.gateway.relay.work_routing",
     "rowanrail.gateway.services.locality",
     "rowanrail.members.monitor_interval",
+    "rowanrail.members.primary_belief",
+    "rowanrail.members.sampling_rules",
     "rowanrail.members.samples",
     "rowanrail.gateway.work.attempts",
     "rowanrail.gateway.work.refusals",
