--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -32,15 +32,15 @@
         readings.append(("primary_failing_seconds", labels, failing))
         for instance, pool in service.pools.items():
             member = {"service": name, "member": instance}
-            readings.append(("connections", member, pool.open_count))
-            readings.append(("connections_limit", member, pool.limit))
-            readings.append(("connections_leased", member, pool.leased))
-            readings.append(("concurrency_limit", member, pool.concurrency_limit))
-            readings.append(("under_way", member, pool.under_way))
+            readings.append(("connections", member, pool.connections.count))
+            readings.append(("connections_limit", member, pool.connections.limit))
+            readings.append(("connections_leased", member, len(pool.connections.leases)))
+            readings.append(("concurrency_limit", member, pool.concurrency.value))
+            readings.append(("under_way", member, pool.connections.under_way))
             readings.append(("queue_longest_wait_seconds", member, pool.longest_wait_seconds))
-            for urgency, length in pool.queue_lengths.items():
+            for urgency, length in pool.queue.lengths.items():
                 readings.append(("queue_length", {**member, "urgency": str(urgency)}, length))
-            readings.append(("member_latency_seconds", member, pool.latency_seconds))
+            readings.append(("member_latency_seconds", member, pool.forecasts.latency_seconds))
             readings.append(("member_suspect", member, float(pool.is_suspect)))
             weight = service.estimates.weights.own(instance)
             reasoned = member | {"reason": weight.reason}
--- a/src/rowanrail/gateway/pools/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -1,10 +1,16 @@
-"""The connections of one pool: idle, in use or being opened, and when one more is worth it."""
+"""The connections of one pool: idle, in use, held by idle transactions or being opened.
+
+Owns all that there are of one member and their limit; relies on
+:mod:`rowanrail.gateway.pools.opening_rules` for when one more is opened and on
+:mod:`rowanrail.gateway.pools.idle_rules` for how long one is kept.
+"""
 
-import math
 from collections.abc import Callable
 
 from rowanrail.gateway.pools.idle_channels import IdleChannels
+from rowanrail.gateway.pools.idle_rules import spare_connections
 from rowanrail.gateway.pools.leases import Leases
+from rowanrail.gateway.pools.opening_rules import Opening, has_room_for_opening, judge_opening
 from rowanrail.gateway.pools.openings import Openings
 from rowanrail.gateway.pools.resting import RestingTransactions
 from rowanrail.kernel.clock import Scheduler
@@ -14,22 +20,17 @@
 
 __all__ = ["Connections"]
 
-# Of the limit, are kept while nobody needs more. Members count the connections of gateways that
-# lost their power for 3 s more; with half of them left free, those that start again have as many at
-# once as they had.
-KEPT_SHARE = 0.5
-
 
 class Connections:
     """At most ``limit`` connections to one member; each may be a tenant's."""
 
-    def __init__(self, limit: int, driver: MemberDriver, clock: Scheduler) -> None:
+    def __init__(self, limit: int, driver: MemberDriver, scheduler: Scheduler) -> None:
         self.limit = limit
         self.idle = IdleChannels()
-        self.leases = Leases(clock)
-        self.opening = Openings(driver, clock)
-        self.resting = RestingTransactions(clock)
-        self._clock = clock
+        self.leases = Leases(scheduler)
+        self.opening = Openings(driver, scheduler)
+        self.resting = RestingTransactions(scheduler)
+        self._scheduler = scheduler
 
     @property
     def established(self) -> int:
@@ -81,23 +82,28 @@
     # Opening
 
     def is_worth_opening(self, tenant: str | None, waiting: int, waited_seconds: float) -> bool:
-        """Whether one should be opened for a tenant.
-
-        Each takes a slot of the member for a while, and still counts there for seconds when this
-        gateway is lost. So another one is opened for those who have waited for about as long as
-        its opening takes; until then a connection that is in use may come back.
-
-        :param waiting: how many want one of the tenant.
-        :param waited_seconds: for how long the first of them has waited.
+        """Whether one should be opened for a tenant, None for whoever comes.
+
+        Parameters
+        ----------
+        waiting : int
+            How many want one of the tenant.
+        waited_seconds : float
+            For how long the first of them has waited.
         """
-        if self.opening.is_full or self.is_crowded:
+        if not has_room_for_opening(len(self.opening), len(self.idle), self.count, self.allowed):
             return False
         if tenant is None and self.leases.are_of_tenants:
             return False  # the next that comes back will do
         owner = tenant or ""
-        if self.opening.of(owner) >= waiting:
-            return False
-        return waited_seconds >= self.opening.seconds or not self.may_come_back(owner)
+        verdict = judge_opening(
+            waiting,
+            self.opening.of(owner),
+            self.may_come_back(owner),
+            waited_seconds,
+            self.opening.seconds,
+        )
+        return verdict is Opening.NOW
 
     def open(
         self,
@@ -134,17 +140,21 @@
             channel.close()
         if channel.closed:
             return
-        channel.last_used = self._clock.time()
+        channel.last_used = self._scheduler.time()
         channel.on_closed = self.idle.discard
         self.idle.add(channel)
 
     def trim(self, now: float, is_kept: Callable[[str], bool]) -> None:
         """Close idle ones that nobody has needed for a while, sooner if there are many.
 
-        :param is_kept: says whether a tenant's statements come to this gateway.
+        Parameters
+        ----------
+        now : float
+            Steady seconds.
+        is_kept : callable
+            Says whether a tenant's statements come to this gateway.
         """
-        spare = self.count - math.ceil(KEPT_SHARE * self.limit)
-        self.idle.trim(now, is_kept, spare)
+        self.idle.trim(now, is_kept, spare_connections(self.count, self.limit))
 
     def set_limit(self, limit: int) -> None:
         """Change the limit; surplus idle ones are closed."""
--- a/src/rowanrail/gateway/pools/leases.py
+++ b/src/rowanrail/gateway/pools/leases.py
@@ -5,19 +5,19 @@
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel
 
-__all__ = ["LATENCY_WEIGHT", "Leases"]
+__all__ = ["ANSWER_WEIGHT", "Leases"]
 
-LATENCY_WEIGHT = 0.1  # of the newest answer in a moving average, about the last ten count
+ANSWER_WEIGHT = 0.1  # of the newest answer in a moving average, about the last ten count
 # About a short read within a region, so that no member starts as slow.
-INITIAL_LATENCY_SECONDS = 0.02
+INITIAL_ANSWER_SECONDS = 0.02
 
 
 class Leases:
     """Leases of one pool; what a transaction rests is left out of their time."""
 
-    def __init__(self, clock: Scheduler) -> None:
-        self.seconds = INITIAL_LATENCY_SECONDS
-        self._clock = clock
+    def __init__(self, scheduler: Scheduler) -> None:
+        self.seconds = INITIAL_ANSWER_SECONDS
+        self._scheduler = scheduler
         self._of: Counter[str] = Counter()
         self._count = 0
 
@@ -37,14 +37,14 @@
         """Note that a connection is in use."""
         self._count += 1
         self._of[channel.tenant] += 1
-        channel.leased_at = self._clock.time()
+        channel.leased_at = self._scheduler.time()
 
     def end(self, channel: Channel) -> None:
         """Note that it is no longer."""
         self._count -= 1
         self._of[channel.tenant] -= 1
-        self.note(self._clock.time() - channel.leased_at)
+        self.note(self._scheduler.time() - channel.leased_at)
 
     def note(self, seconds: float) -> None:
         """Note for how long one was in use."""
-        self.seconds += LATENCY_WEIGHT * (seconds - self.seconds)
+        self.seconds += ANSWER_WEIGHT * (seconds - self.seconds)
--- a/src/rowanrail/gateway/pools/member_health.py
+++ b/src/rowanrail/gateway/pools/member_health.py
@@ -1,50 +1,84 @@
-"""Whether a member can be reached, and for how long it is left alone after failures."""
+"""Whether a member can be reached, and for how long it is left alone after failures.
+
+A state on plain values, without I/O: the pool tells it what connections and answers showed. Times
+are steady seconds.
+"""
 
 from rowanrail.gateway.pools.error_share import ErrorShare
-from rowanrail.kernel.clock import Scheduler
 
-__all__ = ["MemberHealth"]
+__all__ = ["MemberHealth", "backoff_seconds"]
 
-# A failed connection is tried again after twice this; chosen, not measured apart.
+# Seconds. A failed connection is tried again after twice this; chosen, not measured apart.
 MINIMUM_BACKOFF_SECONDS = 0.1
-# A member that came back is noticed by samples sooner, see MemberPool.note_reachable.
+# Seconds. A member that came back is noticed by samples sooner, see MemberPool.note_reachable.
 MAXIMUM_BACKOFF_SECONDS = 2.0
 
 
+def backoff_seconds(failures: int) -> float:
+    """Return for how long a member is left alone after so many failures running.
+
+    Examples
+    --------
+    >>> [backoff_seconds(failures) for failures in (1, 2, 3, 9)]
+    [0.2, 0.4, 0.8, 2.0]
+    """
+    return min(MINIMUM_BACKOFF_SECONDS * 2.0**failures, MAXIMUM_BACKOFF_SECONDS)
+
+
 class MemberHealth:
-    """What failures and answers say of one member."""
+    """What failures and answers say of one member.
 
-    def __init__(self, clock: Scheduler) -> None:
-        self.failing_until = 0.0
-        self._clock = clock
+    Examples
+    --------
+    >>> health = MemberHealth()
+    >>> health.note_failure(now=10.0), health.is_failing(now=10.1), health.is_failing(now=10.3)
+    (0.2, True, False)
+
+    After a failure it is tried by one request at a time:
+
+    >>> health.is_suspect(now=10.3, load=0), health.is_suspect(now=10.3, load=1)
+    (False, True)
+    >>> health.note_success()
+    >>> health.is_suspect(now=10.3, load=1)
+    False
+    """
+
+    __slots__ = ("_errors", "_failures", "failing_until")
+
+    def __init__(self) -> None:
+        self.failing_until = 0.0  # until then it is left alone
         self._failures = 0
         self._errors = ErrorShare()
 
-    @property
-    def is_failing(self) -> bool:
-        """Whether connections failed a moment ago."""
-        return self._clock.time() < self.failing_until
+    def is_failing(self, now: float) -> bool:
+        """Return whether connections failed a moment ago."""
+        return now < self.failing_until
+
+    def is_suspect(self, now: float, load: int) -> bool:
+        """Return whether new work should go elsewhere.
+
+        After failures the member is tried by one request at a time until one succeeds.
 
-    @property
-    def has_failed(self) -> bool:
-        """Whether nothing has succeeded since the last failure."""
-        return self._failures > 0
+        Parameters
+        ----------
+        load : int
+            How many use or wait for a connection to it.
+        """
+        return self._failures > 0 and (self.is_failing(now) or load > 0)
 
-    @property
-    def error_share(self) -> float:
-        """Share of the latest answers that were errors; forgotten with time."""
-        return self._errors.at(self._clock.time())
+    def error_share(self, now: float) -> float:
+        """Return the share of the latest answers that were errors; forgotten with time."""
+        return self._errors.at(now)
 
-    def note_failure(self) -> float:
+    def note_failure(self, now: float) -> float:
         """Note a failure, and return for how many seconds the member is left alone."""
         self._failures += 1
-        backoff = MINIMUM_BACKOFF_SECONDS * 2.0**self._failures
-        backoff = min(backoff, MAXIMUM_BACKOFF_SECONDS)
-        self.failing_until = self._clock.time() + backoff
+        backoff = backoff_seconds(self._failures)
+        self.failing_until = now + backoff
         return backoff
 
     def note_success(self) -> None:
-        """Note that a connection was opened, or a statement answered."""
+        """Note that a connection was opened."""
         self._failures = 0
 
     def note_reachable(self) -> None:
@@ -52,8 +86,8 @@
         self._failures = 0
         self.failing_until = 0.0
 
-    def note_answer(self, is_error: bool) -> None:
+    def note_answer(self, is_error: bool, now: float) -> None:
         """Note an answer, or an error of the member's own."""
         if not is_error:
             self._failures = 0
-        self._errors.note(float(is_error), self._clock.time())
+        self._errors.note(float(is_error), now)
--- a/src/rowanrail/gateway/pools/place_in_line.py
+++ b/src/rowanrail/gateway/pools/place_in_line.py
@@ -48,7 +48,7 @@
         self._give_up = give_up
         self._given = entry.deadline - entry.arrived
         self._watch = Watch(self._given)
-        self._error = pool.forecast_errors.of(entry.urgency)
+        self._error = pool.forecasts.errors.of(entry.urgency)
         self._expected = 0.0  # ms, forecast when it began to wait
         self._timer: Timer | None = None
         self._is_over = False
@@ -65,7 +65,7 @@
         """Ask for the connection; it may come at once."""
         self._pool.acquire(self._waiter)
         if not self._is_over:
-            forecast = self._pool.forecast(self._waiter.entry)
+            forecast = self._pool.forecasts.of(self._waiter.entry)
             self._expected = forecast.wait
             self._look_later(forecast)
 
@@ -73,7 +73,7 @@
         """Wait no longer."""
         if not self._is_over:
             self._end()
-            self._pool.cancel(self._waiter)
+            self._pool.queue.remove(self._waiter)
 
     def _respond(self, channel: Channel | None, answer: Answer) -> None:
         if channel is not None:
@@ -86,7 +86,7 @@
         self._timer = self._clock.call_later(seconds, self._look)
 
     def _look(self) -> None:
-        forecast = self._pool.forecast(self._waiter.entry)
+        forecast = self._pool.forecasts.of(self._waiter.entry)
         if isinstance(self._watch.judge(forecast, self._left, self._error.certain_share), Admit):
             self._look_later(forecast)
         else:
--- a/src/rowanrail/gateway/pools/pool_loan.py
+++ b/src/rowanrail/gateway/pools/pool_loan.py
@@ -34,7 +34,7 @@
     def cancel(self) -> None:
         """See :meth:`rowanrail.members.probe.Loan.cancel`."""
         if self._waiter is not None:
-            self._pool.cancel(self._waiter)
+            self._pool.queue.remove(self._waiter)
 
     def give_back(self, channel: Channel) -> None:
         """See :meth:`rowanrail.members.probe.Loan.give_back`."""
--- a/src/rowanrail/gateway/pools/resting.py
+++ b/src/rowanrail/gateway/pools/resting.py
@@ -28,8 +28,8 @@
 class RestingTransactions:
     """Those of one pool, the one that has rested longest first."""
 
-    def __init__(self, clock: Scheduler) -> None:
-        self._clock = clock
+    def __init__(self, scheduler: Scheduler) -> None:
+        self._scheduler = scheduler
         self._since: dict[Resting, float] = {}
 
     def __len__(self) -> int:
@@ -41,17 +41,17 @@
 
     def add(self, transaction: Resting) -> None:
         """Note that one does nothing."""
-        self._since[transaction] = self._clock.time()
+        self._since[transaction] = self._scheduler.time()
 
     def remove(self, transaction: Resting) -> None:
         """Note that one goes on, or has ended; its rest doesn't count as use."""
         since = self._since.pop(transaction, None)
         if since is not None and transaction.channel is not None:
-            transaction.channel.leased_at += self._clock.time() - since
+            transaction.channel.leased_at += self._scheduler.time() - since
 
     def reclaim(self, waiting_since: Iterable[float]) -> None:
         """End those that have rested longest, one for each who has waited for long."""
-        now = self._clock.time()
+        now = self._scheduler.time()
         wanted = sum(now - since >= PRESSURE_SECONDS for since in waiting_since)
         for transaction, since in list(self._since.items())[:wanted]:
             if now - since < LONG_REST_SECONDS:
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -158,7 +158,7 @@
             run=self._run(name, wanted.kind, distance),
             queue=self._times.queue(name, now),
             work=work,
-            under_way=pool.under_way + self._sent_afar[name],
+            under_way=pool.connections.under_way + self._sent_afar[name],
             slots=record.slots,
             is_primary=is_primary,
             error_share=pool.error_share,
@@ -180,6 +180,6 @@
 
 def _wait(pool: MemberPool, entry: Entry) -> float:
     """Return the milliseconds until a statement may be sent, as far as they count for a choice."""
-    forecast = pool.forecast(entry)
+    forecast = pool.forecasts.of(entry)
     share = OPENING_SHARE if entry.tenant else 0.0
     return forecast.wait - (1 - share) * forecast.opening
--- a/src/rowanrail/gateway/services/member_probes.py
+++ b/src/rowanrail/gateway/services/member_probes.py
@@ -71,7 +71,7 @@
     def start(self) -> None:
         """Ask for a connection."""
         self._timer = self._probes.clock.call_in(PROBE_TIMEOUT, self._late)
-        if self._pool.established:
+        if self._pool.connections.established:
             self._loan = PoolLoan(self._pool)
             self._loan.request(self._lent)
             return
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -159,7 +159,7 @@
         for pool in self.pools.values():
             pool.set_sharing(self._holders(pool.record))
             limit = self._connection_limit(pool.record)
-            if pool.limit != limit:
+            if pool.connections.limit != limit:
                 pool.set_limit(limit)
 
     @property
@@ -204,7 +204,7 @@
         Most gateways hold none of most services; looking for their parts 20 times a second took
         three times the processor time of all else at 25 services (a day of 100 machines).
         """
-        return any(pool.open_count for pool in self.pools.values())
+        return any(pool.connections.count for pool in self.pools.values())
 
     def primary_pool(self) -> MemberPool | None:
         """Return the pool of the member believed to lead."""
--- a/src/rowanrail/gateway/services/told_load.py
+++ b/src/rowanrail/gateway/services/told_load.py
@@ -19,7 +19,7 @@
         Milliseconds on the steady clock.
     """
     near = [pool for pool in service.pools.values() if _serves(service, pool)]
-    if not any(pool.expected_wait_seconds for pool in near):
+    if not any(pool.forecasts.expected_wait_seconds for pool in near):
         return None
     weight = service.weight(tenant)
     entries = [Entry(urgency, tenant, now, weight=weight) for urgency in range(URGENCIES)]
@@ -40,12 +40,12 @@
 
 
 def _certain_time(pool: MemberPool, entry: Entry) -> float:
-    forecast = pool.forecast(entry)
+    forecast = pool.forecasts.of(entry)
     if forecast.has_room:
         return 0.0
-    return forecast.wait * pool.forecast_errors.of(entry.urgency).certain_share + forecast.run
+    return forecast.wait * pool.forecasts.errors.of(entry.urgency).certain_share + forecast.run
 
 
 def _pace(pool: MemberPool, entry: Entry) -> int:
-    interval = pool.forecast(entry).interval
+    interval = pool.forecasts.of(entry).interval
     return round(1000 / interval) if interval else 0
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -162,13 +162,19 @@
 
     def limit_opening(self) -> None:
         """Wait only a short while for the first connection to a member."""
-        if self.place is not None and self.pool is not None and not self.pool.established:
+        if (
+            self.place is not None
+            and self.pool is not None
+            and not self.pool.connections.established
+        ):
             self._limit_attempt(OPEN_ATTEMPT_SECONDS)
 
     def limit_answer(self) -> None:
         """Give the member up for a read if its answer takes much longer than usual."""
         assert self.pool is not None
-        usual = max(MINIMUM_ATTEMPT_SECONDS, READ_ATTEMPT_LATENCIES * self.pool.latency_seconds)
+        usual = max(
+            MINIMUM_ATTEMPT_SECONDS, READ_ATTEMPT_LATENCIES * self.pool.forecasts.latency_seconds
+        )
         self._limit_attempt(min(READ_ATTEMPT_SHARE * self.route.objective_seconds, usual))
 
     def _limit_attempt(self, seconds: float) -> None:
@@ -247,14 +253,14 @@
 
     def may_wait_at(self, pool: MemberPool) -> bool:
         """Return whether the statement can still be served at a member."""
-        forecast = pool.forecast(self.entry())
-        certain = pool.forecast_errors.of(self.route.priority).certain_share
+        forecast = pool.forecasts.of(self.entry())
+        certain = pool.forecasts.errors.of(self.route.priority).certain_share
         verdict = judge_arriving(forecast, self.time_left, self.time_given, certain)
         return isinstance(verdict, Admit)
 
     def is_prompt(self, pool: MemberPool) -> bool:
         """Return whether a member has room soon enough for an answer within the objective."""
-        forecast = pool.forecast(self.entry())
+        forecast = pool.forecasts.of(self.entry())
         waited = self.time_given - self.time_left
         soon = PROMPT_SHARE * self.route.objective_seconds * 1000 - waited
         return forecast.has_room or forecast.wait <= soon
@@ -289,7 +295,7 @@
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
-        forecast = pool.forecast(self.entry())
+        forecast = pool.forecasts.of(self.entry())
         reason = f"{self.member} is crowded for {forecast.wait:.0f} ms"
         self.turn_away(cause, reason, return_base(forecast.wait, self.time_given), forecast)
 
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -67,7 +67,7 @@
         self._busy_retries = 0
         self.begin_statement(respond)
         if self.pool is not None:
-            self.pool.note_active(self)
+            self.pool.connections.resting.remove(self)
         if self._reclaimed_for:
             self.failed = True
             self.finish(Answer(refusal=Refusal.ABORTED, message=self._reclaimed_for))
@@ -326,7 +326,7 @@
             self._moved.end()
             return
         if self.pool is not None:
-            self.pool.note_active(self)
+            self.pool.connections.resting.remove(self)
         channel = self.channel
         if channel is None:
             return
--- /dev/null
+++ b/src/rowanrail/scheduling/wait_forecast.py
@@ -0,0 +1,51 @@
+"""How long a statement waits for a connection to a member, by how many go before it.
+
+Functions on plain values: what a gateway says of a member's wait, to its own statements and to
+other gateways, is worked out here alone. They rely on lengths of use that are smoothed before they
+get here; with none known, the first guess of :mod:`rowanrail.gateway.pools.leases` stands in.
+"""
+
+__all__ = ["places", "wait_seconds"]
+
+
+def places(concurrency_limit: int, usable: int) -> int:
+    """Return how many statements may be under way at a member, at least 1.
+
+    Parameters
+    ----------
+    concurrency_limit : int
+        By what the member's answers show.
+    usable : int
+        Connections that are not held by idle transactions.
+
+    Examples
+    --------
+    >>> places(8, usable=3), places(2, usable=9), places(2, usable=0)
+    (3, 2, 1)
+    """
+    return max(1, min(concurrency_limit, usable))
+
+
+def wait_seconds(ahead: float, places: int, under_way: int, lease_seconds: float) -> float:
+    """Return how long a statement waits for a place.
+
+    Parameters
+    ----------
+    ahead : float
+        How many that wait go before it.
+    places : int
+        How many statements may be under way at once.
+    under_way : int
+        How many are.
+    lease_seconds : float
+        For how long a connection is in use by one statement.
+
+    Examples
+    --------
+    >>> wait_seconds(0, places=4, under_way=3, lease_seconds=0.02)
+    0.0
+    >>> wait_seconds(3, places=4, under_way=4, lease_seconds=0.02)
+    0.02
+    """
+    ahead -= places - under_way
+    return 0.0 if ahead < 0 else (ahead + 1) * lease_seconds / places
--- a/tests/gateway/test_idle_services.py
+++ b/tests/gateway/test_idle_services.py
@@ -27,7 +27,7 @@
         """Let time pass until nothing of the service is in use."""
         self.played.clock.advance(IN_USE_SECONDS + 1)
         for pool in self.service.pools.values():
-            for channel in list(pool._connections.idle):
+            for channel in list(pool.connections.idle):
                 channel.close()
         self.played.clock.advance(1.0)
 
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -7,8 +7,7 @@
 
 import unittest
 
-from rowanrail.gateway.pools.connections import KEPT_SHARE
-from rowanrail.gateway.pools.idle_channels import SPARE_IDLE_SECONDS, TENANT_IDLE_SECONDS
+from rowanrail.gateway.pools.idle_rules import KEPT_SHARE, SPARE_IDLE_SECONDS, TENANT_IDLE_SECONDS
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.waiter import Waiter
 from rowanrail.scheduling.queue import Entry
@@ -43,14 +42,14 @@
         for tenant in TENANTS:
             self.use(tenant)
             self.pass_time(0.1)
-        self.assertEqual(self.pool.open_count, LIMIT)
+        self.assertEqual(self.pool.connections.count, LIMIT)
 
     def test_half_are_kept_when_it_is_over(self):
         self.test_a_rush_of_many_tenants_may_use_all()
         self.pass_time(SPARE_IDLE_SECONDS + 0.1)
-        self.assertEqual(self.pool.open_count, KEPT)
+        self.assertEqual(self.pool.connections.count, KEPT)
         self.pass_time(TENANT_IDLE_SECONDS / 2)
-        self.assertEqual(self.pool.open_count, KEPT)
+        self.assertEqual(self.pool.connections.count, KEPT)
 
     def test_those_of_tenants_that_came_last_are_kept(self):
         self.test_half_are_kept_when_it_is_over()
@@ -65,4 +64,4 @@
             self.use(tenant)
             self.pass_time(0.1)
         self.pass_time(TENANT_IDLE_SECONDS / 2)
-        self.assertEqual(self.pool.open_count, KEPT)
+        self.assertEqual(self.pool.connections.count, KEPT)
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -152,7 +152,9 @@
         self.played.near.script.clear()
         self.played.clock.advance(10)
         for pool in self.played.gateway.services["db"].pools.values():
-            pool.latency_seconds = 0.02  # answers take no time here, which no real one does
+            pool.forecasts.latency_seconds = (
+                0.02  # answers take no time here, which no real one does
+            )
         for _ in range(10):
             client.run("READ d")
         self.assertGreater(len(self.played.near.texts()) - known, 5)
@@ -281,7 +283,7 @@
         pool = played.gateway.services["db"].pools["m1"]
         for _ in range(6):
             pool.note_silence()
-        self.assertGreater(pool.failing_until, played.clock.now + 1.5)
+        self.assertGreater(pool.health.failing_until, played.clock.now + 1.5)
         played.primary.reachable = True
         played.clock.advance(0.45)  # the probe is repeated each 0.3 s
         self.assertGreater(played.gateway.services["db"].primary.proved_at, played.clock.now - 0.4)
@@ -295,15 +297,15 @@
         self.played = PlayedGateway(slots=24)  # so that connections bind, not slots
         self.pool = self.played.gateway.services["db"].pools["m1"]
         for _ in range(30):
-            self.pool.note_lease(0.2)
+            self.pool.connections.leases.note(0.2)
         self.busy = []
         self.played.primary.script = [None] * 100
-        for _ in range(self.pool.limit):
+        for _ in range(self.pool.connections.limit):
             self.busy.append(self.played.client("orders"))
             self.busy[-1].ask("WRITE a 1")
 
     def test_a_write_that_would_wait_too_long_is_refused_at_once(self):
-        interval = self.pool.forecast(Entry(1, "", 0.0)).interval
+        interval = self.pool.forecasts.of(Entry(1, "", 0.0)).interval
         served_in_time = int(1000 / interval)  # of the route's time-out of 1 s
         later = [self.played.client("orders") for _ in range(4 * served_in_time + 40)]
         for client in later:
@@ -331,7 +333,7 @@
         # There it could still be served in its time-out, but other members have room at once.
         near = self.played.gateway.services["db"].pools["m2"]
         for _ in range(30):
-            near.note_lease(0.2)
+            near.connections.leases.note(0.2)
         near.latency_seconds = 0.001  # so that it is chosen, whatever stands before it
         self.played.near.script = [None] * 200
         readers = [self.played.client("reports") for _ in range(60)]
@@ -370,8 +372,8 @@
         for client in self.busy:
             client.session.close()
         self.played.clock.advance(0.3)
-        self.pool.note_lease(60.0)
-        self.pool.latency_seconds = 60.0
+        self.pool.connections.leases.note(60.0)
+        self.pool.forecasts.latency_seconds = 60.0
         self.played.primary.script = []
         for _ in range(5):
             self.assertIsNone(self.played.client("orders").run("WRITE c 3", seconds=0.2).refusal)
@@ -396,9 +398,9 @@
             if times < 2:
                 told = client.answers[-1].message.rpartition("retry in ")[2].removesuffix(" s")
                 self.played.clock.advance(float(told))
-        first, *_ = sorted(self.pool._waiting, key=lambda waiter: not waiter.entry.returned)
+        first, *_ = sorted(self.pool.queue, key=lambda waiter: not waiter.entry.returned)
         self.assertTrue(first.entry.returned)
-        self.assertLess(self.pool.forecast(first.entry).wait, 100.0)
+        self.assertLess(self.pool.forecasts.of(first.entry).wait, 100.0)
 
     def test_who_comes_sooner_than_it_was_told_is_a_newcomer(self):
         client = self.played.client("orders")
@@ -438,10 +440,12 @@
         for client in clients:
             client.ask("READ a")
         played.clock.advance(0.08)  # the second connection is opened after a moment
-        self.assertEqual(pool.open_count, 2)
-        self.assertEqual(pool.established, 0)
+        self.assertEqual(pool.connections.count, 2)
+        self.assertEqual(pool.connections.established, 0)
         pool.set_limit(2)
-        self.assertAlmostEqual(pool.expected_wait_seconds, pool._connections.leases.seconds / 2)
+        self.assertAlmostEqual(
+            pool.forecasts.expected_wait_seconds, pool.connections.leases.seconds / 2
+        )
 
     def test_a_member_that_had_no_connection_left_is_asked_again_soon(self):
         # Found in an incident: after a loss of power members count the old connections for 3 s, and
@@ -457,7 +461,7 @@
         played.primary.refuse_start = None
         played.clock.advance(0.5)
         played.client("orders").run("WRITE c 3", seconds=0.05)
-        self.assertGreaterEqual(pool.open_count, 2)
+        self.assertGreaterEqual(pool.connections.count, 2)
 
     def test_short_queues_are_waited_in(self):
         client = self.played.client("orders")
@@ -473,9 +477,9 @@
         begun.run("WRITE a 1")
         pool = played.gateway.services["db"].pools["m1"]
         for _ in range(30):
-            pool.note_lease(0.2)
-        played.primary.script = [None] * (pool.limit - 1)
-        for _ in range(pool.limit - 1):
+            pool.connections.leases.note(0.2)
+        played.primary.script = [None] * (pool.connections.limit - 1)
+        for _ in range(pool.connections.limit - 1):
             played.client("orders").ask("WRITE b 2")
         played.clock.advance(0.3)  # until they have their connections
         for _ in range(300):
@@ -492,7 +496,7 @@
 
     def setUp(self):
         self.played = PlayedGateway()
-        self.limit = self.played.gateway.services["db"].pools["m1"].limit
+        self.limit = self.played.gateway.services["db"].pools["m1"].connections.limit
         self.resting = [self.played.client("orders") for _ in range(self.limit)]
         for client in self.resting:
             client.run("BEGIN")
@@ -735,7 +739,7 @@
         for client in clients:
             client.ask("WRITE a 1")
         pool = played.gateway.services["db"].pools["m1"]
-        self.assertEqual(pool.open_count, pool.limit)
+        self.assertEqual(pool.connections.count, pool.connections.limit)
         for client in clients:
             if len(client.answers) == 2:
                 client.run("COMMIT")
@@ -752,7 +756,7 @@
         for client in clients:
             client.run("ROLLBACK")
         played.clock.advance(2.5)
-        self.assertEqual(played.gateway.services["db"].pools["m1"].open_count, 1)
+        self.assertEqual(played.gateway.services["db"].pools["m1"].connections.count, 1)
 
     def test_a_member_without_free_connections_is_not_pressed(self):
         played = PlayedGateway()
--- a/tests/gateway/test_silent_members.py
+++ b/tests/gateway/test_silent_members.py
@@ -72,7 +72,7 @@
         played.announce(2, leaving=("m1", "m2"))
         near, far = (played.gateway.services["db"].pools[name] for name in ("m2", "m3"))
         played.far.script = [None] * 100
-        for _ in range(far.limit):
+        for _ in range(far.connections.limit):
             played.client("reports").ask("READ a")
             played.clock.advance(0.004)
         played.announce(3, leaving=("m1",))
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -68,7 +68,7 @@
         self.driver.cut.add(member.instance)
         for pool in self.gateway.services["db"].pools.values():
             if pool.record.instance == member.instance:
-                for channel in [*pool._connections.idle]:
+                for channel in [*pool.connections.idle]:
                     channel.lost("cut")
 
 
--- a/tests/relay/test_far_replicas.py
+++ b/tests/relay/test_far_replicas.py
@@ -45,7 +45,9 @@
         self.assertIsNone(self.client.run("READ a", seconds=0.3).refusal)
         self.assertEqual(self.away.texts()[-1], "READ a")
         for name in ("ga1", "ga2"):
-            self.assertEqual(self.service(self.world.gateways[name]).pools["m3"].open_count, 0)
+            self.assertEqual(
+                self.service(self.world.gateways[name]).pools["m3"].connections.count, 0
+            )
 
     def test_a_transaction_that_only_reads_goes_there_with_all_its_statements(self):
         self.fill_the_own_region()
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -38,12 +38,12 @@
         self.clock.advance(0.1)
 
     def limits(self, one):
-        return [pool.limit for pool in one.gateway.services["db"].pools.values()]
+        return [pool.connections.limit for pool in one.gateway.services["db"].pools.values()]
 
     def most_open(self):
         """Return the most connections that one member has from the zone."""
         pools = [one.gateway.services["db"].pools for one in self.gateways.values()]
-        return max(sum(p[name].open_count for p in pools) for name in ("m1", "m2", "m3"))
+        return max(sum(p[name].connections.count for p in pools) for name in ("m1", "m2", "m3"))
 
 
 class HolderTest(unittest.TestCase):
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -44,7 +44,7 @@
             self.world.clock.advance(0.1)  # a link that was asked for opens
 
     def open_at(self, one):
-        return one.gateway.services["db"].pools["m1"].open_count
+        return one.gateway.services["db"].pools["m1"].connections.count
 
     def test_a_write_runs_at_the_home_that_the_plan_names(self):
         self.world.tell(self.world.plan(1, self.new))
@@ -52,7 +52,7 @@
         self.assertGreater(self.open_at(self.new), 0)
         self.world.clock.advance(0.5)
         pool = self.old.gateway.services["db"].pools["m1"]
-        kept = [channel.tenant for channel in pool._connections.idle]
+        kept = [channel.tenant for channel in pool.connections.idle]
         self.assertNotIn("a", kept, "the hash's holder gives it up")
 
     def test_a_planned_home_that_is_lost_is_stood_in_for_by_the_hash(self):
@@ -73,12 +73,12 @@
         self.write()
 
     def test_a_plan_divides_the_regions_connections(self):
-        even = self.old.gateway.services["db"].pools["m1"].limit
+        even = self.old.gateway.services["db"].pools["m1"].connections.limit
         self.world.tell(self.world.plan(1, self.new, share=0.2))
         self.world.clock.advance(2.2)
         self.write()
         self.world.clock.advance(0.1)
-        limit = self.new.gateway.services["db"].pools["m1"].limit
+        limit = self.new.gateway.services["db"].pools["m1"].connections.limit
         self.assertGreater(limit, even)
         self.assertLessEqual(limit, 30 - 3 - 6, "all parts of the region are held there")
 
--- a/tests/relay/test_prospects.py
+++ b/tests/relay/test_prospects.py
@@ -75,7 +75,7 @@
     def fill(self):
         """Have more wait at the holder than it can serve in the time of a statement."""
         for _ in range(30):
-            self.pool.note_lease(0.5)
+            self.pool.connections.leases.note(0.5)
         self.zone.primary.script = [None] * 500
         for _ in range(60):
             self.zone.last.client("orders").ask("WRITE b 2")
@@ -103,7 +103,7 @@
         self.zone.primary.script = []
         self.zone.clock.advance(1.2)  # those who waited have left
         for _ in range(60):
-            self.pool.note_lease(0.01)
+            self.pool.connections.leases.note(0.01)
         answers = [self.zone.last.client("orders").run("WRITE e 5", 0.2) for _ in range(3)]
         self.assertIsNone(answers[-1].refusal)
 
@@ -135,7 +135,7 @@
         self.assertIsNone(self.zone.last.client("orders").run("WRITE a 1", seconds=0.3).refusal)
         self.pool = self.zone.first.gateway.services["db"].pools["m1"]
         self.zone.primary.script = [None] * 10
-        self.busy = [self.zone.first.client("orders") for _ in range(self.pool.concurrency_limit)]
+        self.busy = [self.zone.first.client("orders") for _ in range(self.pool.concurrency.value)]
         for client in self.busy:
             client.ask("WRITE b 2")
             self.zone.clock.advance(0.05)
@@ -145,10 +145,10 @@
         for text in texts:
             client.ask(text)
         self.zone.clock.advance(0.05)
-        self.assertGreater(len(self.pool._waiting), 0)
+        self.assertGreater(len(self.pool.queue), 0)
         client.session.close()
         self.zone.clock.advance(0.05)
-        self.assertEqual(len(self.pool._waiting), 0)
+        self.assertEqual(len(self.pool.queue), 0)
         self.zone.primary.script = []
         for client in self.busy:
             client.session.close()
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -126,10 +126,12 @@
         home, far = (
             one.gateway.services["db"].pools["m1"] for one in (self.world.home, self.world.far)
         )
-        before = (home.open_count, far.open_count)
+        before = (home.connections.count, far.connections.count)
         answer = self.world.client("orders", "key-of-b").run("WRITE a 1", seconds=0.2)
         self.assertIsNone(answer.refusal)
-        self.assertEqual((home.open_count, far.open_count), (before[0] + 1, before[1]))
+        self.assertEqual(
+            (home.connections.count, far.connections.count), (before[0] + 1, before[1])
+        )
 
     def test_a_transaction_runs_there_from_its_first_statement_to_its_end(self):
         client = self.world.client("orders")
@@ -155,7 +157,7 @@
         service.primary.belief.failing_since = self.world.clock.now
         answer = self.world.client("orders").run("WRITE a 1", seconds=0.4)
         self.assertIsNone(answer.refusal, answer)
-        self.assertGreater(self.world.far.gateway.services["db"].pools["m1"].open_count, 0)
+        self.assertGreater(self.world.far.gateway.services["db"].pools["m1"].connections.count, 0)
 
     def test_a_lost_home_leaves_a_write_in_doubt(self):
         self.world.primary.script = [None]
@@ -181,7 +183,7 @@
 
     def test_a_holder_keeps_its_tenants_connections(self):
         self.world.clock.advance(3.0)
-        self.assertGreaterEqual(self.service.pools["m1"].open_count, 2)
+        self.assertGreaterEqual(self.service.pools["m1"].connections.count, 2)
 
     def test_a_gateway_without_connections_looks_for_no_holders(self):
         # Found in a day of 100 machines and 25 services: each gateway kept links to all others.
@@ -199,7 +201,7 @@
         self.world.home.gateway.stopping = True
         self.world.clock.advance(0.3)
         self.assertNotIn(
-            "a", [channel.tenant for channel in self.service.pools["m1"]._connections.idle]
+            "a", [channel.tenant for channel in self.service.pools["m1"].connections.idle]
         )
 
     def test_a_gateway_that_helped_out_gives_its_connections_up(self):
@@ -214,9 +216,9 @@
         single = local.single(routes()["orders"], session.values, True)
         single.start(statement("q1", "WRITE a 1"), answers.append)
         pool = helper.gateway.services["db"].pools["m1"]
-        self.assertEqual([channel.tenant for channel in pool._connections.idle], ["a"])
+        self.assertEqual([channel.tenant for channel in pool.connections.idle], ["a"])
         self.world.clock.advance(0.5)
-        self.assertNotIn("a", [channel.tenant for channel in pool._connections.idle])
+        self.assertNotIn("a", [channel.tenant for channel in pool.connections.idle])
 
 
 class KeysAtHolderTest(unittest.TestCase):
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -65,8 +65,8 @@
         entry = Entry(crowd.urgency, crowd.tenant, now, now + whole, returned=returned)
         self.tries += 1
         self.is_sent = self.is_over = False
-        certain = pool.forecast_errors.of(crowd.urgency).certain_share
-        if not isinstance(judge_arriving(pool.forecast(entry), whole, whole, certain), Admit):
+        certain = pool.forecasts.errors.of(crowd.urgency).certain_share
+        if not isinstance(judge_arriving(pool.forecasts.of(entry), whole, whole, certain), Admit):
             self.come_back(entry, "arriving")
             return
         self.entry = entry
@@ -90,7 +90,7 @@
         self.crowd.refused[refused] += 1
         if self.tries >= TRIES:
             return
-        forecast = self.holder.pool.forecast(entry)
+        forecast = self.holder.pool.forecasts.of(entry)
         base = return_base(forecast.wait, TIMEOUT * 1000)
         told = self.holder.returns.next(base, forecast.interval, entry.urgency) / 1000
         self.crowd.told.append(self.clock.time() + told)
--- a/tests/scheduling/member.py
+++ b/tests/scheduling/member.py
@@ -127,7 +127,7 @@
         """Be told that it is too late, or notice it."""
         waiter, self.waiter = self.waiter, None
         if waiter is not None:
-            self.pool.cancel(waiter)
+            self.pool.queue.remove(waiter)
             self.kind.expired += 1
 
     def _take(self, channel: Channel | None, answer: Answer) -> None:
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -235,11 +235,11 @@
 
     def test_refusals_for_other_reasons_do_not_lower_the_limit(self):
         # A replica that catches up, a member that has lost the lead, a lost connection.
-        before = self.pool.concurrency_limit
+        before = self.pool.concurrency.value
         for refusal in (Refusal.BEHIND, Refusal.NOT_PRIMARY, Refusal.FAILED, Refusal.LOST):
             for _ in range(50):
                 self.pool.note_answered(refusal, 0.5)
-        self.assertEqual(self.pool.concurrency_limit, before)
+        self.assertEqual(self.pool.concurrency.value, before)
 
     def test_a_member_whose_queue_is_full_is_not_taken_for_a_lost_one(self):
         self.shared.member.queue = 0
@@ -258,11 +258,11 @@
         for _ in range(40):
             self.clock.advance(0.025)
             self.pool.trim()
-        self.assertEqual(len(self.pool._waiting), 0)
+        self.assertEqual(len(self.pool.queue), 0)
         self.assertGreater(self.kind.expired, 15)
         member.slowness = 1.0
         self.clock.advance(3.0)
-        self.assertEqual(self.pool.under_way, 0)
+        self.assertEqual(self.pool.connections.under_way, 0)
         ended = len(self.kind.times)
         self.call(4)
         self.clock.advance(0.5)
@@ -288,23 +288,23 @@
         self.kind = Kind(1, "a", 0.0, WORK)
 
     def test_others_run_in_its_place(self):
-        resting = [Transaction() for _ in range(self.pool.concurrency_limit)]
+        resting = [Transaction() for _ in range(self.pool.concurrency.value)]
         for transaction in resting:
-            self.pool._connections.leases.begin(transaction.channel)
+            self.pool.connections.leases.begin(transaction.channel)
             self.pool.note_resting(transaction)
-        self.assertEqual(self.pool.under_way, 0)
+        self.assertEqual(self.pool.connections.under_way, 0)
         Caller(self.pool, self.shared.clock, self.kind, WORK)
         self.shared.clock.advance(0.1)
         self.assertEqual(len(self.kind.times), 1)
 
     def test_its_rest_does_not_count_as_time_in_use(self):
         transaction = Transaction()
-        leases = self.pool._connections.leases
+        leases = self.pool.connections.leases
         leases.begin(transaction.channel)
         usual = leases.seconds
         self.pool.note_resting(transaction)
         self.shared.clock.advance(3.0)
-        self.pool.note_active(transaction)
+        self.pool.connections.resting.remove(transaction)
         leases.end(transaction.channel)
         self.assertLess(leases.seconds, usual)
 
@@ -332,9 +332,9 @@
         for _ in range(100):
             Caller(pool, clock, usual, WORK)
         now = clock.time() * 1000
-        urgent = pool.forecast(Entry(0, "a", now))
-        same = pool.forecast(Entry(2, "a", now))
-        stranger = pool.forecast(Entry(2, "b", now))
+        urgent = pool.forecasts.of(Entry(0, "a", now))
+        same = pool.forecasts.of(Entry(2, "a", now))
+        stranger = pool.forecasts.of(Entry(2, "b", now))
         self.assertLess(urgent.wait, 20.0)
         self.assertLess(stranger.wait, same.wait / 3)
         self.assertFalse(same.has_room)
@@ -345,7 +345,7 @@
 
     def test_an_idle_member_has_room(self):
         pool = SharedMember().pools[0]
-        forecast = pool.forecast(Entry(1, "a", 0.0))
+        forecast = pool.forecasts.of(Entry(1, "a", 0.0))
         self.assertTrue(forecast.has_room)
         self.assertGreater(forecast.wait, 10.0)  # its connection has to be opened
 
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -90,4 +90,4 @@
 
     def opened_by(self, one: ZoneGateway) -> int:
         """Return how many connections to members a gateway has open."""
-        return sum(pool.open_count for pool in one.gateway.services["db"].pools.values())
+        return sum(pool.connections.count for pool in one.gateway.services["db"].pools.values())
