--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -334,7 +334,7 @@
         near = self.played.gateway.services["db"].pools["m2"]
         for _ in range(30):
             near.connections.leases.note(0.2)
-        near.latency_seconds = 0.001  # so that it is chosen, whatever stands before it
+        near.forecasts.latency_seconds = 0.001  # so that it is chosen, whatever stands before it
         self.played.near.script = [None] * 200
         readers = [self.played.client("reports") for _ in range(60)]
         for reader in readers:
--- a/tests/gateway/test_silent_members.py
+++ b/tests/gateway/test_silent_members.py
@@ -79,8 +79,8 @@
         played.near.silent = True
         played.client("reports").ask("READ b")
         played.clock.advance(0.05)
-        for channel in list(near._connections.opening):
+        for channel in list(near.connections.opening):
             channel.lost("refused")
-        self.assertGreater(len(far._waiting), 0)
+        self.assertGreater(len(far.queue), 0)
         played.clock.advance(0.12)
         self.assertFalse(far.is_failing)
