--- a/src/rowanrail/coordination/commands.py
+++ b/src/rowanrail/coordination/commands.py
@@ -4,7 +4,7 @@
 
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
-from rowanrail.scheduling.plan import PartPlan
+from rowanrail.scheduling.plan import ShardPlan
 
 
 class PutDocument(msgspec.Struct, frozen=True, tag="document"):
@@ -21,7 +21,7 @@
 
 
 class Remove(msgspec.Struct, frozen=True, tag="remove"):
-    """A member has ended, by its own word."""
+    """A member has ended, as it announced itself."""
 
     instance: str
 
@@ -57,7 +57,7 @@
     """
 
     base: int
-    groups: dict[str, dict[str, PartPlan]]
+    groups: dict[str, dict[str, ShardPlan]]
     addresses: dict[str, str]
 
 
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -15,7 +15,7 @@
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
 from rowanrail.directory.messages import GatewayReport
 from rowanrail.directory.reports import telling
-from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
     GATEWAY_STARTED,
@@ -112,7 +112,7 @@
         What is reported for the plan of holders; started only if there is one.
     frontend : Frontend
         Where clients connect.
-    watch : DirectoryWatch
+    follower : ControlFollower
         Follows the control nodes.
     """
 
@@ -127,7 +127,7 @@
     holder_server: TcpHolderServer
     meter: LoadMeter
     frontend: Frontend
-    watch: DirectoryWatch
+    follower: ControlFollower
 
     @property
     def is_planned(self) -> bool:
@@ -185,7 +185,7 @@
         holder_server,
         meter,
         registry.create("frontend", settings.protocol, gateway),
-        DirectoryWatch(
+        ControlFollower(
             gateway,
             network,
             rpc_addresses(settings.control_nodes, settings.rpc_port),
@@ -231,7 +231,7 @@
     if parts.is_planned:
         parts.gateway.holdings.meter = parts.meter
         parts.holder.on_run = parts.gateway.holdings.note_held
-    parts.gateway.on_alarm = parts.watch.report_now
+    parts.gateway.on_alarm = parts.follower.report_now
 
 
 def _relay_address(settings: GatewaySettings) -> str:
@@ -255,7 +255,7 @@
     loaded = reload_settings()
     parts.decisions.note(GATEWAY_RELOADED, reason="SIGHUP", usable=loaded is not None)
     if loaded is not None:
-        parts.watch.set_seeds(rpc_addresses(loaded.control_nodes, loaded.rpc_port))
+        parts.follower.set_seeds(rpc_addresses(loaded.control_nodes, loaded.rpc_port))
 
 
 async def listen(parts: GatewayParts) -> HttpServer:
@@ -282,7 +282,7 @@
     """Return all that the process measures of itself."""
     return [
         *gauges(parts.gateway),
-        *directory_gauges(parts.watch),
+        *directory_gauges(parts.follower),
         *tenant_gauges(parts.gateway),
         *relay_gauges(parts.neighbours, parts.holder, parts.detours),
         log_gauge(parts.decisions),
@@ -296,16 +296,16 @@
     parts.metering.start()
     if parts.is_planned:
         parts.meter.start()
-    parts.watch.start()
+    parts.follower.start()
 
 
 async def stop_parts(parts: GatewayParts, ready_server: HttpServer) -> None:
-    """Stop as planned; the answer to the probe and the control nodes' watch end last."""
+    """Stop as planned; the answer to the probe and the link to the control nodes end last."""
     name, decisions = parts.settings.name, parts.decisions
     decisions.note(GATEWAY_STOPPING, name=name, sessions=len(parts.gateway.sessions))
     await plan_stop(parts.gateway, parts.frontend, parts.holder, parts.settings.stop_seconds)
     parts.holder_server.close()
-    parts.watch.stop()
+    parts.follower.stop()
     ready_server.close()
     await parts.network.close()
     decisions.note(GATEWAY_STOPPED, name=name)
--- a/src/rowanrail/gateway/work/freshness.py
+++ b/src/rowanrail/gateway/work/freshness.py
@@ -39,7 +39,7 @@
     """Ask for the next sample before the one at hand is too old."""
     sample = service.primary.sample
     if sample is not None and wants_next_sample(route, now - sample.asked_at):
-        service.primary.prefetch()
+        service.primary.request_sample()
 
 
 def note_commit(
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -71,7 +71,7 @@
         self._busy_retries = 0
         self.begin_statement(respond)
         if self.pool is not None:
-            self.pool.note_active(self)
+            self.pool.connections.resting.remove(self)
         if self._reclaimed_for:
             self.failed = True
             self.finish(Answer(refusal=Refusal.ABORTED, message=self._reclaimed_for))
@@ -147,7 +147,7 @@
         if self.refuse_long_lost():
             return
         if pool is None or pool.is_failing:
-            self.service.primary.prefetch()
+            self.service.primary.request_sample()
             self.retry_later(self._begin, busy("no primary is known"))
             return
         if not self.may_wait_at(pool):
@@ -328,7 +328,7 @@
             self._moved.end()
             return
         if self.pool is not None:
-            self.pool.note_active(self)
+            self.pool.connections.resting.remove(self)
         channel = self.channel
         if channel is None:
             return
--- a/tests/gateway/test_silent_members.py
+++ b/tests/gateway/test_silent_members.py
@@ -72,15 +72,15 @@
         played.announce(2, leaving=("m1", "m2"))
         near, far = (played.gateway.services["db"].pools[name] for name in ("m2", "m3"))
         played.far.script = [None] * 100
-        for _ in range(far.limit):
+        for _ in range(far.connections.limit):
             played.client("reports").ask("READ a")
             played.clock.advance(0.004)
         played.announce(3, leaving=("m1",))
         played.near.silent = True
         played.client("reports").ask("READ b")
         played.clock.advance(0.05)
-        for channel in list(near._connections.opening):
+        for channel in list(near.connections.opening):
             channel.lost("refused")
-        self.assertGreater(len(far._waiting), 0)
+        self.assertGreater(len(far.queue), 0)
         played.clock.advance(0.12)
         self.assertFalse(far.is_failing)
