--- a/src/rowanrail/cli/inspect.py
+++ b/src/rowanrail/cli/inspect.py
@@ -1,4 +1,8 @@
-"""``rowanrail inspect``: what a control node's data folder holds, or the load of the fleet."""
+"""``rowanrail inspect``: what a control node's data folder holds, or the load of the fleet.
+
+For operators. Owns the report of a folder, which is read without a change of it;
+relies on :mod:`rowanrail.consensus.storage` for the records.
+"""
 
 from pathlib import Path
 
@@ -29,7 +33,7 @@
     unsynced_tail_bytes: int
 
 
-def look(folder: Path) -> FolderView:
+def read_folder(folder: Path) -> FolderView:
     """Return what a folder holds, without changing it.
 
     :raises StorageError: if it is empty or damaged.
@@ -76,7 +80,7 @@
     if not Path(folder).is_dir():
         fail([f"{folder}: no such folder"], ExitCode.USAGE)
     try:
-        view = look(Path(folder))
+        view = read_folder(Path(folder))
     except StorageError as error:
         fail([str(error)])
     rows = [(name, str(value)) for name, value in msgspec.to_builtins(view).items()]
--- a/src/rowanrail/cli/inspect_load.py
+++ b/src/rowanrail/cli/inspect_load.py
@@ -1,4 +1,8 @@
-"""``rowanrail inspect load``: services, members, tenants and refusals over all gateways."""
+"""``rowanrail inspect load``: services, members, tenants and refusals over all gateways.
+
+For operators. Owns reading the sources and the tables; relies on :mod:`rowanrail.cli.load_view` for
+the sums.
+"""
 
 import urllib.error
 import urllib.request
@@ -6,11 +10,32 @@
 
 import click
 
-from rowanrail.cli.load_view import FleetLoad, Sample, read_samples, summarize
+from rowanrail.cli.load_view import (
+    FleetLoad,
+    MemberLoad,
+    RefusalCount,
+    RejectionCount,
+    Sample,
+    ServiceLoadView,
+    TenantLoad,
+    read_samples,
+    summarize,
+)
 from rowanrail.cli.output import ExitCode, OutputFormat, fail, format_table, show
 
 # A gateway answers within milliseconds; one that is dark must not hold up the others for long.
 READ_SECONDS = 0.5
+MEMBER_COLUMNS = (
+    "SERVICE",
+    "MEMBER",
+    "HOLDERS",
+    "CONNECTIONS",
+    "UNDER-WAY",
+    "LIMIT",
+    "WAITING",
+    "LONGEST-S",
+    "WEIGHT",
+)
 
 
 @click.command("load")
@@ -50,64 +75,52 @@
 def _tables(fleet: FleetLoad) -> str:
     parts = [f"{fleet.gateways} gateways; limits rest on {fleet.heard_share:.0%} of the fleet"]
     parts += [f"silent: {source}" for source in fleet.silent]
-    parts += [
-        format_table(
-            ("SERVICE", "GATEWAYS", "PRIMARY FAILS AT", "OLDEST SAMPLE S"),
-            [
-                (s.service, s.gateways, s.failing_at, f"{s.oldest_sample:.2f}")
-                for s in fleet.services
-            ],
-        ),
-        format_table(
-            [
-                "SERVICE",
-                "MEMBER",
-                "HOLDERS",
-                "CONNECTIONS",
-                "UNDER-WAY",
-                "LIMIT",
-                "WAITING",
-                "LONGEST-S",
-                "WEIGHT",
-            ],
-            [
-                (
-                    m.service,
-                    m.member,
-                    m.holders,
-                    m.connections,
-                    m.under_way,
-                    m.limit,
-                    m.waiting,
-                    f"{m.longest_wait:.2f}",
-                    f"{m.weight:.2f}",
-                )
-                for m in fleet.members
-            ],
-        ),
-    ]
+    parts += [_service_table(fleet.services), _member_table(fleet.members)]
     if fleet.tenants:
-        parts.append(
-            format_table(
-                ("TENANT", "LIMIT", "BEGUN", "ASKED", "REFUSED"),
-                [
-                    (t.tenant, round(t.limit), round(t.begun), round(t.asked), round(t.refused))
-                    for t in fleet.tenants
-                ],
-            )
-        )
+        parts.append(_tenant_table(fleet.tenants))
     if fleet.refusals:
-        parts.append(
-            format_table(
-                ("REFUSED", "OUTCOME", "STAGE", "COUNT"),
-                [(r.kind, r.outcome, r.stage, r.count) for r in fleet.refusals],
-            )
-        )
+        parts.append(_refusal_table(fleet.refusals))
     if fleet.turned_away:
-        parts.append(
-            format_table(
-                ("TURNED AWAY", "URGENCY", "COUNT"),
-                [(t.cause, t.urgency, t.count) for t in fleet.turned_away],
-            )
-        )
+        parts.append(_rejection_table(fleet.turned_away))
     return "\n\n".join(parts)
+
+
+def _service_table(services: list[ServiceLoadView]) -> str:
+    rows = [(s.service, s.gateways, s.failing_at, f"{s.oldest_sample:.2f}") for s in services]
+    return format_table(("SERVICE", "GATEWAYS", "PRIMARY FAILS AT", "OLDEST SAMPLE S"), rows)
+
+
+def _member_table(members: list[MemberLoad]) -> str:
+    rows = [
+        (
+            m.service,
+            m.member,
+            m.holders,
+            m.connections,
+            m.under_way,
+            m.limit,
+            m.waiting,
+            f"{m.longest_wait:.2f}",
+            f"{m.weight:.2f}",
+        )
+        for m in members
+    ]
+    return format_table(MEMBER_COLUMNS, rows)
+
+
+def _tenant_table(tenants: list[TenantLoad]) -> str:
+    rows = [
+        (t.tenant, round(t.limit), round(t.begun), round(t.asked), round(t.refused))
+        for t in tenants
+    ]
+    return format_table(("TENANT", "LIMIT", "BEGUN", "ASKED", "REFUSED"), rows)
+
+
+def _refusal_table(refusals: list[RefusalCount]) -> str:
+    rows = [(r.kind, r.outcome, r.stage, r.count) for r in refusals]
+    return format_table(("REFUSED", "OUTCOME", "STAGE", "COUNT"), rows)
+
+
+def _rejection_table(rejections: list[RejectionCount]) -> str:
+    rows = [(r.cause, r.urgency, r.count) for r in rejections]
+    return format_table(("TURNED AWAY", "URGENCY", "COUNT"), rows)
--- a/src/rowanrail/cli/load_view.py
+++ b/src/rowanrail/cli/load_view.py
@@ -1,4 +1,8 @@
-"""What the metrics of all gateways say together: services, members, tenants, refusals."""
+"""What the metrics of all gateways say together: services, members, tenants, refusals.
+
+For ``rowanrail inspect load``. Owns the sums over gateways; relies on the names and labels of the
+gateways' metrics. ``FleetLoad`` is printed as JSON, so that its field names are an edge.
+"""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -11,7 +15,7 @@
     "RefusalCount",
     "ServiceLoadView",
     "TenantLoad",
-    "TurnedAwayCount",
+    "RejectionCount",
     "read_samples",
     "summarize",
 ]
@@ -87,8 +91,8 @@
     count: int
 
 
-class TurnedAwayCount(msgspec.Struct):
-    """Statements that were refused as not run, by cause and urgency of their route."""
+class RejectionCount(msgspec.Struct):
+    """Statements that gateways rejected, by cause and urgency of their route."""
 
     cause: str
     urgency: str
@@ -115,7 +119,7 @@
     members: list[MemberLoad] = field(default_factory=list)
     tenants: list[TenantLoad] = field(default_factory=list)
     refusals: list[RefusalCount] = field(default_factory=list)
-    turned_away: list[TurnedAwayCount] = field(default_factory=list)
+    turned_away: list[RejectionCount] = field(default_factory=list)
     silent: list[str] = field(default_factory=list)
 
 
@@ -161,7 +165,7 @@
         self._members: dict[tuple[str, str], MemberLoad] = {}
         self._tenants: dict[str, TenantLoad] = {}
         self._refusals: dict[tuple[str, str, str], int] = {}
-        self._turned_away: dict[tuple[str, str], int] = {}
+        self._rejections: dict[tuple[str, str], int] = {}
 
     def add(self, samples: list[Sample]) -> None:
         """Take the samples of one gateway."""
@@ -175,7 +179,7 @@
                 self._add_outcome(sample)
             elif sample.name == "turned_away_total":
                 key = sample.labels["cause"], sample.labels["urgency"]
-                self._turned_away[key] = self._turned_away.get(key, 0) + int(sample.value)
+                self._rejections[key] = self._rejections.get(key, 0) + int(sample.value)
             elif "service" in sample.labels:
                 self._add_service(sample)
             elif sample.name == "quota_heard_share":
@@ -248,6 +252,6 @@
         fleet.tenants = sorted(self._tenants.values(), key=lambda t: (-t.refused, -t.begun))
         counts = sorted(self._refusals.items(), key=lambda entry: -entry[1])
         fleet.refusals = [RefusalCount(*key, count) for key, count in counts if count]
-        turned_away = sorted(self._turned_away.items(), key=lambda entry: -entry[1])
-        fleet.turned_away = [TurnedAwayCount(*key, count) for key, count in turned_away if count]
+        rejections = sorted(self._rejections.items(), key=lambda entry: -entry[1])
+        fleet.turned_away = [RejectionCount(*key, count) for key, count in rejections if count]
         return fleet
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -1,12 +1,19 @@
-"""What a gateway measures of itself at the moment when it is asked."""
+"""What a gateway measures of itself at the moment when it is asked.
+
+For the metrics of the process. Owns the names and labels of the gauges, which are an edge; relies
+on the properties of the gateway's parts.
+"""
 
 from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.link import LinkState
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.services.member_estimates import MemberEstimates
 from rowanrail.kernel.metrics import Reading
+from rowanrail.members.primary import PrimaryTracker
 
 NEVER = -1.0
 SHOWN_TENANTS = 100  # of a gateway; bounds its metrics where there are thousands
@@ -24,33 +31,48 @@
     readings += _plan_gauges(gateway)
     now = gateway.clock.time()
     for name, service in gateway.services.items():
-        labels = {"service": name}
-        tracker = service.primary
-        age = now - tracker.sample.asked_at if tracker.sample else NEVER
-        failing = now - tracker.failing_since if tracker.failing_since else 0.0
-        readings.append(("sample_age_seconds", labels, age))
-        readings.append(("primary_failing_seconds", labels, failing))
+        readings += _primary_gauges(name, service.primary, now)
         for instance, pool in service.pools.items():
-            member = {"service": name, "member": instance}
-            readings.append(("connections", member, pool.connections.count))
-            readings.append(("connections_limit", member, pool.connections.limit))
-            readings.append(("connections_leased", member, len(pool.connections.leases)))
-            readings.append(("concurrency_limit", member, pool.concurrency.value))
-            readings.append(("under_way", member, pool.connections.under_way))
-            readings.append(("queue_longest_wait_seconds", member, pool.longest_wait_seconds))
-            for urgency, length in pool.queue.lengths.items():
-                readings.append(("queue_length", {**member, "urgency": str(urgency)}, length))
-            readings.append(("member_latency_seconds", member, pool.forecasts.latency_seconds))
-            readings.append(("member_suspect", member, float(pool.is_suspect)))
-            weight = service.estimates.weights.own(instance)
-            reasoned = member | {"reason": weight.reason}
-            readings.append(("member_weight", reasoned, weight.value))
-            readings.append(
-                ("member_queue_seconds", member, service.estimates.queue_seconds(instance))
-            )
+            labels = {"service": name, "member": instance}
+            readings += _pool_gauges(labels, pool)
+            readings += _estimate_gauges(labels, instance, service.estimates)
     return readings
 
 
+def _primary_gauges(service: str, tracker: PrimaryTracker, now_seconds: float) -> list[Reading]:
+    labels = {"service": service}
+    age = now_seconds - tracker.sample.asked_at if tracker.sample else NEVER
+    failing = now_seconds - tracker.failing_since if tracker.failing_since else 0.0
+    return [("sample_age_seconds", labels, age), ("primary_failing_seconds", labels, failing)]
+
+
+def _pool_gauges(labels: dict[str, str], pool: MemberPool) -> list[Reading]:
+    connections = pool.connections
+    readings: list[Reading] = [
+        ("connections", labels, connections.count),
+        ("connections_limit", labels, connections.limit),
+        ("connections_leased", labels, len(connections.leases)),
+        ("concurrency_limit", labels, pool.concurrency.value),
+        ("under_way", labels, connections.under_way),
+        ("queue_longest_wait_seconds", labels, pool.longest_wait_seconds),
+    ]
+    for urgency, length in pool.queue.lengths.items():
+        readings.append(("queue_length", {**labels, "urgency": str(urgency)}, length))
+    readings.append(("member_latency_seconds", labels, pool.forecasts.latency_seconds))
+    readings.append(("member_suspect", labels, float(pool.is_suspect)))
+    return readings
+
+
+def _estimate_gauges(
+    labels: dict[str, str], instance: str, estimates: MemberEstimates
+) -> list[Reading]:
+    weight = estimates.weights.own(instance)
+    return [
+        ("member_weight", labels | {"reason": weight.reason}, weight.value),
+        ("member_queue_seconds", labels, estimates.queue_seconds(instance)),
+    ]
+
+
 def _plan_gauges(gateway: Gateway) -> list[Reading]:
     """Return the plan's number, and the shards that are held here by it, with their cause."""
     planned = gateway.holdings.planned
