--- a/tests/forms/test_derived.py
+++ b/tests/forms/test_derived.py
@@ -11,7 +11,7 @@
 from rowanrail.directory.packing import unpack
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
-from rowanrail.placement.hashed import Part, rank
+from rowanrail.placement.hashed import Shard, rank
 from rowanrail.sql_proxy.requests import request_digest
 from rowanrail.sql_proxy.token import decode_token, encode_token
 from rowanrail.tenants.model import key_digest
@@ -53,11 +53,11 @@
         self.assertEqual(key_digest("secret").hex(), "12b033d357080ef091a0f8b61545eaa5")
 
     def test_which_part_a_tenant_belongs_to(self):
-        numbers = [Part.of("db", f"tenant-{number}").number for number in range(16)]
+        numbers = [Shard.of("db", f"tenant-{number}").number for number in range(16)]
         self.assertEqual(numbers, [0, 1, 1, 2, 2, 2, 1, 2, 1, 1, 1, 1, 0, 2, 2, 0])
 
     def test_who_holds_the_connections(self):
-        keys = [Part.of("orders", tenant).key for tenant in ("", "anna", "bob", "t3")]
+        keys = [Shard.of("orders", tenant).key for tenant in ("", "anna", "bob", "t3")]
         self.assertEqual(keys, ["orders", "orders/1", "orders/1", "orders/2"])
         self.assertEqual(rank("orders", GATEWAYS), ["g3", "g1", "g4", "g2", "g0", "g5"])
         self.assertEqual(rank(keys[2], GATEWAYS), ["g0", "g2", "g3", "g5", "g1", "g4"])
