--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -1,4 +1,4 @@
-"""A single read: a floor, then any member whose log holds it."""
+"""An autocommit read: a floor, then any member whose log holds it."""
 
 from collections.abc import Callable
 
@@ -20,8 +20,8 @@
 from rowanrail.scheduling.admission import Cause
 
 
-class LoneRead(Operation):
-    """A single read: a floor, then any member whose log holds it."""
+class AutocommitRead(Operation):
+    """An autocommit read: a floor, then any member whose log holds it."""
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
         """Begin."""
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -1,4 +1,4 @@
-"""A single write, at the primary; what was sent is never sent again."""
+"""An autocommit write, at the primary; what may have run is never sent again."""
 
 from rowanrail.gateway.work.attempts import Sent, WriteStep, step_after_write, unanswered
 from rowanrail.gateway.work.freshness import note_commit
@@ -8,8 +8,8 @@
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 
 
-class LoneWrite(Operation):
-    """A single write, at the primary; what was sent is never sent again."""
+class AutocommitWrite(Operation):
+    """An autocommit write, at the primary; what may have run is never sent again."""
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
         """Begin."""
--- a/src/rowanrail/gateway/work/work.py
+++ b/src/rowanrail/gateway/work/work.py
@@ -4,8 +4,8 @@
 
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
-from rowanrail.gateway.work.autocommit_read import LoneRead
-from rowanrail.gateway.work.autocommit_write import LoneWrite
+from rowanrail.gateway.work.autocommit_read import AutocommitRead
+from rowanrail.gateway.work.autocommit_write import AutocommitWrite
 from rowanrail.gateway.work.transaction import Transaction
 from rowanrail.gateway.work.work_port import SingleStatement, Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler
@@ -50,7 +50,7 @@
 
     def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
         """See :meth:`Work.single`."""
-        kind = LoneWrite if writes else LoneRead
+        kind = AutocommitWrite if writes else AutocommitRead
         single = kind(self._service, route, session, self._names, self._clock)
         single.find_detour = self._find_detour
         single.find_home = self._find_home
