--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -29,7 +29,8 @@
 from rowanrail.gateway.sessions.outcomes import Outcomes
 from rowanrail.gateway.sessions.pending import PendingProof, PendingStart
 from rowanrail.gateway.sessions.session import Session
-from rowanrail.gateway.work.work import LocalWork, SingleStatement, Work, WorkInTransaction
+from rowanrail.gateway.work.local import LocalWork
+from rowanrail.gateway.work.ports import SingleStatement, Work, WorkInTransaction
 from rowanrail.kernel.clock import Clock, Scheduler, Timer
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -25,9 +25,9 @@
 from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.local import LocalWork
 from rowanrail.gateway.work.operation import Stage
 from rowanrail.gateway.work.refusals import busy, rejection
-from rowanrail.gateway.work.work import LocalWork
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
@@ -103,7 +103,7 @@
         self._rejection: Rejection | None = None
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.work.SingleStatement.trace`."""
+        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.trace`."""
         if self._told is not None:
             return msgspec.structs.replace(self._told, via=self._peer)
         stage = Stage.SENT if self._sent else Stage.WAITS_FOR_HOLDER
@@ -255,7 +255,7 @@
         self._finish(busy(reason, retry_after))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.work.SingleStatement.finish`."""
+        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.finish`."""
         self._finish(answer)
 
     def _finish(self, answer: Answer) -> None:
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -17,8 +17,8 @@
 from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
 from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
 from rowanrail.gateway.work.refusals import LATE
-from rowanrail.gateway.work.work import SingleStatement, WorkInTransaction
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, StatementKind, TypedStatement
@@ -33,13 +33,13 @@
     __slots__ = ()
 
     def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
-        """See :meth:`rowanrail.gateway.work.work.Work.single`."""
+        """See :meth:`rowanrail.gateway.work.ports.Work.single`."""
         return ForwardedStatement(self, route, session, writes)
 
     def transaction(
         self, route: Route, session: SessionValues, read_only: bool
     ) -> WorkInTransaction:
-        """See :meth:`rowanrail.gateway.work.work.Work.transaction`."""
+        """See :meth:`rowanrail.gateway.work.ports.Work.transaction`."""
         return ForwardedTransaction(self, route, session, read_only)
 
 
@@ -54,12 +54,12 @@
         self._here: SingleStatement | None = None
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
-        """See :meth:`rowanrail.gateway.work.work.SingleStatement.start`."""
+        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.start`."""
         self._begin(statement, respond)
         self._place()
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.work.SingleStatement.trace`."""
+        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.trace`."""
         return super().trace() if self._here is None else self._here.trace()
 
     @property
@@ -96,7 +96,7 @@
         self._follow(after_timeout(self._kind, is_owed=self._call > 0), LATE)
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.work.SingleStatement.finish`."""
+        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.finish`."""
         if self._here is not None:
             self._here.finish(answer)
         self._finish(answer)
@@ -115,7 +115,7 @@
         self._here: WorkInTransaction | None = None
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
-        """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.run`."""
+        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.run`."""
         if self._here is not None:
             self._here.run(statement, respond)
             return
@@ -128,7 +128,7 @@
             self._place()
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.trace`."""
+        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.trace`."""
         return super().trace() if self._here is None else self._here.trace()
 
     def _run_at(self, link: Link) -> None:
@@ -178,7 +178,7 @@
         self.end()
 
     def end(self) -> None:
-        """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.end`."""
+        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.end`."""
         if self._here is not None:
             self._here.end()
         self._end_there()
@@ -190,7 +190,7 @@
             self._link.tell(End(number))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.finish`."""
+        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.finish`."""
         if self._here is not None:
             self._here.finish(answer)
         self._finish(answer)
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -30,7 +30,8 @@
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames
-from rowanrail.gateway.work.work import LocalWork, Work
+from rowanrail.gateway.work.local import LocalWork
+from rowanrail.gateway.work.ports import Work
 from rowanrail.kernel.clock import Clock, Scheduler
 from rowanrail.model.position import Position
 from rowanrail.placement.hashed import Shard
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.gateway.work.work import SingleStatement, Work, WorkInTransaction
+from rowanrail.gateway.work.ports import SingleStatement, Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler, Timer
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
--- a/src/rowanrail/gateway/work/work.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -1,4 +1,8 @@
-"""Where a session's work is done: at members through this gateway's own connections."""
+"""Work of sessions at members, through this gateway's own connections.
+
+For sessions of this gateway's clients and for statements that other gateways send here. Owns which
+kind of work a statement becomes; relies on :mod:`rowanrail.gateway.services` for the members.
+"""
 
 from collections.abc import Callable
 
@@ -6,12 +10,12 @@
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
 from rowanrail.gateway.work.autocommit_read import AutocommitRead
 from rowanrail.gateway.work.autocommit_write import AutocommitWrite
+from rowanrail.gateway.work.ports import SingleStatement, Work
 from rowanrail.gateway.work.transaction import Transaction
-from rowanrail.gateway.work.work_port import SingleStatement, Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.model.routing import Route
 
-__all__ = ["LocalWork", "SingleStatement", "Work", "WorkInTransaction"]
+__all__ = ["LocalWork"]
 
 
 class LocalWork:
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -17,9 +17,9 @@
     answer_limit_seconds,
     is_prompt,
 )
+from rowanrail.gateway.work.ports import SingleStatement, Work, WorkInTransaction
 from rowanrail.gateway.work.refusals import PRIMARY_RETRY_AFTER_MS, busy, primary_trouble
 from rowanrail.gateway.work.statement import Statement
-from rowanrail.gateway.work.work_port import SingleStatement, Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler, Timer
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import Position
--- a/src/rowanrail/gateway/work/work_port.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -1,4 +1,9 @@
-"""Ports of work: a place where statements run, whichever gateway that is at."""
+"""Ports of work: where statements of a service run, whichever gateway that is at.
+
+For sessions, which don't know whether a statement runs here or at another gateway. Owns the
+protocols; :class:`rowanrail.gateway.work.local.LocalWork` and
+:class:`rowanrail.gateway.relay.forwarding.ForwardedWork` keep them.
+"""
 
 from typing import Protocol
 
@@ -39,7 +44,7 @@
 
 
 class Work(Protocol):
-    """A place where statements of one service run."""
+    """Where statements of one service run."""
 
     def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
         """Return the work for one read or write."""
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -19,8 +19,8 @@
 )
 from rowanrail.gateway.work.freshness import note_commit, oldest_sample, prefetch
 from rowanrail.gateway.work.operation import Operation, Stage
+from rowanrail.gateway.work.ports import Work, WorkInTransaction
 from rowanrail.gateway.work.refusals import LATE, busy
-from rowanrail.gateway.work.work_port import Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import ORIGIN, Position
