--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -179,7 +179,7 @@
                 time_left=self._left,
                 time_given=self._route.timeout_seconds * 1000,
                 round_trip=reply_margin(self._work.is_detour),
-                is_retry=self._session.returned,
+                is_retry=self._session.is_retrying,
             )
         )
         if rejected is None:
--- a/src/rowanrail/gateway/relay/terms.py
+++ b/src/rowanrail/gateway/relay/terms.py
@@ -95,7 +95,7 @@
         key=session.identity.key,
         database=route.database,
         version=order.version,
-        returned=session.returned,
+        returned=session.is_retrying,
     )
 
 
@@ -122,7 +122,7 @@
     """Give ``session`` exactly what the client's session has set."""
     session.identity = Identity(run.tenant, run.key)
     session.values = run.values
-    session.returned = run.returned
+    session.is_retrying = run.returned
     if run.kind is StatementKind.EXECUTE:
         session.prepared[run.name] = (run.writes, run.shape)
     if run.floor is not None:
--- a/src/rowanrail/gateway/session_values.py
+++ b/src/rowanrail/gateway/session_values.py
@@ -9,20 +9,20 @@
 class SessionValues:
     """What a session set: values and prepared names, which hold until it ends.
 
-    Its identity says on whose connections its statements run. ``turned_away`` says how many times
-    running its client was turned away before what it runs now, and has come back as it was told;
-    ``returned`` whether it goes before newcomers for that.
+    Its identity says on whose connections its statements run. ``rejections`` says how many times
+    running its client was rejected before what it runs now, and retries when it was told to;
+    ``is_retrying`` whether it goes before new arrivals for that.
     """
 
-    __slots__ = ("floors", "identity", "prepared", "returned", "turned_away", "values")
+    __slots__ = ("floors", "identity", "is_retrying", "prepared", "rejections", "values")
 
     def __init__(self, identity: Identity = Identity()) -> None:  # noqa: B008 - it is frozen
         self.identity = identity
         self.values: dict[str, str] = {}
         self.prepared: dict[str, tuple[bool, str]] = {}
         self.floors: dict[str, Position] = {}
-        self.returned = False
-        self.turned_away = 0
+        self.is_retrying = False
+        self.rejections = 0
 
 
 class PreparedNames:
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -163,7 +163,7 @@
             version=self.version,
             return_in=round(return_in),
         )
-        self._note_returning(session, Cause.TENANT_LIMIT.value, urgency, return_in)
+        self._note_rejection(session, Cause.TENANT_LIMIT.value, urgency, return_in)
         return busy("the tenant is at its limit", return_in)
 
     def _urgency(self, session: Session) -> int:
@@ -171,28 +171,28 @@
         route = known.routes.get(session.database) if known is not None else None
         return UNKNOWN_URGENCY if route is None else route.priority
 
-    # Clients that come back
+    # Clients that retry
 
-    def note_turned_away(self, session: Session, rejection: Rejection | None) -> None:
-        """Remember that a session's client was refused as busy, and what it was told."""
+    def note_rejected(self, session: Session, rejection: Rejection | None) -> None:
+        """Remember that a session's client was rejected, and when it was told to retry."""
         if rejection is None:
             self._remember(session, 0.0)
             return
         cause, urgency, return_in = rejection.cause, rejection.urgency, rejection.return_in
-        self._note_returning(session, cause, urgency, return_in)
+        self._note_rejection(session, cause, urgency, return_in)
 
-    def _note_returning(self, session: Session, cause: str, urgency: int, return_in: float) -> None:
+    def _note_rejection(self, session: Session, cause: str, urgency: int, return_in: float) -> None:
         self._remember(session, return_in)
         self.on_rejection(cause, urgency, return_in)
 
     def _remember(self, session: Session, return_in: float) -> None:
-        self._returners.note(_label(session), return_in, session.values.turned_away + 1)
+        self._returners.note(_label(session), return_in, session.values.rejections + 1)
 
     def note_return(self, session: Session) -> None:
         """See :meth:`rowanrail.gateway.sessions.session.SessionHost.note_return`."""
         times = self._returners.claim(_label(session))
-        session.values.turned_away = times
-        session.values.returned = times >= GOES_FIRST_AFTER
+        session.values.rejections = times
+        session.values.is_retrying = times >= GOES_FIRST_AFTER
 
     def note_not_run(self, session: Session) -> None:
         """Count an operation no longer: nothing of it reached a member."""
--- a/src/rowanrail/gateway/sessions/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -1,4 +1,8 @@
-"""What becomes of clients' statements: the log, the metrics, and who will come back."""
+"""What becomes of clients' statements: the log, the metrics, and who will retry.
+
+For the sessions, which tell each answer. Owns the log lines 300 and 301; relies on the trace that
+the work of a statement gives, and on :class:`Access` to remember who was rejected.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -25,7 +29,7 @@
     decisions : DecisionLog
         Gets a line for each answer that a member gave, and for each refusal.
     access : Access
-        Knows the version in force, and remembers who was turned away.
+        Knows the version in force, and remembers who was rejected.
     """
 
     def __init__(self, decisions: DecisionLog, access: Access) -> None:
@@ -51,7 +55,7 @@
         self.on_outcome(statement.kind.value, outcome, stage, seconds)
         self.on_trace(session.identity.tenant, trace)
         if answer.refusal is Refusal.BUSY and trace is not None:
-            self._access.note_turned_away(session, trace.rejection)
+            self._access.note_rejected(session, trace.rejection)
         self._decisions.note(
             ANSWERED if answer.refusal is None else REFUSED,
             request=statement.request_id,
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -37,7 +37,7 @@
         """Count an operation of a session's tenant, or return why it may not begin now."""
 
     def note_return(self, session: "Session") -> None:
-        """Tell a session whether its client was turned away and comes back as it was told."""
+        """Tell a session whether its client was rejected and retries when it was told to."""
 
     def note_not_run(self, session: "Session") -> None:
         """Count an operation no longer: nothing of it reached a member."""
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -59,7 +59,7 @@
         tracker = self.service.primary
         if not tracker.can_give(self._asked_since) and tracker.is_long_lost:
             if not self.hand_over(self.statement, writes=False):
-                self.refuse_long_lost()
+                self.reject_long_lost()
             return
         tracker.need(self._asked_since, self._with_floor)
 
@@ -67,7 +67,7 @@
         if self.respond is None:
             return
         if position is None:
-            self.turn_away(
+            self.reject(
                 Cause.NO_PRIMARY, "no primary confirms its position", PRIMARY_RETRY_AFTER_MS
             )
             return
@@ -88,7 +88,7 @@
         if not self.is_prompt(pool):
             roomy = self.roomier(self.excluded)
             if roomy is None:
-                self.refuse_crowded(pool)
+                self.reject_crowded(pool)
                 return
             pool = roomy
         if self.service.is_far(pool) and self._go_to(pool.record.instance):
@@ -169,7 +169,7 @@
             if self.may_wait_at(primary):
                 self.acquire(primary, self._with_channel)
             else:
-                self.refuse_crowded(primary)
+                self.reject_crowded(primary)
             return
         self._choose()
 
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -24,14 +24,14 @@
             return
         if self.service.primary.failing_since and self.hand_over(self.statement, writes=True):
             return
-        if self.refuse_long_lost():
+        if self.reject_long_lost():
             return
         if pool is None or pool.is_failing:
             self.service.primary.request_sample()
             self.retry_later(self._find_primary, busy("no primary is known"))
             return
         if not self.may_wait_at(pool):
-            self.refuse_crowded(pool)
+            self.reject_crowded(pool)
             return
         self.acquire(pool, self._with_channel)
 
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -103,7 +103,7 @@
         if self.channel is not None or not trouble:
             return
         tracker.forget(self.floor_callback())
-        self.turn_away(Cause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
+        self.reject(Cause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
 
     def floor_callback(self) -> Callable[[Position | None], None] | None:
         """Return what waits for a sample of the primary, if anything does."""
@@ -144,7 +144,7 @@
         away.start(statement, self.finish)
         return True
 
-    def refuse_long_lost(self) -> bool:
+    def reject_long_lost(self) -> bool:
         """Refuse at once what needs a primary that has been lost for long; return whether it was.
 
         Waiting is worth its time while a successor may come. A gateway that stays cut off from a
@@ -219,7 +219,9 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
         entry, values = self.entry(), self.session.values
-        self.place = PlaceInLine(pool, entry, values, self.clock, respond, self._leave_hopeless)
+        self.place = PlaceInLine(
+            pool, entry, values, self.clock, respond, self._leave_past_deadline
+        )
         self.place.start()
 
     def leave_line(self) -> None:
@@ -228,11 +230,11 @@
         if place is not None:
             place.leave()
 
-    def _leave_hopeless(self) -> None:
+    def _leave_past_deadline(self) -> None:
         """Go where there is room, or refuse, as not run, what would be answered too late."""
         self.place = None
         if self.pool is not None and not self.try_roomier(self.pool):
-            self.refuse_crowded(self.pool, Cause.HOPELESS)
+            self.reject_crowded(self.pool, Cause.HOPELESS)
 
     def entry(self) -> Entry:
         """Return how the statement stands among those that want a connection."""
@@ -243,7 +245,7 @@
             self.arrived_at * 1000,
             deadline=deadline * 1000,
             weight=self.service.weight(self.tenant),
-            returned=self.session.returned,
+            returned=self.session.is_retrying,
         )
 
     # Admission
@@ -287,13 +289,13 @@
                 return found
         return None
 
-    def refuse_crowded(self, pool: MemberPool, cause: Cause = Cause.CROWDED) -> None:
+    def reject_crowded(self, pool: MemberPool, cause: Cause = Cause.CROWDED) -> None:
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
         forecast = pool.forecasts.of(self.entry())
         reason = f"{self.member} is crowded for {forecast.wait:.0f} ms"
-        self.turn_away(cause, reason, return_base(forecast.wait, self.time_given), forecast)
+        self.reject(cause, reason, return_base(forecast.wait, self.time_given), forecast)
 
     def try_roomier(self, pool: MemberPool) -> bool:
         """Go to a better member than one, if there is any; return whether it did."""
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -115,31 +115,31 @@
         self.clock.call_later(RETRY_SECONDS, again)
 
     def refuse_unplaced(self, answer: Answer) -> None:
-        """Refuse what found no place; one that is busy tells when to come back."""
+        """Refuse what no member took; as busy it is rejected, with its Retry-After."""
         tracker = self.service.primary
         has_primary = bool(tracker.believed) and not tracker.failing_since
         verdict = judge_unplaced(answer.refusal, has_primary)
         if verdict is None:
             self.finish(answer)
         else:
-            self.turn_away(verdict.cause, answer.message, verdict.return_in)
+            self.reject(verdict.cause, answer.message, verdict.return_in)
 
-    def turn_away(
+    def reject(
         self, cause: Cause, reason: str, base: float = 0.0, forecast: Forecast = UNKNOWN
     ) -> None:
-        """Refuse, as not run, and tell the client its place among those who come back.
+        """Refuse, as not run, and tell the client when to retry, one after the other.
 
         Parameters
         ----------
         base : float
-            Milliseconds until the first of them is welcome.
+            Milliseconds until the first of those who were rejected is welcome.
         """
         urgency = self.route.priority
-        told = self.service.returns.next(
+        retry_after = self.service.returns.next(
             shortest_retry_after_ms(base), forecast.interval, (cause, urgency)
         )
-        self.rejection = rejection(cause, forecast, self.time_left, urgency, told)
-        self.finish(busy(reason, told))
+        self.rejection = rejection(cause, forecast, self.time_left, urgency, retry_after)
+        self.finish(busy(reason, retry_after))
 
     def stop_timers(self) -> None:
         """Forget the statement's time: it has its answer, or somebody else minds it."""
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -112,7 +112,7 @@
         self.stage = Stage.WAITS_FOR_SAMPLE
         since = oldest_sample(self.route, self._begun_at)
         prefetch(self.service, self.route, self.clock.time())
-        if self.service.primary.can_give(since) or not self.refuse_long_lost():
+        if self.service.primary.can_give(since) or not self.reject_long_lost():
             self.service.primary.need(since, self._with_floor)
 
     def _with_floor(self, position: Position | None) -> None:
@@ -127,7 +127,7 @@
             return
         roomy = pool if self.is_prompt(pool) else self.roomier(self._excluded)
         if roomy is None:
-            self.refuse_crowded(pool)
+            self.reject_crowded(pool)
             return
         pool = roomy
         home = self.find_home(self.tenant, pool.record.instance)
@@ -144,14 +144,14 @@
             return
         if self.service.primary.failing_since and self._move(self.find_detour()):
             return
-        if self.refuse_long_lost():
+        if self.reject_long_lost():
             return
         if pool is None or pool.is_failing:
             self.service.primary.request_sample()
             self.retry_later(self._begin, busy("no primary is known"))
             return
         if not self.may_wait_at(pool):
-            self.refuse_crowded(pool)
+            self.reject_crowded(pool)
             return
         self.floor = None
         self.acquire(pool, self._with_channel)
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -394,7 +394,7 @@
             for _ in range(300):
                 self.played.client("orders").ask("WRITE b 2")
             client.ask("WRITE c 3")
-            self.assertEqual(client.session.values.turned_away, times)
+            self.assertEqual(client.session.values.rejections, times)
             if times < 2:
                 told = client.answers[-1].message.rpartition("retry in ")[2].removesuffix(" s")
                 self.played.clock.advance(float(told))
@@ -409,7 +409,7 @@
         client.ask("WRITE c 3")
         self.played.clock.advance(0.05)
         client.ask("WRITE c 3")
-        self.assertEqual(client.session.values.turned_away, 0)
+        self.assertEqual(client.session.values.rejections, 0)
 
     def test_refusals_at_one_moment_tell_different_moments(self):
         told = set()
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -165,11 +165,11 @@
 class ReturnedTest(unittest.TestCase):
     def test_who_goes_before_newcomers_is_known_at_the_holder(self):
         session, held = SessionValues(), SessionValues()
-        session.returned = True
+        session.is_retrying = True
         route = Route("orders", "orders", "db", Consistency.PRIMARY, 1.0, 0.5)
         run = run_of(Order(statement("q1", "WRITE a 1"), route, session, 800.0), 1)
         load_session(held, msgspec.msgpack.decode(msgspec.msgpack.encode(run), type=Run))
-        self.assertTrue(held.returned)
+        self.assertTrue(held.is_retrying)
 
 
 class RollingRestartTest(unittest.TestCase):
