--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -53,7 +53,7 @@
 TICKS_OF_IDLE = 10
 DEFAULT_IDLE_SECONDS = 60.0  # until the configuration says how long a transaction may rest
 PROVE_SECONDS = 0.3  # for which another gateway waits for a sample
-START_HOLD_SECONDS = 1.2  # clients wait for the answer to their start for 2 s
+START_WAIT_SECONDS = 1.2  # clients wait for the answer to their start for 2 s
 
 
 @dataclass(frozen=True, slots=True)
@@ -218,7 +218,7 @@
             return
         waiting = PendingStart(proceed)
         self._unconfigured.append(waiting)
-        self.clock.call_later(START_HOLD_SECONDS, waiting.run)
+        self.clock.call_later(START_WAIT_SECONDS, waiting.run)
 
     def set_directory(self, directory: Directory) -> None:
         """Know the members that announced themselves, and the gateways beside this one."""
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -96,8 +96,8 @@
         self.attempts = 0
         super().begin_statement(respond)
 
-    def on_hold(self) -> None:
-        """Refuse what nobody could run so far if the primary is lost, or has no connection left."""
+    def on_deferral_over(self) -> None:
+        """Reject what could not run so far if the primary is lost, or has no connection left."""
         tracker = self.service.primary
         trouble = primary_trouble(tracker.failing_since, tracker.is_crowded)
         if self.channel is not None or not trouble:
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -51,7 +51,7 @@
         self.session = session
         self.clock = clock
         self.timer: Timer | None = None
-        self.hold_timer: Timer | None = None
+        self.deferral_timer: Timer | None = None
         self.respond: Respond | None = None
         self.arrived_at = 0.0
         self.rejection: Rejection | None = None
@@ -62,8 +62,8 @@
         return self.session.identity.tenant
 
     @property
-    def hold_until(self) -> float:
-        """Moment after which a statement that no member could run is refused."""
+    def defer_until(self) -> float:
+        """Moment, in seconds, until which a statement that no member could run is deferred."""
         return self.arrived_at + defer_seconds(self.route.objective_seconds)
 
     @property
@@ -83,14 +83,14 @@
         self.rejection = None
         self.timer = self.clock.call_later(self.route.timeout_seconds, self.on_timeout)
         limit = defer_seconds(self.route.objective_seconds)
-        self.hold_timer = self.clock.call_later(limit, self.on_hold)
+        self.deferral_timer = self.clock.call_later(limit, self.on_deferral_over)
 
     def on_timeout(self) -> None:
         """Answer at the end of the statement's time."""
         raise NotImplementedError
 
-    def on_hold(self) -> None:
-        """Refuse what nobody could run so far, if nobody will soon."""
+    def on_deferral_over(self) -> None:
+        """Reject what could not run so far, if it can not soon."""
         raise NotImplementedError
 
     def route_left(self) -> Route:
@@ -103,8 +103,8 @@
         )
 
     def retry_later(self, function: Callable[[], None], answer: Answer) -> None:
-        """Try again in a moment, or give the refusal if the time to hold is over."""
-        if not may_defer(self.clock.time(), self.hold_until):
+        """Try again in a moment, or give the refusal if its deferral is over."""
+        if not may_defer(self.clock.time(), self.defer_until):
             self.refuse_unplaced(answer)
             return
 
@@ -143,10 +143,10 @@
 
     def stop_timers(self) -> None:
         """Forget the statement's time: it has its answer, or somebody else minds it."""
-        for timer in (self.timer, self.hold_timer):
+        for timer in (self.timer, self.deferral_timer):
             if timer is not None:
                 timer.cancel()
-        self.timer = self.hold_timer = None
+        self.timer = self.deferral_timer = None
 
     def finish(self, answer: Answer) -> None:
         """Give the statement's answer, once."""
