--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -15,7 +15,7 @@
 from rowanrail.explain.lines import LogLine
 from rowanrail.explain.rejections import why_rejected
 from rowanrail.gateway import events as gateway_events
-from rowanrail.gateway.work.operation import Stage
+from rowanrail.gateway.work.connected import Stage
 from rowanrail.model.statements import Refusal
 
 __all__ = ["CAUSES", "CauseRule", "Evidence", "cause_of"]
@@ -53,7 +53,7 @@
 
     @property
     def stage(self) -> Any:
-        """How far the statement came, see :class:`rowanrail.gateway.work.operation.Stage`."""
+        """How far the statement came, see :class:`rowanrail.gateway.work.connected.Stage`."""
         return self.fields.get("stage")
 
     @property
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -25,8 +25,8 @@
 from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.operation import Stage
 from rowanrail.gateway.work.refusals import busy, rejection
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Respond
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -21,8 +21,8 @@
 )
 from rowanrail.gateway.relay.terms import load_session, reply_to, route_of, statement_of
 from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.operation import Stage
 from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.samples import Sample
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -31,7 +31,7 @@
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames
 from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import Work
+from rowanrail.gateway.work.ports import OtherGateways, Work
 from rowanrail.kernel.clock import Clock, Scheduler
 from rowanrail.model.position import Position
 from rowanrail.placement.hashed import Shard
@@ -127,12 +127,14 @@
             service,
             self._names,
             self._clock,
-            functools.partial(self._find_detour, service),
-            functools.partial(self._find_remote_holder, service),
+            OtherGateways(
+                functools.partial(self._find_detour, service),
+                functools.partial(self._find_remote_holder, service),
+            ),
         )
 
     def _find_remote_holder(
-        self, service: Service, tenant: str, instance: str = ""
+        self, service: Service, tenant: str, instance: str
     ) -> ForwardedWork | None:
         """Return work at the holder in a member's region, None if that is this one.
 
--- a/src/rowanrail/gateway/sessions/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -12,7 +12,7 @@
 from rowanrail.gateway.events import ANSWERED, REFUSED
 from rowanrail.gateway.sessions.access import Access
 from rowanrail.gateway.sessions.session import Session
-from rowanrail.gateway.work.operation import Stage
+from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -10,8 +10,10 @@
     step_after_read,
     unanswered,
 )
+from rowanrail.gateway.work.commands import commands_for
+from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.freshness import oldest_sample, prefetch
-from rowanrail.gateway.work.operation import Operation, Stage
+from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.refusals import LATE, PRIMARY_RETRY_AFTER_MS, busy
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import ORIGIN, Position
@@ -30,15 +32,15 @@
         self.begin_statement(respond)
         self._errors = 0
         self._asked_since = oldest_sample(self.route, self.arrived_at)
-        if self.route.consistency is Consistency.PRIMARY and self._go_home():
+        if self.route.consistency is Consistency.PRIMARY and self._go_to_holder():
             return  # replicas are behind by more than a sample takes to come from there
         self._need_floor()
 
-    def _go_home(self) -> bool:
-        return self.hand_home(self.statement, writes=False)
+    def _go_to_holder(self) -> bool:
+        return self.hand_to_holder(self.statement, writes=False)
 
-    def _go_to(self, instance: str) -> bool:
-        """Have the holder in a far member's region run the read."""
+    def _go_to_remote(self, instance: str) -> bool:
+        """Have the holder in a remote member's region run the read."""
         respond, sent_at = self.respond, self.clock.time()
         assert respond is not None
 
@@ -47,7 +49,7 @@
             respond(answer)
 
         self.respond = answered
-        if self.hand_home(self.statement, False, instance):
+        if self.hand_to_holder(self.statement, False, instance):
             self.service.estimates.note_sent_afar(instance)
             return True
         self.respond = respond
@@ -91,7 +93,7 @@
                 self.reject_crowded(pool)
                 return
             pool = roomy
-        if self.service.is_far(pool) and self._go_to(pool.record.instance):
+        if self.service.is_far(pool) and self._go_to_remote(pool.record.instance):
             return
         self.acquire(pool, self._with_channel)
         self.limit_opening()
@@ -104,8 +106,8 @@
         if channel is None:
             self.try_next_member()
             return
-        commands = self.replay(channel)
-        commands += self.command(self.statement, self.floor)
+        commands = self.service.policies.state_replay.commands(channel, self.session)
+        commands += commands_for(self.statement, self.floor, channel, self.session, self.names)
         self.limit_answer()
         self.send(commands, self._answered)
 
@@ -120,7 +122,7 @@
         roomy = self.roomier(self.excluded | {pool.record.instance})
         if roomy is None:
             return False
-        if not (self.service.is_far(roomy) and self._go_to(roomy.record.instance)):
+        if not (self.service.is_far(roomy) and self._go_to_remote(roomy.record.instance)):
             self.acquire(roomy, self._with_channel)
         return True
 
@@ -161,7 +163,7 @@
                 self._ask_primary()
 
     def _ask_primary(self) -> None:
-        if self._go_home():
+        if self._go_to_holder():
             return
         primary = self.service.primary_pool()
         if primary is not None and primary.record.instance not in self.excluded:
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -1,8 +1,10 @@
 """An autocommit write, at the primary; what may have run is never sent again."""
 
 from rowanrail.gateway.work.attempts import Sent, WriteStep, step_after_write, unanswered
+from rowanrail.gateway.work.commands import commands_for
 from rowanrail.gateway.work.freshness import note_commit
-from rowanrail.gateway.work.operation import Operation, Stage
+from rowanrail.gateway.work.operation import Operation
+from rowanrail.gateway.work.ports import Work
 from rowanrail.gateway.work.refusals import LATE, busy
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
@@ -18,30 +20,19 @@
         self._find_primary()
 
     def _find_primary(self) -> None:
-        self.stage = Stage.WAITS_FOR_PRIMARY
-        pool = self.service.primary_pool()
-        if self.hand_home(self.statement, writes=True):
-            return
-        if self.service.primary.failing_since and self.hand_over(self.statement, writes=True):
-            return
-        if self.reject_long_lost():
-            return
-        if pool is None or pool.is_failing:
-            self.service.primary.request_sample()
-            self.retry_later(self._find_primary, busy("no primary is known"))
-            return
-        if not self.may_wait_at(pool):
-            self.reject_crowded(pool)
-            return
-        self.acquire(pool, self._with_channel)
+        self.acquire_primary(self._find_primary, self._with_channel)
+
+    def move_to(self, work: Work | None) -> bool:
+        """See :meth:`Operation.move_to`."""
+        return self._hand_to(work, self.statement, writes=True)
 
     def _with_channel(self, channel: Channel | None, answer: Answer) -> None:
         if channel is None:
             self.service.primary.note_refused_connection(answer)
             self.retry_later(self._find_primary, busy(answer.message))
             return
-        commands = self.replay(channel)
-        commands += self.command(self.statement, None)
+        commands = self.service.policies.state_replay.commands(channel, self.session)
+        commands += commands_for(self.statement, None, channel, self.session, self.names)
         self.send(commands, self._answered)
 
     @property
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -4,13 +4,11 @@
 kind of work a statement becomes; relies on :mod:`rowanrail.gateway.services` for the members.
 """
 
-from collections.abc import Callable
-
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
 from rowanrail.gateway.work.autocommit_read import AutocommitRead
 from rowanrail.gateway.work.autocommit_write import AutocommitWrite
-from rowanrail.gateway.work.ports import SingleStatement, Work
+from rowanrail.gateway.work.ports import NO_OTHERS, OtherGateways, SingleStatement
 from rowanrail.gateway.work.transaction import Transaction
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.model.routing import Route
@@ -29,45 +27,34 @@
         Names under which this gateway prepares shapes at members.
     clock : Scheduler
         Time and timers.
-    find_detour : callable
-        Returns work at a gateway that reaches the primary, if this one does not and one is known.
-    find_home : callable
-        Returns work at the gateway that holds a tenant's connections to a member of another
-        region, the primary if none is named.
+    others : OtherGateways
+        Where they may run if not here.
     """
 
-    __slots__ = ("_clock", "_find_detour", "_find_home", "_names", "_service")
+    __slots__ = ("_clock", "_names", "_others", "_service")
 
     def __init__(
         self,
         service: Service,
         names: PreparedNames,
         clock: Scheduler,
-        find_detour: Callable[[], Work | None] = lambda: None,
-        find_home: Callable[..., Work | None] = lambda tenant, instance="": None,
+        others: OtherGateways = NO_OTHERS,
     ) -> None:
         self._service = service
         self._names = names
         self._clock = clock
-        self._find_detour = find_detour
-        self._find_home = find_home
+        self._others = others
 
     def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
         """See :meth:`Work.single`."""
         kind = AutocommitWrite if writes else AutocommitRead
-        single = kind(self._service, route, session, self._names, self._clock)
-        single.find_detour = self._find_detour
-        single.find_home = self._find_home
-        return single
+        return kind(self._service, route, session, self._names, self._clock, self._others)
 
     def transaction(self, route: Route, session: SessionValues, read_only: bool) -> Transaction:
         """See :meth:`Work.transaction`."""
-        transaction = Transaction(
-            self._service, route, session, self._names, self._clock, read_only
+        return Transaction(
+            self._service, route, session, self._names, self._clock, self._others, read_only
         )
-        transaction.find_detour = self._find_detour
-        transaction.find_home = self._find_home
-        return transaction
 
     def doubts(self) -> dict[str, int]:
         """Return the members of which this gateway's statements found trouble, see Reply."""
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -1,53 +1,50 @@
-"""What all kinds of work of a session share: a connection, a place in line, other gateways.
+"""What all kinds of work share: admission, choice of a member, other gateways, the trace.
 
-What a refusal promises is decided here and in the kinds of work: nothing that may have run
-is called "not run".
+For reads, writes and transactions. Owns how often a statement was tried and who runs it if not
+this gateway. Relies on :mod:`rowanrail.gateway.work.attempts`, on
+:mod:`rowanrail.gateway.work.refusals` and on :mod:`rowanrail.scheduling.admission` for what is
+decided.
 """
 
-import enum
 from collections.abc import Callable
 
-from rowanrail.gateway.pools.place_in_line import PlaceInLine
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.member_estimates import Wanted
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
-from rowanrail.gateway.work.attempts import (
-    OPEN_ATTEMPT_SECONDS,
-    answer_limit_seconds,
-    is_prompt,
+from rowanrail.gateway.work.attempts import is_prompt
+from rowanrail.gateway.work.connected import ConnectedStatement, Stage
+from rowanrail.gateway.work.ports import (
+    NO_OTHERS,
+    OtherGateways,
+    SingleStatement,
+    Work,
+    WorkInTransaction,
 )
-from rowanrail.gateway.work.ports import SingleStatement, Work, WorkInTransaction
 from rowanrail.gateway.work.refusals import PRIMARY_RETRY_AFTER_MS, busy, primary_trouble
-from rowanrail.gateway.work.statement import Statement
-from rowanrail.kernel.clock import Scheduler, Timer
+from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import Position
 from rowanrail.model.routing import Route
-from rowanrail.model.statements import Answer, Command, CommandKind, StatementKind, TypedStatement
+from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
 from rowanrail.scheduling.admission import Admit, Cause, judge_arriving
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.entry import Entry
 from rowanrail.scheduling.returning import return_base
 
-# Reads, writes and commits. A member begins and ends a transaction without a slot, so that the
-# time of such an answer says nothing of its queue.
-SLOT_TAKERS = frozenset({CommandKind.STATEMENT, CommandKind.EXECUTE})
 
+class Operation(ConnectedStatement):
+    """What all kinds of work share.
 
-class Stage(enum.Enum):
-    """How far a statement has come."""
-
-    ACCEPTED = "accepted"
-    WAITS_FOR_HOLDER = "waits-for-holder"
-    WAITS_FOR_SAMPLE = "waits-for-sample"
-    WAITS_FOR_PRIMARY = "waits-for-primary"
-    WAITS_FOR_CONNECTION = "waits-for-connection"
-    SENT = "sent"
-
-
-class Operation(Statement):
-    """What all kinds of work share: a connection for a statement, or for a transaction."""
+    Parameters
+    ----------
+    service, route, session, clock
+        See :class:`Statement`.
+    names : PreparedNames
+        Names under which this gateway prepares shapes at members.
+    others : OtherGateways
+        Where it may run if not on this gateway's connections.
+    """
 
     def __init__(
         self,
@@ -56,27 +53,20 @@
         session: SessionValues,
         names: PreparedNames,
         clock: Scheduler,
+        others: OtherGateways = NO_OTHERS,
     ) -> None:
         super().__init__(service, route, session, clock)
         self.names = names
-        self.channel: Channel | None = None
-        self.pool: MemberPool | None = None
+        self.others = others
         self.attempts = 0
-        self.attempt_timer: Timer | None = None
-        self.place: PlaceInLine | None = None
         self.floor: Position | None = None  # what a member's log must hold
-        self.sent_at = 0.0
-        self.stage = Stage.ACCEPTED
-        self.member = ""
-        self.find_detour: Callable[[], Work | None] = lambda: None
-        self.find_home: Callable[..., Work | None] = lambda tenant, instance="": None
-        self.away: SingleStatement | WorkInTransaction | None = None
+        self.remote: SingleStatement | WorkInTransaction | None = None
         service.used_at = clock.time()
 
     def trace(self) -> Trace:
         """Return what decided about the statement so far."""
-        if self.away is not None:
-            return self.away.trace()
+        if self.remote is not None:
+            return self.remote.trace()
         now = self.clock.time()
         tracker = self.service.primary
         failing = tracker.failing_since
@@ -109,41 +99,71 @@
         """Return what waits for a sample of the primary, if anything does."""
         return None
 
-    def stop_timers(self) -> None:
-        """See :meth:`Statement.stop_timers`."""
-        super().stop_timers()
-        self.end_attempt()
-
     def let_go(self, answer: Answer) -> None:
         """See :meth:`Statement.let_go`."""
-        if self.away is not None:
-            self.away.finish(answer)  # nothing, if the answer is its own
-        self.leave_line()
+        if self.remote is not None:
+            self.remote.finish(answer)  # nothing, if the answer is its own
+        super().let_go(answer)
+
+    # Other gateways
 
     def hand_over(self, statement: TypedStatement, writes: bool) -> bool:
         """Have a gateway that reaches the primary run a statement of which nothing was sent.
 
         Returns False if no such gateway is known.
         """
-        return self._hand_to(self.find_detour(), statement, writes)
+        return self._hand_to(self.others.find_detour(), statement, writes)
 
-    def hand_home(self, statement: TypedStatement, writes: bool, instance: str = "") -> bool:
+    def hand_to_holder(self, statement: TypedStatement, writes: bool, instance: str = "") -> bool:
         """Have the gateway run it that holds the connections to a member of another region.
 
         That is the primary if none is named. Returns False if the member stands in this region, or
         that gateway is not known.
         """
-        return self._hand_to(self.find_home(self.tenant, instance), statement, writes)
+        holder = self.others.find_remote_holder(self.tenant, instance)
+        return self._hand_to(holder, statement, writes)
 
     def _hand_to(self, work: Work | None, statement: TypedStatement, writes: bool) -> bool:
         if work is None:
             return False
-        away = work.single(self.route_left(), self.session, writes)
-        self.away = away
+        remote = work.single(self.route_left(), self.session, writes)
+        self.remote = remote
         self.stop_timers()
-        away.start(statement, self.finish)
+        remote.start(statement, self.finish)
         return True
 
+    def acquire_primary(
+        self, again: Callable[[], None], take: Callable[[Channel | None, Answer], None]
+    ) -> None:
+        """Wait for a connection to the primary, or have a gateway run it that reaches the primary.
+
+        Parameters
+        ----------
+        again : callable
+            Called in a moment if no primary is there.
+        take : callable
+            Gets the connection, or None with the reason.
+        """
+        self.stage = Stage.WAITS_FOR_PRIMARY
+        tracker, pool = self.service.primary, self.service.primary_pool()
+        if self.move_to(self.others.find_remote_holder(self.tenant, "")):
+            return
+        if tracker.failing_since and self.move_to(self.others.find_detour()):
+            return
+        if self.reject_long_lost():
+            return
+        if pool is None or pool.is_failing:
+            tracker.request_sample()
+            self.retry_later(again, busy("no primary is known"))
+        elif not self.may_wait_at(pool):
+            self.reject_crowded(pool)
+        else:
+            self.acquire(pool, take)
+
+    def move_to(self, work: Work | None) -> bool:
+        """Have another gateway run what writes, if one is named; return whether it does."""
+        raise NotImplementedError
+
     def reject_long_lost(self) -> bool:
         """Refuse at once what needs a primary that has been lost for long; return whether it was.
 
@@ -157,87 +177,10 @@
         self.finish(busy(f"the primary has been lost for {seconds:.1f} s; retry elsewhere"))
         return True
 
-    # Attempts at one member
-
-    def limit_opening(self) -> None:
-        """Wait only a short while for the first connection to a member."""
-        if (
-            self.place is not None
-            and self.pool is not None
-            and not self.pool.connections.established
-        ):
-            self._limit_attempt(OPEN_ATTEMPT_SECONDS)
-
-    def limit_answer(self) -> None:
-        """Give the member up for a read if its answer takes much longer than usual."""
-        assert self.pool is not None
-        objective = self.route.objective_seconds
-        self._limit_attempt(answer_limit_seconds(objective, self.pool.forecasts.latency_seconds))
-
-    def _limit_attempt(self, seconds: float) -> None:
-        self.end_attempt()
-        self.attempt_timer = self.clock.call_later(seconds, self._give_up_member)
-
-    def end_attempt(self) -> None:
-        """Note that the member answered, or that the statement is over."""
-        timer, self.attempt_timer = self.attempt_timer, None
-        if timer is not None:
-            timer.cancel()
-
-    def _give_up_member(self) -> None:
-        self.attempt_timer = None
-        if self.pool is None or self.respond is None:
-            return
-        self.pool.note_silence()
-        if self.channel is not None:
-            self.channel.close()  # answers as lost what is outstanding, which goes elsewhere
-        elif self.place is not None:
-            self.leave_line()
-            self.try_next_member()
-
-    def try_next_member(self) -> None:
-        """Go on at another member, after one that gave no connection."""
-        raise NotImplementedError
-
-    # Connections
-
-    def acquire(self, pool: MemberPool, take: Callable[[Channel | None, Answer], None]) -> None:
-        """Ask a pool for a connection."""
-
-        def respond(channel: Channel | None, answer: Answer) -> None:
-            self.place = None
-            if channel is not None and self.respond is None:
-                pool.release(channel)
-                return
-            self.channel = channel
-            if channel is not None:
-                channel.on_closed = self.on_channel_closed
-            take(channel, answer)
-
-        self.end_attempt()  # its limit is the limit of the member before
-        self.pool = pool
-        self.stage = Stage.WAITS_FOR_CONNECTION
-        self.member = pool.record.instance
-        entry, values = self.entry(), self.session.values
-        self.place = PlaceInLine(
-            pool, entry, values, self.clock, respond, self._leave_past_deadline
-        )
-        self.place.start()
-
-    def leave_line(self) -> None:
-        """Wait no longer for a connection."""
-        place, self.place = self.place, None
-        if place is not None:
-            place.leave()
-
-    def _leave_past_deadline(self) -> None:
-        """Go where there is room, or refuse, as not run, what would be answered too late."""
-        self.place = None
-        if self.pool is not None and not self.try_roomier(self.pool):
-            self.reject_crowded(self.pool, Cause.HOPELESS)
+    # Admission
 
     def entry(self) -> Entry:
-        """Return how the statement stands among those that want a connection."""
+        """See :meth:`ConnectedStatement.entry`."""
         deadline = self.arrived_at + self.route.timeout_seconds
         return Entry(
             self.route.priority,
@@ -248,7 +191,10 @@
             returned=self.session.is_retrying,
         )
 
-    # Admission
+    def past_deadline(self, pool: MemberPool) -> None:
+        """See :meth:`ConnectedStatement.past_deadline`."""
+        if not self.try_roomier(pool):
+            self.reject_crowded(pool, Cause.HOPELESS)
 
     def may_wait_at(self, pool: MemberPool) -> bool:
         """Return whether the statement can still be served at a member."""
@@ -300,62 +246,3 @@
     def try_roomier(self, pool: MemberPool) -> bool:
         """Go to a better member than one, if there is any; return whether it did."""
         return False
-
-    def on_channel_closed(self, channel: Channel) -> None:
-        """Note that the connection is gone; outstanding commands learn it by their answers."""
-
-    def release(self, latency_seconds: float | None = None) -> None:
-        """Give the connection back."""
-        channel, self.channel = self.channel, None
-        if channel is not None and self.pool is not None:
-            channel.on_closed = lambda channel: None
-            self.pool.release(channel, latency_seconds)
-
-    def discard(self) -> None:
-        """Close the connection: its state or its answers are in doubt."""
-        if self.channel is not None:
-            self.channel.on_closed = lambda channel: None
-            self.channel.close()
-            self.release()
-
-    def replay(self, channel: Channel) -> list[Command]:
-        """Return the commands that give the connection the session's values."""
-        return self.service.policies.state_replay.commands(channel, self.session)
-
-    def command(self, statement: TypedStatement, floor: Position | None) -> list[Command]:
-        """Return the commands for a read or write, the statement's own last."""
-        if statement.kind is not StatementKind.EXECUTE:
-            return [Command(CommandKind.STATEMENT, statement.text, statement.request_id, floor)]
-        assert self.channel is not None
-        shape = self.session.prepared[statement.name]
-        name = self.names.name(shape)
-        commands = []
-        if name not in self.channel.prepared:
-            mode = "WRITE" if shape[0] else "READ"
-            commands.append(Command(CommandKind.PREPARE, f"{name} {mode} {shape[1]}"))
-            self.channel.prepared.add(name)
-        text = f"{name} {statement.value}" if statement.value else name
-        commands.append(Command(CommandKind.EXECUTE, text, statement.request_id, floor))
-        return commands
-
-    def send(self, commands: list[Command], respond: Respond) -> None:
-        """Send commands; only the last one's answer matters unless an earlier one fails."""
-        assert self.channel is not None
-        channel = self.channel
-
-        def check(answer: Answer) -> None:
-            if answer.refusal is not None and not channel.closed:
-                channel.close()  # the session's values are not as promised on this connection
-
-        pool, takes_slot = self.pool, commands[-1].kind in SLOT_TAKERS
-        sent_at = self.clock.time()
-
-        def settle(answer: Answer) -> None:
-            if pool is not None and takes_slot:
-                pool.note_answered(answer.refusal, self.clock.time() - sent_at)
-            respond(answer)
-
-        self.sent_at = sent_at
-        self.stage = Stage.SENT
-        answered: list[Respond] = [check] * (len(commands) - 1)
-        channel.send(commands, [*answered, settle])
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -5,6 +5,8 @@
 :class:`rowanrail.gateway.relay.forwarding.ForwardedWork` keep them.
 """
 
+from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Protocol
 
 from rowanrail.gateway.session_values import SessionValues
@@ -13,7 +15,7 @@
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
 
-__all__ = ["SingleStatement", "Work", "WorkInTransaction"]
+__all__ = ["NO_OTHERS", "OtherGateways", "SingleStatement", "Work", "WorkInTransaction"]
 
 
 class _Traced(Protocol):
@@ -53,3 +55,31 @@
         self, route: Route, session: SessionValues, read_only: bool
     ) -> WorkInTransaction:
         """Return the work for a transaction."""
+
+
+def _no_detour() -> None:
+    return None
+
+
+def _no_remote_holder(tenant: str, instance: str) -> None:
+    return None
+
+
+@dataclass(frozen=True, slots=True)
+class OtherGateways:
+    """Where statements of one service may run if not on this gateway's connections.
+
+    Parameters
+    ----------
+    find_detour : callable
+        Returns work at a gateway that reaches the primary, None if none is known.
+    find_remote_holder : callable
+        Gets a tenant and a member's instance, empty for the primary. Returns work at the gateway
+        that holds the tenant's connections to that member, None if it stands in this region.
+    """
+
+    find_detour: Callable[[], Work | None] = _no_detour
+    find_remote_holder: Callable[[str, str], Work | None] = _no_remote_holder
+
+
+NO_OTHERS = OtherGateways()
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -17,9 +17,11 @@
     refusal_of_lost,
     unanswered,
 )
+from rowanrail.gateway.work.commands import commands_for
+from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.freshness import note_commit, oldest_sample, prefetch
-from rowanrail.gateway.work.operation import Operation, Stage
-from rowanrail.gateway.work.ports import Work, WorkInTransaction
+from rowanrail.gateway.work.operation import Operation
+from rowanrail.gateway.work.ports import OtherGateways, Work, WorkInTransaction
 from rowanrail.gateway.work.refusals import LATE, busy
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, Respond
@@ -49,9 +51,10 @@
         session: SessionValues,
         names: PreparedNames,
         clock: Scheduler,
+        others: OtherGateways,
         read_only: bool,
     ) -> None:
-        super().__init__(service, route, session, names, clock)
+        super().__init__(service, route, session, names, clock, others)
         self.read_only = read_only
         self.wrote = False
         self.failed = False
@@ -103,10 +106,10 @@
 
     def _begin(self) -> None:
         if not self.read_only:
-            self._acquire_primary()
+            self.acquire_primary(self._begin, self._with_channel)
             return
-        if self.route.consistency is Consistency.PRIMARY and self._move(
-            self.find_home(self.tenant)
+        if self.route.consistency is Consistency.PRIMARY and self.move_to(
+            self.others.find_remote_holder(self.tenant, "")
         ):
             return
         self.stage = Stage.WAITS_FOR_SAMPLE
@@ -130,39 +133,19 @@
             self.reject_crowded(pool)
             return
         pool = roomy
-        home = self.find_home(self.tenant, pool.record.instance)
-        if home is not None and self._move(home):
+        if self.move_to(self.others.find_remote_holder(self.tenant, pool.record.instance)):
             return
         self.attempts += 1
         self.acquire(pool, self._with_channel)
         self.limit_opening()
 
-    def _acquire_primary(self) -> None:
-        self.stage = Stage.WAITS_FOR_PRIMARY
-        pool = self.service.primary_pool()
-        if self._move(self.find_home(self.tenant)):
-            return
-        if self.service.primary.failing_since and self._move(self.find_detour()):
-            return
-        if self.reject_long_lost():
-            return
-        if pool is None or pool.is_failing:
-            self.service.primary.request_sample()
-            self.retry_later(self._begin, busy("no primary is known"))
-            return
-        if not self.may_wait_at(pool):
-            self.reject_crowded(pool)
-            return
-        self.floor = None
-        self.acquire(pool, self._with_channel)
-
-    def _move(self, work: Work | None) -> bool:
-        """Have another gateway run the transaction from its first statement."""
+    def move_to(self, work: Work | None) -> bool:
+        """Have another gateway run the transaction from its first statement, if one is named."""
         respond = self.respond
         if work is None or respond is None:
             return False
         self._moved = work.transaction(self.route, self.session, self.read_only)
-        self.away = self._moved
+        self.remote = self._moved
         self.respond = None
         self.stop_timers()
         self._moved.run(self.statement, respond)
@@ -183,7 +166,7 @@
             self.retry_later(self._begin, busy(answer.message))
             return
         kind = CommandKind.BEGIN_READ if self.read_only else CommandKind.BEGIN
-        commands = self.replay(channel)
+        commands = self.service.policies.state_replay.commands(channel, self.session)
         commands.append(Command(kind, floor=self.floor))
         channel.in_transaction = True
         if self.read_only:
@@ -249,7 +232,7 @@
         if is_write(self.statement, self.session):
             self.wrote = True
         commands = replay_in_transaction(self.channel, self.session)
-        commands += self.command(self.statement, None)
+        commands += commands_for(self.statement, None, self.channel, self.session, self.names)
         if self.read_only:
             self.limit_answer()
         self.send(commands, self._statement_answered)
@@ -344,14 +327,12 @@
 
         def rolled_back(answer: Answer) -> None:
             channel.in_transaction = False
-            channel.on_closed = lambda channel: None
             if answer.refusal is not None:
                 channel.close()
             # A value set inside of a transaction may be undone with it.
             channel.uncertain = bool(channel.values)
             pool.release(channel)
 
-        channel.on_closed = lambda channel: None
         channel.send([Command(CommandKind.ROLLBACK)], [rolled_back])
 
     def on_timeout(self) -> None:
