--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -1,4 +1,9 @@
-"""The proxy's core for typed statements: routes in force, services, sessions, planned stops."""
+"""The proxy's core for typed statements: routes in force, services, sessions, planned stops.
+
+For the process, its front ends and other gateways. Owns the configuration and the directory in
+force, the services, the sessions, and the tick that lets time pass at services. Relies on the parts
+that it is given: a driver of members, a log, the other gateways.
+"""
 
 import functools
 from collections.abc import Callable
@@ -30,7 +35,7 @@
 from rowanrail.gateway.sessions.pending import PendingProof, PendingStart
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import SingleStatement, Work, WorkInTransaction
+from rowanrail.gateway.work.ports import Work
 from rowanrail.kernel.clock import Clock, Scheduler, Timer
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
@@ -39,7 +44,7 @@
 from rowanrail.members.samples import Sample
 from rowanrail.model.members import PrimaryHealth
 from rowanrail.model.routing import Route, RoutingConfiguration
-from rowanrail.model.statements import Answer, Refusal, TypedStatement
+from rowanrail.model.statements import Answer, Refusal
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.scheduling.plan import Plan
@@ -48,10 +53,10 @@
 from rowanrail.tenants.terms import QuotaTerms
 
 TICK_SECONDS = 0.05  # a sixth of the shortest time that is watched, SAMPLE_TIMEOUT_SECONDS
-# Of them, between looks at services that nobody uses. 75 such services took 0.7 % of a core when
-# each was looked at at every tick.
+# Of them, between checks of services that nobody uses. 75 such services took 0.7 % of a core when
+# each was checked at every tick.
 TICKS_OF_IDLE = 10
-DEFAULT_IDLE_SECONDS = 60.0  # until the configuration says how long a transaction may rest
+DEFAULT_IDLE_SECONDS = 60.0  # until the configuration says how long a transaction may be idle
 PROVE_SECONDS = 0.3  # for which another gateway waits for a sample
 START_WAIT_SECONDS = 1.2  # clients wait for the answer to their start for 2 s
 
@@ -156,7 +161,7 @@
         self._timer = self.clock.call_later(TICK_SECONDS, self._tick)
 
     def _due_services(self) -> list[Service]:
-        """Return the services that are looked at now: those in use, at times all."""
+        """Return the services that are checked now: those in use, at times all."""
         if self._ticks % TICKS_OF_IDLE:
             return [service for service in self.services.values() if service.is_due]
         return list(self.services.values())
@@ -321,29 +326,6 @@
             return DEFAULT_IDLE_SECONDS
         return self.configuration.idle_transaction_seconds
 
-    def refuse_over_quota(self, session: Session) -> Answer | None:
-        """See :meth:`SessionHost.refuse_over_quota`."""
-        return self.access.refuse_over_quota(session)
-
-    def note_return(self, session: Session) -> None:
-        """See :meth:`SessionHost.note_return`."""
-        self.access.note_return(session)
-
-    def note_not_run(self, session: Session) -> None:
-        """See :meth:`SessionHost.note_not_run`."""
-        self.access.note_not_run(session)
-
-    def note_outcome(
-        self,
-        session: Session,
-        statement: TypedStatement,
-        answer: Answer,
-        seconds: float,
-        operation: SingleStatement | WorkInTransaction | None,
-    ) -> None:
-        """See :meth:`SessionHost.note_outcome`."""
-        self.outcomes.note(session, statement, answer, seconds, operation)
-
     def session_closed(self, session: Session) -> None:
         """See :meth:`SessionHost.session_closed`."""
         self.sessions.pop(session, None)
@@ -351,7 +333,7 @@
     # The planned stop
 
     def abort_transactions(self) -> None:
-        """End all resting transactions."""
+        """End all transactions that are idle."""
         for session in list(self.sessions):
             session.abort("the proxy is stopping")
 
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -1,4 +1,9 @@
-"""Who may run statements at this gateway: routes, keys, and limits of tenants."""
+"""Who may run statements at this gateway: routes, keys, and limits of tenants.
+
+For sessions and for statements that other gateways send here. Owns the configuration of tenants in
+force, the count of their operations, and who was rejected a moment ago. Relies on
+:mod:`rowanrail.tenants` for whose a key is and what a limit admits; logs what it refuses.
+"""
 
 from collections.abc import Callable
 
@@ -189,7 +194,7 @@
         self._returners.note(_label(session), return_in, session.values.rejections + 1)
 
     def note_return(self, session: Session) -> None:
-        """See :meth:`rowanrail.gateway.sessions.session.SessionHost.note_return`."""
+        """See :meth:`rowanrail.gateway.sessions.session.SessionAccess.note_return`."""
         times = self._returners.claim(_label(session))
         session.values.rejections = times
         session.values.is_retrying = times >= GOES_FIRST_AFTER
--- a/src/rowanrail/gateway/sessions/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -46,7 +46,7 @@
         seconds: float,
         operation: SingleStatement | WorkInTransaction | None,
     ) -> None:
-        """See :meth:`rowanrail.gateway.sessions.session.SessionHost.note_outcome`."""
+        """See :meth:`rowanrail.gateway.sessions.session.SessionOutcomes.note`."""
         outcome = answer.refusal.value if answer.refusal else "done"
         if answer.refusal is None and not answer.signature:
             return  # answered by the proxy itself; nothing was decided
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -1,4 +1,8 @@
-"""A client's session: its statements one after the other, its values, its transaction."""
+"""A client's session: its statements one after the other, its values, its transaction.
+
+For the front ends. Owns the session's state, its values and the transaction that is open; relies on
+its gateway for routes, limits and the log, and on the ports of work to run statements.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -22,16 +26,8 @@
 _DONE = Answer()
 
 
-class SessionHost(Protocol):
-    """What a session needs of its proxy."""
-
-    clock: Scheduler
-
-    def route(self, database: str, tenant: str) -> tuple[Route, Work] | Answer:
-        """Return the route in force for a database and where a tenant's work is done."""
-
-    def idle_transaction_seconds(self) -> float:
-        """Return how long a transaction may rest."""
+class SessionAccess(Protocol):
+    """What a session asks of the limits of its tenant."""
 
     def refuse_over_quota(self, session: "Session") -> Answer | None:
         """Count an operation of a session's tenant, or return why it may not begin now."""
@@ -42,7 +38,11 @@
     def note_not_run(self, session: "Session") -> None:
         """Count an operation no longer: nothing of it reached a member."""
 
-    def note_outcome(
+
+class SessionOutcomes(Protocol):
+    """Who is told the answers of a session."""
+
+    def note(
         self,
         session: "Session",
         statement: TypedStatement,
@@ -52,6 +52,26 @@
     ) -> None:
         """Count and log what became of a statement."""
 
+
+class SessionHost(Protocol):
+    """What a session needs of its gateway."""
+
+    clock: Scheduler
+
+    @property
+    def access(self) -> SessionAccess:
+        """Limits of tenants."""
+
+    @property
+    def outcomes(self) -> SessionOutcomes:
+        """Gets each answer."""
+
+    def route(self, database: str, tenant: str) -> tuple[Route, Work] | Answer:
+        """Return the route in force for a database and where a tenant's work is done."""
+
+    def idle_transaction_seconds(self) -> float:
+        """Return how long a transaction may be idle."""
+
     def session_closed(self, session: "Session") -> None:
         """Forget a session."""
 
@@ -149,10 +169,10 @@
             return
         if self.state is SessionState.TRANSACTION and not self.closed:
             self._idle_timer = self._host.clock.call_later(
-                self._host.idle_transaction_seconds(), self._rested_too_long
+                self._host.idle_transaction_seconds(), self._idle_for_too_long
             )
         seconds = self._host.clock.time() - self._received_at
-        self._host.note_outcome(self, statement, answer, seconds, operation)
+        self._host.outcomes.note(self, statement, answer, seconds, operation)
         respond(answer)
 
     def _refuse(self, refusal: Refusal, message: str) -> None:
@@ -220,10 +240,7 @@
         if isinstance(found, Answer):
             self._finish(found)
             return
-        self._host.note_return(self)
-        over = self._host.refuse_over_quota(self)
-        if over is not None:
-            self._finish(over)
+        if not self._may_begin():
             return
         route, work = found
         read_only = statement.kind is StatementKind.BEGIN_READ
@@ -243,19 +260,25 @@
         if isinstance(found, Answer):
             self._finish(found)
             return
-        self._host.note_return(self)
-        over = self._host.refuse_over_quota(self)
-        if over is not None:
-            self._finish(over)
+        if not self._may_begin():
             return
         route, work = found
         operation = work.single(route, self.values, is_write(statement, self.values))
         self._operation = operation
         operation.start(statement, self._single_answered)
 
+    def _may_begin(self) -> bool:
+        """Count an operation of the tenant; over its limit it is answered, and False returned."""
+        access = self._host.access
+        access.note_return(self)
+        over = access.refuse_over_quota(self)
+        if over is not None:
+            self._finish(over)
+        return over is None
+
     def _single_answered(self, answer: Answer) -> None:
         if answer.refusal in NOT_RUN:
-            self._host.note_not_run(self)
+            self._host.access.note_not_run(self)
         self._finish(answer)
 
     # Transactions
@@ -276,7 +299,7 @@
         if transaction is not None:
             transaction.end()
 
-    def _rested_too_long(self) -> None:
+    def _idle_for_too_long(self) -> None:
         self._idle_timer = None
         self.abort("the transaction rested for too long")
 
@@ -291,7 +314,7 @@
         self.on_denied()
 
     def abort(self, reason: str) -> None:
-        """End a resting transaction; its client learns it at its next statement."""
+        """End a transaction that is idle; its client learns it at its next statement."""
         if self._transaction is None or self.busy:
             return
         self._transaction.end()
