--- a/src/rowanrail/gateway/events.py
+++ b/src/rowanrail/gateway/events.py
@@ -1,4 +1,8 @@
-"""Log events of the gateway (numbers 300 to 399)."""
+"""Log events of the gateway (numbers 300 to 399).
+
+For whatever logs a decision, and for the page of events that is made from them. Numbers, levels and
+fields are an edge: they stay. Relies on the catalogue, in which each number stands once.
+"""
 
 from rowanrail.kernel.catalogue import Level, define
 
@@ -12,7 +16,8 @@
     301,
     Level.WARNING,
     "statement {request} was answered with {outcome}: {reason}",
-    "The fields say what decided it: primary believed in, age of its last sample, version.",
+    "The fields say what decided it: the primary believed in, the age of its last sample, the "
+    "version.",
 )
 CONFIGURATION_TAKEN = define(
     310, Level.INFO, "version {version} is in force", "The proxy took a newer configuration."
@@ -57,7 +62,7 @@
     318,
     Level.WARNING,
     "gateway {peer} reaches the primary of {service}, which this one does not",
-    "Reads go on behind its samples; writes and transactions run on its connections.",
+    "Reads run here with floors from its samples; writes and transactions run on its connections.",
 )
 HELD_TAKEN = define(
     319,
@@ -123,9 +128,9 @@
     332,
     Level.WARNING,
     "an operation of tenant {tenant} is beyond its limit",
-    "It was refused at once and has not run. The fields give the limit, what began "
+    "It was rejected at once and has not run. The fields give the limit, what began "
     "and was asked for at all gateways, which part may begin, the age of these sums, and from "
-    "which share of the gateways they come; the others are taken to run as much. Of a tenant's "
+    "which share of the gateways they come; the others are assumed to run as much. Of a tenant's "
     "operations the urgent ones begin first: `urgency` is the priority of its route.",
 )
 MEMBER_FELL = define(
@@ -133,7 +138,7 @@
     Level.WARNING,
     "{instance} of {service} lost most of its weight: {reason}",
     "Reads go elsewhere while others serve them. It gets its weight back by this gateway's own "
-    "probes, the slower the oftener it fell within half a minute.",
+    "probes, more slowly the more often it fell within half a minute.",
 )
 MEMBER_ROSE = define(
     351,
@@ -144,7 +149,7 @@
 DIRECTORY_DIFFERS = define(
     360,
     Level.WARNING,
-    "what {peer} told since revision {since} leads to another directory than its own",
-    "The gateway goes on with the one in force and asks for the whole at once. It is usual while "
-    "processes of different versions run beside each other; else it is a fault.",
+    "changes from {peer} since revision {since} lead to another directory than its own",
+    "The gateway goes on with the one in force and asks for the whole at once. This is usual while "
+    "processes of different versions run beside each other; otherwise it is a fault.",
 )
--- a/src/rowanrail/gateway/policies.py
+++ b/src/rowanrail/gateway/policies.py
@@ -1,4 +1,9 @@
-"""Guards of the gateway, as plug-ins of kind ``gateway-guard``."""
+"""Guards of the gateway, as plug-ins of kind ``gateway-guard``.
+
+For the gateway's parts, each of which asks its guard. Each class carries one guarantee, which the
+lab takes away to show that its checks find the loss. Relies on the registry for which class is
+used.
+"""
 
 import msgspec
 
--- a/src/rowanrail/gateway/session_values.py
+++ b/src/rowanrail/gateway/session_values.py
@@ -1,4 +1,8 @@
-"""What a session set, and how a connection gets exactly that."""
+"""What a session set, and how a connection gets exactly that.
+
+For sessions, the kinds of work, and statements that are sent to other gateways. Owns a session's
+values, prepared names and floors. Relies on a channel to know what is set and prepared on it.
+"""
 
 from rowanrail.members.channel import Channel
 from rowanrail.model.position import Position
@@ -7,7 +11,7 @@
 
 
 class SessionValues:
-    """What a session set: values and prepared names, which hold until it ends.
+    """What a session set: values and prepared names, which stand until it ends.
 
     Its identity says on whose connections its statements run. ``rejections`` says how many times
     running its client was rejected before what it runs now, and retries when it was told to;
--- a/src/rowanrail/gateway/sessions/frontend.py
+++ b/src/rowanrail/gateway/sessions/frontend.py
@@ -1,4 +1,8 @@
-"""The front-end port of the gateway. Front ends register as plug-ins of kind ``frontend``."""
+"""The front-end port of the gateway. Front ends register as plug-ins of kind ``frontend``.
+
+For the process, which makes the one of its protocol. A front end owns the clients' connections and
+relies on the gateway's sessions.
+"""
 
 from abc import ABC, abstractmethod
 
@@ -15,7 +19,7 @@
 
     @abstractmethod
     def begin_closing(self) -> None:
-        """Accept nobody else; close each session as soon as it is at rest."""
+        """Accept no more clients; close each session as soon as it is idle."""
 
     @abstractmethod
     def busy_sessions(self) -> int:
--- a/src/rowanrail/gateway/sessions/pending.py
+++ b/src/rowanrail/gateway/sessions/pending.py
@@ -1,4 +1,8 @@
-"""What waits at a gateway for something to become known: starts of sessions, and proofs."""
+"""What waits at a gateway: starts of sessions for a configuration, other gateways for a sample.
+
+For :class:`rowanrail.gateway.gateway.Gateway`. Owns that each goes on once. Relies on the gateway
+to end the wait after its time.
+"""
 
 from collections.abc import Callable
 
@@ -23,7 +27,7 @@
 
 
 class PendingProof:
-    """A sample that somebody else waits for; given once, or not in time."""
+    """A sample that another gateway waits for; given once, None if it doesn't come in time."""
 
     def __init__(
         self, tracker: PrimaryTracker, asked_at: float, give: Callable[[Sample | None], None]
@@ -40,7 +44,7 @@
         self._answer(self._tracker.sample if position is not None else None)
 
     def give_up(self) -> None:
-        """Say that there is none, if none came so far."""
+        """Answer that there is none, if none came so far."""
         self._tracker.forget(self._take)
         self._answer(None)
 
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -1,4 +1,9 @@
-"""An autocommit read: a floor, then any member whose log holds it."""
+"""An autocommit read: a floor, then any member whose log holds it.
+
+For :class:`rowanrail.gateway.work.local.LocalWork`. Owns the members that are excluded and how
+often the read failed. Relies on :mod:`rowanrail.gateway.work.attempts` for what follows a refusal;
+a read changes nothing, so that it may run anywhere, again and again.
+"""
 
 from collections.abc import Callable
 
@@ -33,7 +38,7 @@
         self._errors = 0
         self._asked_since = oldest_sample(self.route, self.arrived_at)
         if self.route.consistency is Consistency.PRIMARY and self._go_to_holder():
-            return  # replicas are behind by more than a sample takes to come from there
+            return  # replicas lag by more than a sample takes to come from that region
         self._need_floor()
 
     def _go_to_holder(self) -> bool:
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -1,4 +1,8 @@
-"""An autocommit write, at the primary; what may have run is never sent again."""
+"""An autocommit write, at the primary; what may have run is never sent again.
+
+For :class:`rowanrail.gateway.work.local.LocalWork`. Owns nothing beyond the statement. Relies on
+:mod:`rowanrail.gateway.work.attempts` for which refusals mean that nothing ran.
+"""
 
 from rowanrail.gateway.work.attempts import Sent, WriteStep, step_after_write, unanswered
 from rowanrail.gateway.work.commands import commands_for
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -1,4 +1,9 @@
-"""One statement of a client: its time, its one answer, and what a refusal tells its client."""
+"""One statement of a client: its time, its one answer, and what a refusal tells its client.
+
+For the kinds of work. Owns the timers of the statement's time-out and of its deferral, who gets the
+answer, and the rejection that is logged. Relies on :mod:`rowanrail.gateway.work.refusals` for how
+long a statement is deferred and what it is told.
+"""
 
 from collections.abc import Callable
 
@@ -86,7 +91,7 @@
         self.deferral_timer = self.clock.call_later(limit, self.on_deferral_over)
 
     def on_timeout(self) -> None:
-        """Answer at the end of the statement's time."""
+        """Answer when the statement's time is over."""
         raise NotImplementedError
 
     def on_deferral_over(self) -> None:
@@ -142,7 +147,7 @@
         self.finish(busy(reason, retry_after))
 
     def stop_timers(self) -> None:
-        """Forget the statement's time: it has its answer, or somebody else minds it."""
+        """Forget the statement's time: it has its answer, or another gateway runs it."""
         for timer in (self.timer, self.deferral_timer):
             if timer is not None:
                 timer.cancel()
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -1,4 +1,9 @@
-"""A transaction: one connection from its first statement to its end."""
+"""A transaction: one connection from its first statement to its end.
+
+For :class:`rowanrail.gateway.work.local.LocalWork`. Owns whether it has begun, written and failed,
+and who runs it if another gateway does. Relies on the member, which keeps nothing of a transaction
+without its commit.
+"""
 
 from collections.abc import Callable
 
@@ -40,8 +45,8 @@
 class Transaction(Operation):
     """A transaction: its connection from the first statement to the end.
 
-    It begins at the member with its first statement, so that a transaction that rests right
-    after BEGIN holds no connection.
+    It begins at the member with its first statement, so that one that is idle right after BEGIN
+    holds no connection.
     """
 
     def __init__(
