--- a/src/rowanrail/explain/lines.py
+++ b/src/rowanrail/explain/lines.py
@@ -1,4 +1,8 @@
-"""Reading decision logs: one JSON object a line, perhaps behind a prefix, perhaps damaged."""
+"""Reading decision logs: one JSON object a line, perhaps behind a prefix, perhaps damaged.
+
+For the search and the diagnosis. Owns what counts as a log line; relies on the fields that all
+events have and on the catalogue for an event's message.
+"""
 
 from collections.abc import Iterable
 from typing import Any
--- a/src/rowanrail/explain/search.py
+++ b/src/rowanrail/explain/search.py
@@ -1,5 +1,6 @@
 """Which lines of many decision logs belong to the diagnosis of one request, read as a stream.
 
+For ``rowanrail explain``. Owns the choice of lines; relies on sources that can be read twice.
 Two passes: the first finds the request's own statements, the second the lines around them. Only
 what belongs to it is kept, so that the logs of hundreds of processes can be searched in
 little memory.
