--- a/tests/unit/test_tcp.py
+++ b/tests/unit/test_tcp.py
@@ -60,13 +60,15 @@
 
         self.asked = 0
         listener = await network.serve("127.0.0.1:18977", answer)
-        slow = asyncio.ensure_future(network.call("127.0.0.1:18977", BarrierRequest(), 0.2))
-        await asyncio.sleep(0.05)
-        quick = await network.call("127.0.0.1:18977", BarrierRequest(), 0.2)
+        slow = asyncio.ensure_future(network.call("127.0.0.1:18977", BarrierRequest(), 2.0))
+        while not self.asked:
+            await asyncio.sleep(0.01)
+        quick = await network.call("127.0.0.1:18977", BarrierRequest(), 10.0)
+        self.assertFalse(slow.done())  # the quick one did not wait for it
         with self.assertRaises(TransportError):
             await slow
         self.assertEqual(quick, BarrierReply(2))
-        self.assertEqual((await network.call("127.0.0.1:18977", BarrierRequest(), 0.2)).index, 3)
+        self.assertEqual((await network.call("127.0.0.1:18977", BarrierRequest(), 10.0)).index, 3)
         await listener.close()
         await network.close()
 
