--- a/src/rowanlab/simulator/permissive.py
+++ b/src/rowanlab/simulator/permissive.py
@@ -8,15 +8,10 @@
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.policies import LearnerFirst, QuorumCheck
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
-from rowanrail.gateway.policies import KeyCheck, LinkOutcome, StateReplay
-from rowanrail.gateway.session_values import SessionValues
 from rowanrail.kernel.errors import CallerError, NotRunError
 from rowanrail.kernel.registry import Registry
-from rowanrail.members.channel import Channel
-from rowanrail.members.leadership import LeadershipProof
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
-from rowanrail.model.statements import Answer, Command, Refusal
 from rowanrail.sql_control.policies import ExpectedVersion
 from rowanrail.sql_proxy.backend import MemberStatus
 from rowanrail.sql_proxy.policies import (
@@ -29,7 +24,6 @@
     RequestRecord,
     TermConfirmation,
 )
-from rowanrail.tenants.model import Identity
 
 
 class AnyFreshness(Freshness):
@@ -132,38 +126,6 @@
         return f"{name}@1"
 
 
-class AnyAnswerProves(LeadershipProof):
-    """The position on any answer is taken as the primary's."""
-
-    def is_proof(self, answer: Answer) -> bool:
-        """See the guard."""
-        return answer.position is not None
-
-
-class NoReplay(StateReplay):
-    """Statements run with whatever the connection has."""
-
-    def commands(self, channel: Channel, session: SessionValues) -> list[Command]:
-        """See the guard."""
-        return []
-
-
-class LostMeansAborted(LinkOutcome):
-    """Whatever was sent over a link that is lost counts as not kept."""
-
-    def refusal(self, may_be_kept: bool) -> Refusal:
-        """See the guard."""
-        return Refusal.ABORTED
-
-
-class AnyKeyHolds(KeyCheck):
-    """Lets sessions go on whose key was withdrawn."""
-
-    def holds(self, opened: Identity, known: Identity | None) -> bool:
-        """See :meth:`KeyCheck.holds`."""
-        return True
-
-
 class AnyAnnouncement(IncarnationCheck):
     """Whatever a member says counts, whenever it comes."""
 
@@ -196,12 +158,8 @@
     CHECK_QUORUM = "check-quorum"
     LEARNER_FIRST = "learner-first"
     FSYNC = "fsync"
-    LEADERSHIP_PROOF = "leadership-proof"
-    STATE_REPLAY = "state-replay"
-    LINK_OUTCOME = "link-outcome"
     INCARNATION = "incarnation"
     FENCING_TOKEN = "fencing-token"
-    KEY_CHECK = "key-check"
 
 
 class _Replacement(msgspec.Struct, frozen=True):
@@ -221,12 +179,8 @@
     Guard.VERSION_MONOTONIC: _Replacement("control-guard", VersionsGoBack),
     Guard.EXPECTED_VERSION: _Replacement("control-guard", AnyVersion),
     Guard.CHECK_QUORUM: _Replacement("consensus-guard", NoQuorum),
-    Guard.LEADERSHIP_PROOF: _Replacement("gateway-guard", AnyAnswerProves),
-    Guard.STATE_REPLAY: _Replacement("gateway-guard", NoReplay),
-    Guard.LINK_OUTCOME: _Replacement("gateway-guard", LostMeansAborted),
     Guard.INCARNATION: _Replacement("coordination-guard", AnyAnnouncement),
     Guard.FENCING_TOKEN: _Replacement("coordination-guard", SameTokenAlways),
-    Guard.KEY_CHECK: _Replacement("gateway-guard", AnyKeyHolds),
     Guard.LEARNER_FIRST: _Replacement("consensus-guard", OldIdentityKept),
 }
 
--- a/src/rowanlab/simulator/scenarios.py
+++ b/src/rowanlab/simulator/scenarios.py
@@ -3,7 +3,6 @@
 from rowanlab.simulator.control_scenarios import CONTROL_SCENARIOS
 from rowanlab.simulator.coordination_scenarios import COORDINATION_SCENARIOS
 from rowanlab.simulator.data_scenarios import DATA_SCENARIOS
-from rowanlab.simulator.gateway_scenarios import GATEWAY_SCENARIOS
 from rowanlab.simulator.scenario import Scenario
 
 SCENARIOS: dict[str, Scenario] = {
@@ -11,7 +10,6 @@
     for scenario in [
         *DATA_SCENARIOS,
         *CONTROL_SCENARIOS,
-        *GATEWAY_SCENARIOS,
         *COORDINATION_SCENARIOS,
     ]
 }
--- a/tests/coordination/test_change_batch.py
+++ b/tests/coordination/test_change_batch.py
@@ -5,7 +5,6 @@
 
 import msgspec
 
-from rowanlab.simulator.event_clock import EventClock
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.coordination.change_batch import BATCH_MS, ChangeBatch
@@ -17,6 +16,7 @@
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.members import MemberRecord
 from tests.coordination.test_directory import PlayedNode
+from tests.support.gateway import ManualClock
 
 HOLD_SECONDS = 1.0
 AT_ONCE_SECONDS = 0.1
@@ -24,7 +24,7 @@
 
 class ChangeBatchTest(unittest.TestCase):
     def setUp(self):
-        self.time = EventClock()
+        self.time = ManualClock()
         self.released = []
         self.batch = ChangeBatch(Clock(self.time), self._note)
 
@@ -35,16 +35,16 @@
         begun = self.time.now
         for revision in range(1, 11):
             self.batch.note(revision, 0)
-            self.time.run_until(begun + revision * 0.02)
+            self.time.advance(0.02)
         self.assertEqual(self.batch.released, 0)
-        self.time.run_until(begun + 1.0)
+        self.time.advance(1.0)
         self.assertEqual(self.released, [(round(begun * 1000 + BATCH_MS), 10)])
 
     def test_an_urgent_change_takes_along_what_waits(self):
         self.batch.note(1, 0)
         self.batch.note(2, 2)
         self.assertEqual(self.batch.released, 2)
-        self.time.run_until(self.time.now + 1.0)
+        self.time.advance(1.0)
         self.assertEqual(self.released, [])
 
     def test_a_state_that_was_read_again_from_the_disk_is_told_as_far_as_it_goes(self):
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -2,7 +2,6 @@
 
 import unittest
 
-from rowanlab.simulator.relay_network import RelayNetwork
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.relay.detours import Detours
@@ -24,6 +23,7 @@
     RecordingLog,
     routes,
 )
+from tests.support.relay_network import RelayNetwork
 
 
 class CutDriver(PlayedDriver):
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -2,7 +2,6 @@
 
 import unittest
 
-from rowanlab.simulator.relay_network import RelayNetwork
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.relay.detours import Detours
@@ -27,6 +26,7 @@
     routes,
     statement,
 )
+from tests.support.relay_network import RelayNetwork
 
 REGIONS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 GATEWAYS = {"ga1": "a1", "ga2": "a2", "gb1": "b1", "gb2": "b2"}
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,6 +1,5 @@
 """Gateways of one zone that share one gateway's connections, on a manual clock."""
 
-from rowanlab.simulator.relay_network import RelayNetwork
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
@@ -20,6 +19,7 @@
     RecordingLog,
     routes,
 )
+from tests.support.relay_network import RelayNetwork
 
 GATEWAYS = ("g1", "g2", "g3")
 POPULATION = Population(60, 6)
