--- a/tests/soak/members.py
+++ b/tests/soak/members.py
@@ -1,16 +1,19 @@
 """Members with slots and a queue of their own, whose work takes time."""
 
 import asyncio
+import itertools
 from collections import deque
 from collections.abc import Callable
 from typing import Any
 
+from tests.soak.oracle import Execution
 from tests.support.line_member import Member, MemberConnection
 
 WORK_SECONDS = 0.004  # of a slot for a read, a write or a commit
 OPENING_SECONDS = 0.012  # of a slot for a new connection
 QUEUE = 32  # statements that wait for a slot; more are turned away
 SLOT_TAKERS = ("READ", "WRITE", "EXECUTE", "COMMIT")
+_numbers = itertools.count()  # of connections; the ids of objects are used again
 
 
 class SlottedMember(Member):
@@ -21,6 +24,7 @@
         self.usable = self.slots
         self.slowness = 1.0
         self.turned_away = 0
+        self.silent = False
         self._running = 0
         self._waiting: deque[tuple[float, Callable[[], None]]] = deque()
 
@@ -33,6 +37,12 @@
         self._go_on()
         return True
 
+    def speak_again(self) -> None:
+        """Take what has arrived while the member was silent."""
+        self.silent = False
+        for connection in list(self.connections):
+            connection.take_waiting()
+
     def _go_on(self) -> None:
         while self._waiting and self._running < self.usable:
             seconds, done = self._waiting.popleft()
@@ -54,13 +64,15 @@
         self._lines: deque[str] = deque()
         self._is_at_work = False
         self._has_counted = False  # the open transaction, against its tenant's limit
+        self._number = next(_numbers)
+        self._shape = ""
 
     def take(self, line: str) -> None:
         self._lines.append(line)
-        self._go_on()
+        self.take_waiting()
 
-    def _go_on(self) -> None:
-        while self._lines and not self._is_at_work:
+    def take_waiting(self) -> None:
+        while self._lines and not self._is_at_work and not self.member.silent:
             line = self._lines.popleft()
             seconds = self._seconds(line)
             if not seconds:
@@ -89,7 +101,7 @@
         self._is_at_work = False
         if not self.transport.is_closing():
             self._run(line)
-            self._go_on()
+            self.take_waiting()
 
     def _run(self, line: str) -> None:
         super().take(line)
@@ -100,14 +112,24 @@
 
     def run_read(self, words: list[str]) -> list[str]:
         self._count()
+        if self.state == "T" and not self.plain:
+            self.member.group.read_in_transaction(Execution(self._number, self.values))
         return super().run_read(words)
 
     def run_write(self, words: list[str]) -> list[str]:
         lines = super().run_write(words)
         if not lines[0].startswith("ERROR"):
             self._count()
+            self.member.group.wrote(words[1], Execution(self._number, self.values, self._shape))
         return lines
 
+    def run_execute(self, words: list[str]) -> list[str]:
+        self._shape = self.prepared.get(words[0], ("", ""))[1]
+        try:
+            return super().run_execute(words)
+        finally:
+            self._shape = ""
+
     def _count(self) -> None:
         if self.state != "T" or not self._has_counted:
             self.member.group.began(self.tenant)
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -11,6 +11,24 @@
 EXCESS, SLACK = 0.1, 20
 
 
+@dataclass(frozen=True)
+class Asked:
+    """What a client's session had when it asked for a write, and of which transaction it was."""
+
+    values: dict[str, str]
+    shape: str = ""
+    transaction: int = 0
+
+
+@dataclass(frozen=True)
+class Execution:
+    """With what a member ran a statement, and on which of its connections."""
+
+    connection: int
+    values: dict[str, str]
+    shape: str = ""
+
+
 @dataclass
 class Verdict:
     """Counts of one run; ``problems`` is empty if every rule held."""
@@ -37,6 +55,9 @@
         self._together: list[tuple[str, ...]] = []
         self._order: dict[str, int] = {}
         self._began: dict[str, list[float]] = {}
+        self._asked: dict[str, Asked] = {}
+        self._connections: dict[int, int] = {}
+        self._read_connections: dict[str, int] = {}
 
     # What the members did
 
@@ -46,6 +67,29 @@
         if tenant != wanted:
             self.problem(f"UNASKED: a statement on {thing} ran for {tenant}, not {wanted}")
 
+    def asked(self, value: str, asked: Asked) -> None:
+        """Note a write before it is sent."""
+        self._asked[value] = asked
+
+    def wrote(self, value: str, run: Execution) -> None:
+        """Judge a write that ran: with its session's values, on its transaction's connection."""
+        asked = self._asked.get(value)
+        if asked is None:
+            self.problem(f"UNASKED: {value} was written, and nobody asked for it")
+        elif (run.values, run.shape) != (asked.values, asked.shape):
+            self.problem(f"PINNED: {value} ran with {run.values} {run.shape!r}, not as {asked}")
+        elif asked.transaction:
+            first = self._connections.setdefault(asked.transaction, run.connection)
+            if first != run.connection:
+                self.problem(f"PINNED: {value} left the connection of its transaction")
+
+    def read_in_transaction(self, run: Execution) -> None:
+        """Judge a read of a transaction that only reads, which its session's value names."""
+        name = run.values.get("a", "")
+        first = self._read_connections.setdefault(name, run.connection)
+        if not name or first != run.connection:
+            self.problem(f"PINNED: a read of the transaction {name!r} left its connection")
+
     def began(self, tenant: str, now: float) -> None:
         """Note an operation of a tenant that ran: a single statement, or a transaction."""
         self._began.setdefault(tenant, []).append(now)
@@ -76,6 +120,13 @@
             self.rolled_back.add(value)
             self.verdict.rolled_back += 1
 
+    def judge_orders(self, calls: list[tuple[str, int, str, int]]) -> None:
+        """Judge the orders to promote: a token stands for one order of one node."""
+        orders: dict[int, tuple[str, str]] = {}
+        for holder, token, instance, _ in calls:
+            if orders.setdefault(token, (holder, instance)) != (holder, instance):
+                self.problem(f"ONE: {holder} ordered {instance} under {token} of {orders[token]}")
+
     # What clients were told
 
     def answered(self, values: tuple[str, ...], first_line: str) -> None:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from tests.soak.members import SlottedMember
-from tests.soak.oracle import TENANTS, Oracle, Verdict
+from tests.soak.oracle import TENANTS, Asked, Execution, Oracle, Verdict
 from tests.support.line_member import Group, Member
 from tests.support.platform_fleet import LineClient, PlatformFleet, configuration
 
@@ -16,6 +16,8 @@
 MAXIMUM_CONNECTIONS = 16  # so few that the gateways of a zone share
 FAULT_PAUSE = (0.5, 2.0)  # seconds
 OUTAGE = (0.3, 2.0)
+SILENCE = (0.2, 1.2)  # of a member
+SILENCE_PAUSE = (2.0, 6.0)
 RECOVERY_SECONDS = 6.0
 DATABASES = ("orders", "carts")
 REGIONS = {"a": "r1", "b": "r2"}
@@ -24,6 +26,7 @@
 # Of each tenant, so that its three clients stay below it and a rush of six more does not.
 RATE_PER_SECOND, BURST = 150, 150
 RUSHING_CLIENTS = 6
+STATE_SHARE = 0.1  # of what clients ask: a session value, or a prepared name
 RUSH_SECONDS = (2.0, 5.0)
 SLOWNESS = 8.0  # factor on a member's work
 STATEMENT_SECONDS = 1.0  # the route's time-out
@@ -41,6 +44,12 @@
     def ran(self, tenant: str, thing: str) -> None:
         self.oracle.ran(tenant, thing)
 
+    def wrote(self, value: str, run: Execution) -> None:
+        self.oracle.wrote(value, run)
+
+    def read_in_transaction(self, run: Execution) -> None:
+        self.oracle.read_in_transaction(run)
+
     def began(self, tenant: str) -> None:
         self.oracle.began(tenant, asyncio.get_running_loop().time())
 
@@ -70,6 +79,9 @@
         # Of a route that must see every commit all, else what this session had acknowledged.
         self.must_see: list[str] = []
         self.next = 0
+        # What the session under way has set, and the shape of what it has prepared as "w".
+        self.values: dict[str, str] = {}
+        self.shape = ""
         # A third of the clients stay on a connection until it is lost.
         self.stays = number % 3 == 0
 
@@ -99,16 +111,21 @@
         return f"{self.key}-{self.next}"
 
     async def session(self, client: LineClient) -> None:
+        self.values, self.shape = {}, ""
         statements = self.random.randint(3, 30)
         while self.stays or statements > 0:
             statements -= 1
             if self.over:
                 return
             draw = self.random.random()
-            if draw < 0.4:
+            if draw < STATE_SHARE:
+                await self.change_state(client)
+            elif draw < 0.4:
                 await self.write(client)
-            elif draw < 0.6:
+            elif draw < 0.55:
                 await self.transaction(client)
+            elif draw < 0.65:
+                await self.reading_transaction(client)
             else:
                 await self.read(client)
             await asyncio.sleep(self.random.uniform(0.0, 0.03))
@@ -126,9 +143,33 @@
             self.soak.oracle.problem(f"HELD: {text} was answered {late:.1f} s after its time")
         return lines
 
+    async def change_state(self, client: LineClient) -> None:
+        """Set a value, or prepare a write anew."""
+        if self.random.random() < 0.5:
+            await self.set_value(client)
+            return
+        shape = self.value()
+        await self.change(client, f"PREPARE w WRITE {shape}")
+        self.shape = shape
+
+    async def set_value(self, client: LineClient) -> None:
+        value = self.value()
+        await self.change(client, f"SET a {value}")
+        self.values = {"a": value}
+
+    async def change(self, client: LineClient, text: str) -> None:
+        if not (await self.ask(client, text))[0].startswith("DONE"):
+            raise EOFError  # what the session has now can't be known
+
+    def next_write(self, value: str, transaction: int = 0) -> str:
+        """Return a write, half of them by the prepared name, and tell the oracle of it."""
+        shape = self.shape if self.random.random() < 0.5 else ""
+        self.soak.oracle.asked(value, Asked(dict(self.values), shape, transaction))
+        return f"EXECUTE w {self.key} {value}" if shape else f"WRITE {self.key} {value}"
+
     async def write(self, client: LineClient) -> None:
         value = self.value()
-        lines = await self.ask(client, f"WRITE {self.key} {value}")
+        lines = await self.ask(client, self.next_write(value))
         self.note((value,), lines)
 
     def note(self, values: tuple[str, ...], lines: list[str]) -> None:
@@ -156,8 +197,10 @@
             if not begun[0]:
                 raise EOFError
             return
+        self.soak.transactions += 1
+        transaction = self.soak.transactions
         for value in values:
-            lines = await self.ask(client, f"WRITE {self.key} {value}")
+            lines = await self.ask(client, self.next_write(value, transaction))
             if not lines[0].startswith("DONE"):
                 # Its commit is never sent: whatever was said, nothing of it may be kept.
                 self.soak.oracle.answered(values, "ERROR ABORTED")
@@ -167,6 +210,17 @@
                 return
         self.note(values, await self.ask(client, "COMMIT"))
 
+    async def reading_transaction(self, client: LineClient) -> None:
+        """Read in a transaction, under a value by which its reads are known where they run."""
+        await self.set_value(client)
+        for text in ("BEGIN READ", f"READ {self.key}", f"READ {self.key}", "COMMIT"):
+            lines = await self.ask(client, text)
+            if not lines[0]:
+                raise EOFError
+            if lines[0].startswith("ERROR"):
+                await self.ask(client, "ROLLBACK")
+                return
+
 
 class Soak:
     """One run: a fleet, clients, and faults two at a time."""
@@ -182,6 +236,8 @@
         self.oracle = Oracle()
         self.over = False
         self.version = 2
+        self.accepted = 0
+        self.transactions = 0
         self.keys = [f"secret-{number}-0" for number in range(TENANTS)]
         self.log: list[str] = []
         self.added: list[str] = []
@@ -210,6 +266,7 @@
             await asyncio.sleep(1.0)  # until all gateways have it
             clients = [asyncio.ensure_future(SoakClient(self, n).run()) for n in range(CLIENTS)]
             faults = [asyncio.ensure_future(self._cause_faults()) for _ in range(2)]
+            faults.append(asyncio.ensure_future(self._silence_members()))
             await asyncio.sleep(self.seconds)
             for task in faults:
                 task.cancel()
@@ -226,6 +283,8 @@
             self.oracle.judge_limits(RATE_PER_SECOND, BURST)
             self.forwarded = await self._forwarded()
             self._look_for_keys()
+            await self._read_back()
+            self.oracle.judge_orders(fleet.platform.calls)
             held = {value for _, writes in fleet.group.primary.log for _, value in writes}
             self.oracle.finish(held)
         return self.oracle.verdict
@@ -246,6 +305,14 @@
             if "secret-" in self.fleet.log(host):
                 self.oracle.problem(f"SECRET: a key stands in the log of {host}")
 
+    async def _read_back(self) -> None:
+        """Judge that the highest version that was accepted can be read at every control node."""
+        for host in self.fleet.control_hosts:
+            status, document = await self.fleet.get(host)
+            if status != 200 or document["version"] < self.accepted:
+                told = document["version"] if status == 200 else status
+                self.oracle.problem(f"CONFIG: {host} told {told}, {self.accepted} was accepted")
+
     async def _forwarded(self) -> int:
         """Return on how many proxies links to neighbours stand at the end."""
         count = 0
@@ -305,6 +372,24 @@
         await asyncio.sleep(self.random.uniform(*RUSH_SECONDS))
         member.usable = member.slots
 
+    async def _silence_members(self) -> None:
+        """Have one member after the other take nothing for a while, though its connections stand.
+
+        It draws apart from the other faults, so that these stay what they were for each seed.
+        """
+        random_ = random.Random(f"silence {self.seed}")
+        while True:
+            await asyncio.sleep(random_.uniform(*SILENCE_PAUSE))
+            member = random_.choice(self.fleet.members)
+            assert isinstance(member, SlottedMember)
+            member.silent = True
+            self.oracle.verdict.faults += 1
+            self.log.append(f"silence of {member.instance}")
+            try:
+                await asyncio.sleep(random_.uniform(*SILENCE))
+            finally:
+                member.speak_again()
+
     def is_left_alone(self, host: str, since: float) -> bool:
         """Return whether no fault has had a process in hand since a moment."""
         return host not in self.fleet.busy and self.touched.get(host, 0.0) < since
@@ -358,6 +443,7 @@
         hosts = self.fleet.control_hosts
         for host in [*hosts, *hosts, *hosts]:
             if await self.fleet.put(document, host) == 200:
+                self.accepted = max(self.accepted, int(str(document["version"])))
                 return True
             await asyncio.sleep(0.5)
         return False
