--- a/src/rowanlab/simulator/scenario.py
+++ b/src/rowanlab/simulator/scenario.py
@@ -9,13 +9,12 @@
 
 from rowanlab.load.control_oracle import ControlVerdict
 from rowanlab.load.oracle import Verdict
-from rowanlab.simulator.coordination_world import CoordinationVerdict
 from rowanlab.simulator.permissive import Guard
 from rowanlab.simulator.world import World
 from rowanrail.kernel.events import observe
 
 GIVE_UP_SECONDS = 120.0
-AnyVerdict = Verdict | ControlVerdict | CoordinationVerdict
+AnyVerdict = Verdict | ControlVerdict
 
 
 class SeedResult(msgspec.Struct):
--- a/src/rowanlab/simulator/scenarios.py
+++ b/src/rowanlab/simulator/scenarios.py
@@ -1,7 +1,6 @@
 """All scenarios by name."""
 
 from rowanlab.simulator.control_scenarios import CONTROL_SCENARIOS
-from rowanlab.simulator.coordination_scenarios import COORDINATION_SCENARIOS
 from rowanlab.simulator.data_scenarios import DATA_SCENARIOS
 from rowanlab.simulator.scenario import Scenario
 
@@ -10,6 +9,5 @@
     for scenario in [
         *DATA_SCENARIOS,
         *CONTROL_SCENARIOS,
-        *COORDINATION_SCENARIOS,
     ]
 }
--- /dev/null
+++ b/tests/support/simulated_controls.py
@@ -0,0 +1,102 @@
+"""Control nodes for gateways in virtual time, with disks that can fail; nobody is outside."""
+
+import asyncio
+from typing import Any
+
+from returns.result import Failure
+
+from rowanlab.simulator.daemon import DurableDaemon
+from rowanlab.simulator.loop import SimulatedProcess
+from rowanlab.simulator.network import Served, SimulatedNetwork
+from rowanlab.simulator.world import World
+from rowanrail.config.settings import CoordinatorSettings
+from rowanrail.coordination.duty import Promoter, PromotionOutcome
+from rowanrail.coordination.member_questions import StatusReader, StatusReply
+from rowanrail.coordination.node import Coordinator
+from rowanrail.kernel.decisions import DecisionLog
+from rowanrail.kernel.registry import Registry
+from rowanrail.members.channel import Channel, MemberDriver
+from rowanrail.model.routing import ConfigurationFormat
+from rowanrail.model.statements import Answer
+
+NODES = 3
+RPC_PORT = 7100
+CLOCK_RATES = (0.98, 1.02)
+WATCH_SECONDS = 0.02
+
+
+class _NoDriver(MemberDriver):
+    def open(self, address: str, service: str, instance: str, channel: Channel) -> None:
+        asyncio.get_running_loop().call_soon(channel.lost, "there are no members here")
+
+
+class _NoReader(StatusReader):
+    def read(self, answer: Answer) -> StatusReply | None:
+        return None
+
+
+class _NoFormat(ConfigurationFormat):
+    def parse(self, document: bytes) -> Any:
+        return Failure(["documents are not looked into here"])
+
+
+class _NoPromoter(Promoter):
+    async def promote(self, service: str, instance: str, token: int) -> PromotionOutcome:
+        return PromotionOutcome.UNKNOWN
+
+
+class SimulatedControl(DurableDaemon):
+    """A control node across its restarts."""
+
+    node: Coordinator
+
+    def __init__(self, world: World, served: Served, name: str, zone: str) -> None:
+        super().__init__(world, name, zone, world.random.uniform(*CLOCK_RATES))
+        self._served = served
+
+    def start(self, bootstrap: bool) -> None:
+        process = self._spawn()
+        self._launch(process, self._run(process, bootstrap))
+
+    async def _run(self, process: SimulatedProcess, bootstrap: bool) -> None:
+        settings = CoordinatorSettings(
+            name=self.name,
+            zone=self.zone,
+            data_folder="",
+            listen="",
+            host=self.name,
+            control_nodes=[f"n{number + 1}:8100" for number in range(NODES)],
+            rpc_port=RPC_PORT,
+            protocol="",
+            bootstrap=bootstrap,
+            snapshot_entries=25,
+        )
+        self.node = Coordinator(
+            settings,
+            SimulatedNetwork(self._world, process, self._served),
+            self.disk,
+            self._randomness(),
+            Registry(),
+            DecisionLog(self.name, descriptor=-1, wall_clock=self._world.wall_clock),
+            _NoFormat(),
+        )
+        await self.node.start(_NoDriver(), _NoReader(), _NoPromoter())
+
+
+class SimulatedControls:
+    """Three control nodes of one run, each in a zone of its own."""
+
+    def __init__(self, world: World) -> None:
+        self.world = world
+        served = Served()
+        self.nodes = [
+            SimulatedControl(world, served, f"n{number}", f"z{number}")
+            for number in range(1, NODES + 1)
+        ]
+
+    async def start(self) -> None:
+        """Start all, and wait until each has opened its folder."""
+        for control in self.nodes:
+            control.start(bootstrap=True)
+        while not all(hasattr(c, "node") and hasattr(c.node, "duty") for c in self.nodes):
+            await asyncio.sleep(WATCH_SECONDS)
