--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -1,6 +1,6 @@
 """What a gateway measures of itself at the moment when it is asked."""
 
-from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.link import LinkState
@@ -32,15 +32,15 @@
         readings.append(("primary_failing_seconds", labels, failing))
         for instance, pool in service.pools.items():
             member = {"service": name, "member": instance}
-            readings.append(("connections", member, pool.open_count))
-            readings.append(("connections_limit", member, pool.limit))
-            readings.append(("connections_leased", member, pool.leased))
-            readings.append(("concurrency_limit", member, pool.concurrency_limit))
-            readings.append(("under_way", member, pool.under_way))
+            readings.append(("connections", member, pool.connections.count))
+            readings.append(("connections_limit", member, pool.connections.limit))
+            readings.append(("connections_leased", member, len(pool.connections.leases)))
+            readings.append(("concurrency_limit", member, pool.concurrency.value))
+            readings.append(("under_way", member, pool.connections.under_way))
             readings.append(("queue_longest_wait_seconds", member, pool.longest_wait_seconds))
-            for urgency, length in pool.queue_lengths.items():
+            for urgency, length in pool.queue.lengths.items():
                 readings.append(("queue_length", {**member, "urgency": str(urgency)}, length))
-            readings.append(("member_latency_seconds", member, pool.latency_seconds))
+            readings.append(("member_latency_seconds", member, pool.forecasts.latency_seconds))
             readings.append(("member_suspect", member, float(pool.is_suspect)))
             weight = service.estimates.weights.own(instance)
             reasoned = member | {"reason": weight.reason}
@@ -52,12 +52,12 @@
 
 
 def _plan_gauges(gateway: Gateway) -> list[Reading]:
-    """Return the plan's number, and the parts that are held here by it, with their cause."""
+    """Return the plan's number, and the shards that are held here by it, with their cause."""
     planned = gateway.holdings.planned
     if planned is None:
         return []
     readings: list[Reading] = [("plan_number", {}, planned.plan.number)]
-    for held in planned.held_parts(list(gateway.services)):
+    for held in planned.held_shards(list(gateway.services)):
         labels = {"service": held.service, "part": held.key, "cause": held.cause}
         readings.append(("held_share", labels, held.share))
     return readings
@@ -76,9 +76,9 @@
     return readings
 
 
-def directory_gauges(watch: DirectoryWatch) -> list[Reading]:
+def directory_gauges(follower: ControlFollower) -> list[Reading]:
     """Return how the directory came: whole, by difference, and by difference that differed."""
-    counts = watch.counts.items()
+    counts = follower.counts.items()
     return [("directories_taken", {"kind": kind}, count) for kind, count in counts]
 
 
--- /dev/null
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -0,0 +1,156 @@
+"""What becomes of a statement that was sent to another gateway which doesn't answer it.
+
+The rules promise a client that nothing was kept only where that is certain. A read is asked for
+again elsewhere, a write or a commit never is; a transaction whose holder is lost is over, since
+what ran of it can't be moved.
+
+Owns nothing; the functions take plain values, with times in milliseconds. Relies on ``work`` for
+the share of an objective that a statement waits for somebody to run it. :mod:`forwarded` and
+:mod:`forwarding` act on the verdicts.
+"""
+
+from dataclasses import dataclass
+
+from rowanrail.gateway.work.attempts import Sent, unanswered
+from rowanrail.gateway.work.refusals import DEFER_SHARE
+from rowanrail.model.statements import Refusal
+
+__all__ = [
+    "HOLDER_RETRY_AFTER_MS",
+    "PLACE_RETRY_MS",
+    "LostAtHolder",
+    "PlaceLater",
+    "PlaceNow",
+    "Refuse",
+    "Reject",
+    "Verdict",
+    "after_loss",
+    "after_not_served",
+    "after_timeout",
+    "may_be_kept",
+    "without_holder",
+]
+
+PLACE_RETRY_MS = 10.0  # until a holder is looked for again: a link inside a zone opens within it
+# Told to clients, in milliseconds, while no holder is known: about the time until one is found or
+# the next gateway of the order takes over.
+HOLDER_RETRY_AFTER_MS = 1000.0
+
+
+@dataclass(frozen=True, slots=True)
+class PlaceNow:
+    """Look for a holder at once: nothing of the statement is kept anywhere."""
+
+
+@dataclass(frozen=True, slots=True)
+class PlaceLater:
+    """Look for a holder again after ``PLACE_RETRY_MS``."""
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Answer that nothing ran, and after how long to retry."""
+
+
+@dataclass(frozen=True, slots=True)
+class Refuse:
+    """Answer with a refusal."""
+
+    refusal: Refusal
+
+
+@dataclass(frozen=True, slots=True)
+class LostAtHolder:
+    """Answer with what the guard of lost links promises; assume nothing of the holder's load."""
+
+    may_be_kept: bool
+
+
+Verdict = PlaceNow | PlaceLater | Reject | Refuse | LostAtHolder
+
+
+def may_be_kept(sent: Sent) -> bool:
+    """Return whether the database may have kept something if the statement ran.
+
+    Examples
+    --------
+    >>> [sent.value for sent in Sent if may_be_kept(sent)]
+    ['write', 'commit']
+    """
+    return sent is Sent.WRITE or sent is Sent.COMMIT
+
+
+def after_not_served(has_run: bool) -> PlaceLater | Refuse:
+    """Return what follows where the holder ran nothing of a statement and can't run it.
+
+    What begins may begin elsewhere. A transaction of which something ran is over.
+
+    Parameters
+    ----------
+    has_run : bool
+        Whether a statement of the same transaction was answered before.
+
+    Examples
+    --------
+    >>> after_not_served(has_run=True)
+    Refuse(refusal=<Refusal.ABORTED: 'aborted'>)
+    """
+    return Refuse(Refusal.ABORTED) if has_run else PlaceLater()
+
+
+def after_loss(sent: Sent) -> PlaceNow | LostAtHolder:
+    """Return what follows where the link was lost while an answer was owed.
+
+    Examples
+    --------
+    >>> after_loss(Sent.READ), after_loss(Sent.WRITE)
+    (PlaceNow(), LostAtHolder(may_be_kept=True))
+    """
+    return PlaceNow() if sent is Sent.READ else LostAtHolder(may_be_kept(sent))
+
+
+def after_timeout(sent: Sent, is_owed: bool) -> Reject | Refuse | LostAtHolder:
+    """Return what follows at the end of a statement's time.
+
+    Parameters
+    ----------
+    sent : Sent
+        What the statement is.
+    is_owed : bool
+        Whether a holder has it and owes an answer; if not, nothing ran.
+
+    Examples
+    --------
+    >>> after_timeout(Sent.WRITE, is_owed=True)
+    Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
+    """
+    if not is_owed:
+        return Reject()
+    match sent:
+        case Sent.READ | Sent.WRITE:
+            return Refuse(unanswered(sent))
+        case Sent.IN_TRANSACTION | Sent.COMMIT:
+            return LostAtHolder(may_be_kept(sent))
+
+
+def without_holder(now: float, began: float, objective: float) -> PlaceLater | Reject:
+    """Return what follows while no gateway is known to run a statement.
+
+    It waits for one as long as a new primary would be waited for, so that a holder that is
+    replaced costs clients a delay and no refusal.
+
+    Parameters
+    ----------
+    now, began : float
+        On the steady clock; ``began`` is when the client's statement came.
+    objective : float
+        Latency that its operation should stay within.
+
+    Examples
+    --------
+    >>> without_holder(1100.0, 1000.0, objective=200.0), without_holder(1131.0, 1000.0, 200.0)
+    (PlaceLater(), Reject())
+    """
+    if now + PLACE_RETRY_MS > began + DEFER_SHARE * objective:
+        return Reject()
+    return PlaceLater()
--- a/tests/gateway/test_idle_services.py
+++ b/tests/gateway/test_idle_services.py
@@ -27,7 +27,7 @@
         """Let time pass until nothing of the service is in use."""
         self.played.clock.advance(IN_USE_SECONDS + 1)
         for pool in self.service.pools.values():
-            for channel in list(pool._connections.idle):
+            for channel in list(pool.connections.idle):
                 channel.close()
         self.played.clock.advance(1.0)
 
@@ -48,5 +48,5 @@
 
     def test_one_whose_primary_fails_is_looked_at_though_it_is_not_used(self):
         self.rest()
-        self.service.primary.failing_since = self.played.clock.time()
+        self.service.primary.belief.failing_since = self.played.clock.time()
         self.assertGreaterEqual(self.ticks(0.3), 0.3 / TICK_SECONDS - 2)
--- /dev/null
+++ b/tests/relay/test_forwarding_rules.py
@@ -0,0 +1,60 @@
+"""What becomes of a statement whose holder is silent, leaves or is lost."""
+
+import unittest
+
+from rowanrail.gateway.relay.forwarding_rules import (
+    PLACE_RETRY_MS,
+    LostAtHolder,
+    PlaceLater,
+    PlaceNow,
+    Refuse,
+    Reject,
+    after_loss,
+    after_not_served,
+    after_timeout,
+    without_holder,
+)
+from rowanrail.gateway.work.attempts import Sent
+from rowanrail.model.statements import Refusal
+
+
+class NotServedTest(unittest.TestCase):
+    def test_what_begins_may_begin_elsewhere(self):
+        self.assertEqual(after_not_served(has_run=False), PlaceLater())
+
+    def test_a_transaction_of_which_something_ran_is_aborted(self):
+        self.assertEqual(after_not_served(has_run=True), Refuse(Refusal.ABORTED))
+
+
+class LossTest(unittest.TestCase):
+    def test_only_a_read_on_its_own_runs_again(self):
+        again = [sent for sent in Sent if after_loss(sent) == PlaceNow()]
+        self.assertEqual(again, [Sent.READ])
+
+    def test_a_write_and_a_commit_may_be_kept_and_nothing_else(self):
+        self.assertEqual(after_loss(Sent.WRITE), LostAtHolder(may_be_kept=True))
+        self.assertEqual(after_loss(Sent.COMMIT), LostAtHolder(may_be_kept=True))
+        self.assertEqual(after_loss(Sent.IN_TRANSACTION), LostAtHolder(may_be_kept=False))
+
+
+class TimeoutTest(unittest.TestCase):
+    def test_what_no_holder_has_is_rejected_as_not_run(self):
+        for sent in Sent:
+            self.assertEqual(after_timeout(sent, is_owed=False), Reject())
+
+    def test_what_a_holder_has_is_promised_nothing_that_is_not_certain(self):
+        for sent, verdict in (
+            (Sent.READ, Refuse(Refusal.TIMEOUT)),
+            (Sent.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
+            (Sent.IN_TRANSACTION, LostAtHolder(may_be_kept=False)),
+            (Sent.COMMIT, LostAtHolder(may_be_kept=True)),
+        ):
+            with self.subTest(sent):
+                self.assertEqual(after_timeout(sent, is_owed=True), verdict)
+
+
+class WithoutHolderTest(unittest.TestCase):
+    def test_it_waits_while_the_next_try_is_within_its_share_of_the_objective(self):
+        last = 1000.0 + 700.0 - PLACE_RETRY_MS
+        self.assertEqual(without_holder(last, 1000.0, 1000.0), PlaceLater())
+        self.assertEqual(without_holder(last + 1, 1000.0, 1000.0), Reject())
--- a/tests/unit/test_decisions.py
+++ b/tests/unit/test_decisions.py
@@ -60,7 +60,7 @@
 
     def test_each_constant_exists(self):
         for cells in rows():
-            modules = [path.rpartition(".")[0] for path in named(cells[RULE])]
+            modules = [module for path in named(cells[RULE]) for module in owners(path)]
             for name in named(cells[CONSTANTS]):
                 if not re.fullmatch(r"[A-Z][A-Z0-9_]+|rowanrail\.[\w.]+", name):
                     continue
@@ -83,7 +83,15 @@
             for name in named(cells[METRIC]):
                 with self.subTest(name):
                     short = re.sub(r"^rowanrail_(gateway|control)_", "", name)
-                    self.assertTrue(short in words or short.removesuffix("_total") in words, short)
+                    known = {short, short.removesuffix("_total")}
+                    behind_prefix = {f"_{known_name}" for known_name in known}
+                    self.assertTrue(words & (known | behind_prefix), short)
+
+
+def owners(path):
+    """Return the module of a rule, and its class if it is a method."""
+    parts = path.split(".")
+    return [".".join(parts[:end]) for end in range(3, len(parts))]
 
 
 def exists(name, modules):
