--- a/src/rowanlab/cli.py
+++ b/src/rowanlab/cli.py
@@ -124,36 +124,22 @@
     )(function)
 
 
-@fleet.command()
-@click.argument("name")
-@_folder_option
-def kill(name: str, folder: Path) -> None:
-    """Kill a process at once (SIGKILL)."""
-    faults.signal_process(load_fleet(folder), name, signal.SIGKILL)
-
-
-@fleet.command()
-@click.argument("name")
-@_folder_option
-def stop(name: str, folder: Path) -> None:
-    """Stop a process as planned (SIGTERM)."""
-    faults.signal_process(load_fleet(folder), name, signal.SIGTERM)
+def _signal_command(name: str, number: signal.Signals, what: str) -> click.Command:
+    """Return the command that sends one signal to a process of a fleet."""
 
+    @click.command(name, help=f"{what} ({number.name}).")
+    @click.argument("name")
+    @_folder_option
+    def send(name: str, folder: Path) -> None:
+        faults.signal_process(load_fleet(folder), name, number)
 
-@fleet.command()
-@click.argument("name")
-@_folder_option
-def freeze(name: str, folder: Path) -> None:
-    """Freeze a process (SIGSTOP)."""
-    faults.signal_process(load_fleet(folder), name, signal.SIGSTOP)
+    return send
 
 
-@fleet.command()
-@click.argument("name")
-@_folder_option
-def thaw(name: str, folder: Path) -> None:
-    """Thaw a frozen process (SIGCONT)."""
-    faults.signal_process(load_fleet(folder), name, signal.SIGCONT)
+fleet.add_command(_signal_command("kill", signal.SIGKILL, "Kill a process at once"))
+fleet.add_command(_signal_command("stop", signal.SIGTERM, "Stop a process as planned"))
+fleet.add_command(_signal_command("freeze", signal.SIGSTOP, "Freeze a process"))
+fleet.add_command(_signal_command("thaw", signal.SIGCONT, "Thaw a frozen process"))
 
 
 @fleet.command()
