--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -70,7 +70,7 @@
     while _is_busy(frontend, holder) and loop.time() - begun_at < END_SHARE * stop_seconds:
         if loop.time() - begun_at > ABORT_SHARE * stop_seconds:
             gateway.abort_transactions()
-            holder.abort_resting()
+            holder.end_idle_transactions()
             frontend.begin_closing()
         await asyncio.sleep(POLL_SECONDS)
     frontend.close()
--- a/src/rowanrail/gateway/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -13,7 +13,7 @@
 
 from rowanrail.gateway.relay.detour_rules import DetourBook, gateways_to_ask
 from rowanrail.gateway.relay.holder_choice import HeldAt, NoHolder, WhereHeld, choose_holder
-from rowanrail.gateway.relay.link import Counted, Lost, Outcome, Refused, Replied, Told
+from rowanrail.gateway.relay.link import Counted, Lost, NotRun, Outcome, Replied, Sampled
 from rowanrail.gateway.relay.messages import AskSample
 from rowanrail.gateway.relay.neighbours import LinkKeeper, LinkOpener, Neighbour
 from rowanrail.kernel.clock import Clock
@@ -130,12 +130,12 @@
 
         def settle(outcome: Outcome) -> None:
             match outcome:
-                case Told(instance=instance, position=position):
+                case Sampled(instance=instance, position=position):
                     self._keeper.note_up(link)
                     if self._book.note_reached(service, name, self._clock.now):
                         self.on_found(service, name)
                     take(asked_at, instance, position)
-                case Refused() | Lost() | Replied() | Counted():
+                case NotRun() | Lost() | Replied() | Counted():
                     self._book.note_unreached(service, name)
 
         link.ask(AskSample(link.number_call(), service), settle)
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -1,4 +1,9 @@
-"""One statement under way at another gateway: its deadline, its place, its one answer."""
+"""One statement under way at another gateway: its deadline, its holder, its one answer.
+
+Owns the statement's timers and its call on a link. Relies on :mod:`holder_choice` for where it
+goes, on :mod:`remote_admission` for whether it is sent, and on :mod:`forwarding_rules` for what
+follows when no answer comes.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -1,8 +1,10 @@
-"""The client's side: work that is sent to the neighbour that holds the connections.
+"""The sender's side: single statements and transactions at the gateway that holds the connections.
 
-What a refusal promises is decided here as for work on own connections: a write whose link was
-lost after it was sent is in doubt; a transaction without its commit sent is aborted, since the
-neighbour can't commit what it was not asked to.
+A refusal promises the same as for work on own connections: the outcome of a write whose link was
+lost after it was sent is unknown; a transaction whose commit was not sent is aborted, since the
+holder can't commit what it was not asked to.
+
+Owns which transaction is open at which holder. Relies on :mod:`forwarding_rules` for the promises.
 """
 
 import msgspec
@@ -13,7 +15,7 @@
     after_not_served,
     after_timeout,
 )
-from rowanrail.gateway.relay.link import Counted, Link, Lost, Outcome, Refused, Replied, Told
+from rowanrail.gateway.relay.link import Counted, Link, Lost, NotRun, Outcome, Replied, Sampled
 from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
 from rowanrail.gateway.work.attempts import Sent
@@ -82,14 +84,14 @@
         match outcome:
             case Replied():
                 self._finish(self._replied(outcome))
-            case Refused(reason=reason):
+            case NotRun(reason=reason):
                 self._call = 0
                 self._sent = False
                 self._follow(after_not_served(has_run=False), reason)
             case Lost(reason=reason):
                 self._call = 0
                 self._follow(after_loss(self._kind), reason)
-            case Told() | Counted():
+            case Sampled() | Counted():
                 pass  # neither was asked for here
 
     def _timed_out(self) -> None:
@@ -161,7 +163,7 @@
                 if reply.refusal is not None or self._commits:
                     self._number = 0
                 self._finish(self._replied(outcome))
-            case Refused(reason=reason):
+            case NotRun(reason=reason):
                 self._call = 0
                 self._sent = False
                 self._number = 0
@@ -170,7 +172,7 @@
                 self._call = 0
                 self._end_there()
                 self._follow(after_loss(self._kind), reason)
-            case Told() | Counted():
+            case Sampled() | Counted():
                 pass  # neither was asked for here
 
     def _timed_out(self) -> None:
@@ -187,7 +189,7 @@
         """Have the neighbour roll back what it holds open."""
         number, self._number = self._number, 0
         if number and self._link is not None:
-            self._link.tell(End(number))
+            self._link.notify(End(number))
 
     def finish(self, answer: Answer) -> None:
         """See :meth:`rowanrail.gateway.work.work.WorkInTransaction.finish`."""
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -1,4 +1,8 @@
-"""What this gateway holds of services' connections: by the plan, and by the hash without one."""
+"""What this gateway holds of services' connections: by the plan, and by the hash without one.
+
+Owns the plan in force and the count of gateways that share. Relies on ``placement`` for the shares,
+on :mod:`neighbours` for who stands in for a holder that is down, and sets services' limits.
+"""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -26,7 +30,7 @@
 
 
 class Holdings:
-    """Tells services how many connections they may open here, and which are kept.
+    """Sets how many connections services may open here, and which are kept.
 
     Parameters
     ----------
@@ -132,14 +136,14 @@
         self.apply()
 
     def apply(self) -> None:
-        """Tell services what they may open by the plan in force."""
+        """Set what services may open by the plan in force."""
         for service in self._host.services.values():
-            self._tell(service)
+            self._set_allowance(service)
 
     def tick(self, services: Iterable[Service]) -> None:
         """Let time pass: handovers end, and others stand in for holders that are down.
 
-        Only services with connections are looked at: most gateways hold none of most services.
+        Only services with connections are gone through: most gateways hold none of most services.
 
         Parameters
         ----------
@@ -151,12 +155,12 @@
             self.apply()
         for service in services:
             if service.has_connections and (service.is_regional or service.is_planned):
-                self._tell(service)
+                self._set_allowance(service)
 
     def _hands_over(self) -> bool:
         return self._planned is not None and self._planned.is_handing_over
 
-    def _tell(self, service: Service) -> None:
+    def _set_allowance(self, service: Service) -> None:
         name, is_regional = service.spec.name, service.is_regional
         allowance = None
         if self._planned is not None and service.is_shared:
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -1,7 +1,8 @@
-"""A gateway's connection to the neighbour that holds a service's connections.
+"""A gateway's connection to another gateway that holds a service's connections.
 
-No I/O: a transport brings messages and takes them. A link that owes answers and says
-nothing is given up, and so is everything that waits on it.
+Owns the calls that the other gateway has not answered, each with one outcome: answered, not run,
+or lost with the link. Relies on a transport that brings and takes messages (no I/O here) and on
+:mod:`liveness` for what silence means.
 """
 
 import enum
@@ -23,7 +24,7 @@
     Pong,
     Reply,
     Run,
-    SampleTold,
+    SampleReply,
 )
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.model.position import Position
@@ -36,12 +37,12 @@
     "LinkState",
     "Lost",
     "Outcome",
-    "Refused",
+    "NotRun",
     "Replied",
-    "Told",
+    "Sampled",
 ]
 
-WATCH_MS = 50.0  # chosen: between checks of a link that owes answers
+CHECK_INTERVAL_MS = 50.0  # chosen: between checks of a link that owes answers
 
 
 class LinkPort(Protocol):
@@ -71,8 +72,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """The neighbour ran nothing of it."""
+class NotRun:
+    """The neighbour ran nothing of it, and can't."""
 
     reason: str
 
@@ -85,8 +86,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """The neighbour told a sample."""
+class Sampled:
+    """The neighbour had the primary prove its position."""
 
     instance: str
     position: Position
@@ -94,12 +95,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Counted:
-    """The neighbour told what the fleet's clients ask for, by tenant."""
+    """The neighbour reported what the fleet's clients ask for, by tenant."""
 
     fleet: Report
 
 
-Outcome = Replied | Refused | Lost | Told | Counted
+Outcome = Replied | NotRun | Lost | Sampled | Counted
 Settle = Callable[[Outcome], None]
 
 
@@ -207,7 +208,7 @@
             neighbour is suspected; anything else is in doubt only when the neighbour is gone.
         """
         if self._port is None or self._state is LinkState.DOWN:
-            settle(Refused("the link is closed"))
+            settle(NotRun("the link is closed"))
             return
         if not self._calls:
             self._heard = self._clock.now  # silence counts from the first answer that is owed
@@ -215,14 +216,14 @@
         self._calls[question.call] = _Call(settle, keeps_nothing)
         self._port.send(question)
         if self._timer is None:
-            self._timer = self._clock.call_in(WATCH_MS, self._watch)
+            self._timer = self._clock.call_in(CHECK_INTERVAL_MS, self._check)
 
     def drop(self, call: int) -> None:
-        """Forget a call; the neighbour is told."""
+        """Forget a call, and have the neighbour forget it."""
         if self._calls.pop(call, None) is not None:
-            self.tell(Drop(call))
+            self.notify(Drop(call))
 
-    def tell(self, message: FromGateway) -> None:
+    def notify(self, message: FromGateway) -> None:
         """Send what needs no answer."""
         if self._port is not None and self._state is not LinkState.DOWN:
             self._port.send(message)
@@ -250,9 +251,9 @@
             case Reply(call=call):
                 self._settle(call, Replied(message))
             case NotServed(call=call, reason=reason):
-                self._settle(call, Refused(reason))
-            case SampleTold(call=call, instance=instance, position=position):
-                self._settle(call, Told(instance, position))
+                self._settle(call, NotRun(reason))
+            case SampleReply(call=call, instance=instance, position=position):
+                self._settle(call, Sampled(instance, position))
             case DemandCounted(call=call, fleet=fleet):
                 self._settle(call, Counted(fleet))
             case Leaving():
@@ -272,7 +273,7 @@
         if owed is not None:
             owed.settle(outcome)
 
-    def _watch(self) -> None:
+    def _check(self) -> None:
         """Ask a silent neighbour whether it is there; suspect it, then give it up."""
         self._timer = None
         if self._state is LinkState.DOWN or not (self._calls or self._suspect):
@@ -283,28 +284,28 @@
         match judge_silence(heard_ago, pinged_ago):
             case Silence.PING:
                 self._pinged_at = now
-                self.tell(Ping())
+                self.notify(Ping())
             case Silence.SUSPECT:
                 self._suspect = True
-                self._give_up_harmless(f"no word for {heard_ago:.0f} ms")
+                self._give_up_unkept(f"no word for {heard_ago:.0f} ms")
             case Silence.LOST:
                 self._go_down(f"no word for {heard_ago:.0f} ms")
                 return
             case Silence.BEARABLE:
                 pass
-        self._watch_again()
+        self._check_later()
 
-    def _watch_again(self) -> None:
+    def _check_later(self) -> None:
         if self._timer is None and self._state is not LinkState.DOWN:
-            self._timer = self._clock.call_in(WATCH_MS, self._watch)
+            self._timer = self._clock.call_in(CHECK_INTERVAL_MS, self._check)
 
-    def _give_up_harmless(self, reason: str) -> None:
-        """Settle as lost what keeps nothing; the neighbour is told to forget it."""
+    def _give_up_unkept(self, reason: str) -> None:
+        """Settle as lost the calls of which nothing is kept, and have the neighbour forget them."""
         given_up = [call for call, owed in self._calls.items() if owed.keeps_nothing]
         for call in given_up:
             owed = self._calls.pop(call, None)
             if owed is not None:  # settling an earlier one may have ended it
-                self.tell(Drop(call))
+                self.notify(Drop(call))
                 owed.settle(Lost(reason))
 
     def _go_down(self, reason: str) -> None:
--- a/src/rowanrail/gateway/relay/load_meter.py
+++ b/src/rowanrail/gateway/relay/load_meter.py
@@ -1,4 +1,8 @@
-"""What comes to a gateway, as a holder and from its own clients, and whether it is slow."""
+"""What comes to a gateway, as a holder and from its own clients, and whether it is slow.
+
+Control nodes plan the holders by these reports. Owns the counts of the present span and the report
+of the last one. Relies on a clock only.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -9,16 +13,16 @@
 
 __all__ = ["SPAN_MS", "LoadMeter"]
 
-SPAN_MS = 5000.0  # a wave of 10 s touches three spans of the seven that planners look at
-# For which a span is told. Reports go about every 1 s (the hold of a poll), so that one of them
-# has it; a span that is told twice counts once.
-TOLD_MS = 1400.0
-LOOK_MS = 500.0  # between looks at the loop and the links, ten in a span
+SPAN_MS = 5000.0  # a wave of 10 s touches three spans of the seven that planners go by
+# For which a span is reported. Reports go about every 1 s (the wait of a poll), so that one of them
+# has it; a span that is reported twice counts once.
+REPORTED_MS = 1400.0
+LOOP_CHECK_MS = 500.0  # chosen: between checks of the loop and the links, ten in a span
 # Of the loop, on average. A statement passes a holder's loop four times: a fifth of a second, of
 # the half within which the most urgent ones told of are wanted.
 SLOW_LAG_MS = 50.0
-CHOKED_SHARE = 0.5  # of the looks of a span at which bytes waited for a link
-MOST_SHARDS = 8  # that are told, about 150 bytes; the others are small ones
+CHOKED_SHARE = 0.5  # chosen: of the checks of a span at which bytes waited for a link
+MOST_SHARDS = 8  # that are reported, about 150 bytes; the others are small ones
 
 
 class LoadMeter:
@@ -38,22 +42,22 @@
         self._shards: Counter[str] = Counter()
         self._tenants: dict[str, Counter[str]] = {}
         self._own = 0
-        self._looks = 0
+        self._checks = 0
         self._lag = 0.0
         self._choked = 0
         self._began = clock.now
-        self._told: LoadReport | None = None
+        self._report: LoadReport | None = None
 
     @property
     def latest(self) -> LoadReport | None:
-        """The last span, as long as it has to be told; None before and after that."""
-        is_due = self._clock.now - self._began <= TOLD_MS
-        return self._told if is_due else None
+        """The last span, as long as it has to be reported; None before and after that."""
+        is_due = self._clock.now - self._began <= REPORTED_MS
+        return self._report if is_due else None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Begin to count and check."""
         self._began = self._clock.now
-        self._look_later()
+        self._check_later()
 
     def note_held(self, shard: Shard) -> None:
         """Count a statement that this gateway takes as a holder."""
@@ -66,28 +70,28 @@
         """Count a statement of a client of this gateway."""
         self._own += 1
 
-    def _look_later(self) -> None:
-        self._clock.call_in(LOOK_MS, self._look, self._clock.now + LOOK_MS)
+    def _check_later(self) -> None:
+        self._clock.call_in(LOOP_CHECK_MS, self._check, self._clock.now + LOOP_CHECK_MS)
 
-    def _look(self, due: float) -> None:
-        self._looks += 1
+    def _check(self, due: float) -> None:
+        self._checks += 1
         self._lag += self._clock.now - due
         self._choked += self._unsent() > 0
-        if self._clock.now - self._began >= SPAN_MS - LOOK_MS / 2:
+        if self._clock.now - self._began >= SPAN_MS - LOOP_CHECK_MS / 2:
             self._end_span()
-        self._look_later()
+        self._check_later()
 
     @property
     def _is_slow(self) -> bool:
-        return self._lag > SLOW_LAG_MS * self._looks or self._choked > CHOKED_SHARE * self._looks
+        return self._lag > SLOW_LAG_MS * self._checks or self._choked > CHOKED_SHARE * self._checks
 
     def _end_span(self) -> None:
         span = round(self._clock.now - self._began)
         shards = [self._shard(key, count) for key, count in self._shards.most_common(MOST_SHARDS)]
-        self._told = LoadReport(span, self._own, self._is_slow, shards)
+        self._report = LoadReport(span, self._own, self._is_slow, shards)
         self._shards.clear()
         self._tenants.clear()
-        self._own = self._looks = self._choked = 0
+        self._own = self._checks = self._choked = 0
         self._lag = 0.0
         self._began = self._clock.now
 
--- a/src/rowanrail/gateway/relay/messages.py
+++ b/src/rowanrail/gateway/relay/messages.py
@@ -1,7 +1,11 @@
-"""What the gateways of a zone say to each other, checked where it is decoded.
+"""The messages between gateways, checked where they are decoded.
 
 Times are milliseconds. A connection carries messages both ways; ``call`` matches a reply to
-what was asked, and is unique on its connection.
+what was asked, and is unique on its connection. Messages are sent as arrays behind a number:
+classes and fields may be renamed, their order and numbers may not change.
+
+Owns the forms. Relies on ``model`` for positions and refusals, on ``scheduling`` and ``tenants``
+for the reports that travel along.
 """
 
 import msgspec
@@ -27,7 +31,7 @@
     "Pong",
     "Reply",
     "Run",
-    "SampleTold",
+    "SampleReply",
 ]
 
 
@@ -41,7 +45,7 @@
     read_only : bool
         Whether the transaction only reads.
     shape : str
-        What an EXECUTE's name stands for; ``writes`` says whether it writes.
+        The statement that an EXECUTE's name was prepared for; ``writes`` says whether it writes.
     values : dict
         All values that the session has set.
     floor : Position or None
@@ -59,7 +63,7 @@
     version : int
         Of the configuration by which the sender took the key.
     returned : bool
-        Whether it goes before newcomers, since its client was turned away more than once.
+        Whether it goes before new arrivals, since its client was rejected more than once.
     """
 
     call: int
@@ -97,17 +101,17 @@
 
 
 class Drop(msgspec.Struct, tag=3, array_like=True, frozen=True, gc=False):
-    """Nobody waits for the answer to a call any more."""
+    """Forget a call: its answer is no longer wanted."""
 
     call: int
 
 
 class Ping(msgspec.Struct, tag=4, array_like=True, frozen=True, gc=False):
-    """Say that you are there."""
+    """Answer at once, to show that the connection and the gateway are alive."""
 
 
 class AskSample(msgspec.Struct, tag=5, array_like=True, frozen=True, gc=False):
-    """Have a service's primary prove its position, later than this question."""
+    """Have a service's primary prove its position after this question was sent."""
 
     call: int
     service: str
@@ -167,14 +171,14 @@
 
 
 class Leaving(msgspec.Struct, tag=13, array_like=True, frozen=True, gc=False):
-    """Send nothing new here; what is open goes on for a while."""
+    """The sender is stopping: what is open goes on for a while, anything new is not served."""
 
 
 class Pong(msgspec.Struct, tag=14, array_like=True, frozen=True, gc=False):
-    """I am there."""
+    """The answer to a ping."""
 
 
-class SampleTold(msgspec.Struct, tag=15, array_like=True, frozen=True, gc=False):
+class SampleReply(msgspec.Struct, tag=15, array_like=True, frozen=True, gc=False):
     """The member that led after the question was asked, and its position."""
 
     call: int
@@ -183,11 +187,11 @@
 
 
 class DemandCounted(msgspec.Struct, tag=16, array_like=True, frozen=True, gc=False):
-    """What clients of the whole fleet asked for, of the tenants that were named."""
+    """What clients of the whole fleet asked for, of the tenants that the report named."""
 
     call: int
     fleet: Report
 
 
 FromGateway = Run | End | Drop | Ping | AskSample | CountDemand
-FromHolder = Reply | NotServed | Leaving | Pong | SampleTold | DemandCounted
+FromHolder = Reply | NotServed | Leaving | Pong | SampleReply | DemandCounted
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -1,8 +1,12 @@
 """How gateways learn what a tenant's clients ask for at all of them.
 
 One gateway of a region, the meter, sums what the gateways of the region report and exchanges the
-sums with the meters of the other regions. Nothing waits for it: what is known decides. A report is
-the whole count of a window, so that a lost one, or a meter that takes over, leaves nothing wrong.
+sums with the meters of the other regions. No statement waits for it: what is known decides. A
+report is the whole count of a window, so that a lost one, or a meter that takes over, leaves
+nothing wrong.
+
+Owns when reports are due. Relies on ``tenants`` for the counts and the sums, and on
+:mod:`neighbours` and :mod:`detours` for who sums them.
 """
 
 import secrets
@@ -22,9 +26,9 @@
 
 __all__ = ["Metering"]
 
-# Between looks for a rush, which is reported before its turn. A rush of four times a limit fills
-# what is tolerated beyond it in 0.3 s; two regions hear of it after two looks and 40 ms.
-LOOK_MS = 75.0
+# Between checks for a burst, which is reported before its turn. A burst of four times a limit fills
+# what is tolerated beyond it in 0.3 s; two regions hear of it after two checks and 40 ms.
+BURST_CHECK_MS = 75.0
 LIFE_BYTES = 4  # two lives of a gateway within 8 s are alike once in 4e9
 
 
@@ -46,7 +50,7 @@
     guard : QuotaGuard
         Counts here, and decides.
     book : DemandBook
-        Sums what others told this gateway.
+        Sums what others reported to this gateway.
     """
 
     def __init__(
@@ -70,14 +74,14 @@
 
     def start(self) -> None:
         """Begin to report."""
-        self._clock.call_in(LOOK_MS, self._tick)
+        self._clock.call_in(BURST_CHECK_MS, self._tick)
 
     def _tick(self) -> None:
         is_due = self._clock.now >= self._due_at
         if self._guard.is_limiting and (is_due or self._guard.has_rush or self._book.has_rush):
             self._due_at = self._clock.now + REPORT_MS
             self._report(is_early=self._guard.has_rush)
-        self._clock.call_in(LOOK_MS, self._tick)
+        self._clock.call_in(BURST_CHECK_MS, self._tick)
 
     def _report(self, is_early: bool) -> None:
         report = msgspec.structs.replace(self._guard.report(), is_early=is_early)
@@ -85,7 +89,7 @@
             case HeldHere():
                 self._book.note_gateway(self._life, report)
                 self._guard.take_fleet(self._book.fleet())
-                self._tell_regions()
+                self._report_to_regions()
             case HeldAt(link=link):
                 question = CountDemand(link.number_call(), self._life, report)
                 link.ask(question, self._settled, keeps_nothing=True)
@@ -93,7 +97,7 @@
                 pass  # the guard sees by the age of what it knows that it is alone
 
     def pass_on(self, message: CountDemand) -> None:
-        """Tell the meter of this region what another region told this gateway.
+        """Pass on to the meter of this region what another region reported to this gateway.
 
         Other regions know of a few gateways of each region, and take the first that they reach for
         its meter. While the network is split that may be another one.
@@ -110,7 +114,7 @@
         if isinstance(outcome, Counted):
             self._guard.take_fleet(outcome.fleet)
 
-    def _tell_regions(self) -> None:
+    def _report_to_regions(self) -> None:
         report = self._book.tell_region()
         for group in self._detours.groups:
             holder = self._detours.hashed_holder_in(group, METER)
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -1,4 +1,12 @@
-"""The holder's side: statements that neighbours send, on this gateway's connections."""
+"""The holder's side: statements that other gateways send, run on this gateway's connections.
+
+What the holder reports of a statement that has not run is certain: it runs nothing that it says it
+does not serve, and what its sender no longer waits for is ended. A transaction whose sender is gone
+is rolled back.
+
+Owns the statements and transactions of each link. Relies on ``work`` to run them, on :mod:`terms`
+to read and answer them, and on the gateway for keys, samples and loads.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -17,7 +25,7 @@
     Ping,
     Pong,
     Run,
-    SampleTold,
+    SampleReply,
 )
 from rowanrail.gateway.relay.terms import load_session, reply_to, route_of, statement_of
 from rowanrail.gateway.session_values import SessionValues
@@ -34,8 +42,8 @@
 
 __all__ = ["Holder", "HolderHost", "ServedLink"]
 
-REST_MARGIN_MS = 1000.0  # the client's own gateway ends a resting transaction before
-SWEEP_MS = 1000.0  # between looks for transactions that rest too long
+IDLE_MARGIN_MS = 1000.0  # chosen: the client's own gateway ends an idle transaction before that
+IDLE_CHECK_MS = 1000.0  # chosen: between checks for transactions that have been idle for too long
 
 WITHDRAWN = "the key was withdrawn"
 
@@ -75,23 +83,23 @@
         """Return what a tenant's statements of a service would wait here, None if nothing."""
 
     def idle_transaction_seconds(self) -> float:
-        """Return how long a transaction may rest."""
+        """Return how long a transaction may be idle."""
 
 
 @dataclass(slots=True)
 class _Transaction:
     """A neighbour's transaction; its work begins with its first statement."""
 
-    place: LocalWork
+    local: LocalWork
     work: WorkInTransaction
     session: SessionValues
-    call: int = 0  # of the statement that runs, 0 while it rests
-    rests_since: float = 0.0
+    call: int = 0  # of the statement that runs, 0 while it is idle
+    idle_since: float = 0.0
 
 
 @dataclass(slots=True)
 class _Single:
-    place: LocalWork
+    local: LocalWork
     work: SingleStatement
     session: SessionValues = field(default_factory=SessionValues)
 
@@ -110,6 +118,8 @@
     ----------
     on_run : callable
         Gets the shard to which each statement of a neighbour belongs.
+    on_region : callable
+        Gets what another region reported of its clients' demand.
     """
 
     def __init__(self, host: HolderHost, clock: Clock) -> None:
@@ -143,24 +153,24 @@
         self._links.pop(link, None)
 
     def start(self) -> None:
-        """Begin to watch for transactions that rest for too long."""
-        self.clock.call_in(SWEEP_MS, self._sweep)
+        """Begin to check for transactions that have been idle for too long."""
+        self.clock.call_in(IDLE_CHECK_MS, self._sweep)
 
     def _sweep(self) -> None:
-        limit = self.host.idle_transaction_seconds() * 1000 + REST_MARGIN_MS
+        limit = self.host.idle_transaction_seconds() * 1000 + IDLE_MARGIN_MS
         for link in self._links:
-            link.end_rested(self.clock.now - limit)
-        self.clock.call_in(SWEEP_MS, self._sweep)
+            link.end_idle_since(self.clock.now - limit)
+        self.clock.call_in(IDLE_CHECK_MS, self._sweep)
 
     def leave(self) -> None:
-        """Tell the neighbours to go elsewhere; what is open goes on."""
+        """Have the neighbours send new work elsewhere; what is open goes on."""
         for link in self._links:
             link.send(Leaving())
 
-    def abort_resting(self) -> None:
-        """End the transactions that rest."""
+    def end_idle_transactions(self) -> None:
+        """End the transactions that are idle."""
         for link in self._links:
-            link.end_rested(self.clock.now)
+            link.end_idle_since(self.clock.now)
 
 
 class ServedLink:
@@ -204,26 +214,26 @@
             case Drop(call=call):
                 self._drop(call)
             case AskSample(call=call, service=service):
-                self._tell_sample(call, service)
+                self._report_sample(call, service)
             case CountDemand():
                 self._count(message)
             case Ping():
                 self.send(Pong())
 
     def lost(self) -> None:
-        """End all that nobody waits for any more."""
+        """End what nobody waits for any more: statements are given up, transactions rolled back."""
         self._holder.forget(self)
         for call in list(self._singles):
             self._drop(call)
         for number in list(self._transactions):
             self._end(number)
 
-    def _tell_sample(self, call: int, service: str) -> None:
+    def _report_sample(self, call: int, service: str) -> None:
         def give(sample: Sample | None) -> None:
             if sample is None:
                 self.send(NotServed(call, f"it does not reach the primary of {service}"))
             else:
-                self.send(SampleTold(call, sample.instance, sample.position))
+                self.send(SampleReply(call, sample.instance, sample.position))
 
         self._holder.host.prove_primary(service, give)
 
@@ -256,11 +266,11 @@
         if single is not None:
             floor = single.session.floors.get(run.service)
             load = self._holder.teller.tell(run.service, run.tenant)
-            doubts = single.place.doubts()
+            doubts = single.local.doubts()
             self.send(reply_to(run, answer, floor, single.work.trace(), load, doubts))
 
     def _work(self, run: Run) -> LocalWork | None:
-        """Return the work for new statements, or tell the neighbour that there is none."""
+        """Return the work for new statements, or answer that there is none."""
         host = self._holder.host
         if not self._admits(run):
             self._refuse(run, Refusal.DENIED, WITHDRAWN)
@@ -301,7 +311,7 @@
         )
 
     def _refuse(self, run: Run, refusal: Refusal, reason: str) -> None:
-        """Refuse a statement of which nothing runs here, or anywhere else."""
+        """Refuse a statement of which nothing may run, here or elsewhere."""
         trace = Trace(run.service, Stage.ACCEPTED.value)
         self.send(reply_to(run, Answer(refusal=refusal, message=reason), None, trace))
 
@@ -310,13 +320,13 @@
         if transaction is None or transaction.call != run.call:
             return
         transaction.call = 0
-        transaction.rests_since = self._holder.clock.now
+        transaction.idle_since = self._holder.clock.now
         if answer.refusal is not None or run.kind.value == "commit":
             del self._transactions[run.transaction]
             transaction.work.end()
         floor = transaction.session.floors.get(run.service)
         load = self._holder.teller.tell(run.service, run.tenant)
-        doubts = transaction.place.doubts()
+        doubts = transaction.local.doubts()
         self.send(reply_to(run, answer, floor, transaction.work.trace(), load, doubts))
 
     def _end(self, number: int) -> None:
@@ -325,10 +335,10 @@
             transaction.work.finish(_left())
             transaction.work.end()
 
-    def end_rested(self, since: float) -> None:
-        """End the transactions that have rested since a moment or longer."""
+    def end_idle_since(self, since: float) -> None:
+        """End the transactions that have been idle since a moment or longer."""
         for number, transaction in list(self._transactions.items()):
-            if not transaction.call and transaction.rests_since <= since:
+            if not transaction.call and transaction.idle_since <= since:
                 self._end(number)
 
     def _drop(self, call: int) -> None:
--- a/src/rowanrail/gateway/relay/terms.py
+++ b/src/rowanrail/gateway/relay/terms.py
@@ -1,4 +1,8 @@
-"""Statements and answers in the words of the messages, and back."""
+"""Statements and answers as messages between gateways, and back.
+
+Owns how much of a statement's time is kept for the round trip. Relies on :mod:`messages` for the
+forms; nothing here does I/O or keeps state.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -24,10 +28,10 @@
     "statement_of",
 ]
 
-REPLY_MARGIN_MS = 30.0  # the holder gives up this much sooner, so that its answer comes in time
-# The same for a holder in another region: there and back takes 40 ms more. Without it, its word
+REPLY_MARGIN_MS = 30.0  # chosen: the holder gives up this much sooner, so its answer is in time
+# The same for a holder in another region: the round trip takes 40 ms more. Without it, its answer
 # that a statement has not run came too late, and the client was told that it might have.
-FAR_REPLY_MARGIN_MS = 80.0
+REMOTE_REPLY_MARGIN_MS = 80.0
 SHORTEST_MS = 1.0  # a statement that is out of time still gets its answer
 
 
@@ -59,8 +63,8 @@
 
 
 def reply_margin(is_detour: bool) -> float:
-    """Return how much of a statement's milliseconds is kept for the way there and back."""
-    return FAR_REPLY_MARGIN_MS if is_detour else REPLY_MARGIN_MS
+    """Return how much of a statement's milliseconds is kept for the round trip."""
+    return REMOTE_REPLY_MARGIN_MS if is_detour else REPLY_MARGIN_MS
 
 
 def run_of(order: Order, call: int) -> Run:
--- a/src/rowanrail/gateway/relay/transport.py
+++ b/src/rowanrail/gateway/relay/transport.py
@@ -1,4 +1,8 @@
-"""Links over TCP: frames with a length before them, one connection for each pair of gateways."""
+"""Links over TCP: frames with a length before them, one connection for each pair of gateways.
+
+Owns sockets and frames. Relies on :mod:`link` and :mod:`serving` for what the messages mean; the
+only module here that does I/O.
+"""
 
 import asyncio
 import struct
@@ -14,10 +18,10 @@
 
 __all__ = ["TcpHolderServer", "TcpLinkOpener"]
 
-CONNECT_SECONDS = 0.4  # eight round trips between regions; statements go elsewhere meanwhile
-MAXIMUM_FRAME_BYTES = 2 * 1024 * 1024  # a statement of 1 MiB and what goes with it
-# A peer that does not read is given up before memory is short.
-MAXIMUM_UNSENT_BYTES = 8 * 1024 * 1024
+LINK_CONNECT_SECONDS = 0.4  # eight round trips between regions; statements go elsewhere meanwhile
+MAXIMUM_LINK_FRAME_BYTES = 2 * 1024 * 1024  # a statement of 1 MiB and what goes with it
+# Chosen: unsent bytes at which a peer that does not read is given up, before memory is short.
+LINK_BACKLOG_BYTES = 8 * 1024 * 1024
 _LENGTH = struct.Struct("<I")
 
 _encoder = msgspec.msgpack.Encoder()
@@ -42,7 +46,7 @@
         start = 0
         while len(buffer) - start >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(buffer, start)
-            if length > MAXIMUM_FRAME_BYTES:
+            if length > MAXIMUM_LINK_FRAME_BYTES:
                 self.close()
                 return
             end = start + _LENGTH.size + length
@@ -72,7 +76,7 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        if transport.get_write_buffer_size() > MAXIMUM_UNSENT_BYTES:
+        if transport.get_write_buffer_size() > LINK_BACKLOG_BYTES:
             transport.abort()
             return
         frame = _encoder.encode(message)
@@ -131,7 +135,7 @@
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(LINK_CONNECT_SECONDS):
                 await loop.create_connection(lambda: _LinkProtocol(link), host, int(port))
         except (OSError, TimeoutError, ValueError) as error:
             if link.state is LinkState.OPENING:
--- a/src/rowanrail/rpc/codec.py
+++ b/src/rowanrail/rpc/codec.py
@@ -14,7 +14,7 @@
 from rowanrail.kernel.errors import TransportError
 
 PROTOCOL_VERSION = 1
-MAXIMUM_FRAME_BYTES = 64 * 1024 * 1024
+MAXIMUM_RPC_FRAME_BYTES = 64 * 1024 * 1024
 
 MessageType = TypeVar("MessageType", bound=type[msgspec.Struct])
 
--- a/src/rowanrail/rpc/tcp.py
+++ b/src/rowanrail/rpc/tcp.py
@@ -9,11 +9,17 @@
 from rowanrail.kernel.lifecycle import listen_error
 from rowanrail.kernel.registry import register
 from rowanrail.kernel.sockets import limit_silence
-from rowanrail.rpc.codec import MAXIMUM_FRAME_BYTES, Failure, FrameKind, decode_frame, encode_frame
+from rowanrail.rpc.codec import (
+    MAXIMUM_RPC_FRAME_BYTES,
+    Failure,
+    FrameKind,
+    decode_frame,
+    encode_frame,
+)
 from rowanrail.rpc.network import Handler, Listener, Network
 
 CONNECT_TIMEOUT_SECONDS = 0.3  # an opening packet that was lost is sent again after a second
-MAXIMUM_UNSENT_BYTES = 8 * 1024 * 1024  # notices to a peer that does not read are dropped beyond it
+NOTICE_BACKLOG_BYTES = 8 * 1024 * 1024  # notices to a peer that does not read are dropped beyond it
 _LENGTH = struct.Struct("<I")
 
 
@@ -30,7 +36,7 @@
 
 async def _read_frame(reader: asyncio.StreamReader) -> bytes:
     (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
-    if length > MAXIMUM_FRAME_BYTES:
+    if length > MAXIMUM_RPC_FRAME_BYTES:
         raise TransportError(f"frame of {length} bytes is too large", step="receive")
     return await reader.readexactly(length)
 
@@ -72,7 +78,7 @@
         return future
 
     def send_notice(self, notice: msgspec.Struct) -> None:
-        if self.writer.transport.get_write_buffer_size() > MAXIMUM_UNSENT_BYTES:
+        if self.writer.transport.get_write_buffer_size() > NOTICE_BACKLOG_BYTES:
             return
         self._write(encode_frame(FrameKind.NOTICE, 0, notice))
 
--- a/tests/relay/test_forwarding.py
+++ b/tests/relay/test_forwarding.py
@@ -208,7 +208,7 @@
         # its end at the holder, and ran in a transaction of its own there.
         self.begin("WRITE a 1")
         for link in self.zone.first.holder._links:
-            link.end_rested(self.zone.relay_clock.now)
+            link.end_idle_since(self.zone.relay_clock.now)
         answer = self.client.run("WRITE b 2", seconds=0.1)
         self.assertEqual(answer.refusal, Refusal.ABORTED)
         self.assertEqual(self.zone.primary.texts(), ["WRITE a 1"])
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rowanrail.gateway.relay.load_meter import LOOK_MS, SPAN_MS, LoadMeter
+from rowanrail.gateway.relay.load_meter import LOOP_CHECK_MS, SPAN_MS, LoadMeter
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Refusal
 from rowanrail.placement.hashed import Population, Shard, even_share, planned_limit
@@ -344,7 +344,7 @@
         self.unsent = 0
         self.assertFalse(self.span().is_slow)
         self.unsent = 4000
-        self.clock.advance(LOOK_MS / 1000)
+        self.clock.advance(LOOP_CHECK_MS / 1000)
         self.unsent = 0
-        self.clock.advance((SPAN_MS - LOOK_MS) / 1000)
+        self.clock.advance((SPAN_MS - LOOP_CHECK_MS) / 1000)
         self.assertFalse(self.meter.latest.is_slow, "a moment is no sign")
--- a/tests/tenants/test_quota.py
+++ b/tests/tenants/test_quota.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from rowanrail.gateway.relay.metering import LOOK_MS
+from rowanrail.gateway.relay.metering import BURST_CHECK_MS
 from rowanrail.kernel.clock import Clock
 from rowanrail.tenants.demand import GATEWAY_MS, REGION_MS, Demand, DemandBook, Report
 from rowanrail.tenants.model import Tenant, Tenants
@@ -90,7 +90,7 @@
                 next_report += REPORT_SECONDS
             if self.manual.now >= next_look:
                 self.look()
-                next_look += LOOK_MS / 1000
+                next_look += BURST_CHECK_MS / 1000
             (guard,) = chooser.choices(self.guards, weights)
             if guard.begin(self.tenant.name) is None:
                 self.begun.append(self.manual.now)
