--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -69,8 +69,8 @@
         Where the gateway stands.
     names : PreparedNames
         Names under which it prepares shapes at members.
-    clock : Scheduler
-        Time and timers.
+    scheduler : Scheduler
+        Time and timers, in seconds: for work on own connections.
     link_outcome : LinkOutcome
         Says what a lost link leaves in doubt.
     remote_admission : RemoteAdmission
@@ -87,7 +87,7 @@
         self,
         locality: Locality,
         names: PreparedNames,
-        clock: Scheduler,
+        scheduler: Scheduler,
         link_outcome: LinkOutcome,
         remote_admission: RemoteAdmission,
         neighbours: Neighbours | None,
@@ -96,7 +96,7 @@
     ) -> None:
         self._locality = locality
         self._names = names
-        self._clock = clock
+        self._scheduler = scheduler
         self._link_outcome = link_outcome
         self._remote_admission = remote_admission
         self._neighbours = neighbours
@@ -121,11 +121,11 @@
         if is_detour and not detour_may_run(service.is_regional, primary_fails):
             return None
         if is_detour or self._detours is None:
-            return LocalWork(service, self._names, self._clock)
+            return LocalWork(service, self._names, self._scheduler)
         return LocalWork(
             service,
             self._names,
-            self._clock,
+            self._scheduler,
             functools.partial(self._find_detour, service),
             functools.partial(self._find_remote_holder, service),
         )
@@ -161,11 +161,11 @@
         is_detour: bool = False,
     ) -> ForwardedWork:
         if local is None:
-            local = LocalWork(service, self._names, self._clock)
+            local = LocalWork(service, self._names, self._scheduler)
         return ForwardedWork(
             placement,
             local,
-            Clock(self._clock),
+            Clock(self._scheduler),
             self._link_outcome,
             self._remote_admission,
             is_detour,
