--- a/src/rowanrail/directory/digests.py
+++ b/src/rowanrail/directory/digests.py
@@ -2,6 +2,8 @@
 
 It is the sum of the records' hashes modulo 2**128 (Bellare and Micciancio, 1997): the same for
 the same records in any order. It finds faults, not forgers; nodes and gateways trust each other.
+
+Owns the hash of a record. Relies on the records' encoding, which both sides share.
 """
 
 import enum
--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -1,4 +1,10 @@
-"""Messages between gateways and control nodes: reports, directory watches, held logs."""
+"""Messages between gateways and control nodes: reports, long polls for the directory, held logs.
+
+Structs that are sent as arrays may have their fields renamed, not reordered; ``GatewayRecord`` is
+sent with its field names. The tag of a message is the string at its class.
+
+Owns the forms. Relies on ``model`` for the records and on ``scheduling`` for loads and plans.
+"""
 
 import zlib
 
@@ -11,7 +17,7 @@
 
 
 class GatewayRecord(msgspec.Struct, frozen=True):
-    """A gateway that shares the members' connections.
+    """A gateway that shares the members' connections; its field names are sent.
 
     Parameters
     ----------
@@ -38,7 +44,7 @@
 
     :param hops: 1 once a control node has sent it on.
     :param group: the zone or region whose gateways share connections; empty for the zone.
-    :param load: what came to it in a span of time, None if that was told before.
+    :param load: what came to it in a span of time, None if that was reported before.
     """
 
     gateway: str
@@ -55,15 +61,15 @@
         return self.group or self.zone
 
 
-WHOLE = -1  # a revision below any that the log gives: of who knows nothing of the directory
+WHOLE = -1  # a revision below any that the log gives: of a gateway that knows no directory yet
 
 
 class DirectoryPart(msgspec.Struct, frozen=True, array_like=True):
     """The directory as one group's gateways know it, or what changed of it.
 
     :param since: the revision from which it leads on; ``WHOLE`` if it holds everything.
-    :param digest: of the whole directory to which it leads, see ``coordination.digests``.
-    :param gone_members: instances that are known no more; so for the other two.
+    :param digest: of the whole directory to which it leads, see :mod:`digests`.
+    :param gone_members: instances that are known no more; likewise for the other two.
     """
 
     since: int
@@ -78,7 +84,7 @@
 
 @message("DirectoryRequest")
 class DirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Tell what is newer than the gateway knows, within ``hold_seconds``.
+    """Ask for what is newer than the gateway knows; the answer waits for it up to ``hold_seconds``.
 
     :param takes_parts: whether the gateway understands ``part`` of the reply.
     :param wants_whole: whether it needs the whole directory, of its revision or a later one.
@@ -97,7 +103,7 @@
 
 
 def controls_mark(controls: list[str]) -> int:
-    """Return a number by which a gateway says which control nodes it was told of; 0 for none."""
+    """Return a number by which a gateway says which control nodes it knows; 0 for none."""
     return zlib.crc32(" ".join(controls).encode())
 
 
@@ -110,10 +116,11 @@
     :param members: all members, None if the known revision is the newest, or with ``part``.
     :param gateways: how many gateways there are, in ``zones`` zones (or regions that share).
     :param neighbours: the gateways of the asking gateway's group, with ``members``.
-    :param controls: addresses of all control nodes; empty if the gateway was told of them.
+    :param controls: addresses of all control nodes; empty if the gateway knows them.
     :param zone: where the answering node stands.
     :param others: gateways of other groups that hold connections there, with ``members``.
-    :param part: a packed :class:`DirectoryPart` for who takes it; empty if there is nothing new.
+    :param part: a packed :class:`DirectoryPart` for gateways that take one; empty if there is
+        nothing new.
     :param plan: of holders, None if the known one is the newest.
     """
 
@@ -134,7 +141,7 @@
 
 @message("HeldRequest")
 class HeldRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Tell a gateway that has just started what your log holds, committed or not.
+    """Ask, for a gateway that has just started, what a node's log holds, committed or not.
 
     :param group: the zone or region with whose gateways it shares connections.
     :param takes_parts: whether the gateway understands ``part`` of the directory.
--- a/src/rowanrail/directory/packing.py
+++ b/src/rowanrail/directory/packing.py
@@ -1,4 +1,7 @@
-"""Encoding of the part of the directory that a gateway is sent."""
+"""Encoding of the part of the directory that a gateway is sent.
+
+Owns the compression. Relies on :mod:`messages` for the form.
+"""
 
 import zlib
 
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -7,7 +7,7 @@
 
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.directory.reports import telling
+from rowanrail.directory.reports import worth_reporting
 from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
@@ -129,7 +129,7 @@
         return GatewayReport(
             settings.name,
             settings.zone,
-            telling(gateway.health()),
+            worth_reporting(gateway.health()),
             relay_address=relay_address,
             group=settings.sharing_group,
             load=meter.latest,
--- a/src/rowanrail/model/position.py
+++ b/src/rowanrail/model/position.py
@@ -1,4 +1,7 @@
-"""Positions in the log of a group of members."""
+"""Positions in the log of a group of members.
+
+Owns the one type; sent and stored as an array. Relies on nothing.
+"""
 
 import msgspec
 
--- a/src/rowanrail/model/routing.py
+++ b/src/rowanrail/model/routing.py
@@ -1,4 +1,8 @@
-"""Routes, services and the numbered configuration that holds them."""
+"""Routes, services and the numbered configuration that holds them.
+
+Owns the configuration in the product's own terms. Relies on ``tenants`` for the owners of keys;
+a plug-in of kind ``configuration-format`` reads the operator's document.
+"""
 
 import enum
 from typing import Any
@@ -19,11 +23,22 @@
 class Route(msgspec.Struct, frozen=True):
     """How statements of one database run.
 
-    :param timeout_seconds: bound of a statement.
-    :param objective_seconds: latency that an operation should stay within.
-    :param staleness_seconds: how old a sample of the primary's position may be.
-    :param priority: 0 is the most urgent.
-    :param takes_anybody: whether clients need no key.
+    Parameters
+    ----------
+    database : str
+        What clients name when they open a session.
+    service : str
+        The group of members that has its data.
+    timeout_seconds : float
+        Time within which each statement is answered.
+    objective_seconds : float
+        Latency that an operation should stay within.
+    staleness_seconds : float
+        How old a sample of the primary's position may be.
+    priority : int
+        0 is the most urgent.
+    takes_anybody : bool
+        Whether clients need no key.
     """
 
     name: str
@@ -40,8 +55,12 @@
 class ServiceSpec(msgspec.Struct, frozen=True):
     """A group of members as configured.
 
-    :param connections: how many connections a member takes from all proxies together.
-    :param acknowledging_replicas: replicas that must hold a commit before its acknowledgement.
+    Parameters
+    ----------
+    connections : int
+        How many connections a member takes from all gateways together.
+    acknowledging_replicas : int
+        Replicas that must hold a commit before its acknowledgement.
     """
 
     name: str
@@ -52,8 +71,18 @@
 class RoutingConfiguration(msgspec.Struct, frozen=True):
     """A numbered configuration in the product's own terms.
 
-    :param idle_transaction_seconds: a transaction resting longer may be ended.
-    :param tenants: whose keys are taken; None if clients need none.
+    Parameters
+    ----------
+    routes : dict of str to Route
+        By database.
+    services : dict of str to ServiceSpec
+        By name.
+    idle_transaction_seconds : float
+        A transaction that is idle for longer may be ended.
+    maximum_statement_bytes : int
+        Longer statements are refused.
+    tenants : Tenants or None
+        Whose keys are taken; None if clients need none.
     """
 
     version: int
@@ -71,5 +100,11 @@
     """
 
     def parse(self, document: bytes) -> Any:
-        """Return a ``returns`` result: the configuration, or the list of all problems."""
+        """Read and check a document as a whole.
+
+        Returns
+        -------
+        returns.result.Result
+            The :class:`RoutingConfiguration`, or the list of all problems.
+        """
         raise NotImplementedError
--- a/src/rowanrail/model/statements.py
+++ b/src/rowanrail/model/statements.py
@@ -1,4 +1,8 @@
-"""Statements, commands to members and answers, as front ends and drivers exchange them."""
+"""Statements, commands to members and answers, as front ends and drivers exchange them.
+
+Owns their types, and :data:`NOT_RUN`: which refusals promise that nothing of the attempt is kept.
+Relies on :mod:`position`.
+"""
 
 import enum
 
@@ -25,10 +29,16 @@
 class TypedStatement(msgspec.Struct, gc=False):
     """A client's statement with its kind; the text reaches the member untouched.
 
-    :param request_id: the client's id of the statement.
-    :param name: what SET, PREPARE, EXECUTE and CLOSE name.
-    :param value: value of SET, shape of PREPARE, arguments of EXECUTE.
-    :param writes: whether a PREPARE is for writes.
+    Parameters
+    ----------
+    request_id : str
+        The client's id of the statement.
+    name : str
+        What SET, PREPARE, EXECUTE and CLOSE name.
+    value : str
+        Value of SET, the statement of PREPARE, arguments of EXECUTE.
+    writes : bool
+        Whether a PREPARE is for writes.
     """
 
     request_id: str
@@ -40,7 +50,7 @@
 
 
 class CommandKind(enum.Enum):
-    """What the proxy asks of a member."""
+    """What is asked of a member."""
 
     STATEMENT = "statement"
     BEGIN = "begin"
@@ -58,9 +68,14 @@
 class Command(msgspec.Struct, gc=False):
     """One command to a member.
 
-    :param request_id: the client's id; empty for the proxy's own commands.
-    :param text: the client's text (STATEMENT), or the arguments of the command.
-    :param floor: position that the member's log must hold, else it refuses.
+    Parameters
+    ----------
+    text : str
+        The client's text (STATEMENT), or the arguments of the command.
+    request_id : str
+        The client's id; empty for the gateway's own commands.
+    floor : Position or None
+        Position that the member's log must hold, else it refuses.
     """
 
     kind: CommandKind
@@ -116,10 +131,20 @@
 class Answer(msgspec.Struct, gc=False):
     """The whole answer to one statement or command.
 
-    :param rows: rows as the member gave them, undecoded.
-    :param signature: the member's mark on a success; empty if the proxy answered itself.
-    :param position: the member's log position after the statement.
-    :param state: the connection's state after it, as the member says; None if it is lost.
+    Parameters
+    ----------
+    rows : list of bytes
+        Rows as the member gave them, undecoded.
+    signature : bytes
+        The member's mark on a success; empty if the gateway answered itself.
+    refusal : Refusal or None
+        Why it did not succeed; None on a success.
+    message : str
+        What goes with a refusal.
+    position : Position or None
+        The member's log position after the statement.
+    state : SessionState or None
+        The connection's state after it, as the member says; None if it is lost.
     """
 
     rows: list[bytes] = []
--- a/src/rowanrail/model/trace.py
+++ b/src/rowanrail/model/trace.py
@@ -1,10 +1,13 @@
-"""What is logged of a statement: how its answer came about, and why it was rejected."""
+"""What is logged of a statement: how its answer came about, and why it was rejected.
+
+Owns the two records, which also travel between gateways, as arrays. Relies on nothing.
+"""
 
 import msgspec
 
 
 class Rejection(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Why a statement was turned away, for the log; times in whole milliseconds.
+    """Why a statement was rejected, for the log; times in whole milliseconds.
 
     Parameters
     ----------
@@ -19,7 +22,7 @@
     urgency : int
         Priority of its route, 0 for the most urgent.
     return_in : int
-        Told to its client.
+        After which its client was told to retry.
     """
 
     cause: str
@@ -44,7 +47,7 @@
     via : str
         The gateway whose connections it ran on, if that is another one.
     rejection : Rejection or None
-        Why it was turned away, if it was.
+        Why it was rejected, if it was.
     """
 
     service: str
--- a/src/rowanrail/rpc/codec.py
+++ b/src/rowanrail/rpc/codec.py
@@ -3,6 +3,8 @@
 A frame is MessagePack: protocol version, frame kind, call id, message tag and body.
 Message types are ``msgspec.Struct`` classes registered with :func:`message` under a tag. The tag is
 what peers of other versions know: a class may be renamed, its tag stays.
+
+Owns the table of tags, filled by the modules that define messages. Does no I/O.
 """
 
 import enum
@@ -14,7 +16,7 @@
 from rowanrail.kernel.errors import TransportError
 
 PROTOCOL_VERSION = 1
-MAXIMUM_RPC_FRAME_BYTES = 64 * 1024 * 1024
+MAXIMUM_RPC_FRAME_BYTES = 64 * 1024 * 1024  # chosen
 
 MessageType = TypeVar("MessageType", bound=type[msgspec.Struct])
 
--- a/src/rowanrail/rpc/network.py
+++ b/src/rowanrail/rpc/network.py
@@ -1,7 +1,7 @@
 """The network port between the system's own processes.
 
-Implementations register as plug-ins of kind ``network``: ``tcp`` for daemons; the
-simulator brings one of its own.
+Implementations register as plug-ins of kind ``network``: ``tcp`` for daemons; the simulator brings
+one of its own. Owns the port only; relies on nothing but the form of messages.
 """
 
 from abc import ABC, abstractmethod
--- a/src/rowanrail/rpc/routed.py
+++ b/src/rowanrail/rpc/routed.py
@@ -1,4 +1,7 @@
-"""A network with address translation, for sites whose links do not use the real addresses."""
+"""A network with address translation, for sites whose links do not use the real addresses.
+
+Owns the table. Relies on the network below it for everything else.
+"""
 
 import msgspec
 
--- a/src/rowanrail/rpc/tcp.py
+++ b/src/rowanrail/rpc/tcp.py
@@ -1,4 +1,10 @@
-"""Network over TCP: length-prefixed frames, one connection for each peer address."""
+"""Network over TCP: length-prefixed frames, one connection for each peer address.
+
+A call that gets nothing at all in its time closes the connection, and those that were not used
+since: they may have fallen silent with it, without a reset.
+
+Owns the sockets. Relies on :mod:`codec` for frames.
+"""
 
 import asyncio
 import struct
@@ -18,8 +24,10 @@
 )
 from rowanrail.rpc.network import Handler, Listener, Network
 
-CONNECT_TIMEOUT_SECONDS = 0.3  # an opening packet that was lost is sent again after a second
-NOTICE_BACKLOG_BYTES = 8 * 1024 * 1024  # notices to a peer that does not read are dropped beyond it
+# TCP sends an opening packet that was lost again only after a second; a new attempt is sooner.
+CONNECT_TIMEOUT_SECONDS = 0.3
+# Chosen: unsent bytes beyond which notices to a peer that does not read are dropped.
+NOTICE_BACKLOG_BYTES = 8 * 1024 * 1024
 _LENGTH = struct.Struct("<I")
 
 
@@ -122,7 +130,7 @@
 
 @register("network", "tcp")
 class TcpNetwork(Network):
-    """See the module's description."""
+    """Calls and notices over TCP; see the module's description."""
 
     def __init__(self) -> None:
         self._connections: dict[str, _Connection] = {}
--- a/tests/coordination/test_reports.py
+++ b/tests/coordination/test_reports.py
@@ -17,7 +17,7 @@
 from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS, Liveness
 from rowanrail.coordination.reports import ReportIndex
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.directory.reports import TOLD_PROOF_MS, telling
+from rowanrail.directory.reports import REPORTED_PROOF_MS, worth_reporting
 from rowanrail.model.members import MemberRecord, PrimaryHealth
 from rowanrail.model.position import Position
 
@@ -25,13 +25,13 @@
 HOLDING_SECONDS = 60.0
 # A proof that is left out contradicts nobody who fails for less than this; who fails for longer
 # was decided on long before.
-LONGEST_FAILING_MS = TOLD_PROOF_MS - round(1000 * REPORT_LIVE_SECONDS) - 1
+LONGEST_FAILING_MS = REPORTED_PROOF_MS - round(1000 * REPORT_LIVE_SECONDS) - 1
 
 health = st.builds(
     PrimaryHealth,
     st.sampled_from(SERVICES),
     st.sampled_from(["", "m1", "m2"]),
-    st.one_of(st.just(-1), st.integers(0, 4 * TOLD_PROOF_MS)),
+    st.one_of(st.just(-1), st.integers(0, 4 * REPORTED_PROOF_MS)),
     st.one_of(st.just(0), st.integers(1, LONGEST_FAILING_MS)),
 )
 reports = st.builds(
@@ -85,7 +85,7 @@
 
     def test_a_report_of_many_services_that_are_not_used_is_empty(self):
         seen = [PrimaryHealth(f"db{n}", "m1", -1, 0) for n in range(40)]
-        self.assertEqual(telling(seen), [])
+        self.assertEqual(worth_reporting(seen), [])
 
     def test_a_report_replaces_the_earlier_one(self):
         index = ReportIndex()
