--- /dev/null
+++ b/tests/platform/test_configuration.py
@@ -0,0 +1,87 @@
+"""Each name of the configuration document is read for what it means."""
+
+import unittest
+
+import msgspec
+from returns.result import Failure
+
+from rowanrail.model.routing import Consistency, Route, ServiceSpec
+from rowanrail.tenants.model import Tenant, key_digest
+from tests.support import platform_path  # noqa: F401 - it is imported for its effect
+
+from rowanrail_platform.configuration import DocumentFormat  # isort: skip
+
+DOCUMENT = {
+    "version": 9,
+    "routes": [
+        {
+            "name": "r1",
+            "host": "orders",
+            "service": "db",
+            "kind": "bounded_staleness",
+            "timeout-ms": 2500,
+            "path-prefix": "/a",
+            "target-latency-ms": 400,
+            "priority": 0,
+            "max-staleness-ms": 1500,
+            "no-auth": True,
+        }
+    ],
+    "services": [{"name": "db", "max-conns": 33, "sync-replicas": 2}],
+    "limits": {"max-body-bytes": 1000, "idle-tx-ms": 7000},
+    "tenants": [
+        {"name": "anna", "api-keys": ["k1"], "priority": 2, "rate-per-s": 12.5, "burst": 4}
+    ],
+}
+
+
+def parse(document):
+    return DocumentFormat().parse(msgspec.json.encode(document))
+
+
+class DocumentNamesTest(unittest.TestCase):
+    def test_every_name_is_taken(self):
+        taken = parse(DOCUMENT).unwrap()
+        route = Route("r1", "orders", "db", Consistency.BOUNDED, 2.5, 0.4, 1.5, 0, True)
+        self.assertEqual((taken.version, taken.routes), (9, {"orders": route}))
+        self.assertEqual(taken.services, {"db": ServiceSpec("db", 33, 2)})
+        self.assertEqual(taken.idle_transaction_seconds, 7.0)
+        self.assertEqual(taken.maximum_statement_bytes, 1000)
+        self.assertEqual(taken.tenants.by_name, {"anna": Tenant("anna", 2, 12.5, 4)})
+        self.assertEqual(taken.tenants.owners, {key_digest("k1"): "anna"})
+
+    def test_what_is_left_out_has_its_default(self):
+        route = {"name": "r1", "host": "orders", "service": "db", "kind": "primary"}
+        document = {
+            "version": 1,
+            "routes": [route | {"timeout-ms": 1000}],
+            "services": [{"name": "db"}],
+        }
+        taken = parse(document).unwrap()
+        expected = Route("r1", "orders", "db", Consistency.PRIMARY, 1.0, 1.0, 0.0, 1, False)
+        self.assertEqual(taken.routes, {"orders": expected})
+        self.assertEqual(taken.services, {"db": ServiceSpec("db", 20, 0)})
+        self.assertEqual(taken.idle_transaction_seconds, 60.0)
+        self.assertEqual(taken.maximum_statement_bytes, 262144)
+        self.assertIsNone(taken.tenants)
+
+    def test_problems_name_what_the_document_names(self):
+        route = DOCUMENT["routes"][0] | {"kind": "x", "timeout-ms": 0, "max-staleness-ms": -1}
+        services = [{"name": "db", "max-conns": 0}]
+        document = DOCUMENT | {"routes": [route], "services": services}
+        result = parse(document)
+        self.assertIsInstance(result, Failure)
+        self.assertEqual(
+            result.failure(),
+            [
+                "services.db.max-conns: must be above 0",
+                "routes.r1.timeout-ms: must be above 0",
+                "routes.r1.kind: 'x' is none of primary, bounded_staleness, read_your_writes",
+                "routes.r1.max-staleness-ms: must not be below 0",
+            ],
+        )
+
+    def test_a_name_of_the_wrong_type_is_named_by_its_path(self):
+        route = DOCUMENT["routes"][0] | {"target-latency-ms": "fast"}
+        (problem,) = parse(DOCUMENT | {"routes": [route]}).failure()
+        self.assertIn("$.routes[0].target-latency-ms", problem)
