--- a/src/rowanrail/gateway/discovery/__init__.py
+++ b/src/rowanrail/gateway/discovery/__init__.py
@@ -1,5 +1,5 @@
 """What a gateway learns from its control nodes: configuration, members, other gateways.
 
-Owns the gateway's copy of the directory and the watch that keeps it up to date. Relies on
-``directory`` for the messages.
+Owns the gateway's copy of the directory, and the calls that keep it up to date. Relies on
+``directory`` for the messages and on ``rpc`` for calls; hands what is new to the gateway.
 """
--- a/src/rowanrail/gateway/discovery/directory.py
+++ b/src/rowanrail/gateway/discovery/directory.py
@@ -1,4 +1,8 @@
-"""What a gateway knows from its control nodes about members and other gateways."""
+"""What a gateway knows from its control nodes about members and other gateways.
+
+Owns the one data class, in which other gateways are those that links may be opened to. Relies on
+``model``, ``placement`` and ``relay`` for its fields.
+"""
 
 from dataclasses import dataclass, field
 
--- a/src/rowanrail/gateway/discovery/directory_copy.py
+++ b/src/rowanrail/gateway/discovery/directory_copy.py
@@ -1,4 +1,10 @@
-"""A gateway's own copy of the directory, brought up to date by what control nodes tell."""
+"""A gateway's own copy of the directory, brought up to date by what control nodes send.
+
+A difference is taken only if it leads to the directory whose digest goes with it; else the copy is
+broken, and the whole is asked for. Nothing older than the copy is ever taken.
+
+Owns the records and their digest. Relies on ``directory`` for the messages; does no I/O.
+"""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -79,7 +85,7 @@
 
 
 class DirectoryCopy:
-    """Members and gateways as of the newest revision that was told.
+    """Members and gateways as of the newest revision that was taken.
 
     Parameters
     ----------
--- a/src/rowanrail/gateway/discovery/known_directory.py
+++ b/src/rowanrail/gateway/discovery/known_directory.py
@@ -1,4 +1,8 @@
-"""The directory in force at a gateway: hands on what is another than before, and nothing else."""
+"""The directory in force at a gateway: hands on what has changed, and nothing else.
+
+Owns the directory in force and the members by service. Relies on :mod:`directory`; tells services,
+neighbours and detours what is new to them.
+"""
 
 from collections.abc import Mapping
 
@@ -23,7 +27,7 @@
     neighbours : Neighbours or None
         Gateways of the same group, where connections are shared.
     detours : Detours or None
-        Gateways that may be asked for a way to a primary.
+        Gateways that may be asked for a detour to a primary.
     """
 
     def __init__(self, neighbours: Neighbours | None, detours: Detours | None) -> None:
@@ -67,7 +71,7 @@
             self._detours.set_gateways(directory.neighbours, directory.others)
 
     def _set_members(self, records: list[MemberRecord], services: Mapping[str, Service]) -> None:
-        """Tell services whose members changed, and those that look for a primary."""
+        """Hand their members to services where they changed, and where a primary is looked for."""
         before, self._members = self._members, {}
         for record in records:
             self._members.setdefault(record.service, []).append(record)
--- a/src/rowanrail/placement/__init__.py
+++ b/src/rowanrail/placement/__init__.py
@@ -1,5 +1,7 @@
 """Which gateways hold the connections to a service's members, and how many each.
 
 By rendezvous hashing (:mod:`hashed`), or by the leader's plan (:mod:`planned`). Gateways and
-control nodes reckon the same from the same directory.
+control nodes work out the same from the same directory.
+
+Owns the rules; asks nobody and opens nothing. Relies on ``scheduling.plan`` for the form of a plan.
 """
--- a/src/rowanrail/placement/hashed.py
+++ b/src/rowanrail/placement/hashed.py
@@ -1,6 +1,8 @@
 """Which gateway of a zone holds a service's connections, and how many it may open.
 
 Functions of what the directory says; every gateway works out the same from the same directory.
+
+Owns nothing and relies on nothing: plain values in, names and numbers out.
 """
 
 import functools
@@ -13,35 +15,37 @@
     "METER",
     "MINIMUM_CONNECTIONS",
     "SHARDS",
-    "Shard",
     "Population",
+    "Shard",
     "claim",
     "connection_limit",
     "even_share",
     "is_shared",
-    "shards_of",
     "planned_limit",
     "rank",
+    "shards_of",
 ]
 
 RESERVED_CONNECTIONS = 3  # of a member, for the questions of control nodes
 MINIMUM_CONNECTIONS = 2  # one that is in use and one that is being opened
-DEMAND_FACTOR = 2  # demand differs between gateways; a full member refuses without harm
-ASSUMED_GATEWAYS = 8  # until the directory says how many there are
-# Connections that a region's holder may open to a member of another region: work goes to the
-# holder there, and these are for when that one can't be reached.
-FAR_CONNECTIONS = 2
+# Chosen: times an even share, since demand differs between gateways; a full member refuses without
+# harm.
+DEMAND_FACTOR = 2
+ASSUMED_GATEWAYS = 8  # chosen: until the directory says how many there are
+# Chosen: connections that a region's holder may open to a member of another region. Work goes to
+# the holder there, and these are for when that one can't be reached.
+REMOTE_CONNECTIONS = 2
 # Of a member, for the holder that takes over when one is lost: its connections still count for
-# 3 s if its machine went dark; and for gateways that help while a primary is cut off. With 2 in
+# 3 s if its machine lost power; and for gateways that help while a primary is cut off. With 2 in
 # place of 6, members of 58 gateways refused 5,265 starts in a day of such cuts, with 6 3,582.
 SUCCESSOR_CONNECTIONS = 6
-# Gateways of a region that divide a service's tenants among them. A front machine's link passes
+# Gateways of a region that divide a service's tenants among them. A gateway's link passes
 # 250 KB a second, and a statement takes about 1.7 KB of it each way, so that one holder would be
 # choked by 150 statements a second, which a primary's region gets while replicas lag.
 SHARDS = 3
 ROUNDING = 0.01  # connections that a share may lack by the rounding of its digits
-METER = "tenants' demand"  # ranked like a service: the gateway that sums it for a region
-SMALLEST_OWN_SHARE = 3  # connections a gateway; below it a zone shares one gateway's
+METER = "tenants' demand"  # ranked like a service: the gateway that sums it for a region, the meter
+SMALLEST_OWN_SHARE = 3  # chosen: connections a gateway, below which a zone shares one gateway's
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +76,7 @@
     number : int or None
         Which tenants; None for a service that is not divided.
     tenant : str
-        Whose statement is placed, if one is; it makes no other shard.
+        Whose statement is placed, if one is; shards are equal whatever it is.
 
     Examples
     --------
@@ -167,7 +171,7 @@
         others = population.zones - 1
         near = left - SUCCESSOR_CONNECTIONS - others * SHARDS  # a sample's each
         share = math.ceil(near * min(shards, SHARDS) / SHARDS)
-        return max(MINIMUM_CONNECTIONS, share) if is_near else FAR_CONNECTIONS
+        return max(MINIMUM_CONNECTIONS, share) if is_near else REMOTE_CONNECTIONS
     if is_shared(connections, population):
         zones = max(1, population.zones)
         return max(MINIMUM_CONNECTIONS, left // zones - 1)
@@ -215,7 +219,7 @@
     (20, 2)
     """
     if population.is_regional and not is_near:
-        return FAR_CONNECTIONS
+        return REMOTE_CONNECTIONS
     divided = connections - RESERVED_CONNECTIONS - samplers
     if population.is_regional:
         divided -= SUCCESSOR_CONNECTIONS
--- a/src/rowanrail/placement/planned.py
+++ b/src/rowanrail/placement/planned.py
@@ -1,7 +1,10 @@
 """The plan of holders as one gateway goes by it: who holds a shard, and how much is held here.
 
-Without a word of the plan all is as the hash says. Gateways that go by different plans cost each
-other a detour: a holder runs whatever comes, and members refuse what is beyond their connections.
+Where the plan says nothing the hash decides. Gateways that go by different plans cost each other
+one more step: a holder runs whatever comes, and members refuse what is beyond their connections.
+
+Owns the plan in force and which shares are being handed over. Relies on :mod:`hashed` for the order
+of several holders and on ``scheduling.plan`` for the form of a plan.
 """
 
 from collections.abc import Callable, Iterator
@@ -14,7 +17,7 @@
 __all__ = ["HANDOVER_MS", "Allowance", "HeldShard", "PlannedHolders"]
 
 # For which a holder that gains opens no more than before, a new one half of its share. Those that
-# lose hear of the plan within the hold of a poll (1 s) if their control node changes, and close
+# lose learn of the plan within the wait of a poll (1 s) if their control node changes, and close
 # what is idle 0.1 s later.
 HANDOVER_MS = 2000.0
 HANDOVER_SHARE_FACTOR = (
