--- a/src/rowanrail/placement/planned.py
+++ b/src/rowanrail/placement/planned.py
@@ -20,9 +20,8 @@
 # lose learn of the plan within the wait of a poll (1 s) if their control node changes, and close
 # what is idle 0.1 s later.
 HANDOVER_MS = 2000.0
-HANDOVER_SHARE_FACTOR = (
-    0.5  # of a new holder's share, meanwhile; the one before keeps at most as much
-)
+# Of a new holder's share, meanwhile; the one before keeps at most as much.
+HANDOVER_SHARE_FACTOR = 0.5
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/gateway/test_control_follower.py
+++ b/tests/gateway/test_control_follower.py
@@ -105,7 +105,7 @@
         pass
 
 
-class DirectoryWatchTest(unittest.IsolatedAsyncioTestCase):
+class FollowTest(unittest.IsolatedAsyncioTestCase):
     async def follow(self, controls, seconds):
         self.gateway = TakenGateway()
         watch = ControlFollower(
@@ -199,7 +199,7 @@
 class HeldTest(unittest.IsolatedAsyncioTestCase):
     """A start before a leader is known."""
 
-    follow = DirectoryWatchTest.follow
+    follow = FollowTest.follow
 
     async def test_what_a_majority_holds_is_gone_by_until_a_leader_is_known(self):
         # Found on days that end with a loss of all power: 0.13 to 0.23 s went on an election.
