--- a/src/rowanrail/rpc/tcp.py
+++ b/src/rowanrail/rpc/tcp.py
@@ -1,4 +1,10 @@
-"""Network over TCP: length-prefixed frames, one connection for each peer address."""
+"""Network over TCP: length-prefixed frames, one connection for each peer address.
+
+A call that gets nothing at all in its time closes the connection, and those that were not used
+since: they may have fallen silent with it, without a reset.
+
+Owns the sockets. Relies on :mod:`codec` for frames.
+"""
 
 import asyncio
 import struct
@@ -9,11 +15,19 @@
 from rowanrail.kernel.lifecycle import listen_error
 from rowanrail.kernel.registry import register
 from rowanrail.kernel.sockets import limit_silence
-from rowanrail.rpc.codec import MAXIMUM_FRAME_BYTES, Failure, FrameKind, decode_frame, encode_frame
+from rowanrail.rpc.codec import (
+    MAXIMUM_RPC_FRAME_BYTES,
+    Failure,
+    FrameKind,
+    decode_frame,
+    encode_frame,
+)
 from rowanrail.rpc.network import Handler, Listener, Network
 
-CONNECT_TIMEOUT_SECONDS = 0.3  # an opening packet that was lost is sent again after a second
-MAXIMUM_UNSENT_BYTES = 8 * 1024 * 1024  # notices to a peer that does not read are dropped beyond it
+# TCP sends an opening packet that was lost again only after a second; a new attempt is sooner.
+CONNECT_TIMEOUT_SECONDS = 0.3
+# Chosen: unsent bytes beyond which notices to a peer that does not read are dropped.
+NOTICE_BACKLOG_BYTES = 8 * 1024 * 1024
 _LENGTH = struct.Struct("<I")
 
 
@@ -30,7 +44,7 @@
 
 async def _read_frame(reader: asyncio.StreamReader) -> bytes:
     (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
-    if length > MAXIMUM_FRAME_BYTES:
+    if length > MAXIMUM_RPC_FRAME_BYTES:
         raise TransportError(f"frame of {length} bytes is too large", step="receive")
     return await reader.readexactly(length)
 
@@ -72,7 +86,7 @@
         return future
 
     def send_notice(self, notice: msgspec.Struct) -> None:
-        if self.writer.transport.get_write_buffer_size() > MAXIMUM_UNSENT_BYTES:
+        if self.writer.transport.get_write_buffer_size() > NOTICE_BACKLOG_BYTES:
             return
         self._write(encode_frame(FrameKind.NOTICE, 0, notice))
 
@@ -116,7 +130,7 @@
 
 @register("network", "tcp")
 class TcpNetwork(Network):
-    """See the module's description."""
+    """Calls and notices over TCP; see the module's description."""
 
     def __init__(self) -> None:
         self._connections: dict[str, _Connection] = {}
