--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -83,7 +83,7 @@
 
     def _is_shared(self, name: str) -> bool:
         service = self._host.services.get(name)
-        return service is not None and service.is_shared
+        return service is not None and service.share.is_shared
 
     def take(self, plan: Plan) -> None:
         """Go by a plan if it is newer than the one in force.
@@ -150,16 +150,16 @@
         if was_handing_over and not self._is_handing_over:
             self.apply()
         for service in services:
-            if service.has_connections and (service.is_regional or service.is_planned):
+            if service.has_connections and (service.share.is_regional or service.share.is_planned):
                 self._tell(service)
 
     def _hands_over(self) -> bool:
         return self._planned is not None and self._planned.is_handing_over
 
     def _tell(self, service: Service) -> None:
-        name, is_regional = service.spec.name, service.is_regional
+        name, is_regional = service.spec.name, service.share.is_regional
         allowance = None
-        if self._planned is not None and service.is_shared:
+        if self._planned is not None and service.share.is_shared:
             allowance = self._planned.allowance(name, is_regional)
         service.set_allowance(allowance)
         if service.has_connections and (is_regional or allowance is not None):
@@ -172,10 +172,10 @@
         if self._host.stopping:
             return frozenset()
         name = service.spec.name
-        parts = parts_of(name) if service.is_regional else [Part(name)]
+        parts = parts_of(name) if service.share.is_regional else [Part(name)]
         if self._neighbours is None:
             return frozenset(parts)
-        named = service.planned_parts
+        named = service.share.planned_parts
         where_held = self._neighbours.where_held
         here = frozenset(p for p in parts if p not in named and isinstance(where_held(p), HeldHere))
         return named | here
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -105,7 +105,7 @@
 
     def work_for(self, service: Service, tenant: str, local: LocalWork) -> Work:
         """Return the work for a tenant's statements: here, or through a holder's connections."""
-        if self._neighbours is None or not service.is_shared:
+        if self._neighbours is None or not service.share.is_shared:
             return local
         part = Part.of(service.spec.name, tenant)
         if isinstance(self._neighbours.where_held(part), HeldHere):
@@ -118,7 +118,7 @@
         What comes on a detour is sent no further.
         """
         primary_fails = bool(service.primary.failing_since)
-        if is_detour and not detour_may_run(service.is_regional, primary_fails):
+        if is_detour and not detour_may_run(service.share.is_regional, primary_fails):
             return None
         if is_detour or self._detours is None:
             return LocalWork(service, self._names, self._clock)
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -1,12 +1,20 @@
-"""One service: its members' pools, its primary, and the choice of a member for a read."""
+"""One service: its members' pools, its primary, and the choice of a member for a read.
+
+Owns the pools, the primary's tracker, what is known of the members and the share of their
+connections that belongs to this gateway; brings them together and lets time pass. The rules are
+:func:`rowanrail.scheduling.choice.choose` (which member serves a read),
+:class:`.connection_share.ConnectionShare` (how many connections may be opened) and those of the
+pools and of the primary.
+"""
 
-import math
 import random
+from dataclasses import replace
 from functools import partial
 
 from rowanrail.gateway.policies import GatewayPolicies
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.pool_loan import PoolLoan
+from rowanrail.gateway.services.connection_share import ConnectionShare
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.member_estimates import MemberEstimates, Wanted
 from rowanrail.gateway.services.member_probes import MemberProbes
@@ -16,17 +24,8 @@
 from rowanrail.members.primary import PrimaryTracker
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.routing import ServiceSpec
-from rowanrail.placement.hashed import (
-    ASSUMED_GATEWAYS,
-    PARTS,
-    Part,
-    Population,
-    connection_limit,
-    even_share,
-    is_shared,
-    planned_limit,
-)
-from rowanrail.placement.planned import HANDOVER_PART, Allowance
+from rowanrail.placement.hashed import Part, Population
+from rowanrail.placement.planned import Allowance
 from rowanrail.scheduling.choice import choose
 from rowanrail.scheduling.queue import tenant_weight
 from rowanrail.scheduling.returning import ReturnTimes
@@ -48,6 +47,7 @@
         policies: GatewayPolicies,
     ) -> None:
         self.spec = spec
+        self.share = ConnectionShare(spec.connections)
         self.policies = policies
         self.primary = PrimaryTracker(spec.name, driver, clock, policies.leadership_proof)
         self.primary.on_proof = self._note_proof
@@ -64,9 +64,6 @@
         self._locality = locality
         self._driver = driver
         self._clock = clock
-        self._population = Population()
-        self._parts: frozenset[Part] = frozenset()
-        self._allowance: Allowance | None = None
         self._tenants = Tenants()
 
     def set_members(self, records: list[MemberRecord]) -> None:
@@ -79,73 +76,31 @@
         for record in records:
             pool = self.pools.get(record.instance)
             if pool is None:
-                limit = self._connection_limit(record)
-                holders = self._holders(record)
+                limit = self.share.limit(self._is_near(record))
+                holders = self.share.holders(self._is_near(record))
                 pool = MemberPool(record, limit, self._driver, self._clock, holders)
                 pool.on_trouble = partial(self.estimates.weights.note_trouble, record.instance)
                 self.pools[record.instance] = pool
             else:
                 pool.record = record
-                pool.set_sharing(self._holders(record))
+                pool.set_sharing(self.share.holders(self._is_near(record)))
         self.estimates.set_members(records)
         self.primary.set_members(records)
 
     def set_spec(self, spec: ServiceSpec) -> None:
         """Take a changed configuration of the service."""
         self.spec = spec
+        self.share = replace(self.share, connections=spec.connections)
         self._apply_limit()
 
     def set_population(self, population: Population) -> None:
         """Note how many gateways share the members' connections."""
-        self._population = population
-        self.primary.monitor_seconds = monitor_seconds(self._sampling_gateways)
+        self.share = replace(self.share, population=population)
+        self.primary.monitor_seconds = monitor_seconds(self.share.samplers)
         self._apply_limit()
 
-    @property
-    def is_shared(self) -> bool:
-        """Whether one gateway of each zone holds the zone's connections."""
-        return is_shared(self.spec.connections, self._population)
-
-    @property
-    def _sampling_gateways(self) -> int:
-        """How many gateways sample the primary: all, or one a zone."""
-        return self._population.zones if self.is_shared else self._population.gateways
-
-    def _connection_limit(self, record: MemberRecord) -> int:
-        is_near = self._locality.is_near(record.zone)
-        if self._allowance is not None and self.is_shared:
-            return self._planned_limit(self._allowance, is_near)
-        return connection_limit(
-            self.spec.connections, self._population, is_near, max(1, len(self._parts))
-        )
-
-    def _planned_limit(self, allowance: Allowance, is_near: bool) -> int:
-        share = self._planned_share(allowance)
-        return planned_limit(
-            self.spec.connections, self._population, share, allowance.samplers, is_near
-        )
-
-    def _planned_share(self, allowance: Allowance) -> float:
-        """Return the share by a plan; who stands in for a holder that is down has an even one.
-
-        A gateway that the plan does not name, or names no more, may still be asked by those that
-        go by another plan, and finishes what it began.
-        """
-        even = even_share(self._population)
-        share = allowance.share + even * len(self._parts - allowance.parts)
-        return share or even * HANDOVER_PART
-
-    def _holders(self, record: MemberRecord) -> int:
-        """Return how many gateways are thought to use a member as much as this one does."""
-        if not self.is_shared:
-            return self._population.gateways or ASSUMED_GATEWAYS
-        is_near = self._locality.is_near(record.zone)
-        if self._allowance is not None and (is_near or not self.is_regional):
-            return max(1, round(1 / self._planned_share(self._allowance)))
-        if not self.is_regional:
-            return self._population.zones
-        near = math.ceil(PARTS / max(1, len(self._parts)))
-        return near if is_near else PARTS * self._population.zones
+    def _is_near(self, record: MemberRecord) -> bool:
+        return self._locality.is_near(record.zone)
 
     def set_tenants(self, tenants: Tenants) -> None:
         """Know whose statements come."""
@@ -157,8 +112,9 @@
 
     def _apply_limit(self) -> None:
         for pool in self.pools.values():
-            pool.set_sharing(self._holders(pool.record))
-            limit = self._connection_limit(pool.record)
+            is_near = self._is_near(pool.record)
+            pool.set_sharing(self.share.holders(is_near))
+            limit = self.share.limit(is_near)
             if pool.connections.limit != limit:
                 pool.set_limit(limit)
 
@@ -176,26 +132,11 @@
         """
         return self._held_connections or self.primary.is_busy or self.in_use
 
-    @property
-    def is_regional(self) -> bool:
-        """Whether each region's gateways hold the connections to the members there."""
-        return self._population.is_regional and self.is_shared
-
     def is_far(self, pool: MemberPool | None) -> bool:
         """Return whether gateways of another region hold the connections to a member."""
-        if pool is None or not self.is_regional:
+        if pool is None or not self.share.is_regional:
             return False
-        return not self._locality.is_near(pool.record.zone)
-
-    @property
-    def is_planned(self) -> bool:
-        """Whether a plan names the holders of the service's connections."""
-        return self._allowance is not None
-
-    @property
-    def planned_parts(self) -> frozenset[Part]:
-        """The parts for which the plan names this gateway."""
-        return frozenset() if self._allowance is None else self._allowance.parts
+        return not self._is_near(pool.record)
 
     @property
     def has_connections(self) -> bool:
@@ -235,36 +176,29 @@
         if pool is not None:
             pool.note_reachable()
         weights = self.estimates.weights
-        if weights.wants_probe(instance, self._sampling_gateways):
+        if weights.wants_probe(instance, self.share.samplers):
             weights.note_probe(instance)
 
     def set_parts(self, parts: frozenset[Part]) -> None:
         """Note for which parts of the service statements come to this gateway."""
-        if parts != self._parts:
-            self._parts = parts
+        if parts != self.share.parts:
+            self.share = replace(self.share, parts=parts)
             self._apply_limit()
 
     def set_allowance(self, allowance: Allowance | None) -> None:
-        """Note what the plan lets this gateway open; None if it has no word of the service."""
-        if allowance != self._allowance:
-            self._allowance = allowance
+        """Note what the plan lets this gateway open; None if it does not name the service."""
+        if allowance != self.share.allowance:
+            self.share = replace(self.share, allowance=allowance)
             self._apply_limit()
 
     def _is_kept(self, tenant: str) -> bool:
-        """Return whether idle connections of a tenant are kept for its next statement.
-
-        What another gateway of the region is to hold is missing there: a member that both keep
-        full refuses a third of them.
-        """
-        if self.is_regional:
-            return not tenant or Part.of(self.spec.name, tenant) in self._parts
-        return self._allowance is None or Part(self.spec.name) in self._parts
+        return self.share.keeps_idle(self.spec.name, tenant)
 
     def tick(self) -> None:
         """Let time pass."""
         self.primary.tick(self.in_use)
         if self.in_use:
-            self._probes.tick(self.pools, self.primary.believed, self._sampling_gateways)
+            self._probes.tick(self.pools, self.primary.believed, self.share.samplers)
         for pool in self.pools.values():
             pool.trim(self._is_kept)
         self._held_connections = self.has_connections
--- /dev/null
+++ b/tests/gateway/test_connection_share.py
@@ -0,0 +1,67 @@
+"""How many connections a gateway may open, and how many others are thought to share a member."""
+
+import unittest
+from dataclasses import replace
+
+from rowanrail.gateway.services.connection_share import ConnectionShare
+from rowanrail.placement.hashed import ASSUMED_GATEWAYS, PARTS, Part, Population, connection_limit
+from rowanrail.placement.planned import HANDOVER_PART, Allowance
+
+PART = Part("db", 0)
+ZONES = Population(72, 6)
+REGIONS = Population(58, 3, is_regional=True)
+
+
+class ConnectionShareTest(unittest.TestCase):
+    def test_until_the_directory_is_known_a_number_of_gateways_is_assumed(self):
+        share = ConnectionShare(40)
+        self.assertEqual(share.holders(is_near=True), ASSUMED_GATEWAYS)
+        self.assertEqual(share.limit(is_near=True), connection_limit(40, Population()))
+
+    def test_with_connections_for_all_each_gateway_counts_as_a_holder_and_samples(self):
+        share = ConnectionShare(40, Population(7, 3))
+        self.assertFalse(share.is_shared)
+        self.assertEqual((share.holders(True), share.samplers), (7, 7))
+
+    def test_a_zone_that_shares_counts_as_one(self):
+        share = ConnectionShare(40, ZONES)
+        self.assertTrue(share.is_shared)
+        self.assertEqual((share.holders(True), share.samplers), (6, 6))
+
+    def test_in_a_region_the_holder_of_more_parts_shares_with_fewer(self):
+        for number, holders in ((1, PARTS), (2, 2), (3, 1)):
+            parts = frozenset(Part("db", part) for part in range(number))
+            share = ConnectionShare(32, REGIONS, parts)
+            self.assertEqual(share.holders(is_near=True), holders)
+            self.assertEqual(share.holders(is_near=False), PARTS * 3)
+
+    def test_a_planned_share_says_how_many_share_a_near_member_only(self):
+        allowance = Allowance(0.5, samplers=2, parts=frozenset([PART]))
+        share = ConnectionShare(32, REGIONS, frozenset([PART]), allowance)
+        self.assertEqual(share.holders(is_near=True), 2)
+        self.assertEqual(share.holders(is_near=False), PARTS * 3)
+
+    def test_who_stands_in_for_a_planned_holder_has_an_even_share(self):
+        named = ConnectionShare(40, ZONES, frozenset([PART]), Allowance(0.25, 1, frozenset([PART])))
+        stands_in = replace(named, allowance=Allowance(0.0, 1, frozenset()))
+        self.assertEqual(named.holders(True), 4)
+        self.assertEqual(stands_in.holders(True), 6)
+
+    def test_whom_no_plan_names_finishes_with_a_part_of_an_even_share(self):
+        share = ConnectionShare(40, ZONES, allowance=Allowance(0.0, 1, frozenset()))
+        self.assertEqual(share.holders(True), round(6 / HANDOVER_PART))
+
+    def test_idle_connections_are_kept_for_what_comes_to_this_gateway(self):
+        parts = frozenset([Part.of("db", "anna")])
+        other = next(name for name in map(str, range(99)) if Part.of("db", name) not in parts)
+        share = ConnectionShare(32, REGIONS, parts)
+        self.assertTrue(share.keeps_idle("db", "anna"))
+        self.assertTrue(share.keeps_idle("db", ""))
+        self.assertFalse(share.keeps_idle("db", other))
+
+    def test_without_regions_all_are_kept_unless_a_plan_names_others(self):
+        share = ConnectionShare(40, ZONES)
+        self.assertTrue(share.keeps_idle("db", "anna"))
+        planned = replace(share, allowance=Allowance(0.0, 1, frozenset()))
+        self.assertFalse(planned.keeps_idle("db", "anna"))
+        self.assertTrue(replace(planned, parts=frozenset([Part("db")])).keeps_idle("db", "anna"))
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -162,13 +162,13 @@
 
     def test_a_holder_takes_part_in_a_members_slots_as_its_share_says(self):
         service = self.zone.last.gateway.services["db"]
-        record = next(iter(service.pools.values())).record
-        self.assertEqual(service._holders(record), 6, "one of six zones")
+        is_near = service._is_near(next(iter(service.pools.values())).record)
+        self.assertEqual(service.share.holders(is_near), 6, "one of six zones")
         self.zone.tell(plan(1, self.zone.last.name, share=0.5))
-        self.assertEqual(service._holders(record), 4, "half of it during the handover")
+        self.assertEqual(service.share.holders(is_near), 4, "half of it during the handover")
         self.all_ask()
         self.zone.clock.advance(HANDOVER_MS / 1000)
-        self.assertEqual(service._holders(record), 2)
+        self.assertEqual(service.share.holders(is_near), 2)
 
     def test_a_new_holder_that_is_lost_during_the_handover_is_stood_in_for(self):
         self.all_ask()
