--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -215,7 +215,7 @@
         if refusal is None:
             self.concurrency.note_answer(now, seconds * 1000, self.connections.under_way)
         elif refusal is Refusal.BUSY:
-            self.concurrency.note_turned_away(now, self.connections.under_way)
+            self.concurrency.note_busy(now, self.connections.under_way)
 
     def _note_failure(self) -> None:
         backoff = self.health.note_failure(self._scheduler.time())
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -1,4 +1,9 @@
-"""What answers tell about the members of a service, and the candidates for a read made of it."""
+"""What answers tell about the members of a service, and the candidates for a read made of it.
+
+Owns the run times, lags, warmth and weights of one service's members as this gateway sees them;
+decides nothing: :func:`rowanrail.scheduling.choice.choose` takes the candidates. Relies on the
+primary's samples for the age of what a read must see.
+"""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -12,7 +17,7 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, Refusal
-from rowanrail.scheduling.choice import Candidate
+from rowanrail.scheduling.choice import Candidate, counted_wait, expected_run
 from rowanrail.scheduling.lag import LagEstimate
 from rowanrail.scheduling.queue import Entry
 from rowanrail.scheduling.run_times import RunTimes
@@ -20,11 +25,6 @@
 
 __all__ = ["MemberEstimates", "Wanted"]
 
-FAR_WAY = 40.0  # ms there and back between regions of 20 ms one way
-# Of an opening, for a connection that belongs to a tenant: it serves about two statements before
-# another tenant needs its place. One that belongs to nobody serves whoever comes next, and a
-# member must not be passed over for good because nobody has opened a connection to it yet.
-OPENING_SHARE = 0.5
 _UNASKED = Entry(0, None, 0.0)
 
 
@@ -102,8 +102,8 @@
             case Refusal.BEHIND if floor is not None:
                 lag.note_lacks(self._age(floor), now)
             case Refusal.BUSY:
-                self._times.note_turned_away(instance, kind, now)
-                self.weights.note_turned_away(instance)
+                self._times.note_busy(instance, kind, now)
+                self.weights.note_busy(instance)
 
     def note_sent_afar(self, instance: str) -> None:
         """Note that a read was sent to the holder in a member's region."""
@@ -124,7 +124,7 @@
         if answer.refusal is None:
             self._times.note(instance, kind, now - sent_at * 1000, now)
         elif answer.refusal is Refusal.BUSY:
-            self._times.note_turned_away(instance, kind, now)
+            self._times.note_busy(instance, kind, now)
 
     def queue_seconds(self, instance: str) -> float:
         """Return by how many seconds a member's latest answers took longer than usual."""
@@ -152,10 +152,13 @@
         if age is not None and not is_primary and name in self._lags:
             behind = self._lags[name].expected_behind(age, now)
         distance = self._locality.distance(record.zone)
+        is_remote = distance == 2 and bool(self._locality.regions)
+        usual = self._times.usual(name, wanted.kind)
+        forecast = pool.forecasts.of(wanted.entry)
         return Candidate(
             instance=name,
-            wait=_wait(pool, wanted.entry),
-            run=self._run(name, wanted.kind, distance),
+            wait=counted_wait(forecast, bool(wanted.entry.tenant)),
+            run=expected_run(usual, work, is_remote),
             queue=self._times.queue(name, now),
             work=work,
             under_way=pool.connections.under_way + self._sent_afar[name],
@@ -168,18 +171,3 @@
             distance=distance,
             behind=behind,
         )
-
-    def _run(self, instance: str, kind: str, distance: int) -> float:
-        """Return what such a read takes at a member, as known or by where the member stands."""
-        usual = self._times.usual(instance, kind)
-        if usual is not None:
-            return usual
-        has_regions = bool(self._locality.regions)
-        return self._times.work(kind) + (FAR_WAY if distance == 2 and has_regions else 0.0)
-
-
-def _wait(pool: MemberPool, entry: Entry) -> float:
-    """Return the milliseconds until a statement may be sent, as far as they count for a choice."""
-    forecast = pool.forecasts.of(entry)
-    share = OPENING_SHARE if entry.tenant else 0.0
-    return forecast.wait - (1 - share) * forecast.opening
--- a/src/rowanrail/gateway/services/member_weights.py
+++ b/src/rowanrail/gateway/services/member_weights.py
@@ -1,17 +1,18 @@
-"""The weights of one service's members at this gateway, and what others told of them."""
+"""The weights of one service's members at this gateway, and what others reported of them.
+
+Owns a :class:`rowanrail.scheduling.member_weight.MemberWeight` a member, which is the rule, and the
+count of busy refusals running; tells its owner of each member that falls or is back.
+"""
 
 from collections import Counter
 from collections.abc import Callable
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.scheduling.member_weight import MemberWeight, Trouble, Weight
+from rowanrail.scheduling.member_weight import MemberWeight, Trouble, Weight, is_trouble
 from rowanrail.scheduling.told_weights import ToldWeights
 
 __all__ = ["MemberWeights"]
 
-# By a member that is full by chance each is as likely as its load, so that so many are rare.
-TURNED_AWAY_IN_A_ROW = 4
-
 
 class MemberWeights:
     """Weights by member.
@@ -27,7 +28,7 @@
         self._clock = clock
         self._weights: dict[str, MemberWeight] = {}
         self._told = ToldWeights()
-        self._turned_away: Counter[str] = Counter()  # one after the other
+        self._busy: Counter[str] = Counter()  # busy refusals running
 
     def set_members(self, instances: set[str]) -> None:
         """Know the members; those that left are forgotten."""
@@ -47,14 +48,14 @@
 
     def note_served(self, instance: str) -> None:
         """Note that a member ran a statement; it gets back no weight by it."""
-        self._turned_away.pop(instance, None)
-
-    def note_turned_away(self, instance: str) -> None:
-        """Doubt a member that turns statements away whenever it is asked."""
-        self._turned_away[instance] += 1
-        if self._turned_away[instance] >= TURNED_AWAY_IN_A_ROW:
-            self._turned_away.pop(instance)
-            self.note_trouble(instance, Trouble.TURNED_AWAY)
+        self._busy.pop(instance, None)
+
+    def note_busy(self, instance: str) -> None:
+        """Note that a member refused a statement as too busy."""
+        self._busy[instance] += 1
+        if is_trouble(self._busy[instance]):
+            self._busy.pop(instance)
+            self.note_trouble(instance, Trouble.BUSY)
 
     def note_trouble(self, instance: str, trouble: Trouble) -> None:
         """Note a failure of a member."""
--- a/src/rowanrail/scheduling/choice.py
+++ b/src/rowanrail/scheduling/choice.py
@@ -14,7 +14,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-__all__ = ["Candidate", "choose", "completion"]
+from rowanrail.scheduling.admission import Forecast
+
+__all__ = ["Candidate", "choose", "completion", "counted_wait", "expected_run"]
 
 # Of the best completion: members within it are drawn from. Answers of members that are equally
 # loaded differ by about as much.
@@ -38,6 +40,11 @@
 # Milliseconds of a round trip and a new decision, lost where the log lacks the floor.
 BEHIND_COST = 40.0
 LONGEST_BEHIND = 1000.0  # ms; a member that is further behind is as good as unusable
+REMOTE_ROUND_TRIP = 40.0  # ms there and back between regions of 20 ms one way
+# Of an opening, for a connection that belongs to a tenant: it serves about two statements before
+# another tenant needs its place. One that belongs to nobody serves whoever comes next, and a
+# member must not be passed over for good because nobody has opened a connection to it yet.
+OPENING_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,6 +105,48 @@
         return min(1.0, max(self.under_way / max(1, self.slots), by_answers))
 
 
+def counted_wait(forecast: Forecast, is_of_tenant: bool) -> float:
+    """Return the milliseconds until a statement may be sent, as far as they count for a choice.
+
+    Parameters
+    ----------
+    forecast : Forecast
+        What the statement can expect at the member.
+    is_of_tenant : bool
+        Whether it needs a connection of its tenant.
+
+    Examples
+    --------
+    >>> forecast = Forecast(wait=50.0, run=20.0, opening=30.0)
+    >>> counted_wait(forecast, is_of_tenant=False), counted_wait(forecast, is_of_tenant=True)
+    (20.0, 35.0)
+    """
+    share = OPENING_SHARE if is_of_tenant else 0.0
+    return forecast.wait - (1 - share) * forecast.opening
+
+
+def expected_run(usual: float | None, work: float, is_remote: bool) -> float:
+    """Return the milliseconds that a read takes at a member with nothing in its way.
+
+    Parameters
+    ----------
+    usual : float or None
+        What such reads took there; None if it isn't known.
+    work : float
+        What a slot takes for such a read where it is quickest.
+    is_remote : bool
+        Whether the member is known to be in another region.
+
+    Examples
+    --------
+    >>> expected_run(25.0, 20.0, is_remote=True), expected_run(None, 20.0, is_remote=True)
+    (25.0, 60.0)
+    """
+    if usual is not None:
+        return usual
+    return work + (REMOTE_ROUND_TRIP if is_remote else 0.0)
+
+
 def completion(candidate: Candidate) -> float:
     """Return in how many milliseconds a read is expected to be done at a member, or as if.
 
--- a/src/rowanrail/scheduling/concurrency.py
+++ b/src/rowanrail/scheduling/concurrency.py
@@ -68,10 +68,10 @@
     >>> limit.value
     8
 
-    Being turned away lowers it; the even part of the slots remains.
+    A refusal as busy lowers it; the even part of the slots remains.
 
     >>> for now in range(100):
-    ...     limit.note_turned_away(now, under_way=limit.value)
+    ...     limit.note_busy(now, under_way=limit.value)
     >>> limit.value
     2
     """
@@ -151,7 +151,7 @@
             self._limit = min(self._ceiling, self._limit + step)
         self._begin_window(now)
 
-    def note_turned_away(self, now: float, under_way: int) -> None:
+    def note_busy(self, now: float, under_way: int) -> None:
         """Note that the member's own queue was full; a refusal for another reason is no sign."""
         if self._sent_before > 0:
             self._sent_before -= 1
--- a/src/rowanrail/scheduling/member_weight.py
+++ b/src/rowanrail/scheduling/member_weight.py
@@ -9,7 +9,7 @@
 import enum
 from dataclasses import dataclass
 
-__all__ = ["MemberWeight", "Trouble", "Weight"]
+__all__ = ["MemberWeight", "Trouble", "Weight", "is_trouble"]
 
 # ms between probes of a member that lost weight: with 3 members a slot is taken for a hundredth
 # of the time, and a member that is well again is back within the few seconds that clients retry.
@@ -22,6 +22,9 @@
 GAIN = 0.25  # by each probe that is answered: four bring a member back that failed once
 LEAST_GAIN = GAIN / 8  # about half a minute for one that falls again and again
 FALL_MEMORY = 30_000.0  # ms for which a fall makes the return slower; longer than flaps last
+# Refusals as busy, one after the other: by a member that is full by chance each is as likely as its
+# load, so that so many are rare.
+BUSY_IN_A_ROW = 4
 
 
 class Trouble(enum.Enum):
@@ -30,18 +33,18 @@
     ERROR = "error"
     SILENCE = "silence"
     REFUSED = "refused"
-    TURNED_AWAY = "turned-away"
+    BUSY = "turned-away"  # the name that logs and metrics have for it
     PROBE_FAILED = "probe-failed"
 
 
 # What is left of the weight. Silence costs a client 0.4 s or more, so that two of them must do; an
-# error costs a round trip, and one may be chance. A member may turn statements away because
+# error costs a round trip, and one may be chance. A member may refuse statements as busy because
 # others filled it since its last answer.
 LEFT = {
     Trouble.ERROR: 0.7,
     Trouble.SILENCE: 0.4,
     Trouble.REFUSED: 0.4,
-    Trouble.TURNED_AWAY: 0.85,
+    Trouble.BUSY: 0.85,
     Trouble.PROBE_FAILED: 0.4,
 }
 
@@ -65,6 +68,17 @@
     falls: int
 
 
+def is_trouble(busy_in_a_row: int) -> bool:
+    """Return whether a member is in trouble that refuses statements as busy whenever it is asked.
+
+    Examples
+    --------
+    >>> is_trouble(3), is_trouble(4)
+    (False, True)
+    """
+    return busy_in_a_row >= BUSY_IN_A_ROW
+
+
 class MemberWeight:
     """The weight of one member; times in milliseconds.
 
--- a/src/rowanrail/scheduling/run_times.py
+++ b/src/rowanrail/scheduling/run_times.py
@@ -16,16 +16,16 @@
 STEP_DOWN = 0.04
 STEP_UP = 0.01
 # Of the newest excess in its moving average. A rise counts at once by half, since each statement
-# that still goes to a full member is turned away or waits; a fall is taken in about ten answers.
+# that still goes to a full member is refused or waits; a fall is taken in about ten answers.
 RISE_WEIGHT = 0.5
 FALL_WEIGHT = 0.1
 # ms; after it an excess without new answers has shrunk to 1/e. Queues are bounded, and drain in
 # less; a member that nobody asks must be asked again some time.
 FORGET = 1000.0
-# Usual times that a queue is assumed to take at a member that turned a statement away, but no
+# Usual times that a queue is assumed to take at a member that refused a statement as busy, but no
 # less than a round trip between regions (ms): so much is lost if the next one is, too.
-TURNED_AWAY_RUNS = 3.0
-SHORTEST_TURNED_AWAY = 40.0
+BUSY_RUNS = 3.0
+SHORTEST_BUSY_QUEUE = 40.0
 MOST_KINDS = 100  # of one member; routes come and go with configurations
 SHORTEST_RUN = 0.5  # ms; a fast network there and back. Steps are shares, and never leave 0
 
@@ -77,9 +77,9 @@
             del kinds[next(iter(kinds))]
         self._excess.setdefault(instance, _Excess()).note(max(0.0, taken - usual), now)
 
-    def note_turned_away(self, instance: str, kind: str, now: float) -> None:
+    def note_busy(self, instance: str, kind: str, now: float) -> None:
         """Note that a member's queue was full."""
-        full = max(TURNED_AWAY_RUNS * self.work(kind), SHORTEST_TURNED_AWAY)
+        full = max(BUSY_RUNS * self.work(kind), SHORTEST_BUSY_QUEUE)
         excess = self._excess.setdefault(instance, _Excess())
         if full > excess.at(now):
             excess.value, excess.noted_at = full, now
--- a/tests/scheduling/holders.py
+++ b/tests/scheduling/holders.py
@@ -113,7 +113,7 @@
                 self.times.note(name, kind, taken, now)
                 errors.note(0.0, now / 1000)
             case Outcome.TURNED_AWAY:
-                self.times.note_turned_away(name, kind, now)
+                self.times.note_busy(name, kind, now)
             case Outcome.FAILED:
                 errors.note(1.0, now / 1000)
                 health.note_trouble(Trouble.ERROR, now)
--- a/tests/scheduling/test_choice.py
+++ b/tests/scheduling/test_choice.py
@@ -5,7 +5,16 @@
 from collections import Counter
 from dataclasses import replace
 
-from rowanrail.scheduling.choice import Candidate, choose, completion
+from rowanrail.scheduling.admission import Forecast
+from rowanrail.scheduling.choice import (
+    OPENING_SHARE,
+    REMOTE_ROUND_TRIP,
+    Candidate,
+    choose,
+    completion,
+    counted_wait,
+    expected_run,
+)
 from rowanrail.scheduling.lag import LagEstimate
 from rowanrail.scheduling.run_times import RunTimes
 from rowanrail.scheduling.warming import Warming
@@ -124,7 +133,7 @@
 
     def test_a_member_that_turned_a_statement_away_is_full(self):
         self.note(28, 20)
-        self.times.note_turned_away("m1", "k", 200)
+        self.times.note_busy("m1", "k", 200)
         self.assertGreater(self.times.queue("m1", 200), 28)
 
     def test_a_member_that_nobody_asks_is_forgotten_to_be_full(self):
@@ -149,3 +158,20 @@
         lag = LagEstimate()
         lag.note_lacks(600, now=0)
         self.assertLess(lag.expected_behind(50, now=4000), 1)
+
+
+class CandidateFiguresTest(unittest.TestCase):
+    def test_an_opening_counts_by_half_where_its_connection_is_a_tenants(self):
+        forecast = Forecast(wait=50.0, run=20.0, opening=30.0)
+        self.assertEqual(counted_wait(forecast, is_of_tenant=True), 20.0 + OPENING_SHARE * 30.0)
+
+    def test_an_opening_of_nobodys_connection_keeps_nobody_from_a_member(self):
+        forecast = Forecast(wait=50.0, run=20.0, opening=30.0)
+        self.assertEqual(counted_wait(forecast, is_of_tenant=False), 20.0)
+
+    def test_what_a_member_was_seen_to_take_counts_wherever_it_is(self):
+        self.assertEqual(expected_run(12.0, work=28.0, is_remote=True), 12.0)
+
+    def test_a_remote_member_that_was_never_asked_takes_a_round_trip_more(self):
+        self.assertEqual(expected_run(None, work=28.0, is_remote=False), 28.0)
+        self.assertEqual(expected_run(None, work=28.0, is_remote=True), 28.0 + REMOTE_ROUND_TRIP)
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -113,13 +113,13 @@
         answers = Answers()
         answers.take(1.0)
         for _ in range(8):  # all that were under way meet the same full queue
-            answers.limit.note_turned_away(answers.now, under_way=8)
+            answers.limit.note_busy(answers.now, under_way=8)
         self.assertEqual(answers.limit.value, 6)
 
     def test_a_member_that_turns_all_away_is_still_tried(self):
         answers = Answers(holders=9, slots=3)
         for _ in range(1000):
-            answers.limit.note_turned_away(answers.now, under_way=1)
+            answers.limit.note_busy(answers.now, under_way=1)
         self.assertEqual(answers.limit.value, 1)
 
 
