--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -1,6 +1,6 @@
 """What a gateway measures of itself at the moment when it is asked."""
 
-from rowanrail.gateway.discovery.directory_watch import DirectoryWatch
+from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.link import LinkState
@@ -52,12 +52,12 @@
 
 
 def _plan_gauges(gateway: Gateway) -> list[Reading]:
-    """Return the plan's number, and the parts that are held here by it, with their cause."""
+    """Return the plan's number, and the shards that are held here by it, with their cause."""
     planned = gateway.holdings.planned
     if planned is None:
         return []
     readings: list[Reading] = [("plan_number", {}, planned.plan.number)]
-    for held in planned.held_parts(list(gateway.services)):
+    for held in planned.held_shards(list(gateway.services)):
         labels = {"service": held.service, "part": held.key, "cause": held.cause}
         readings.append(("held_share", labels, held.share))
     return readings
@@ -76,9 +76,9 @@
     return readings
 
 
-def directory_gauges(watch: DirectoryWatch) -> list[Reading]:
+def directory_gauges(follower: ControlFollower) -> list[Reading]:
     """Return how the directory came: whole, by difference, and by difference that differed."""
-    counts = watch.counts.items()
+    counts = follower.counts.items()
     return [("directories_taken", {"kind": kind}, count) for kind, count in counts]
 
 
--- a/src/rowanrail/gateway/services/connection_share.py
+++ b/src/rowanrail/gateway/services/connection_share.py
@@ -10,15 +10,15 @@
 
 from rowanrail.placement.hashed import (
     ASSUMED_GATEWAYS,
-    PARTS,
-    Part,
+    SHARDS,
     Population,
+    Shard,
     connection_limit,
     even_share,
     is_shared,
     planned_limit,
 )
-from rowanrail.placement.planned import HANDOVER_PART, Allowance
+from rowanrail.placement.planned import HANDOVER_SHARE_FACTOR, Allowance
 
 __all__ = ["ConnectionShare"]
 
@@ -35,8 +35,8 @@
         That one member takes from all gateways together.
     population : Population
         The gateways among which they are divided.
-    parts : frozenset of Part
-        Parts of the service of which statements come to this gateway.
+    shards : frozenset of Shard
+        Shards of the service of which statements come to this gateway.
     allowance : Allowance or None
         What a plan lets this gateway open; None if there is none, or it doesn't name the service.
 
@@ -45,14 +45,15 @@
     >>> alone = ConnectionShare(40, Population(1, 1))
     >>> alone.limit(is_near=True), alone.holders(is_near=True)
     (37, 1)
-    >>> region = ConnectionShare(32, Population(58, 3, is_regional=True), frozenset({Part("a", 0)}))
+    >>> regions = Population(58, 3, is_regional=True)
+    >>> region = ConnectionShare(32, regions, frozenset({Shard("a", 0)}))
     >>> region.limit(is_near=True), region.limit(is_near=False), region.holders(is_near=True)
     (6, 2, 3)
     """
 
     connections: int
     population: Population = Population()
-    parts: frozenset[Part] = field(default=frozenset())
+    shards: frozenset[Shard] = field(default=frozenset())
     allowance: Allowance | None = None
 
     @property
@@ -71,9 +72,9 @@
         return self.allowance is not None
 
     @property
-    def planned_parts(self) -> frozenset[Part]:
-        """The parts for which the plan names this gateway."""
-        return frozenset() if self.allowance is None else self.allowance.parts
+    def planned_shards(self) -> frozenset[Shard]:
+        """The shards for which the plan names this gateway."""
+        return frozenset() if self.allowance is None else self.allowance.shards
 
     @property
     def samplers(self) -> int:
@@ -91,8 +92,8 @@
         if self.allowance is not None and self.is_shared:
             share, samplers = self._planned_share(self.allowance), self.allowance.samplers
             return planned_limit(self.connections, self.population, share, samplers, is_near)
-        parts = max(1, len(self.parts))
-        return connection_limit(self.connections, self.population, is_near, parts)
+        shards = max(1, len(self.shards))
+        return connection_limit(self.connections, self.population, is_near, shards)
 
     def _planned_share(self, allowance: Allowance) -> float:
         """Return the share by a plan; who stands in for a holder that is down has an even one.
@@ -101,8 +102,8 @@
         go by another plan, and finishes what it began.
         """
         even = even_share(self.population)
-        share = allowance.share + even * len(self.parts - allowance.parts)
-        return share or even * HANDOVER_PART
+        share = allowance.share + even * len(self.shards - allowance.shards)
+        return share or even * HANDOVER_SHARE_FACTOR
 
     def holders(self, is_near: bool) -> int:
         """Return how many gateways are thought to use a member as much as this one does."""
@@ -112,8 +113,8 @@
             return max(1, round(1 / self._planned_share(self.allowance)))
         if not self.is_regional:
             return self.population.zones
-        near = math.ceil(PARTS / max(1, len(self.parts)))
-        return near if is_near else PARTS * self.population.zones
+        near = math.ceil(SHARDS / max(1, len(self.shards)))
+        return near if is_near else SHARDS * self.population.zones
 
     def keeps_idle(self, service: str, tenant: str) -> bool:
         """Return whether idle connections of a tenant are kept for its next statement.
@@ -122,5 +123,5 @@
         full refuses a third of them.
         """
         if self.is_regional:
-            return not tenant or Part.of(service, tenant) in self.parts
-        return self.allowance is None or Part(service) in self.parts
+            return not tenant or Shard.of(service, tenant) in self.shards
+        return self.allowance is None or Shard(service) in self.shards
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -24,7 +24,7 @@
 from rowanrail.members.primary import PrimaryTracker
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.routing import ServiceSpec
-from rowanrail.placement.hashed import Part, Population
+from rowanrail.placement.hashed import Population, Shard
 from rowanrail.placement.planned import Allowance
 from rowanrail.scheduling.choice import choose
 from rowanrail.scheduling.queue import tenant_weight
@@ -142,7 +142,7 @@
     def has_connections(self) -> bool:
         """Whether any connection to a member is open or being opened.
 
-        Most gateways hold none of most services; looking for their parts 20 times a second took
+        Most gateways hold none of most services; looking for their shards 20 times a second took
         three times the processor time of all else at 25 services (a day of 100 machines).
         """
         return any(pool.connections.count for pool in self.pools.values())
@@ -179,10 +179,10 @@
         if weights.wants_probe(instance, self.share.samplers):
             weights.note_probe(instance)
 
-    def set_parts(self, parts: frozenset[Part]) -> None:
-        """Note for which parts of the service statements come to this gateway."""
-        if parts != self.share.parts:
-            self.share = replace(self.share, parts=parts)
+    def set_shards(self, shards: frozenset[Shard]) -> None:
+        """Note for which shards of the service statements come to this gateway."""
+        if shards != self.share.shards:
+            self.share = replace(self.share, shards=shards)
             self._apply_limit()
 
     def set_allowance(self, allowance: Allowance | None) -> None:
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -11,6 +11,8 @@
     "rowanrail.directory.reports",
     "rowanrail.cli.load_view",
     "rowanrail.explain.rejections",
+    "rowanrail.gateway.discovery.control_choice",
+    "rowanrail.gateway.discovery.provisional",
     "rowanrail.gateway.pools.error_share",
     "rowanrail.gateway.pools.idle_rules",
     "rowanrail.gateway.pools.member_health",
