--- a/src/rowanrail/gateway/pools/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -9,10 +9,10 @@
 
 from rowanrail.gateway.pools.idle_channels import IdleChannels
 from rowanrail.gateway.pools.idle_rules import spare_connections
+from rowanrail.gateway.pools.idle_transactions import IdleTransactions
 from rowanrail.gateway.pools.leases import Leases
 from rowanrail.gateway.pools.opening_rules import Opening, has_room_for_opening, judge_opening
 from rowanrail.gateway.pools.openings import Openings
-from rowanrail.gateway.pools.resting import RestingTransactions
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, MemberDriver
 from rowanrail.model.members import MemberRecord
@@ -29,7 +29,7 @@
         self.idle = IdleChannels()
         self.leases = Leases(scheduler)
         self.opening = Openings(driver, scheduler)
-        self.resting = RestingTransactions(scheduler)
+        self.idle_transactions = IdleTransactions(scheduler)
         self._scheduler = scheduler
 
     @property
@@ -44,8 +44,8 @@
 
     @property
     def under_way(self) -> int:
-        """Number of those that the member has to do with: neither idle nor at rest."""
-        return max(0, len(self.leases) - len(self.resting)) + len(self.opening)
+        """Number of those that occupy the member, those of idle transactions left out."""
+        return max(0, len(self.leases) - len(self.idle_transactions)) + len(self.opening)
 
     @property
     def allowed(self) -> int:
@@ -54,8 +54,8 @@
 
     @property
     def usable(self) -> int:
-        """How many can be under way: a transaction that rests keeps its own."""
-        return max(self.allowed, self.count) - len(self.resting)
+        """How many can be under way: an idle transaction keeps its own."""
+        return max(self.allowed, self.count) - len(self.idle_transactions)
 
     @property
     def is_crowded(self) -> bool:
@@ -68,10 +68,10 @@
         return self.count < self.allowed and not self.leases.are_of_tenants
 
     def may_come_back(self, tenant: str) -> bool:
-        """Whether one of a tenant is in use by more than a transaction at rest."""
+        """Whether one of a tenant is in use by more than an idle transaction."""
         if self.opening.of(tenant):
             return True
-        return self.leases.of(tenant) > self.resting.of(tenant)
+        return self.leases.of(tenant) > self.idle_transactions.of(tenant)
 
     def has_one_for(self, tenant: str | None) -> bool:
         """Whether one that is there would be of use to a tenant, now or when it comes back."""
--- a/src/rowanrail/gateway/pools/leases.py
+++ b/src/rowanrail/gateway/pools/leases.py
@@ -13,7 +13,7 @@
 
 
 class Leases:
-    """Leases of one pool; what a transaction rests is left out of their time."""
+    """Leases of one pool; the idle time of a transaction is left out."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.seconds = INITIAL_ANSWER_SECONDS
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -9,8 +9,8 @@
 
 from rowanrail.gateway.pools.connections import Connections
 from rowanrail.gateway.pools.forecasts import MemberForecasts
+from rowanrail.gateway.pools.idle_transactions import IdleTransaction
 from rowanrail.gateway.pools.member_health import MemberHealth
-from rowanrail.gateway.pools.resting import Resting
 from rowanrail.gateway.pools.wait_queue import WaitQueue
 from rowanrail.gateway.pools.waiter import Waiter
 from rowanrail.kernel.clock import Scheduler
@@ -29,7 +29,7 @@
 
     Of those, only as many are in use at a time as its :class:`ConcurrencyLimit` says, so that
     statements wait here, where urgency and deadline are known, and not at the member. A transaction
-    that rests uses none, and its later statements aren't held back.
+    that is idle uses none, and its later statements aren't held back.
 
     Parameters
     ----------
@@ -168,11 +168,11 @@
         self.connections.keep(channel)
         self._start_waiting()
 
-    # Transactions that rest
+    # Idle transactions
 
-    def note_resting(self, transaction: Resting) -> None:
+    def note_idle(self, transaction: IdleTransaction) -> None:
         """Note that a transaction holds a connection and does nothing."""
-        self.connections.resting.add(transaction)
+        self.connections.idle_transactions.add(transaction)
         self._start_waiting()
 
     # Opening
@@ -256,7 +256,7 @@
         now = self._scheduler.time()
         self.queue.expire_late(now * 1000, self.forecasts.latency_seconds * 1000)
         if self.connections.is_crowded:
-            self.connections.resting.reclaim(waiter.since for waiter in self.queue)
+            self.connections.idle_transactions.reclaim(waiter.since for waiter in self.queue)
         self.connections.trim(now, is_kept)
 
     def set_limit(self, limit: int) -> None:
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -71,7 +71,7 @@
         self._busy_retries = 0
         self.begin_statement(respond)
         if self.pool is not None:
-            self.pool.connections.resting.remove(self)
+            self.pool.connections.idle_transactions.remove(self)
         if self._reclaimed_for:
             self.failed = True
             self.finish(Answer(refusal=Refusal.ABORTED, message=self._reclaimed_for))
@@ -261,7 +261,7 @@
             if self.read_only and self.pool is not None:
                 self.pool.note_answer()
             if self.pool is not None and self.channel is not None:
-                self.pool.note_resting(self)  # until its next statement, perhaps at once
+                self.pool.note_idle(self)  # until its next statement, perhaps at once
             self.finish(answer)
             return
         if self._retries(answer):
@@ -318,7 +318,7 @@
     # The end
 
     def reclaim(self, reason: str) -> None:
-        """See :meth:`rowanrail.gateway.pools.pool.Resting.reclaim`."""
+        """See :meth:`rowanrail.gateway.pools.idle_transactions.IdleTransaction.reclaim`."""
         self._reclaimed_for = reason
         self.end()
 
@@ -328,7 +328,7 @@
             self._moved.end()
             return
         if self.pool is not None:
-            self.pool.connections.resting.remove(self)
+            self.pool.connections.idle_transactions.remove(self)
         channel = self.channel
         if channel is None:
             return
--- a/tests/gateway/test_pool_rules.py
+++ b/tests/gateway/test_pool_rules.py
@@ -12,6 +12,11 @@
     idle_limit_seconds,
     spare_connections,
 )
+from rowanrail.gateway.pools.idle_transactions import (
+    LONG_IDLE_SECONDS,
+    PRESSURE_SECONDS,
+    count_to_end,
+)
 from rowanrail.gateway.pools.member_health import (
     MAXIMUM_BACKOFF_SECONDS,
     MINIMUM_BACKOFF_SECONDS,
@@ -139,3 +144,13 @@
 
     def test_idle_transactions_leave_at_least_one_place(self):
         self.assertEqual(places(8, usable=0), 1)
+
+
+class IdleTransactionsTest(unittest.TestCase):
+    def test_one_is_ended_for_each_that_has_waited_long(self):
+        self.assertEqual(count_to_end([PRESSURE_SECONDS] * 2, [9.0] * 5), 2)
+        self.assertEqual(count_to_end([PRESSURE_SECONDS - JUST] * 2, [9.0] * 5), 0)
+
+    def test_one_that_has_just_become_idle_is_left_to_its_client(self):
+        idle = [9.0, LONG_IDLE_SECONDS, LONG_IDLE_SECONDS - JUST]
+        self.assertEqual(count_to_end([9.0] * 5, idle), 2)
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -279,8 +279,8 @@
         self.assertLess(self.clock.time() - began, self.kind.timeout - 0.04)
 
 
-class RestingTransactionTest(unittest.TestCase):
-    """A transaction that rests holds a connection, and none of the places."""
+class IdleTransactionTest(unittest.TestCase):
+    """An idle transaction holds a connection, and none of the places."""
 
     def setUp(self):
         self.shared = SharedMember(holders=1)
@@ -288,10 +288,10 @@
         self.kind = Kind(1, "a", 0.0, WORK)
 
     def test_others_run_in_its_place(self):
-        resting = [Transaction() for _ in range(self.pool.concurrency.value)]
-        for transaction in resting:
+        idle = [Transaction() for _ in range(self.pool.concurrency.value)]
+        for transaction in idle:
             self.pool.connections.leases.begin(transaction.channel)
-            self.pool.note_resting(transaction)
+            self.pool.note_idle(transaction)
         self.assertEqual(self.pool.connections.under_way, 0)
         Caller(self.pool, self.shared.clock, self.kind, WORK)
         self.shared.clock.advance(0.1)
@@ -302,9 +302,9 @@
         leases = self.pool.connections.leases
         leases.begin(transaction.channel)
         usual = leases.seconds
-        self.pool.note_resting(transaction)
+        self.pool.note_idle(transaction)
         self.shared.clock.advance(3.0)
-        self.pool.connections.resting.remove(transaction)
+        self.pool.connections.idle_transactions.remove(transaction)
         leases.end(transaction.channel)
         self.assertLess(leases.seconds, usual)
 
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -15,6 +15,7 @@
     "rowanrail.gateway.discovery.provisional",
     "rowanrail.gateway.pools.error_share",
     "rowanrail.gateway.pools.idle_rules",
+    "rowanrail.gateway.pools.idle_transactions",
     "rowanrail.gateway.pools.member_health",
     "rowanrail.gateway.pools.opening_rules",
     "rowanrail.gateway.relay.detour_rules",
