--- a/src/rowanrail/gateway/pools/place_in_line.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -1,4 +1,8 @@
-"""A statement's place in the line for a connection to one member, until it has one or leaves."""
+"""A statement in the wait queue for a connection to one member, until it has one or leaves.
+
+Owns the timer that judges it again and again; :class:`rowanrail.scheduling.admission.Watch` says
+when, and whether it waits on. Relies on the pool for the queue and for forecasts.
+"""
 
 from collections.abc import Callable
 
@@ -10,10 +14,10 @@
 from rowanrail.scheduling.admission import Admit, Forecast, Watch
 from rowanrail.scheduling.queue import Entry
 
-__all__ = ["PlaceInLine"]
+__all__ = ["QueuedRequest"]
 
 
-class PlaceInLine:
+class QueuedRequest:
     """Waits for a connection, and is judged again while it does.
 
     Parameters
@@ -24,12 +28,12 @@
         How the statement stands among the others.
     values : dict
         Session values that the connection should have already, if one has.
-    clock : Scheduler
-        Time and timers.
+    scheduler : Scheduler
+        Steady seconds and timers.
     take : callable
         Gets the connection, or None with the reason.
     give_up : callable
-        Called when its prospects are gone; the place is left by then.
+        Called when it can't be answered in time any more; it has left the queue by then.
     """
 
     def __init__(
@@ -37,13 +41,13 @@
         pool: MemberPool,
         entry: Entry,
         values: dict[str, str],
-        clock: Scheduler,
+        scheduler: Scheduler,
         take: Callable[[Channel | None, Answer], None],
         give_up: Callable[[], None],
     ) -> None:
         self._pool = pool
         self._waiter = Waiter(entry, values, self._respond, self._lose)
-        self._clock = clock
+        self._scheduler = scheduler
         self._take = take
         self._give_up = give_up
         self._given = entry.deadline - entry.arrived
@@ -55,7 +59,7 @@
 
     @property
     def _now(self) -> float:
-        return self._clock.time() * 1000
+        return self._scheduler.time() * 1000
 
     @property
     def _left(self) -> float:
@@ -67,7 +71,7 @@
         if not self._is_over:
             forecast = self._pool.forecasts.of(self._waiter.entry)
             self._expected = forecast.wait
-            self._look_later(forecast)
+            self._check_later(forecast)
 
     def leave(self) -> None:
         """Wait no longer."""
@@ -81,19 +85,19 @@
         self._end()
         self._take(channel, answer)
 
-    def _look_later(self, forecast: Forecast) -> None:
+    def _check_later(self, forecast: Forecast) -> None:
         seconds = self._watch.next_look(forecast, self._left) / 1000
-        self._timer = self._clock.call_later(seconds, self._look)
+        self._timer = self._scheduler.call_later(seconds, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         forecast = self._pool.forecasts.of(self._waiter.entry)
         if isinstance(self._watch.judge(forecast, self._left, self._error.certain_share), Admit):
-            self._look_later(forecast)
+            self._check_later(forecast)
         else:
             self._lose()
 
     def _lose(self) -> None:
-        """Give up what can't be answered in time any more."""
+        """Leave, as it can't be answered in time any more."""
         self._note_waited(was_served=False)
         self.leave()
         self._give_up()
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -7,8 +7,8 @@
 import enum
 from collections.abc import Callable
 
-from rowanrail.gateway.pools.place_in_line import PlaceInLine
 from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.queued_request import QueuedRequest
 from rowanrail.gateway.services.member_estimates import Wanted
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
@@ -63,7 +63,7 @@
         self.pool: MemberPool | None = None
         self.attempts = 0
         self.attempt_timer: Timer | None = None
-        self.place: PlaceInLine | None = None
+        self.queued: QueuedRequest | None = None
         self.floor: Position | None = None  # what a member's log must hold
         self.sent_at = 0.0
         self.stage = Stage.ACCEPTED
@@ -118,7 +118,7 @@
         """See :meth:`Statement.let_go`."""
         if self.away is not None:
             self.away.finish(answer)  # nothing, if the answer is its own
-        self.leave_line()
+        self.leave_queue()
 
     def hand_over(self, statement: TypedStatement, writes: bool) -> bool:
         """Have a gateway that reaches the primary run a statement of which nothing was sent.
@@ -162,7 +162,7 @@
     def limit_opening(self) -> None:
         """Wait only a short while for the first connection to a member."""
         if (
-            self.place is not None
+            self.queued is not None
             and self.pool is not None
             and not self.pool.connections.established
         ):
@@ -191,8 +191,8 @@
         self.pool.note_silence()
         if self.channel is not None:
             self.channel.close()  # answers as lost what is outstanding, which goes elsewhere
-        elif self.place is not None:
-            self.leave_line()
+        elif self.queued is not None:
+            self.leave_queue()
             self.try_next_member()
 
     def try_next_member(self) -> None:
@@ -205,7 +205,7 @@
         """Ask a pool for a connection."""
 
         def respond(channel: Channel | None, answer: Answer) -> None:
-            self.place = None
+            self.queued = None
             if channel is not None and self.respond is None:
                 pool.release(channel)
                 return
@@ -219,18 +219,18 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
         entry, values = self.entry(), self.session.values
-        self.place = PlaceInLine(pool, entry, values, self.clock, respond, self._leave_hopeless)
-        self.place.start()
+        self.queued = QueuedRequest(pool, entry, values, self.clock, respond, self._leave_hopeless)
+        self.queued.start()
 
-    def leave_line(self) -> None:
+    def leave_queue(self) -> None:
         """Wait no longer for a connection."""
-        place, self.place = self.place, None
-        if place is not None:
-            place.leave()
+        queued, self.queued = self.queued, None
+        if queued is not None:
+            queued.leave()
 
     def _leave_hopeless(self) -> None:
         """Go where there is room, or refuse, as not run, what would be answered too late."""
-        self.place = None
+        self.queued = None
         if self.pool is not None and not self.try_roomier(self.pool):
             self.refuse_crowded(self.pool, Cause.HOPELESS)
 
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -4,8 +4,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from rowanrail.gateway.pools.place_in_line import PlaceInLine
 from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.queued_request import QueuedRequest
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer, Command, CommandKind
@@ -71,8 +71,8 @@
             return
         self.entry = entry
         self.timer = self.clock.call_later(TIMEOUT, self.expire)
-        self.place = PlaceInLine(pool, entry, {}, self.clock, self.take, self.give_up)
-        self.place.start()
+        self.queued = QueuedRequest(pool, entry, {}, self.clock, self.take, self.give_up)
+        self.queued.start()
 
     def give_up(self) -> None:
         self.timer.cancel()
@@ -83,7 +83,7 @@
             self.is_over = True
             self.crowd.in_doubt += 1
             return
-        self.place.leave()
+        self.queued.leave()
         self.come_back(self.entry, "expired")
 
     def come_back(self, entry: Entry, refused: str) -> None:
