--- a/src/rowanrail/gateway/pools/queued_request.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -86,7 +86,7 @@
         self._take(channel, answer)
 
     def _check_later(self, forecast: Forecast) -> None:
-        seconds = self._watch.next_look(forecast, self._left) / 1000
+        seconds = self._watch.next_check(forecast, self._left) / 1000
         self._timer = self._scheduler.call_later(seconds, self._check)
 
     def _check(self) -> None:
--- a/src/rowanrail/gateway/services/member_probes.py
+++ b/src/rowanrail/gateway/services/member_probes.py
@@ -19,7 +19,7 @@
 
 __all__ = ["MemberProbes"]
 
-PROBE_TIMEOUT = 300.0  # ms; six times a round trip between regions of 20 ms one way
+PROBE_TIMEOUT_MS = 300.0  # ms; six times a round trip between regions of 20 ms one way
 
 
 class MemberProbes:
@@ -70,7 +70,7 @@
 
     def start(self) -> None:
         """Ask for a connection."""
-        self._timer = self._probes.clock.call_in(PROBE_TIMEOUT, self._late)
+        self._timer = self._probes.clock.call_in(PROBE_TIMEOUT_MS, self._late)
         if self._pool.connections.established:
             self._loan = PoolLoan(self._pool)
             self._loan.request(self._lent)
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -3,7 +3,7 @@
 Owns the pools, the primary's tracker, what is known of the members and the share of their
 connections that belongs to this gateway; brings them together and lets time pass. The rules are
 :func:`rowanrail.scheduling.choice.choose` (which member serves a read),
-:class:`.connection_share.ConnectionShare` (how many connections may be opened) and those of the
+:class:`.service_share.ServiceShare` (how many connections may be opened) and those of the
 pools and of the primary.
 """
 
@@ -14,10 +14,10 @@
 from rowanrail.gateway.policies import GatewayPolicies
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.pool_loan import PoolLoan
-from rowanrail.gateway.services.connection_share import ConnectionShare
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.member_estimates import MemberEstimates, Wanted
 from rowanrail.gateway.services.member_probes import MemberProbes
+from rowanrail.gateway.services.service_share import ServiceShare
 from rowanrail.kernel.clock import Clock, Scheduler
 from rowanrail.members.channel import MemberDriver
 from rowanrail.members.monitor_interval import monitor_seconds
@@ -47,7 +47,7 @@
         policies: GatewayPolicies,
     ) -> None:
         self.spec = spec
-        self.share = ConnectionShare(spec.connections)
+        self.share = ServiceShare(spec.connections)
         self.policies = policies
         self.primary = PrimaryTracker(spec.name, driver, clock, policies.leadership_proof)
         self.primary.on_proof = self._note_proof
--- a/src/rowanrail/gateway/services/connection_share.py
+++ b/src/rowanrail/gateway/services/service_share.py
@@ -20,11 +20,11 @@
 )
 from rowanrail.placement.planned import HANDOVER_SHARE_FACTOR, Allowance
 
-__all__ = ["ConnectionShare"]
+__all__ = ["ServiceShare"]
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionShare:
+class ServiceShare:
     """The part of one service's connections that belongs to this gateway.
 
     Until the directory is known, the number of gateways is assumed.
@@ -42,11 +42,11 @@
 
     Examples
     --------
-    >>> alone = ConnectionShare(40, Population(1, 1))
+    >>> alone = ServiceShare(40, Population(1, 1))
     >>> alone.limit(is_near=True), alone.holders(is_near=True)
     (37, 1)
     >>> regions = Population(58, 3, is_regional=True)
-    >>> region = ConnectionShare(32, regions, frozenset({Shard("a", 0)}))
+    >>> region = ServiceShare(32, regions, frozenset({Shard("a", 0)}))
     >>> region.limit(is_near=True), region.limit(is_near=False), region.holders(is_near=True)
     (6, 2, 3)
     """
--- a/src/rowanrail/members/primary_belief.py
+++ b/src/rowanrail/members/primary_belief.py
@@ -11,16 +11,16 @@
 
 __all__ = [
     "ALARM_SECONDS",
-    "FAILING_SEARCH_SECONDS",
+    "FAILING_SEARCH_PAUSE_SECONDS",
     "LONG_LOST_SECONDS",
-    "SEARCH_SECONDS",
+    "SEARCH_INTERVAL_SECONDS",
     "PrimaryBelief",
 ]
 
 # Seconds between two questions to all members while no primary is known; chosen.
-SEARCH_SECONDS = 0.1
+SEARCH_INTERVAL_SECONDS = 0.1
 # Seconds on top of that between two of them while the believed primary fails; chosen.
-FAILING_SEARCH_SECONDS = 0.15
+FAILING_SEARCH_PAUSE_SECONDS = 0.15
 # Seconds of failing after which a primary is long lost: a successor stands within 1 to 2 s, and
 # only a gateway that is cut off waits longer.
 LONG_LOST_SECONDS = 2.0
@@ -144,11 +144,11 @@
 
     def is_search_due(self, now: float) -> bool:
         """Return whether all members are asked again because the primary fails."""
-        return bool(self.failing_since) and now >= self._search_at + FAILING_SEARCH_SECONDS
+        return bool(self.failing_since) and now >= self._search_at + FAILING_SEARCH_PAUSE_SECONDS
 
     def begin_search(self, now: float) -> bool:
         """Return whether all members may be asked now, which is taken to be done then."""
         if now < self._search_at:
             return False
-        self._search_at = now + SEARCH_SECONDS
+        self._search_at = now + SEARCH_INTERVAL_SECONDS
         return True
--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -21,7 +21,7 @@
     "judge_arriving",
     "judge_sending",
     "judge_waiting",
-    "next_look",
+    "next_check",
 ]
 
 # Usual times that must be left of a statement which has waited: nineteen of twenty answers take
@@ -33,11 +33,13 @@
 # Of the time given. A member that is slow for the moment may be faster for the next statement, so
 # that its usual time is held against a statement only when little is left.
 LAST_SHARE = 0.1
-# Of the time left passes between two looks at a statement that waits: eight looks in 800 ms.
-LOOK_SHARE = 0.25
-HOPELESS_LOOKS = 2  # in a row, after which a statement is given up
-LOOK_MS = 50.0  # at the least; a tenth of the strictest objective that callers asked for so far
-SHORTEST_LOOK_MS = 1.0  # so that time passes between two looks
+# Of the time left, between two checks of a statement that waits: eight checks in 800 ms.
+CHECK_SHARE = 0.25
+LATE_CHECKS = 2  # in a row, after which a statement is given up; chosen
+# Milliseconds between two checks at the least, but for the last one: a tenth of the strictest
+# objective that callers asked for so far.
+CHECK_INTERVAL_MS = 50.0
+LEAST_CHECK_INTERVAL_MS = 1.0  # so that time passes between any two checks
 
 
 class Cause(enum.Enum):
@@ -143,8 +145,8 @@
 ) -> Verdict:
     """Judge a statement that waits for room since a while.
 
-    Its wait is what is left of it: only those count that still stand ahead. Room that comes when
-    its time is as good as over is of no use: it would be sent and left in doubt.
+    Its wait is what is left of it: only those count that are still ahead. Room that comes when it
+    could hardly be answered any more is of no use: it would be sent and left in doubt.
 
     Examples
     --------
@@ -191,10 +193,10 @@
 
 
 class Watch:
-    """Judges one waiting statement look by look.
+    """Judges one waiting statement again and again.
 
     A forecast jumps for a moment when a member answers slowly or urgent statements come, so that
-    a statement is given up only if two looks in a row found it hopeless, or at the last one.
+    a statement is given up only if two checks in a row found it too late, or at the last one.
 
     Parameters
     ----------
@@ -208,41 +210,41 @@
     ['Admit', 'Admit', 'Admit', 'Reject']
     """
 
-    __slots__ = ("_hopeless_looks", "_whole")
+    __slots__ = ("_late_checks", "_whole")
 
     def __init__(self, whole: float) -> None:
         self._whole = whole
-        self._hopeless_looks = 0
+        self._late_checks = 0
 
     def judge(self, forecast: Forecast, left: float, certain: float) -> Verdict:
         """Judge the statement again; see :func:`judge_waiting`."""
         verdict = judge_waiting(forecast, left, self._whole, certain)
         if isinstance(verdict, Admit):
-            self._hopeless_looks = 0
+            self._late_checks = 0
             return verdict
-        self._hopeless_looks += 1
+        self._late_checks += 1
         is_last = left <= _last_moment(forecast.run, self._whole)
-        return verdict if is_last or self._hopeless_looks >= HOPELESS_LOOKS else Admit()
+        return verdict if is_last or self._late_checks >= LATE_CHECKS else Admit()
 
-    def next_look(self, forecast: Forecast, left: float) -> float:
-        """Return after how many milliseconds it is judged again; see :func:`next_look`."""
-        return next_look(left, forecast.run, self._whole)
+    def next_check(self, forecast: Forecast, left: float) -> float:
+        """Return after how many milliseconds it is judged again; see :func:`next_check`."""
+        return next_check(left, forecast.run, self._whole)
 
 
-def next_look(left: float, run: float, whole: float) -> float:
+def next_check(left: float, run: float, whole: float) -> float:
     """Return after how many milliseconds a waiting statement is judged again.
 
-    The last look comes when its time is as good as over.
+    The last check comes when it could not be answered any more if it were sent later.
 
     Examples
     --------
-    >>> next_look(left=800, run=20, whole=800)
+    >>> next_check(left=800, run=20, whole=800)
     200.0
-    >>> next_look(left=80, run=20, whole=800)
+    >>> next_check(left=80, run=20, whole=800)
     20
     """
     last = left - _last_moment(run, whole)
-    return max(SHORTEST_LOOK_MS, min(max(LOOK_MS, LOOK_SHARE * left), last))
+    return max(LEAST_CHECK_INTERVAL_MS, min(max(CHECK_INTERVAL_MS, CHECK_SHARE * left), last))
 
 
 def _last_moment(run: float, whole: float) -> float:
--- a/src/rowanrail/scheduling/choice.py
+++ b/src/rowanrail/scheduling/choice.py
@@ -23,8 +23,8 @@
 NEARLY_EQUAL = 0.1
 # Milliseconds that a member across zones, or regions, must be quicker to be worth the bytes on
 # callers' links, in part of what a statement runs for, since short ones carry as many bytes.
-ZONE_PREFERENCE = 1.0
-REGION_PREFERENCE = 8.0
+ZONE_PREFERENCE_MS = 1.0
+REGION_PREFERENCE_MS = 8.0
 ZONE_PREFERENCE_SHARE = 0.1
 REGION_PREFERENCE_SHARE = 0.3
 # Of a run, on an idle primary and more on a full one: what writes wait longer for a read that took
@@ -35,12 +35,12 @@
 # Errors cost a client an attempt, and after some the answer: as if so many times slower, and for
 # short statements by no less than what a client takes to come back (ms).
 ERROR_FACTOR = 10.0
-ERROR_COST = 200.0
-SUSPICION = 5000.0  # ms; above any completion, so that a suspect member comes last
+ERROR_COST_MS = 200.0
+SUSPECT_COST_MS = 5000.0  # ms; above any completion, so that a suspect member comes last
 # Milliseconds of a round trip and a new decision, lost where the log lacks the floor.
-BEHIND_COST = 40.0
-LONGEST_BEHIND = 1000.0  # ms; a member that is further behind is as good as unusable
-REMOTE_ROUND_TRIP = 40.0  # ms there and back between regions of 20 ms one way
+BEHIND_COST_MS = 40.0
+LONGEST_BEHIND_MS = 1000.0  # ms; a member that is further behind is as good as unusable
+REMOTE_ROUND_TRIP_MS = 40.0  # ms there and back between regions of 20 ms one way
 # Of an opening, for a connection that belongs to a tenant: it serves about two statements before
 # another tenant needs its place. One that belongs to nobody serves whoever comes next, and a
 # member must not be passed over for good because nobody has opened a connection to it yet.
@@ -144,7 +144,7 @@
     """
     if usual is not None:
         return usual
-    return work + (REMOTE_ROUND_TRIP if is_remote else 0.0)
+    return work + (REMOTE_ROUND_TRIP_MS if is_remote else 0.0)
 
 
 def completion(candidate: Candidate) -> float:
@@ -164,14 +164,14 @@
     queue = max(candidate.queue, cold)
     queue += candidate.work * candidate.under_way / max(1, candidate.slots)
     served = (candidate.run + queue) * (1 + ERROR_FACTOR * candidate.error_share)
-    served += ERROR_COST * candidate.error_share
+    served += ERROR_COST_MS * candidate.error_share
     cost = candidate.wait + served / candidate.weight + _preference(candidate)
     if candidate.is_primary:
         cost += candidate.work * (IDLE_RESERVE + FULL_RESERVE * candidate.fullness)
     if candidate.behind > 0:
-        cost += BEHIND_COST + candidate.run + min(candidate.behind, LONGEST_BEHIND)
+        cost += BEHIND_COST_MS + candidate.run + min(candidate.behind, LONGEST_BEHIND_MS)
     if candidate.is_suspect:
-        cost += SUSPICION
+        cost += SUSPECT_COST_MS
     return cost
 
 
@@ -179,8 +179,8 @@
     if candidate.distance == 0:
         return 0.0
     if candidate.distance == 1:
-        return ZONE_PREFERENCE + ZONE_PREFERENCE_SHARE * candidate.work
-    return REGION_PREFERENCE + REGION_PREFERENCE_SHARE * candidate.work
+        return ZONE_PREFERENCE_MS + ZONE_PREFERENCE_SHARE * candidate.work
+    return REGION_PREFERENCE_MS + REGION_PREFERENCE_SHARE * candidate.work
 
 
 def choose(candidates: Iterable[Candidate], randomness: random.Random) -> str | None:
--- a/src/rowanrail/scheduling/concurrency.py
+++ b/src/rowanrail/scheduling/concurrency.py
@@ -26,7 +26,7 @@
 WINDOW_ANSWERS = 8
 # ms in which the limit rises by one statement while all of it is used and no queue is seen. It is
 # not counted in answers: a holder with a low limit has few, and must not fall behind the others.
-STEP_TIME = 50.0
+LIMIT_STEP_MS = 50.0
 LONGEST_STEP = 2.0  # statements after one window, however long it took
 # Of the limit after a sign of a queue: three holders that see the same queue give up a sixth of
 # what they have under way together. With a quarter a lone holder leaves slots empty each time.
@@ -34,12 +34,12 @@
 # Of what the average answer takes more than the quickest of a window. Heavier statements raise both
 # alike, a queue raises the quickest alone. At this share statements stand before the member's slots
 # all the time, about one for every two slots.
-STANDING_SHARE = 0.75
-SHORTEST_STANDING = 4.0  # ms; less than that is what a busy machine's scheduler adds
+QUEUE_SHARE = 0.75
+SHORTEST_QUEUE_MS = 4.0  # ms; less than that is what a busy machine's scheduler adds
 AVERAGE_WEIGHT = 0.1  # of the newest answer: about the last ten count
 # ms for which the quickest answer is remembered, at least. Longer than a rush, so that a queue that
 # stands for seconds isn't taken for the way; shorter than what a slower route lasts.
-MEMORY = 30_000.0
+QUICKEST_MEMORY_MS = 30_000.0
 
 
 class ConcurrencyLimit:
@@ -144,10 +144,10 @@
     def _end_window(self, now: float, under_way: int) -> None:
         waited = self._window_quickest - self._quickest.value
         spread = self._average - self._window_quickest
-        if waited > max(SHORTEST_STANDING, STANDING_SHARE * spread):
+        if waited > max(SHORTEST_QUEUE_MS, QUEUE_SHARE * spread):
             self._lower(under_way)
         elif self._was_full:
-            step = min(LONGEST_STEP, (now - self._window_began) / STEP_TIME)
+            step = min(LONGEST_STEP, (now - self._window_began) / LIMIT_STEP_MS)
             self._limit = min(self._ceiling, self._limit + step)
         self._begin_window(now)
 
@@ -172,7 +172,7 @@
 
 
 class _SlowMinimum:
-    """The smallest value of the last one to two spans of ``MEMORY``."""
+    """The smallest value of the last one to two spans of ``QUICKEST_MEMORY_MS``."""
 
     def __init__(self) -> None:
         self._began = -math.inf
@@ -184,7 +184,7 @@
         return min(self._before, self._recent)
 
     def note(self, now: float, value: float) -> None:
-        if now - self._began >= MEMORY:
+        if now - self._began >= QUICKEST_MEMORY_MS:
             self._before, self._recent = self._recent, math.inf
             self._began = now
         self._recent = min(self._recent, value)
--- a/src/rowanrail/scheduling/entry.py
+++ b/src/rowanrail/scheduling/entry.py
@@ -1,9 +1,9 @@
 """A statement that waits for room at a member, and what follows from it alone."""
 
 from dataclasses import dataclass
-from typing import Protocol
+from typing import Protocol, TypeVar
 
-__all__ = ["Entry", "Queued", "is_hopeless", "tenant_weight"]
+__all__ = ["Entry", "Queued", "Waiting", "is_hopeless", "tenant_weight"]
 
 # Of an entry's own time: at most so much is set aside for its run, so that one that has just come
 # is never hopeless, however slow the member was of late.
@@ -78,3 +78,7 @@
     @property
     def entry(self) -> Entry:
         """How it stands there."""
+
+
+Waiting = TypeVar("Waiting", bound=Queued)
+"""What a queue holds."""
--- a/src/rowanrail/scheduling/fair_share.py
+++ b/src/rowanrail/scheduling/fair_share.py
@@ -6,20 +6,18 @@
 
 import bisect
 from dataclasses import dataclass
-from typing import Generic, TypeVar
+from typing import Generic
 
-from rowanrail.scheduling.entry import Entry, Queued
+from rowanrail.scheduling.entry import Entry, Waiting
 
 __all__ = ["FairShare", "Flow", "Place"]
 
-T = TypeVar("T", bound=Queued)
-
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Place(Generic[T]):
+class Place(Generic[Waiting]):
     """A place among the entries of one tenant and urgency."""
 
-    item: T
+    item: Waiting
     since: float
     number: int
 
@@ -31,18 +29,18 @@
 
 
 @dataclass(slots=True)
-class Flow(Generic[T]):
+class Flow(Generic[Waiting]):
     """The entries of one tenant in one class, and its tag."""
 
-    places: list[Place[T]]
+    places: list[Place[Waiting]]
     tag: float
 
 
-class FairShare(Generic[T]):
+class FairShare(Generic[Waiting]):
     """The entries of one urgency, in the order in which their tenants' shares let them run."""
 
     def __init__(self) -> None:
-        self.flows: dict[str | None, Flow[T]] = {}
+        self.flows: dict[str | None, Flow[Waiting]] = {}
         self.passed_over = 0
         self._virtual = 0.0
 
@@ -54,7 +52,7 @@
         """Whether anybody waits."""
         return any(flow.places for flow in self.flows.values())
 
-    def add(self, place: Place[T]) -> None:
+    def add(self, place: Place[Waiting]) -> None:
         """Put an entry behind those of its tenant that go before it."""
         tenant = place.item.entry.tenant
         flow = self.flows.get(tenant)
@@ -64,20 +62,20 @@
             flow.tag = max(flow.tag, self._virtual)  # nothing is saved up while it has no work
         bisect.insort(flow.places, place, key=lambda place: place.order)
 
-    def heads(self) -> list[Place[T]]:
+    def heads(self) -> list[Place[Waiting]]:
         """Return the first entry of each tenant, in the order in which they should run."""
         waiting = [flow for flow in self.flows.values() if flow.places]
         waiting.sort(key=self._order)
         return [flow.places[0] for flow in waiting]
 
-    def _order(self, flow: Flow[T]) -> tuple[bool, float, float, int]:
+    def _order(self, flow: Flow[Waiting]) -> tuple[bool, float, float, int]:
         head = flow.places[0]
         entry = head.item.entry
         # One that came back goes first, but not by taking more than its tenant's share.
         is_within_share = flow.tag <= self._virtual
         return (not (entry.returned and is_within_share), flow.tag, entry.deadline, head.number)
 
-    def start(self, place: Place[T]) -> None:
+    def start(self, place: Place[Waiting]) -> None:
         """Note that an entry runs."""
         entry = place.item.entry
         flow = self.flows[entry.tenant]
@@ -86,7 +84,7 @@
         flow.tag += 1 / entry.weight
         self._forget()
 
-    def remove(self, place: Place[T]) -> None:
+    def remove(self, place: Place[Waiting]) -> None:
         """Forget an entry that doesn't run."""
         flow = self.flows[place.item.entry.tenant]
         flow.places.remove(place)
@@ -101,7 +99,7 @@
         for name in done:
             del self.flows[name]
 
-    def _is_done(self, flow: Flow[T]) -> bool:
+    def _is_done(self, flow: Flow[Waiting]) -> bool:
         return not flow.places and flow.tag <= self._virtual
 
     def ahead_of(self, entry: Entry) -> float:
@@ -120,7 +118,7 @@
         return ahead
 
 
-def _is_before(place: Place[T], entry: Entry) -> bool:
+def _is_before(place: Place[Waiting], entry: Entry) -> bool:
     if place.item.entry is entry:
         return False  # its own place
     return place.order[:2] <= (not entry.returned, entry.deadline)
--- a/src/rowanrail/scheduling/forecast_error.py
+++ b/src/rowanrail/scheduling/forecast_error.py
@@ -11,19 +11,19 @@
 # wait less than a third of it.
 LEAST_CERTAIN, MOST_CERTAIN = 0.3, 1.0
 # Of the time that statements are given. Where those who got room lately had waited for so long, a
-# line stands, and a forecast is believed as far as earlier ones held.
-STANDING_SHARE = 0.5
-LEAST_URGENT = 7  # stands for all that are less urgent, so that their number is bounded
+# queue is standing, and a forecast is believed as far as earlier ones held.
+LONG_WAIT_SHARE = 0.5
+LEAST_URGENT_KNOWN = 7  # urgency; stands for all that are less urgent, so that they are bounded
 NOTED_MS = 50.0  # shorter forecasts say little: one long lease among two makes them wrong
 MOST_RATIO = 4.0  # of a wait to its forecast; one that was never served would count without bound
-ERROR_WEIGHT = 0.1  # of the newest wait in the moving averages, about the last ten count
+FORECAST_WEIGHT = 0.1  # of the newest wait in the moving averages, about the last ten count
 
 
 class ForecastError:
     """How far forecasts for one urgency are out: the mean of wait over forecast, and its spread.
 
     Both are moving averages, as of round trips in TCP; what is certain is the mean without the
-    deviation. A line of a moment is told from one that stands by what was waited lately.
+    deviation. A queue of a moment is told from a standing one by what was waited lately.
 
     Examples
     --------
@@ -50,8 +50,8 @@
     @property
     def certain_share(self) -> float:
         """Of a forecast wait is at least waited."""
-        has_line = min(1.0, self._waited_share / STANDING_SHARE)
-        share = (self._mean - self._deviation) * has_line
+        queue_stands = min(1.0, self._waited_share / LONG_WAIT_SHARE)
+        share = (self._mean - self._deviation) * queue_stands
         return min(MOST_CERTAIN, max(LEAST_CERTAIN, share))
 
     def note(self, forecast: float, waited: float, whole: float, was_served: bool = True) -> None:
@@ -64,12 +64,12 @@
         was_served : bool
             Whether it got what it waited for; else it would have waited longer.
         """
-        self._waited_share += ERROR_WEIGHT * (waited / whole - self._waited_share)
+        self._waited_share += FORECAST_WEIGHT * (waited / whole - self._waited_share)
         if forecast < NOTED_MS or not (was_served or waited > forecast):
             return
         ratio = min(MOST_RATIO, waited / forecast)
-        self._deviation += ERROR_WEIGHT * (abs(ratio - self._mean) - self._deviation)
-        self._mean += ERROR_WEIGHT * (ratio - self._mean)
+        self._deviation += FORECAST_WEIGHT * (abs(ratio - self._mean) - self._deviation)
+        self._mean += FORECAST_WEIGHT * (ratio - self._mean)
 
 
 class ForecastErrors:
@@ -91,4 +91,4 @@
 
     def of(self, urgency: int) -> ForecastError:
         """Return the error of forecasts for an urgency."""
-        return self._by_urgency.setdefault(min(urgency, LEAST_URGENT), ForecastError())
+        return self._by_urgency.setdefault(min(urgency, LEAST_URGENT_KNOWN), ForecastError())
--- a/src/rowanrail/scheduling/lag.py
+++ b/src/rowanrail/scheduling/lag.py
@@ -10,11 +10,11 @@
 
 # ms; after it a lag without new answers has shrunk to 1/e, so that a replica that was behind for a
 # while is tried again well before callers' next complaints.
-FORGET = 1000.0
+LAG_DECAY_MS = 1000.0
 # A log that lacks what is some age old may be behind by more: the estimate doubles until a read
 # shows that it holds something older, so that few reads are spent on finding the lag.
 GROWTH = 2.0
-SHORTEST_LAG = 20.0  # ms; less can't be told from the time that answers take on their way
+SHORTEST_LAG_MS = 20.0  # ms; less can't be told from the time that answers take on their way
 
 
 class LagEstimate:
@@ -39,11 +39,11 @@
 
     def at(self, now: float) -> float:
         """Return the lag that is assumed now."""
-        return self._lag * math.exp((self._noted_at - now) / FORGET)
+        return self._lag * math.exp((self._noted_at - now) / LAG_DECAY_MS)
 
     def note_lacks(self, age: float, now: float) -> None:
         """Note that its log lacks what the primary's log has held for ``age``."""
-        self._lag = max(self.at(now), GROWTH * age, SHORTEST_LAG)
+        self._lag = max(self.at(now), GROWTH * age, SHORTEST_LAG_MS)
         self._noted_at = now
 
     def note_holds(self, age: float, now: float) -> None:
--- a/src/rowanrail/scheduling/member_weight.py
+++ b/src/rowanrail/scheduling/member_weight.py
@@ -13,7 +13,7 @@
 
 # ms between probes of a member that lost weight: with 3 members a slot is taken for a hundredth
 # of the time, and a member that is well again is back within the few seconds that clients retry.
-PROBE_INTERVAL = 1000.0
+PROBE_INTERVAL_MS = 1000.0
 # Of one member, by all gateways together; more would be load of their own on a member in trouble.
 PROBES_PER_SECOND = 40.0
 LEAST_WEIGHT = 0.05  # so that it still serves if all others are worse
@@ -21,7 +21,7 @@
 RISEN = 0.9  # from it on it is told that the member is back
 GAIN = 0.25  # by each probe that is answered: four bring a member back that failed once
 LEAST_GAIN = GAIN / 8  # about half a minute for one that falls again and again
-FALL_MEMORY = 30_000.0  # ms for which a fall makes the return slower; longer than flaps last
+FALL_MEMORY_MS = 30_000.0  # ms for which a fall makes the return slower; longer than flaps last
 # Refusals as busy, one after the other: by a member that is full by chance each is as likely as its
 # load, so that so many are rare.
 BUSY_IN_A_ROW = 4
@@ -100,7 +100,7 @@
         self._reason = ""
         self._is_fallen = False
         self._falls: list[float] = []
-        self._probed_at = -PROBE_INTERVAL
+        self._probed_at = -PROBE_INTERVAL_MS
 
     @property
     def weight(self) -> Weight:
@@ -129,7 +129,7 @@
         gateways : int
             How many may probe the member.
         """
-        interval = max(PROBE_INTERVAL, gateways / PROBES_PER_SECOND * 1000)
+        interval = max(PROBE_INTERVAL_MS, gateways / PROBES_PER_SECOND * 1000)
         return self._value < 1.0 and now - self._probed_at >= interval
 
     def note_probing(self, now: float) -> None:
@@ -145,4 +145,4 @@
             self._is_fallen = False
 
     def _forget_falls(self, now: float) -> None:
-        self._falls = [at for at in self._falls if now - at < FALL_MEMORY]
+        self._falls = [at for at in self._falls if now - at < FALL_MEMORY_MS]
--- a/src/rowanrail/scheduling/planner.py
+++ b/src/rowanrail/scheduling/planner.py
@@ -15,7 +15,7 @@
 
 # Of a member's connections that are divided evenly, whatever the demand: clients that come to a
 # group all at once have to be served there until the plan follows them.
-EVEN_SHARE = 0.5
+EVEN_CONNECTION_SHARE = 0.5
 SHORT_FACTOR = 1.25  # shares change if one should be larger by so much: one connection in four
 SHARE_DIGITS = 4  # of a share, on the wire
 # By which the shares of one member's connections may miss one: above what rounding leaves, below
@@ -112,8 +112,11 @@
     even = 1 / len(rates)
     if not total:
         return dict.fromkeys(rates, even)
-    by_demand = 1 - EVEN_SHARE
-    return {shard: EVEN_SHARE * even + by_demand * rate / total for shard, rate in rates.items()}
+    by_demand = 1 - EVEN_CONNECTION_SHARE
+    return {
+        shard: EVEN_CONNECTION_SHARE * even + by_demand * rate / total
+        for shard, rate in rates.items()
+    }
 
 
 def _most_holders(demand: Mapping[str, GroupDemand], layout: Layout) -> dict[_ShardOf, int]:
--- a/src/rowanrail/scheduling/queue.py
+++ b/src/rowanrail/scheduling/queue.py
@@ -3,9 +3,9 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable, Collection, Iterator
 from dataclasses import dataclass
-from typing import Generic, TypeVar
+from typing import Generic
 
-from rowanrail.scheduling.entry import Entry, Queued, is_hopeless, tenant_weight
+from rowanrail.scheduling.entry import Entry, Queued, Waiting, is_hopeless, tenant_weight
 from rowanrail.scheduling.fair_share import FairShare, Place
 
 __all__ = [
@@ -35,7 +35,6 @@
 COMING_BACK_FACTOR = 4
 LATEST_STARTS = 64  # by which the part that each class has of the starts is told
 
-T = TypeVar("T", bound=Queued)
 FlowKey = tuple[int, str | None]  # urgency and tenant
 
 
@@ -44,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pick(Generic[T]):
+class Pick(Generic[Waiting]):
     """Who is next.
 
     Parameters
@@ -54,7 +53,7 @@
         Whether a connection has to be opened for it; it waits on until that is there.
     """
 
-    item: T
+    item: Waiting
     needs_opening: bool
 
 
@@ -81,7 +80,7 @@
         return tenant in self.idle or (tenant is None and bool(self.idle))
 
 
-class WorkQueue(Generic[T]):
+class WorkQueue(Generic[Waiting]):
     """Those who wait at one member.
 
     Samples run first, since all reads wait for one. Then comes the most urgent class; among its
@@ -107,8 +106,10 @@
     """
 
     def __init__(self) -> None:
-        self._classes: dict[int, FairShare[T]] = {}
-        self._places: dict[int, Place[T]] = {}  # by the identity of what stands there, in order
+        self._classes: dict[int, FairShare[Waiting]] = {}
+        self._places: dict[
+            int, Place[Waiting]
+        ] = {}  # by the identity of what stands there, in order
         self._tenants: Counter[str | None] = Counter()
         self._numbers = 0
         self._reuses = 0  # starts since the last opening
@@ -118,7 +119,7 @@
     def __len__(self) -> int:
         return len(self._places)
 
-    def __iter__(self) -> Iterator[T]:
+    def __iter__(self) -> Iterator[Waiting]:
         return (place.item for place in self._places.values())
 
     @property
@@ -136,7 +137,7 @@
         """Return how many want a connection of a tenant."""
         return self._tenants[tenant]
 
-    def add(self, item: T, now: float) -> None:
+    def add(self, item: Waiting, now: float) -> None:
         """Put somebody in."""
         self._numbers += 1
         place = Place(item, now, self._numbers)
@@ -144,7 +145,7 @@
         self._tenants[item.entry.tenant] += 1
         self._classes.setdefault(item.entry.urgency, FairShare()).add(place)
 
-    def remove(self, item: T) -> bool:
+    def remove(self, item: Waiting) -> bool:
         """Forget somebody; return whether it was there."""
         place = self._take(item)
         if place is None:
@@ -152,13 +153,13 @@
         self._classes[item.entry.urgency].remove(place)
         return True
 
-    def _take(self, item: T) -> Place[T] | None:
+    def _take(self, item: Waiting) -> Place[Waiting] | None:
         place = self._places.pop(id(item), None)
         if place is not None:
             self._tenants[item.entry.tenant] -= 1
         return place
 
-    def start(self, item: T) -> None:
+    def start(self, item: Waiting) -> None:
         """Take somebody out who runs now: it counts against its tenant's and its class's share."""
         place = self._take(item)
         if place is None:
@@ -180,7 +181,7 @@
             self._parts[known] -= self._parts[known] / LATEST_STARTS
         self._parts[urgency] += 1 / LATEST_STARTS
 
-    def next(self, supply: Supply, only_samples: bool = False) -> Pick[T] | None:
+    def next(self, supply: Supply, only_samples: bool = False) -> Pick[Waiting] | None:
         """Return who runs next, or for whom a connection is opened next; None if nobody can.
 
         Somebody for whom a connection is idle goes before one that needs an opening, up to a bound.
@@ -191,7 +192,7 @@
         only_samples : bool
             Whether there is room for samples only.
         """
-        opening: Place[T] | None = None
+        opening: Place[Waiting] | None = None
         for place in self._in_order(only_samples):
             tenant = place.item.entry.tenant
             if supply.has_idle(tenant):
@@ -207,7 +208,7 @@
         self._reuses = 0
         return Pick(opening.item, needs_opening=True)
 
-    def _is_due(self, opening: Place[T], other: Place[T], supply: Supply) -> bool:
+    def _is_due(self, opening: Place[Waiting], other: Place[Waiting], supply: Supply) -> bool:
         """Return whether an opening is put off no longer for another that needs none."""
         is_more_urgent = opening.item.entry.urgency < other.item.entry.urgency
         bound = URGENT_REUSES_BETWEEN if is_more_urgent else REUSES_BETWEEN
@@ -216,12 +217,12 @@
             return put_off >= COMING_BACK_FACTOR * bound <= self._reuses
         return self._reuses >= bound
 
-    def _in_order(self, only_samples: bool) -> Iterator[Place[T]]:
+    def _in_order(self, only_samples: bool) -> Iterator[Place[Waiting]]:
         """Return the first entry of each tenant in each class."""
         for known in self._in_turn(only_samples):
             yield from known.heads()
 
-    def _in_turn(self, only_samples: bool) -> list[FairShare[T]]:
+    def _in_turn(self, only_samples: bool) -> list[FairShare[Waiting]]:
         """Return classes that wait: one that was passed over for long, then by urgency."""
         waiting = sorted(urgency for urgency, known in self._classes.items() if known.is_waiting)
         if only_samples:
@@ -234,7 +235,7 @@
 
         return [self._classes[urgency] for urgency in sorted(waiting, key=order)]
 
-    def hopeless(self, now: float, run_time: float = 0.0) -> list[T]:
+    def hopeless(self, now: float, run_time: float = 0.0) -> list[Waiting]:
         """Return those for whom :func:`is_hopeless` is true."""
         return [item for item in self if is_hopeless(item.entry, now, run_time)]
 
--- a/src/rowanrail/scheduling/run_times.py
+++ b/src/rowanrail/scheduling/run_times.py
@@ -10,7 +10,7 @@
 
 __all__ = ["RunTimes"]
 
-INITIAL_RUN = 20.0  # ms; about a short read within a region
+INITIAL_RUN_MS = 20.0  # ms; about a short read within a region
 # Steps of the quantile, as shares of its value: where a fifth of the answers are quicker they
 # balance, so that a queue does not soon pass for the usual time, and a quicker time soon does.
 STEP_DOWN = 0.04
@@ -21,13 +21,13 @@
 FALL_WEIGHT = 0.1
 # ms; after it an excess without new answers has shrunk to 1/e. Queues are bounded, and drain in
 # less; a member that nobody asks must be asked again some time.
-FORGET = 1000.0
+EXCESS_DECAY_MS = 1000.0
 # Usual times that a queue is assumed to take at a member that refused a statement as busy, but no
 # less than a round trip between regions (ms): so much is lost if the next one is, too.
 BUSY_RUNS = 3.0
-SHORTEST_BUSY_QUEUE = 40.0
+SHORTEST_BUSY_QUEUE_MS = 40.0
 MOST_KINDS = 100  # of one member; routes come and go with configurations
-SHORTEST_RUN = 0.5  # ms; a fast network there and back. Steps are shares, and never leave 0
+SHORTEST_USUAL_MS = 0.5  # ms; a fast network there and back. Steps are shares, and never leave 0
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     noted_at: float = 0.0
 
     def at(self, now: float) -> float:
-        return self.value * math.exp((self.noted_at - now) / FORGET)
+        return self.value * math.exp((self.noted_at - now) / EXCESS_DECAY_MS)
 
     def note(self, newest: float, now: float) -> None:
         before = self.at(now)
@@ -68,10 +68,10 @@
         kinds = self._usual.setdefault(instance, {})
         usual = kinds.get(kind)
         if usual is None:
-            usual = max(taken, SHORTEST_RUN)
+            usual = max(taken, SHORTEST_USUAL_MS)
         else:
             usual *= 1 + STEP_UP if taken > usual else 1 - STEP_DOWN
-            usual = max(usual, SHORTEST_RUN)
+            usual = max(usual, SHORTEST_USUAL_MS)
         kinds[kind] = usual
         if len(kinds) > MOST_KINDS:
             del kinds[next(iter(kinds))]
@@ -79,7 +79,7 @@
 
     def note_busy(self, instance: str, kind: str, now: float) -> None:
         """Note that a member's queue was full."""
-        full = max(BUSY_RUNS * self.work(kind), SHORTEST_BUSY_QUEUE)
+        full = max(BUSY_RUNS * self.work(kind), SHORTEST_BUSY_QUEUE_MS)
         excess = self._excess.setdefault(instance, _Excess())
         if full > excess.at(now):
             excess.value, excess.noted_at = full, now
@@ -90,7 +90,7 @@
 
     def work(self, kind: str) -> float:
         """Return what a slot takes for a kind of work: where the quickest member is at hand."""
-        return min(self._known(kind), default=INITIAL_RUN)
+        return min(self._known(kind), default=INITIAL_RUN_MS)
 
     def queue(self, instance: str, now: float) -> float:
         """Return by how much a member's latest answers took longer than usual."""
--- a/src/rowanrail/scheduling/told_weights.py
+++ b/src/rowanrail/scheduling/told_weights.py
@@ -12,10 +12,10 @@
 
 # Of what a word takes away. With all of it a gateway that is cut off would keep others from
 # members that serve them; with this part a near member is left for one that is as near.
-TRUST = 0.7
+REPORTED_TRUST = 0.7
 # ms; after it a word has shrunk to 1/e. A gateway that goes on to see trouble tells it again with
 # its next answer.
-FORGET = 2000.0
+REPORTED_DECAY_MS = 2000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,8 +51,8 @@
         word = self._words.get(instance)
         if word is None:
             return 1.0
-        fading = math.exp((word.heard_at - now) / FORGET)
-        return 1.0 - TRUST * (1.0 - word.weight) * fading
+        fading = math.exp((word.heard_at - now) / REPORTED_DECAY_MS)
+        return 1.0 - REPORTED_TRUST * (1.0 - word.weight) * fading
 
     def keep(self, instances: set[str]) -> None:
         """Forget all other members."""
--- a/src/rowanrail/tenants/model.py
+++ b/src/rowanrail/tenants/model.py
@@ -7,7 +7,7 @@
 __all__ = ["ANONYMOUS", "Identity", "Tenant", "Tenants", "key_digest"]
 
 ANONYMOUS = "anonymous"  # named to members for clients of routes that take anybody
-DIGEST_BYTES = 16  # 128 bits: two of a few thousand keys collide with a chance below 1e-30
+KEY_DIGEST_BYTES = 16  # 128 bits: two of a few thousand keys collide with a chance below 1e-30
 _PURPOSE = b"rowanrail key"  # so that a digest here is none that another program would make
 
 
@@ -21,7 +21,7 @@
     >>> key_digest("k1") == key_digest("k1"), key_digest("k1") == key_digest("k2")
     (True, False)
     """
-    return hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES, person=_PURPOSE).digest()
+    return hashlib.blake2b(key.encode(), digest_size=KEY_DIGEST_BYTES, person=_PURPOSE).digest()
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/rowanrail/tenants/precedence.py
+++ b/src/rowanrail/tenants/precedence.py
@@ -6,7 +6,7 @@
 
 # Of what may begin, is divided evenly: a class that is less urgent goes on at a tenth of its even
 # part, so that its callers see that it works, and come back, rather than stop.
-EVEN_SHARE = 0.1
+EVEN_OPERATION_SHARE = 0.1
 
 
 def part_of_class(part: float, asked: Mapping[int, float], urgency: int) -> float:
@@ -33,9 +33,9 @@
     """
     if part >= 1 or not asked.get(urgency):
         return part
-    left = (1 - EVEN_SHARE) * part * sum(asked.values())
+    left = (1 - EVEN_OPERATION_SHARE) * part * sum(asked.values())
     for other in sorted(asked):
-        even = EVEN_SHARE * part * asked[other]
+        even = EVEN_OPERATION_SHARE * part * asked[other]
         more = min(asked[other] - even, left)
         left -= more
         if other == urgency:
--- a/tests/gateway/test_primary_rules.py
+++ b/tests/gateway/test_primary_rules.py
@@ -4,9 +4,9 @@
 
 from rowanrail.members.primary_belief import (
     ALARM_SECONDS,
-    FAILING_SEARCH_SECONDS,
+    FAILING_SEARCH_PAUSE_SECONDS,
     LONG_LOST_SECONDS,
-    SEARCH_SECONDS,
+    SEARCH_INTERVAL_SECONDS,
     PrimaryBelief,
 )
 from rowanrail.members.sampling_rules import (
@@ -84,14 +84,14 @@
 
     def test_searches_are_spaced(self):
         self.assertTrue(self.belief.begin_search(11.0))
-        self.assertFalse(self.belief.begin_search(11.0 + SEARCH_SECONDS - JUST))
-        self.assertTrue(self.belief.begin_search(11.0 + SEARCH_SECONDS + JUST))
+        self.assertFalse(self.belief.begin_search(11.0 + SEARCH_INTERVAL_SECONDS - JUST))
+        self.assertTrue(self.belief.begin_search(11.0 + SEARCH_INTERVAL_SECONDS + JUST))
 
     def test_a_primary_that_fails_is_searched_for_less_often(self):
         self.assertFalse(self.belief.is_search_due(11.0))
         self.belief.note_failure("m1", 11.0)
         self.belief.begin_search(11.0)
-        spacing = SEARCH_SECONDS + FAILING_SEARCH_SECONDS
+        spacing = SEARCH_INTERVAL_SECONDS + FAILING_SEARCH_PAUSE_SECONDS
         self.assertFalse(self.belief.is_search_due(11.0 + spacing - JUST))
         self.assertTrue(self.belief.is_search_due(11.0 + spacing + JUST))
 
--- a/tests/gateway/test_connection_share.py
+++ b/tests/gateway/test_service_share.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from rowanrail.gateway.services.connection_share import ConnectionShare
+from rowanrail.gateway.services.service_share import ServiceShare
 from rowanrail.placement.hashed import ASSUMED_GATEWAYS, SHARDS, Population, Shard, connection_limit
 from rowanrail.placement.planned import HANDOVER_SHARE_FACTOR, Allowance
 
@@ -12,57 +12,55 @@
 REGIONS = Population(58, 3, is_regional=True)
 
 
-class ConnectionShareTest(unittest.TestCase):
+class ServiceShareTest(unittest.TestCase):
     def test_until_the_directory_is_known_a_number_of_gateways_is_assumed(self):
-        share = ConnectionShare(40)
+        share = ServiceShare(40)
         self.assertEqual(share.holders(is_near=True), ASSUMED_GATEWAYS)
         self.assertEqual(share.limit(is_near=True), connection_limit(40, Population()))
 
     def test_with_connections_for_all_each_gateway_counts_as_a_holder_and_samples(self):
-        share = ConnectionShare(40, Population(7, 3))
+        share = ServiceShare(40, Population(7, 3))
         self.assertFalse(share.is_shared)
         self.assertEqual((share.holders(True), share.samplers), (7, 7))
 
     def test_a_zone_that_shares_counts_as_one(self):
-        share = ConnectionShare(40, ZONES)
+        share = ServiceShare(40, ZONES)
         self.assertTrue(share.is_shared)
         self.assertEqual((share.holders(True), share.samplers), (6, 6))
 
     def test_in_a_region_the_holder_of_more_shards_shares_with_fewer(self):
         for number, holders in ((1, SHARDS), (2, 2), (3, 1)):
             shards = frozenset(Shard("db", shard) for shard in range(number))
-            share = ConnectionShare(32, REGIONS, shards)
+            share = ServiceShare(32, REGIONS, shards)
             self.assertEqual(share.holders(is_near=True), holders)
             self.assertEqual(share.holders(is_near=False), SHARDS * 3)
 
     def test_a_planned_share_says_how_many_share_a_near_member_only(self):
         allowance = Allowance(0.5, samplers=2, shards=frozenset([SHARD]))
-        share = ConnectionShare(32, REGIONS, frozenset([SHARD]), allowance)
+        share = ServiceShare(32, REGIONS, frozenset([SHARD]), allowance)
         self.assertEqual(share.holders(is_near=True), 2)
         self.assertEqual(share.holders(is_near=False), SHARDS * 3)
 
     def test_who_stands_in_for_a_planned_holder_has_an_even_share(self):
-        named = ConnectionShare(
-            40, ZONES, frozenset([SHARD]), Allowance(0.25, 1, frozenset([SHARD]))
-        )
+        named = ServiceShare(40, ZONES, frozenset([SHARD]), Allowance(0.25, 1, frozenset([SHARD])))
         stands_in = replace(named, allowance=Allowance(0.0, 1, frozenset()))
         self.assertEqual(named.holders(True), 4)
         self.assertEqual(stands_in.holders(True), 6)
 
     def test_whom_no_plan_names_finishes_with_a_part_of_an_even_share(self):
-        share = ConnectionShare(40, ZONES, allowance=Allowance(0.0, 1, frozenset()))
+        share = ServiceShare(40, ZONES, allowance=Allowance(0.0, 1, frozenset()))
         self.assertEqual(share.holders(True), round(6 / HANDOVER_SHARE_FACTOR))
 
     def test_idle_connections_are_kept_for_what_comes_to_this_gateway(self):
         shards = frozenset([Shard.of("db", "anna")])
         other = next(name for name in map(str, range(99)) if Shard.of("db", name) not in shards)
-        share = ConnectionShare(32, REGIONS, shards)
+        share = ServiceShare(32, REGIONS, shards)
         self.assertTrue(share.keeps_idle("db", "anna"))
         self.assertTrue(share.keeps_idle("db", ""))
         self.assertFalse(share.keeps_idle("db", other))
 
     def test_without_regions_all_are_kept_unless_a_plan_names_others(self):
-        share = ConnectionShare(40, ZONES)
+        share = ServiceShare(40, ZONES)
         self.assertTrue(share.keeps_idle("db", "anna"))
         planned = replace(share, allowance=Allowance(0.0, 1, frozenset()))
         self.assertFalse(planned.keeps_idle("db", "anna"))
--- a/tests/scheduling/line.py
+++ b/tests/scheduling/line.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rowanrail.scheduling.admission import Forecast, Reject, Watch, judge_arriving, next_look
+from rowanrail.scheduling.admission import Forecast, Reject, Watch, judge_arriving, next_check
 from rowanrail.scheduling.forecast_error import ForecastError
 from rowanrail.scheduling.queue import Entry
 
@@ -15,7 +15,7 @@
 
     entry: Entry
     whole: float
-    look_at: float
+    check_at: float
     watch: Watch
     forecast: float = 0.0
 
@@ -54,7 +54,7 @@
     def arrive(self, entry: Entry, now: float) -> Reject | None:
         """Judge a statement that comes; return its refusal."""
         whole = entry.deadline - entry.arrived
-        waiting = Waiting(entry, whole, now + next_look(whole, self._mean, whole), Watch(whole))
+        waiting = Waiting(entry, whole, now + next_check(whole, self._mean, whole), Watch(whole))
         forecast = self.forecast(waiting.order, now)
         waiting.forecast = forecast.wait
         certain = self._error.certain_share
@@ -86,7 +86,7 @@
         if left <= 0:
             self._line.remove(waiting)
             self._note("expired", waiting.entry)
-        elif now >= waiting.look_at:
+        elif now >= waiting.check_at:
             forecast = self.forecast(waiting.order, now)
             verdict = waiting.watch.judge(forecast, left, self._error.certain_share)
             if isinstance(verdict, Reject):
@@ -97,7 +97,7 @@
                 self._note("refused-waiting", waiting.entry)
                 self.refused.append((now, verdict))
             else:
-                waiting.look_at = now + next_look(left, self._mean, waiting.whole)
+                waiting.check_at = now + next_check(left, self._mean, waiting.whole)
 
     def _note(self, name: str, entry: Entry) -> None:
         self.happened[name, entry.urgency] += 1
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -16,7 +16,7 @@
     judge_arriving,
     judge_sending,
     judge_waiting,
-    next_look,
+    next_check,
 )
 from rowanrail.scheduling.queue import Entry
 from tests.scheduling.line import MemberLine
@@ -114,7 +114,7 @@
     def test_looks_come_before_the_time_is_over_and_never_without_time_between(self):
         left, looks = WHOLE, 0
         while isinstance(judge_waiting(Forecast(0.0, 20.0), left, WHOLE), Admit):
-            step = next_look(left, 20.0, WHOLE)
+            step = next_check(left, 20.0, WHOLE)
             self.assertGreaterEqual(step, 1.0)
             left -= step
             looks += 1
--- a/tests/scheduling/test_choice.py
+++ b/tests/scheduling/test_choice.py
@@ -8,7 +8,7 @@
 from rowanrail.scheduling.admission import Forecast
 from rowanrail.scheduling.choice import (
     OPENING_SHARE,
-    REMOTE_ROUND_TRIP,
+    REMOTE_ROUND_TRIP_MS,
     Candidate,
     choose,
     completion,
@@ -174,4 +174,4 @@
 
     def test_a_remote_member_that_was_never_asked_takes_a_round_trip_more(self):
         self.assertEqual(expected_run(None, work=28.0, is_remote=False), 28.0)
-        self.assertEqual(expected_run(None, work=28.0, is_remote=True), 28.0 + REMOTE_ROUND_TRIP)
+        self.assertEqual(expected_run(None, work=28.0, is_remote=True), 28.0 + REMOTE_ROUND_TRIP_MS)
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -3,7 +3,12 @@
 import random
 import unittest
 
-from rowanrail.scheduling.concurrency import CEILING_FACTOR, LONGEST_WAY, MEMORY, ConcurrencyLimit
+from rowanrail.scheduling.concurrency import (
+    CEILING_FACTOR,
+    LONGEST_WAY,
+    QUICKEST_MEMORY_MS,
+    ConcurrencyLimit,
+)
 
 SLOTS = 4
 HEAVIEST = 5.0  # times the lightest statement
@@ -85,7 +90,7 @@
         # As after a path through another zone: it looks like a queue until it is the usual way.
         answers = Answers()
         answers.take(1.0)
-        answers.take(2 * MEMORY / 1000 + 2.0, way=12.0)
+        answers.take(2 * QUICKEST_MEMORY_MS / 1000 + 2.0, way=12.0)
         self.assertGreaterEqual(answers.limit.value, CEILING_FACTOR * SLOTS)
 
 
--- a/tests/scheduling/test_member_weight.py
+++ b/tests/scheduling/test_member_weight.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rowanrail.scheduling.member_weight import FALL_MEMORY, LEAST_WEIGHT, MemberWeight, Trouble
+from rowanrail.scheduling.member_weight import FALL_MEMORY_MS, LEAST_WEIGHT, MemberWeight, Trouble
 
 
 class HealthTest(unittest.TestCase):
@@ -55,7 +55,7 @@
     def test_falls_of_long_ago_are_forgotten(self):
         self.fall()
         self.seconds_to_return()
-        self.now += FALL_MEMORY
+        self.now += FALL_MEMORY_MS
         self.fall()
         self.assertLessEqual(self.seconds_to_return(), 4)
 
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -23,7 +23,7 @@
     "rowanrail.gateway.relay.holder_choice",
     "rowanrail.gateway.relay.liveness",
     "rowanrail.gateway.relay.work_routing",
-    "rowanrail.gateway.services.connection_share",
+    "rowanrail.gateway.services.service_share",
     "rowanrail.gateway.services.locality",
     "rowanrail.members.monitor_interval",
     "rowanrail.members.primary_belief",
