--- a/src/rowanlab/simulator/permissive.py
+++ b/src/rowanlab/simulator/permissive.py
@@ -29,7 +29,7 @@
     RequestRecord,
     TermConfirmation,
 )
-from rowanrail.tenants.model import Identity
+from rowanrail.tenants.model import ClientIdentity
 
 
 class AnyFreshness(Freshness):
@@ -159,7 +159,7 @@
 class AnyKeyHolds(KeyCheck):
     """Lets sessions go on whose key was withdrawn."""
 
-    def holds(self, opened: Identity, known: Identity | None) -> bool:
+    def holds(self, opened: ClientIdentity, known: ClientIdentity | None) -> bool:
         """See :meth:`KeyCheck.holds`."""
         return True
 
--- a/src/rowanrail/explain/rejections.py
+++ b/src/rowanrail/explain/rejections.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rowanrail.scheduling.admission import Cause
+from rowanrail.scheduling.admission import RejectionCause
 
 __all__ = ["REJECTIONS", "RejectionRule", "why_rejected"]
 
@@ -32,25 +32,25 @@
 
 _ADMISSION = "rowanrail.scheduling.admission"
 REJECTIONS: dict[str, RejectionRule] = {
-    Cause.CROWDED.value: RejectionRule(
+    RejectionCause.CROWDED.value: RejectionRule(
         f"{_ADMISSION}.judge_arriving",
         lambda wait, run, left, peer: (
             f"when it came about {wait} ms of waiting lay before it and {left} ms were left"
         ),
     ),
-    Cause.HOPELESS.value: RejectionRule(
+    RejectionCause.HOPELESS.value: RejectionRule(
         f"{_ADMISSION}.judge_waiting",
         lambda wait, run, left, peer: (
             f"while it waited about {wait} ms still lay before it and {left} ms were left"
         ),
     ),
-    Cause.HOLDER_CROWDED.value: RejectionRule(
+    RejectionCause.HOLDER_CROWDED.value: RejectionRule(
         f"{_ADMISSION}.judge_sending",
         lambda wait, run, left, peer: (
             f"{peer} had told of a line of {wait} ms or more, so that it was not sent there"
         ),
     ),
-    Cause.WAY_TOO_LONG.value: RejectionRule(
+    RejectionCause.WAY_TOO_LONG.value: RejectionRule(
         f"{_ADMISSION}.judge_sending",
         lambda wait, run, left, peer: (
             f"{left} ms were left and the way to {peer} and back takes up to {run} ms"
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -34,7 +34,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.members.channel import MemberDriver
 from rowanrail.members.primary_health import health_of
-from rowanrail.members.samples import Sample
+from rowanrail.members.samples import PositionSample
 from rowanrail.model.members import PrimaryHealth
 from rowanrail.model.routing import Route, RoutingConfiguration
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
@@ -42,7 +42,7 @@
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.scheduling.plan import Plan
 from rowanrail.tenants.demand import DemandBook
-from rowanrail.tenants.model import Identity, Tenants
+from rowanrail.tenants.model import ClientIdentity, Tenants
 from rowanrail.tenants.terms import QuotaTerms
 
 TICK_SECONDS = 0.05  # a sixth of the shortest time that is watched, SAMPLE_TIMEOUT_SECONDS
@@ -240,7 +240,7 @@
         self.sessions[session] = None
         return session
 
-    def admits(self, database: str, identity: Identity, version: int) -> bool:
+    def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
         return self.access.admits(database, identity, version)
 
@@ -267,7 +267,7 @@
     def _note_detour(self, service: str, peer: str) -> None:
         self._decisions.note(DETOUR_FOUND, service=service, peer=peer)
 
-    def prove_primary(self, service: str, give: Callable[[Sample | None], None]) -> None:
+    def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.prove_primary`."""
         known = self.services.get(service)
         if known is None or known.primary.failing_since:
--- a/src/rowanrail/gateway/policies.py
+++ b/src/rowanrail/gateway/policies.py
@@ -7,7 +7,7 @@
 from rowanrail.members.channel import Channel
 from rowanrail.members.leadership import LeadershipProof
 from rowanrail.model.statements import Command, Refusal
-from rowanrail.tenants.model import Identity
+from rowanrail.tenants.model import ClientIdentity
 
 
 @register("gateway-guard", "state-replay")
@@ -38,14 +38,14 @@
 class KeyCheck:
     """A session runs statements only while its key is still the same tenant's."""
 
-    def holds(self, opened: Identity, known: Identity | None) -> bool:
+    def holds(self, opened: ClientIdentity, known: ClientIdentity | None) -> bool:
         """Return whether a session may go on.
 
         Parameters
         ----------
-        opened : Identity
+        opened : ClientIdentity
             Whose key it was when the session opened.
-        known : Identity or None
+        known : ClientIdentity or None
             Whose it is by the configuration in force; None for nobody's.
         """
         return known == opened
--- a/src/rowanrail/gateway/pools/forecasts.py
+++ b/src/rowanrail/gateway/pools/forecasts.py
@@ -11,7 +11,7 @@
 from rowanrail.scheduling.admission import Forecast
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
 from rowanrail.scheduling.forecast_error import ForecastErrors
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from rowanrail.scheduling.wait_forecast import places, wait_seconds
 
 __all__ = ["MemberForecasts"]
@@ -53,7 +53,7 @@
         connections = self._connections
         return wait_seconds(ahead, places, connections.under_way, connections.leases.seconds)
 
-    def of(self, entry: Entry) -> Forecast:
+    def of(self, entry: QueueEntry) -> Forecast:
         """Return what a statement that comes now, or waits already, can expect here."""
         connections, places = self._connections, self._places
         needs_opening = not connections.has_one_for(entry.tenant)
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -19,7 +19,7 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
 from rowanrail.scheduling.member_weight import Trouble
-from rowanrail.scheduling.queue import Entry, Supply, is_hopeless
+from rowanrail.scheduling.queue import QueueEntry, Supply, is_hopeless
 
 __all__ = ["MemberPool"]
 
@@ -111,7 +111,7 @@
         self._scheduler.call_later(self.connections.opening.seconds, self._start_waiting)
         self._start_waiting()
 
-    def _has_room_for(self, entry: Entry) -> bool:
+    def _has_room_for(self, entry: QueueEntry) -> bool:
         # All reads wait for a sample, so that none of them would run in its place.
         return entry.urgency < 0 or self.connections.under_way < self.concurrency.value
 
--- a/src/rowanrail/gateway/pools/pool_loan.py
+++ b/src/rowanrail/gateway/pools/pool_loan.py
@@ -6,7 +6,7 @@
 from rowanrail.gateway.pools.waiter import Waiter
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 
 __all__ = ["PoolLoan"]
 
@@ -28,7 +28,7 @@
 
     def request(self, take: Callable[[Channel | None, Answer], None]) -> None:
         """See :meth:`rowanrail.members.probe.Loan.request`."""
-        self._waiter = Waiter(Entry(SAMPLE_PRIORITY, None, 0.0), {}, take)
+        self._waiter = Waiter(QueueEntry(SAMPLE_PRIORITY, None, 0.0), {}, take)
         self._pool.acquire(self._waiter)
 
     def cancel(self) -> None:
--- a/src/rowanrail/gateway/pools/queued_request.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -12,7 +12,7 @@
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer
 from rowanrail.scheduling.admission import Admit, Forecast, Watch
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 
 __all__ = ["QueuedRequest"]
 
@@ -24,7 +24,7 @@
     ----------
     pool : MemberPool
         The member's connections.
-    entry : Entry
+    entry : QueueEntry
         How the statement stands among the others.
     values : dict
         Session values that the connection should have already, if one has.
@@ -39,7 +39,7 @@
     def __init__(
         self,
         pool: MemberPool,
-        entry: Entry,
+        entry: QueueEntry,
         values: dict[str, str],
         scheduler: Scheduler,
         take: Callable[[Channel | None, Answer], None],
--- a/src/rowanrail/gateway/pools/waiter.py
+++ b/src/rowanrail/gateway/pools/waiter.py
@@ -4,7 +4,7 @@
 
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 
 __all__ = ["Waiter"]
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        entry: Entry,
+        entry: QueueEntry,
         values: dict[str, str],
         respond: Callable[[Channel | None, Answer], None],
         expire: Callable[[], None] = lambda: None,
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -34,7 +34,7 @@
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
 from rowanrail.placement.hashed import Shard
-from rowanrail.scheduling.admission import Cause, Forecast
+from rowanrail.scheduling.admission import Forecast, RejectionCause
 
 __all__ = ["Forwarded", "ForwardingTerms", "Placement"]
 
@@ -250,7 +250,7 @@
         retry_after = self._work.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
         unknown = Forecast(0.0, 0.0)
         self._rejection = rejection(
-            Cause.NO_PLACE, unknown, self._left, self._route.priority, retry_after
+            RejectionCause.NO_PLACE, unknown, self._left, self._route.priority, retry_after
         )
         self._finish(busy(reason, retry_after))
 
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
-from rowanrail.scheduling.admission import Cause, Forecast, Reject, judge_sending
+from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause, judge_sending
 from rowanrail.scheduling.load import Assumed, LoadBook, ServiceLoad, Subject
 from rowanrail.scheduling.returning import ReturnTimes
 
@@ -105,7 +105,7 @@
         )
         if not isinstance(verdict, Reject):
             return None
-        is_crowded = verdict.cause is Cause.HOLDER_CROWDED
+        is_crowded = verdict.cause is RejectionCause.HOLDER_CROWDED
         if is_crowded and self._book.may_probe(subject):
             return None
         return self._reject(request, verdict, assumed)
@@ -118,7 +118,7 @@
             verdict.return_in, interval, (request.peer, request.urgency)
         )
         forecast = Forecast(assumed.wait, request.round_trip)
-        if verdict.cause is Cause.WAY_TOO_LONG:
+        if verdict.cause is RejectionCause.WAY_TOO_LONG:
             reason = f"{request.time_left:.0f} ms are too short for the way to {request.peer}"
         else:
             reason = f"{request.peer} is crowded for {assumed.wait:.0f} ms"
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -24,13 +24,13 @@
 from rowanrail.gateway.work.operation import Stage
 from rowanrail.gateway.work.work import LocalWork, SingleStatement, WorkInTransaction
 from rowanrail.kernel.clock import Clock
-from rowanrail.members.samples import Sample
+from rowanrail.members.samples import PositionSample
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Trace
 from rowanrail.placement.hashed import Shard
 from rowanrail.scheduling.load import LoadTeller, ServiceLoad
 from rowanrail.tenants.demand import DemandBook, Report
-from rowanrail.tenants.model import Identity
+from rowanrail.tenants.model import ClientIdentity
 
 __all__ = ["Holder", "HolderHost", "ServedLink"]
 
@@ -59,7 +59,7 @@
     def demand(self) -> DemandBook:
         """What clients of other gateways ask for."""
 
-    def admits(self, database: str, identity: Identity, version: int) -> bool:
+    def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
         """Return whether a neighbour's client may run statements, by the newest configuration.
 
         Parameters
@@ -68,7 +68,7 @@
             Of the configuration by which the neighbour took the client's key.
         """
 
-    def prove_primary(self, service: str, give: Callable[[Sample | None], None]) -> None:
+    def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
         """Give a new sample of a service's primary, None if there is none in time."""
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
@@ -219,7 +219,7 @@
             self._end(number)
 
     def _tell_sample(self, call: int, service: str) -> None:
-        def give(sample: Sample | None) -> None:
+        def give(sample: PositionSample | None) -> None:
             if sample is None:
                 self.send(NotServed(call, f"it does not reach the primary of {service}"))
             else:
@@ -272,7 +272,7 @@
         return work
 
     def _admits(self, run: Run) -> bool:
-        identity = Identity(run.tenant, run.key)
+        identity = ClientIdentity(run.tenant, run.key)
         return self._holder.host.admits(run.database, identity, run.version)
 
     # Transactions
--- a/src/rowanrail/gateway/relay/terms.py
+++ b/src/rowanrail/gateway/relay/terms.py
@@ -11,7 +11,7 @@
 from rowanrail.model.statements import Answer, StatementKind, TypedStatement
 from rowanrail.model.trace import Trace
 from rowanrail.scheduling.load import ServiceLoad
-from rowanrail.tenants.model import Identity
+from rowanrail.tenants.model import ClientIdentity
 
 __all__ = [
     "Order",
@@ -120,7 +120,7 @@
 
 def load_session(session: SessionValues, run: Run) -> None:
     """Give ``session`` exactly what the client's session has set."""
-    session.identity = Identity(run.tenant, run.key)
+    session.identity = ClientIdentity(run.tenant, run.key)
     session.values = run.values
     session.returned = run.returned
     if run.kind is StatementKind.EXECUTE:
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -19,13 +19,13 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.choice import Candidate, counted_wait, expected_run
 from rowanrail.scheduling.lag import LagEstimate
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from rowanrail.scheduling.run_times import RunTimes
 from rowanrail.scheduling.warming import Warming
 
 __all__ = ["MemberEstimates", "Wanted"]
 
-_UNASKED = Entry(0, None, 0.0)
+_UNASKED = QueueEntry(0, None, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,14 +36,14 @@
     ----------
     kind : str
         Name of its route: reads of one route take about as long as each other.
-    entry : Entry
+    entry : QueueEntry
         How it would stand among those that want a connection.
     floor : Position or None
         What the member's log must hold.
     """
 
     kind: str = ""
-    entry: Entry = _UNASKED
+    entry: QueueEntry = _UNASKED
     floor: Position | None = None
 
 
--- a/src/rowanrail/gateway/services/told_load.py
+++ b/src/rowanrail/gateway/services/told_load.py
@@ -3,7 +3,7 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.service import Service
 from rowanrail.scheduling.load import URGENCIES, ServiceLoad, rounded
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 
 __all__ = ["measure"]
 
@@ -22,7 +22,7 @@
     if not any(pool.forecasts.expected_wait_seconds for pool in near):
         return None
     weight = service.weight(tenant)
-    entries = [Entry(urgency, tenant, now, weight=weight) for urgency in range(URGENCIES)]
+    entries = [QueueEntry(urgency, tenant, now, weight=weight) for urgency in range(URGENCIES)]
     primary = service.primary_pool()
     writes = [] if primary is None or primary not in near else _waits(primary, entries)
     reads = [min(waits) for waits in zip(*(_waits(pool, entries) for pool in near), strict=True)]
@@ -34,18 +34,18 @@
     return not (pool.record.leaving or pool.is_failing or service.is_far(pool))
 
 
-def _waits(pool: MemberPool, entries: list[Entry]) -> list[float]:
+def _waits(pool: MemberPool, entries: list[QueueEntry]) -> list[float]:
     """Return how long answers of a member certainly take; 0 where there is room."""
     return [_certain_time(pool, entry) for entry in entries]
 
 
-def _certain_time(pool: MemberPool, entry: Entry) -> float:
+def _certain_time(pool: MemberPool, entry: QueueEntry) -> float:
     forecast = pool.forecasts.of(entry)
     if forecast.has_room:
         return 0.0
     return forecast.wait * pool.forecasts.errors.of(entry.urgency).certain_share + forecast.run
 
 
-def _pace(pool: MemberPool, entry: Entry) -> int:
+def _pace(pool: MemberPool, entry: QueueEntry) -> int:
     interval = pool.forecasts.of(entry).interval
     return round(1000 / interval) if interval else 0
--- a/src/rowanrail/gateway/session_values.py
+++ b/src/rowanrail/gateway/session_values.py
@@ -3,7 +3,7 @@
 from rowanrail.members.channel import Channel
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Command, CommandKind, StatementKind, TypedStatement
-from rowanrail.tenants.model import Identity
+from rowanrail.tenants.model import ClientIdentity
 
 
 class SessionValues:
@@ -16,7 +16,7 @@
 
     __slots__ = ("floors", "identity", "prepared", "returned", "turned_away", "values")
 
-    def __init__(self, identity: Identity = Identity()) -> None:  # noqa: B008 - it is frozen
+    def __init__(self, identity: ClientIdentity = ClientIdentity()) -> None:  # noqa: B008 - it is frozen
         self.identity = identity
         self.values: dict[str, str] = {}
         self.prepared: dict[str, tuple[bool, str]] = {}
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -11,10 +11,10 @@
 from rowanrail.model.routing import RoutingConfiguration
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
-from rowanrail.scheduling.admission import Cause
+from rowanrail.scheduling.admission import RejectionCause
 from rowanrail.scheduling.returning import GOES_FIRST_AFTER, Label, Returners, client_label
 from rowanrail.tenants.demand import DemandBook
-from rowanrail.tenants.model import Identity, Tenants, key_digest
+from rowanrail.tenants.model import ClientIdentity, Tenants, key_digest
 from rowanrail.tenants.quota import QuotaGuard
 from rowanrail.tenants.terms import QuotaTerms
 
@@ -99,26 +99,26 @@
 
     # Keys
 
-    def open(self, database: str, key: str) -> Identity | None:
+    def open(self, database: str, key: str) -> ClientIdentity | None:
         """Return whose key a client names, None if it may open no session."""
         identity = self.identify(database, key_digest(key))
         if identity is None:
             self._decisions.note(KEY_UNKNOWN, database=database, version=self.version)
         return identity
 
-    def identify(self, database: str, key: bytes) -> Identity | None:
+    def identify(self, database: str, key: bytes) -> ClientIdentity | None:
         """Return whose statements come with a key's digest, None if they may not run."""
         known = self._configuration
         if known is None or known.tenants is None:
-            return Identity()
+            return ClientIdentity()
         route = known.routes.get(database)
         return known.tenants.identify(key, route is not None and route.takes_anybody)
 
-    def holds(self, database: str, identity: Identity) -> bool:
+    def holds(self, database: str, identity: ClientIdentity) -> bool:
         """Return whether a key is still the same tenant's as when its session opened."""
         return self._key_check.holds(identity, self.identify(database, identity.key))
 
-    def admits(self, database: str, identity: Identity, version: int) -> bool:
+    def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
         if version > self.version:
             return True  # it was checked against a newer configuration than the one here
@@ -163,7 +163,7 @@
             version=self.version,
             return_in=round(return_in),
         )
-        self._note_returning(session, Cause.TENANT_LIMIT.value, urgency, return_in)
+        self._note_returning(session, RejectionCause.TENANT_LIMIT.value, urgency, return_in)
         return busy("the tenant is at its limit", return_in)
 
     def _urgency(self, session: Session) -> int:
--- a/src/rowanrail/gateway/sessions/pending.py
+++ b/src/rowanrail/gateway/sessions/pending.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from rowanrail.members.primary import PrimaryTracker
-from rowanrail.members.samples import Sample
+from rowanrail.members.samples import PositionSample
 from rowanrail.model.position import Position
 
 __all__ = ["PendingProof", "PendingStart"]
@@ -26,11 +26,14 @@
     """A sample that somebody else waits for; given once, or not in time."""
 
     def __init__(
-        self, tracker: PrimaryTracker, asked_at: float, give: Callable[[Sample | None], None]
+        self,
+        tracker: PrimaryTracker,
+        asked_at: float,
+        give: Callable[[PositionSample | None], None],
     ) -> None:
         self._tracker = tracker
         self._asked_at = asked_at
-        self._give: Callable[[Sample | None], None] | None = give
+        self._give: Callable[[PositionSample | None], None] | None = give
 
     def ask(self) -> None:
         """Have the primary sampled."""
@@ -44,7 +47,7 @@
         self._tracker.forget(self._take)
         self._answer(None)
 
-    def _answer(self, sample: Sample | None) -> None:
+    def _answer(self, sample: PositionSample | None) -> None:
         give, self._give = self._give, None
         if give is not None:
             give(sample)
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -16,7 +16,7 @@
     StatementKind,
     TypedStatement,
 )
-from rowanrail.tenants.model import Identity
+from rowanrail.tenants.model import ClientIdentity
 
 MAXIMUM_VALUES = 200  # bounds the memory of a session; clients set a few
 _DONE = Answer()
@@ -81,7 +81,7 @@
         self,
         host: SessionHost,
         database: str,
-        identity: Identity = Identity(),  # noqa: B008 - it is frozen
+        identity: ClientIdentity = ClientIdentity(),  # noqa: B008 - it is frozen
         label: str = "",
     ) -> None:
         self.database = database
@@ -106,7 +106,7 @@
         return self._respond is not None
 
     @property
-    def identity(self) -> Identity:
+    def identity(self) -> ClientIdentity:
         """Whose statements it sends."""
         return self.values.identity
 
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -17,7 +17,7 @@
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
-from rowanrail.scheduling.admission import Cause
+from rowanrail.scheduling.admission import RejectionCause
 
 
 class LoneRead(Operation):
@@ -68,7 +68,9 @@
             return
         if position is None:
             self.turn_away(
-                Cause.NO_PRIMARY, "no primary confirms its position", PRIMARY_RETRY_AFTER_MS
+                RejectionCause.NO_PRIMARY,
+                "no primary confirms its position",
+                PRIMARY_RETRY_AFTER_MS,
             )
             return
         own = self.session.floors.get(self.service.spec.name, ORIGIN)
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -26,8 +26,8 @@
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, Command, CommandKind, StatementKind, TypedStatement
 from rowanrail.model.trace import Trace
-from rowanrail.scheduling.admission import Admit, Cause, judge_arriving
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.admission import Admit, RejectionCause, judge_arriving
+from rowanrail.scheduling.queue import QueueEntry
 from rowanrail.scheduling.returning import return_base
 
 # Reads, writes and commits. A member begins and ends a transaction without a slot, so that the
@@ -103,7 +103,7 @@
         if self.channel is not None or not trouble:
             return
         tracker.forget(self.floor_callback())
-        self.turn_away(Cause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
+        self.turn_away(RejectionCause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
 
     def floor_callback(self) -> Callable[[Position | None], None] | None:
         """Return what waits for a sample of the primary, if anything does."""
@@ -232,12 +232,12 @@
         """Go where there is room, or refuse, as not run, what would be answered too late."""
         self.queued = None
         if self.pool is not None and not self.try_roomier(self.pool):
-            self.refuse_crowded(self.pool, Cause.HOPELESS)
+            self.refuse_crowded(self.pool, RejectionCause.HOPELESS)
 
-    def entry(self) -> Entry:
+    def entry(self) -> QueueEntry:
         """Return how the statement stands among those that want a connection."""
         deadline = self.arrived_at + self.route.timeout_seconds
-        return Entry(
+        return QueueEntry(
             self.route.priority,
             self.tenant,
             self.arrived_at * 1000,
@@ -287,7 +287,9 @@
                 return found
         return None
 
-    def refuse_crowded(self, pool: MemberPool, cause: Cause = Cause.CROWDED) -> None:
+    def refuse_crowded(
+        self, pool: MemberPool, cause: RejectionCause = RejectionCause.CROWDED
+    ) -> None:
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -9,7 +9,7 @@
 from rowanrail.gateway.work.attempts import RETRY_SECONDS
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
-from rowanrail.scheduling.admission import Cause, Forecast, Reject
+from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause
 from rowanrail.scheduling.returning import SHORTEST_RETURN_MS, spread
 
 __all__ = [
@@ -47,8 +47,8 @@
 SHORTEST_LEFT_SECONDS = 0.001
 LATE = "no answer in time"
 
-_NO_PRIMARY = Reject(Cause.NO_PRIMARY, PRIMARY_RETRY_AFTER_MS)
-_NO_PLACE = Reject(Cause.NO_PLACE, 0.0)
+_NO_PRIMARY = Reject(RejectionCause.NO_PRIMARY, PRIMARY_RETRY_AFTER_MS)
+_NO_PLACE = Reject(RejectionCause.NO_PLACE, 0.0)
 
 
 def defer_seconds(objective_seconds: float) -> float:
@@ -98,7 +98,7 @@
     Examples
     --------
     >>> judge_unplaced(Refusal.BUSY, has_primary=False)
-    Reject(cause=<Cause.NO_PRIMARY: 'no-primary'>, return_in=1000.0)
+    Reject(cause=<RejectionCause.NO_PRIMARY: 'no-primary'>, return_in=1000.0)
     >>> judge_unplaced(Refusal.ABORTED, has_primary=False)
     """
     if refusal is not Refusal.BUSY:
@@ -152,7 +152,7 @@
 
 
 def rejection(
-    cause: Cause, forecast: Forecast, left: float, urgency: int, return_in: float
+    cause: RejectionCause, forecast: Forecast, left: float, urgency: int, return_in: float
 ) -> Rejection:
     """Return what is logged of a statement that is rejected; times in milliseconds."""
     return Rejection(
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -21,7 +21,7 @@
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
-from rowanrail.scheduling.admission import Cause, Forecast
+from rowanrail.scheduling.admission import Forecast, RejectionCause
 
 __all__ = ["Statement"]
 
@@ -125,7 +125,7 @@
             self.turn_away(verdict.cause, answer.message, verdict.return_in)
 
     def turn_away(
-        self, cause: Cause, reason: str, base: float = 0.0, forecast: Forecast = UNKNOWN
+        self, cause: RejectionCause, reason: str, base: float = 0.0, forecast: Forecast = UNKNOWN
     ) -> None:
         """Refuse, as not run, and tell the client its place among those who come back.
 
--- a/src/rowanrail/members/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -19,7 +19,7 @@
 from rowanrail.members.primary_belief import PrimaryBelief
 from rowanrail.members.probe import Lender
 from rowanrail.members.sampler import MemberSampler
-from rowanrail.members.samples import FloorWaiters, GiveFloor, Sample, SampleHistory
+from rowanrail.members.samples import FloorWaiters, GiveFloor, PositionSample, SampleHistory
 from rowanrail.members.sampling_rules import is_sample_due
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
@@ -75,7 +75,7 @@
         return self.belief.failing_since
 
     @property
-    def sample(self) -> Sample | None:
+    def sample(self) -> PositionSample | None:
         """The newest proof of the primary's position."""
         return self._samples.newest
 
--- a/src/rowanrail/members/samples.py
+++ b/src/rowanrail/members/samples.py
@@ -14,7 +14,7 @@
 
 from rowanrail.model.position import Position
 
-__all__ = ["FloorWaiters", "GiveFloor", "Sample", "SampleHistory"]
+__all__ = ["FloorWaiters", "GiveFloor", "PositionSample", "SampleHistory"]
 
 HISTORY_SECONDS = 5.0  # age of the oldest sample that is kept
 HISTORY_STEP_SECONDS = 0.02  # between samples that are kept
@@ -23,7 +23,7 @@
 GiveFloor = Callable[[Position | None], None]
 
 
-class Sample(msgspec.Struct, frozen=True, gc=False):
+class PositionSample(msgspec.Struct, frozen=True, gc=False):
     """The primary's position.
 
     Parameters
@@ -58,11 +58,11 @@
     __slots__ = ("_kept", "_newest")
 
     def __init__(self) -> None:
-        self._kept: deque[Sample] = deque()
-        self._newest: Sample | None = None
+        self._kept: deque[PositionSample] = deque()
+        self._newest: PositionSample | None = None
 
     @property
-    def newest(self) -> Sample | None:
+    def newest(self) -> PositionSample | None:
         """The sample that was asked for last, None if there is none."""
         return self._newest
 
@@ -77,10 +77,10 @@
             return False
         if newest is None or asked_at >= newest.asked_at:
             highest = position if newest is None else max(position, newest.position)
-            self._keep(Sample(asked_at, highest, instance))
+            self._keep(PositionSample(asked_at, highest, instance))
         return True
 
-    def _keep(self, sample: Sample) -> None:
+    def _keep(self, sample: PositionSample) -> None:
         kept = self._kept
         if self._newest is not None and self._newest.position.term != sample.position.term:
             kept.clear()  # what they show may have been undone
@@ -90,7 +90,7 @@
             kept.append(sample)
         self._newest = sample
 
-    def oldest_since(self, asked_since: float) -> Sample | None:
+    def oldest_since(self, asked_since: float) -> PositionSample | None:
         """Return the oldest sample asked for at ``asked_since`` or later, None without one."""
         place = bisect_left(self._kept, asked_since, key=lambda sample: sample.asked_at)
         if place < len(self._kept):
@@ -122,9 +122,9 @@
     --------
     >>> waiters, given = FloorWaiters(), []
     >>> waiters.add(10.0, given.append)
-    >>> waiters.serve(Sample(9.9, Position(1, 3), "m1")), len(waiters)
+    >>> waiters.serve(PositionSample(9.9, Position(1, 3), "m1")), len(waiters)
     (None, 1)
-    >>> waiters.serve(Sample(10.1, Position(1, 4), "m1")), given
+    >>> waiters.serve(PositionSample(10.1, Position(1, 4), "m1")), given
     (None, [Position(term=1, index=4)])
     """
 
@@ -145,7 +145,7 @@
         """Forget somebody who waits."""
         self._waiting = [entry for entry in self._waiting if entry[1] != give]
 
-    def serve(self, sample: Sample | None) -> None:
+    def serve(self, sample: PositionSample | None) -> None:
         """Give the position of a sample to all whom it is new enough for."""
         if sample is None or not self._waiting:
             return
--- a/src/rowanrail/model/trace.py
+++ b/src/rowanrail/model/trace.py
@@ -9,7 +9,7 @@
     Parameters
     ----------
     cause : str
-        A :class:`rowanrail.scheduling.admission.Cause`.
+        A :class:`rowanrail.scheduling.admission.RejectionCause`.
     wait : int
         Forecast until it could have been sent.
     run : int
--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -13,7 +13,7 @@
 
 __all__ = [
     "Admit",
-    "Cause",
+    "RejectionCause",
     "Forecast",
     "Reject",
     "Verdict",
@@ -42,7 +42,7 @@
 LEAST_CHECK_INTERVAL_MS = 1.0  # so that time passes between any two checks
 
 
-class Cause(enum.Enum):
+class RejectionCause(enum.Enum):
     """Why a statement was turned away; a bounded set, for logs and metrics."""
 
     CROWDED = "crowded"
@@ -90,13 +90,13 @@
 
     Parameters
     ----------
-    cause : Cause
+    cause : RejectionCause
         For the client, the log and the metrics.
     return_in : float
         Milliseconds after which its client had better come back, not spread yet.
     """
 
-    cause: Cause
+    cause: RejectionCause
     return_in: float
 
 
@@ -128,7 +128,7 @@
     >>> judge_arriving(Forecast(wait=900, run=10), left=800, whole=800)
     Admit()
     >>> judge_arriving(Forecast(wait=1400, run=10), left=800, whole=800)
-    Reject(cause=<Cause.CROWDED: 'crowded'>, return_in=1000.0)
+    Reject(cause=<RejectionCause.CROWDED: 'crowded'>, return_in=1000.0)
 
     Nothing is refused while room is free:
 
@@ -137,7 +137,7 @@
     """
     if forecast.has_room or _may_be_in_time(forecast, left, certain):
         return Admit()
-    return Reject(Cause.CROWDED, return_base(forecast.wait, whole))
+    return Reject(RejectionCause.CROWDED, return_base(forecast.wait, whole))
 
 
 def judge_waiting(
@@ -153,14 +153,14 @@
     >>> judge_waiting(Forecast(wait=300, run=10), left=200, whole=800)
     Admit()
     >>> judge_waiting(Forecast(wait=400, run=10), left=200, whole=800)
-    Reject(cause=<Cause.HOPELESS: 'hopeless'>, return_in=100.0)
+    Reject(cause=<RejectionCause.HOPELESS: 'hopeless'>, return_in=100.0)
     >>> judge_waiting(Forecast(wait=0, run=20, has_room=True), left=50, whole=800)
-    Reject(cause=<Cause.HOPELESS: 'hopeless'>, return_in=100.0)
+    Reject(cause=<RejectionCause.HOPELESS: 'hopeless'>, return_in=100.0)
     """
     is_nearly_over = left <= _last_moment(forecast.run, whole)
     if not is_nearly_over and (forecast.has_room or _may_be_in_time(forecast, left, certain)):
         return Admit()
-    return Reject(Cause.HOPELESS, return_base(forecast.wait, whole))
+    return Reject(RejectionCause.HOPELESS, return_base(forecast.wait, whole))
 
 
 def judge_sending(told_wait: float, way: float, left: float, whole: float) -> Verdict:
@@ -179,17 +179,17 @@
     Examples
     --------
     >>> judge_sending(told_wait=0, way=80, left=60, whole=800).cause
-    <Cause.WAY_TOO_LONG: 'way-too-long'>
+    <RejectionCause.WAY_TOO_LONG: 'way-too-long'>
     >>> judge_sending(told_wait=800, way=80, left=800, whole=800).cause
-    <Cause.HOLDER_CROWDED: 'holder-crowded'>
+    <RejectionCause.HOLDER_CROWDED: 'holder-crowded'>
     >>> judge_sending(told_wait=0, way=80, left=800, whole=800)
     Admit()
     """
     if left <= way:
-        return Reject(Cause.WAY_TOO_LONG, return_base(told_wait, whole))
+        return Reject(RejectionCause.WAY_TOO_LONG, return_base(told_wait, whole))
     if told_wait + way <= left:
         return Admit()
-    return Reject(Cause.HOLDER_CROWDED, return_base(told_wait, whole))
+    return Reject(RejectionCause.HOLDER_CROWDED, return_base(told_wait, whole))
 
 
 class Watch:
--- a/src/rowanrail/scheduling/entry.py
+++ b/src/rowanrail/scheduling/entry.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Protocol, TypeVar
 
-__all__ = ["Entry", "Queued", "Waiting", "is_hopeless", "tenant_weight"]
+__all__ = ["QueueEntry", "Queued", "Waiting", "is_hopeless", "tenant_weight"]
 
 # Of an entry's own time: at most so much is set aside for its run, so that one that has just come
 # is never hopeless, however slow the member was of late.
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class QueueEntry:
     """A statement that waits for room at one member.
 
     Parameters
@@ -51,12 +51,12 @@
     return max(LOWEST_WEIGHT, WEIGHT_STEP**-priority)
 
 
-def is_hopeless(entry: Entry, now: float, run_time: float) -> bool:
+def is_hopeless(entry: QueueEntry, now: float, run_time: float) -> bool:
     """Return whether an entry's answer would come too late if it were sent now.
 
     Parameters
     ----------
-    entry : Entry
+    entry : QueueEntry
     now : float
         Steady milliseconds.
     run_time : float
@@ -64,7 +64,7 @@
 
     Examples
     --------
-    >>> entry = Entry(0, "", arrived=0.0, deadline=800.0)
+    >>> entry = QueueEntry(0, "", arrived=0.0, deadline=800.0)
     >>> is_hopeless(entry, 700.0, 90.0), is_hopeless(entry, 700.0, 110.0)
     (False, True)
     """
@@ -76,7 +76,7 @@
     """What stands in a queue."""
 
     @property
-    def entry(self) -> Entry:
+    def entry(self) -> QueueEntry:
         """How it stands there."""
 
 
--- a/src/rowanrail/scheduling/fair_share.py
+++ b/src/rowanrail/scheduling/fair_share.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import Generic
 
-from rowanrail.scheduling.entry import Entry, Waiting
+from rowanrail.scheduling.entry import QueueEntry, Waiting
 
-__all__ = ["FairShare", "Flow", "Place"]
+__all__ = ["FairShare", "Flow", "QueuePosition"]
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Place(Generic[Waiting]):
+class QueuePosition(Generic[Waiting]):
     """A place among the entries of one tenant and urgency."""
 
     item: Waiting
@@ -32,7 +32,7 @@
 class Flow(Generic[Waiting]):
     """The entries of one tenant in one class, and its tag."""
 
-    places: list[Place[Waiting]]
+    places: list[QueuePosition[Waiting]]
     tag: float
 
 
@@ -52,7 +52,7 @@
         """Whether anybody waits."""
         return any(flow.places for flow in self.flows.values())
 
-    def add(self, place: Place[Waiting]) -> None:
+    def add(self, place: QueuePosition[Waiting]) -> None:
         """Put an entry behind those of its tenant that go before it."""
         tenant = place.item.entry.tenant
         flow = self.flows.get(tenant)
@@ -62,7 +62,7 @@
             flow.tag = max(flow.tag, self._virtual)  # nothing is saved up while it has no work
         bisect.insort(flow.places, place, key=lambda place: place.order)
 
-    def heads(self) -> list[Place[Waiting]]:
+    def heads(self) -> list[QueuePosition[Waiting]]:
         """Return the first entry of each tenant, in the order in which they should run."""
         waiting = [flow for flow in self.flows.values() if flow.places]
         waiting.sort(key=self._order)
@@ -75,7 +75,7 @@
         is_within_share = flow.tag <= self._virtual
         return (not (entry.returned and is_within_share), flow.tag, entry.deadline, head.number)
 
-    def start(self, place: Place[Waiting]) -> None:
+    def start(self, place: QueuePosition[Waiting]) -> None:
         """Note that an entry runs."""
         entry = place.item.entry
         flow = self.flows[entry.tenant]
@@ -84,7 +84,7 @@
         flow.tag += 1 / entry.weight
         self._forget()
 
-    def remove(self, place: Place[Waiting]) -> None:
+    def remove(self, place: QueuePosition[Waiting]) -> None:
         """Forget an entry that doesn't run."""
         flow = self.flows[place.item.entry.tenant]
         flow.places.remove(place)
@@ -102,7 +102,7 @@
     def _is_done(self, flow: Flow[Waiting]) -> bool:
         return not flow.places and flow.tag <= self._virtual
 
-    def ahead_of(self, entry: Entry) -> float:
+    def ahead_of(self, entry: QueueEntry) -> float:
         """Return about how many of the class run before an entry that comes now."""
         flow = self.flows.get(entry.tenant)
         own = [place for place in flow.places if _is_before(place, entry)] if flow else []
@@ -118,7 +118,7 @@
         return ahead
 
 
-def _is_before(place: Place[Waiting], entry: Entry) -> bool:
+def _is_before(place: QueuePosition[Waiting], entry: QueueEntry) -> bool:
     if place.item.entry is entry:
         return False  # its own place
     return place.order[:2] <= (not entry.returned, entry.deadline)
--- a/src/rowanrail/scheduling/group_draft.py
+++ b/src/rowanrail/scheduling/group_draft.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 
 from rowanrail.scheduling.demand import GroupDemand, PartDemand
-from rowanrail.scheduling.plan import Cause, ShardPlan
+from rowanrail.scheduling.plan import PlanCause, ShardPlan
 
-__all__ = ["Change", "GatewayLoad", "GroupDraft"]
+__all__ = ["HolderChange", "GatewayLoad", "GroupDraft"]
 
 # Of what one holder carries of a shard, in statements a second: half of what a link of 1.4 Mbit/s
 # passes at 1.7 KB each. Above it, statements wait for the link as long as they take on it.
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class HolderChange:
     """A shard whose holders change, with the figures that decided it.
 
     Parameters
@@ -80,7 +80,7 @@
     key: str
     before: tuple[str, ...]
     after: tuple[str, ...]
-    cause: Cause
+    cause: PlanCause
     rate: float
     load_before: float
     load_after: float
@@ -121,7 +121,7 @@
     defaults: Mapping[str, str]
     current: Mapping[str, ShardPlan]
     most_holders: Mapping[str, int]
-    changes: list[Change] = field(default_factory=list)
+    changes: list[HolderChange] = field(default_factory=list)
     _holders: dict[str, list[str]] = field(default_factory=dict)
     _held: dict[str, float] = field(default_factory=dict)
 
@@ -189,7 +189,7 @@
         first = [self.defaults[key]] if stands_in else []
         found = [*kept, *first, *self._least_loaded([*kept, *first], missing - len(first))]
         if found:
-            self._change(key, found[: len(holders)], Cause.LOST)
+            self._change(key, found[: len(holders)], PlanCause.LOST)
 
     def _divide(self, key: str) -> None:
         rate, holders = self.rate(key), self._holders[key]
@@ -197,10 +197,10 @@
             wanted = min(self.most_holders[key], math.ceil(rate / DIVIDE_AT))
             added = self._least_loaded(holders, wanted - len(holders))
             if added:
-                self._change(key, [*holders, *added], Cause.DIVIDED)
+                self._change(key, [*holders, *added], PlanCause.DIVIDED)
         elif len(holders) > 1 and rate < JOIN_SHARE * DIVIDE_AT * (len(holders) - 1):
             busiest = max(holders, key=self.load)
-            self._change(key, [name for name in holders if name != busiest], Cause.JOINED)
+            self._change(key, [name for name in holders if name != busiest], PlanCause.JOINED)
 
     def _best_move(self, keys: Iterable[str]) -> _Move | None:
         """Return the move that takes most off the busiest holder of which one is worth it."""
@@ -235,10 +235,10 @@
     def _carry_out(self, move: _Move) -> None:
         holders = self._holders[move.key]
         after = [move.target if name == move.source else name for name in holders]
-        cause = Cause.SLOW if self.gateways[move.source].is_slow else Cause.BUSY
+        cause = PlanCause.SLOW if self.gateways[move.source].is_slow else PlanCause.BUSY
         self._change(move.key, after, cause)
 
-    def _change(self, key: str, after: list[str], cause: Cause) -> None:
+    def _change(self, key: str, after: list[str], cause: PlanCause) -> None:
         before = self._holders[key]
         concerned = {*before, *after}
         load_before = max(
@@ -249,7 +249,7 @@
         self._count(key, 1.0)
         load_after = max(self.load(name) for name in concerned if name in self.gateways)
         self.changes.append(
-            Change(
+            HolderChange(
                 self.group,
                 key,
                 tuple(before),
--- a/src/rowanrail/scheduling/plan.py
+++ b/src/rowanrail/scheduling/plan.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-__all__ = ["NO_PLAN", "Cause", "Holding", "ShardPlan", "Plan"]
+__all__ = ["NO_PLAN", "PlanCause", "Holding", "ShardPlan", "Plan"]
 
 
-class Cause(enum.Enum):
+class PlanCause(enum.Enum):
     """Why a shard is held as the plan says."""
 
     HASH = "hash"  # as the hash says; it is named for its share
@@ -41,14 +41,14 @@
     ----------
     holdings : list of Holding
         One or more; clients' gateways, or tenants, are spread over them evenly.
-    cause : Cause
+    cause : PlanCause
         Of the last change of its holders.
     is_split : bool
         Whether one tenant's statements, too, go to several holders, by its clients' gateways.
     """
 
     holdings: list[Holding]
-    cause: Cause = Cause.HASH
+    cause: PlanCause = PlanCause.HASH
     is_split: bool = False
 
     @property
--- a/src/rowanrail/scheduling/planner.py
+++ b/src/rowanrail/scheduling/planner.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 
 from rowanrail.scheduling.demand import GroupDemand
-from rowanrail.scheduling.group_draft import Change, GatewayLoad, GroupDraft
-from rowanrail.scheduling.plan import Cause, Holding, Plan, ShardPlan
+from rowanrail.scheduling.group_draft import GatewayLoad, GroupDraft, HolderChange
+from rowanrail.scheduling.plan import Holding, Plan, PlanCause, ShardPlan
 
 __all__ = ["Layout", "Proposal", "SharesChange", "propose", "shares_by_demand"]
 
@@ -94,7 +94,7 @@
     """
 
     plan: Plan | None = None
-    changes: list[Change] = field(default_factory=list)
+    changes: list[HolderChange] = field(default_factory=list)
     shares: list[SharesChange] = field(default_factory=list)
 
 
@@ -301,10 +301,10 @@
             [Holding(name, each) for name in holders], self._cause(shard), draft.is_split(key)
         )
 
-    def _cause(self, shard: _ShardOf) -> Cause:
+    def _cause(self, shard: _ShardOf) -> PlanCause:
         """Return why a shard has the holders that it gets: the last change of them."""
         for change in self._drafts[shard[0]].changes:
             if change.key == shard[1]:
                 return change.cause
         planned = self._current.shard(*shard)
-        return Cause.HASH if planned is None else planned.cause
+        return PlanCause.HASH if planned is None else planned.cause
--- a/src/rowanrail/scheduling/queue.py
+++ b/src/rowanrail/scheduling/queue.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from typing import Generic
 
-from rowanrail.scheduling.entry import Entry, Queued, Waiting, is_hopeless, tenant_weight
-from rowanrail.scheduling.fair_share import FairShare, Place
+from rowanrail.scheduling.entry import Queued, QueueEntry, Waiting, is_hopeless, tenant_weight
+from rowanrail.scheduling.fair_share import FairShare, QueuePosition
 
 __all__ = [
-    "Entry",
+    "QueueEntry",
     "Pick",
     "Queued",
     "Supply",
@@ -91,12 +91,12 @@
     >>> @dataclass(frozen=True)
     ... class Statement:
     ...     name: str
-    ...     entry: Entry
+    ...     entry: QueueEntry
     >>> queue = WorkQueue()
     >>> for number in range(3):
-    ...     queue.add(Statement(f"rush {number}", Entry(1, "large", 0.0)), 0.0)
-    >>> queue.add(Statement("small", Entry(1, "small", 1.0)), 1.0)
-    >>> queue.add(Statement("urgent", Entry(0, "large", 2.0)), 2.0)
+    ...     queue.add(Statement(f"rush {number}", QueueEntry(1, "large", 0.0)), 0.0)
+    >>> queue.add(Statement("small", QueueEntry(1, "small", 1.0)), 1.0)
+    >>> queue.add(Statement("urgent", QueueEntry(0, "large", 2.0)), 2.0)
     >>> order = []
     >>> while (pick := queue.next(Supply({"large", "small"}))) is not None:
     ...     order.append(pick.item.name)
@@ -108,7 +108,7 @@
     def __init__(self) -> None:
         self._classes: dict[int, FairShare[Waiting]] = {}
         self._places: dict[
-            int, Place[Waiting]
+            int, QueuePosition[Waiting]
         ] = {}  # by the identity of what stands there, in order
         self._tenants: Counter[str | None] = Counter()
         self._numbers = 0
@@ -140,7 +140,7 @@
     def add(self, item: Waiting, now: float) -> None:
         """Put somebody in."""
         self._numbers += 1
-        place = Place(item, now, self._numbers)
+        place = QueuePosition(item, now, self._numbers)
         self._places[id(item)] = place
         self._tenants[item.entry.tenant] += 1
         self._classes.setdefault(item.entry.urgency, FairShare()).add(place)
@@ -153,7 +153,7 @@
         self._classes[item.entry.urgency].remove(place)
         return True
 
-    def _take(self, item: Waiting) -> Place[Waiting] | None:
+    def _take(self, item: Waiting) -> QueuePosition[Waiting] | None:
         place = self._places.pop(id(item), None)
         if place is not None:
             self._tenants[item.entry.tenant] -= 1
@@ -192,7 +192,7 @@
         only_samples : bool
             Whether there is room for samples only.
         """
-        opening: Place[Waiting] | None = None
+        opening: QueuePosition[Waiting] | None = None
         for place in self._in_order(only_samples):
             tenant = place.item.entry.tenant
             if supply.has_idle(tenant):
@@ -208,7 +208,9 @@
         self._reuses = 0
         return Pick(opening.item, needs_opening=True)
 
-    def _is_due(self, opening: Place[Waiting], other: Place[Waiting], supply: Supply) -> bool:
+    def _is_due(
+        self, opening: QueuePosition[Waiting], other: QueuePosition[Waiting], supply: Supply
+    ) -> bool:
         """Return whether an opening is put off no longer for another that needs none."""
         is_more_urgent = opening.item.entry.urgency < other.item.entry.urgency
         bound = URGENT_REUSES_BETWEEN if is_more_urgent else REUSES_BETWEEN
@@ -217,7 +219,7 @@
             return put_off >= COMING_BACK_FACTOR * bound <= self._reuses
         return self._reuses >= bound
 
-    def _in_order(self, only_samples: bool) -> Iterator[Place[Waiting]]:
+    def _in_order(self, only_samples: bool) -> Iterator[QueuePosition[Waiting]]:
         """Return the first entry of each tenant in each class."""
         for known in self._in_turn(only_samples):
             yield from known.heads()
@@ -239,7 +241,7 @@
         """Return those for whom :func:`is_hopeless` is true."""
         return [item for item in self if is_hopeless(item.entry, now, run_time)]
 
-    def ahead_of(self, entry: Entry, needs_opening: bool = False) -> float:
+    def ahead_of(self, entry: QueueEntry, needs_opening: bool = False) -> float:
         """Return about how many run before an entry that comes now, or waits already.
 
         All that are more urgent do, those of its own urgency by their tenants' shares, and of the
--- a/src/rowanrail/tenants/model.py
+++ b/src/rowanrail/tenants/model.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-__all__ = ["ANONYMOUS", "Identity", "Tenant", "Tenants", "key_digest"]
+__all__ = ["ANONYMOUS", "ClientIdentity", "Tenant", "Tenants", "key_digest"]
 
 ANONYMOUS = "anonymous"  # named to members for clients of routes that take anybody
 KEY_DIGEST_BYTES = 16  # 128 bits: two of a few thousand keys collide with a chance below 1e-30
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Identity:
+class ClientIdentity:
     """Whose statements a session sends.
 
     Parameters
@@ -74,7 +74,7 @@
     by_name: Mapping[str, Tenant] = field(default_factory=dict)
     owners: Mapping[bytes, str] = field(default_factory=dict)
 
-    def identify(self, key: bytes, takes_anybody: bool) -> Identity | None:
+    def identify(self, key: bytes, takes_anybody: bool) -> ClientIdentity | None:
         """Return whose key it is, None if it is nobody's and a key is needed.
 
         Parameters
@@ -96,5 +96,5 @@
         """
         owner = self.owners.get(key)
         if owner is not None:
-            return Identity(owner, key)
-        return Identity(ANONYMOUS) if takes_anybody else None
+            return ClientIdentity(owner, key)
+        return ClientIdentity(ANONYMOUS) if takes_anybody else None
--- a/tests/coordination/test_planner.py
+++ b/tests/coordination/test_planner.py
@@ -18,7 +18,7 @@
 from rowanrail.placement.hashed import rank
 from rowanrail.scheduling.demand import SPANS
 from rowanrail.scheduling.load_report import LoadReport, ShardLoad
-from rowanrail.scheduling.plan import Cause, Holding, ShardPlan
+from rowanrail.scheduling.plan import Holding, PlanCause, ShardPlan
 from tests.support.gateway import RecordingLog
 
 ZONES = ("a", "b", "c")
@@ -176,7 +176,7 @@
         slow = self.fleet.holder("a")
         self.fleet.slow.add(slow)
         (proposal,) = self.fleet.play(6)
-        self.assertEqual(proposal.changes[0].cause, Cause.SLOW)
+        self.assertEqual(proposal.changes[0].cause, PlanCause.SLOW)
         self.assertNotEqual(self.fleet.holder("a"), slow)
 
     def test_one_slow_span_moves_nothing(self):
--- a/tests/explain/test_causes.py
+++ b/tests/explain/test_causes.py
@@ -6,10 +6,14 @@
 from rowanrail.explain.lines import LogLine
 from rowanrail.explain.rejections import REJECTIONS
 from rowanrail.gateway.events import OVER_QUOTA, PRIMARY_LOST, REFUSED
-from rowanrail.scheduling.admission import Cause
+from rowanrail.scheduling.admission import RejectionCause
 from tests.unit.test_decisions import resolve
 
-NO_ADMISSION = {Cause.NO_PRIMARY, Cause.NO_PLACE, Cause.TENANT_LIMIT}  # said by other causes
+NO_ADMISSION = {
+    RejectionCause.NO_PRIMARY,
+    RejectionCause.NO_PLACE,
+    RejectionCause.TENANT_LIMIT,
+}  # said by other causes
 
 
 def line(event, time=10.0, **fields):
@@ -31,7 +35,9 @@
                 resolve(rule)
 
     def test_each_rejection_by_admission_has_its_words(self):
-        self.assertEqual({cause.value for cause in set(Cause) - NO_ADMISSION}, set(REJECTIONS))
+        self.assertEqual(
+            {cause.value for cause in set(RejectionCause) - NO_ADMISSION}, set(REJECTIONS)
+        )
 
     def test_the_last_cause_holds_of_all_that_no_other_explains(self):
         text = cause_of(answer(outcome="invalid", reason="no", stage="accepted"), [])
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -10,7 +10,7 @@
 from rowanrail.gateway.pools.idle_rules import KEPT_SHARE, SPARE_IDLE_SECONDS, TENANT_IDLE_SECONDS
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.waiter import Waiter
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from tests.scheduling.member import SlottedMember
 from tests.support.gateway import ManualClock
 
@@ -31,7 +31,7 @@
         def respond(channel, answer):
             self.clock.call_later(0.01, self.pool.release, channel)
 
-        self.pool.acquire(Waiter(Entry(0, tenant, self.clock.now * 1000), {}, respond))
+        self.pool.acquire(Waiter(QueueEntry(0, tenant, self.clock.now * 1000), {}, respond))
 
     def pass_time(self, seconds):
         for _ in range(round(seconds / 0.05)):
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -7,7 +7,7 @@
 from rowanrail.model.position import Position
 from rowanrail.model.statements import NOT_RUN, Answer, CommandKind, Refusal, SessionState
 from rowanrail.placement.hashed import Population
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from tests.support.gateway import PlayedGateway
 
 
@@ -305,7 +305,7 @@
             self.busy[-1].ask("WRITE a 1")
 
     def test_a_write_that_would_wait_too_long_is_refused_at_once(self):
-        interval = self.pool.forecasts.of(Entry(1, "", 0.0)).interval
+        interval = self.pool.forecasts.of(QueueEntry(1, "", 0.0)).interval
         served_in_time = int(1000 / interval)  # of the route's time-out of 1 s
         later = [self.played.client("orders") for _ in range(4 * served_in_time + 40)]
         for client in later:
--- a/tests/gateway/test_statement_rules.py
+++ b/tests/gateway/test_statement_rules.py
@@ -6,7 +6,7 @@
 from rowanrail.gateway.work.attempts import ReadStep, Sent, WriteStep
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import NOT_RUN, Refusal, SessionState
-from rowanrail.scheduling.admission import Cause, Forecast
+from rowanrail.scheduling.admission import Forecast, RejectionCause
 from rowanrail.scheduling.returning import SHORTEST_RETURN_MS
 
 OPEN = SessionState.TRANSACTION
@@ -166,11 +166,11 @@
 class UnplacedTest(unittest.TestCase):
     def test_without_a_primary_clients_retry_when_a_successor_can_be_there(self):
         verdict = refusals.judge_unplaced(Refusal.BUSY, has_primary=False)
-        self.assertEqual((verdict.cause, verdict.return_in), (Cause.NO_PRIMARY, 1000.0))
+        self.assertEqual((verdict.cause, verdict.return_in), (RejectionCause.NO_PRIMARY, 1000.0))
 
     def test_with_a_primary_they_retry_as_soon_as_may_be(self):
         verdict = refusals.judge_unplaced(Refusal.BUSY, has_primary=True)
-        self.assertEqual((verdict.cause, verdict.return_in), (Cause.NO_PLACE, 0.0))
+        self.assertEqual((verdict.cause, verdict.return_in), (RejectionCause.NO_PLACE, 0.0))
         shortest = refusals.shortest_retry_after_ms(verdict.return_in)
         self.assertEqual(shortest, SHORTEST_RETURN_MS)
 
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -5,7 +5,7 @@
 import msgspec
 from returns.result import Failure, Success
 
-from rowanrail.tenants.model import ANONYMOUS, Identity, key_digest
+from rowanrail.tenants.model import ANONYMOUS, ClientIdentity, key_digest
 from tests.support import platform_path  # noqa: F401 - it is imported for its effect
 from tests.support.platform_fleet import configuration
 
@@ -73,10 +73,10 @@
         self.tenants = parse(tenant("a", "k1")).unwrap().tenants
 
     def test_a_known_key_is_its_tenants_also_where_anybody_is_taken(self):
-        known = Identity("a", key_digest("k1"))
+        known = ClientIdentity("a", key_digest("k1"))
         for takes_anybody in (False, True):
             self.assertEqual(self.tenants.identify(key_digest("k1"), takes_anybody), known)
 
     def test_an_unknown_key_counts_only_where_anybody_is_taken(self):
         self.assertIsNone(self.tenants.identify(key_digest("k2"), False))
-        self.assertEqual(self.tenants.identify(key_digest("k2"), True), Identity(ANONYMOUS))
+        self.assertEqual(self.tenants.identify(key_digest("k2"), True), ClientIdentity(ANONYMOUS))
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -7,7 +7,7 @@
 from rowanrail.model.statements import Refusal
 from rowanrail.placement.hashed import Population, Shard, even_share, planned_limit
 from rowanrail.placement.planned import HANDOVER_MS, PlannedHolders
-from rowanrail.scheduling.plan import NO_PLAN, Cause, Holding, Plan, ShardPlan
+from rowanrail.scheduling.plan import NO_PLAN, Holding, Plan, PlanCause, ShardPlan
 from tests.support.gateway import ManualClock
 from tests.support.relay import PlayedZone
 
@@ -17,7 +17,7 @@
 
 def plan(number, *holders, share=1 / 6):
     """Return a plan that names holders of the played zone; five other zones have one each."""
-    own = ShardPlan([Holding(name, share / len(holders)) for name in holders], Cause.BUSY)
+    own = ShardPlan([Holding(name, share / len(holders)) for name in holders], PlanCause.BUSY)
     rest = (1 - share) / len(OTHER_ZONES)
     groups = {zone: {"db": ShardPlan([Holding(f"{zone}1", rest)])} for zone in OTHER_ZONES}
     return Plan(number, {"a": {"db": own}, **groups}, {name: name for name in holders})
@@ -262,7 +262,7 @@
 
     def known(self, is_split):
         holdings = [Holding(name, 0.1) for name in ("h1", "h2", "h3")]
-        shards = {f"db/{n}": ShardPlan(holdings, Cause.DIVIDED, is_split) for n in range(3)}
+        shards = {f"db/{n}": ShardPlan(holdings, PlanCause.DIVIDED, is_split) for n in range(3)}
         return Plan(1, {"a": shards})
 
     def first_of(self, tenant, is_split):
@@ -279,7 +279,7 @@
 
     def test_a_service_without_tenants_is_spread_by_clients_gateways(self):
         holdings = [Holding(name, 0.1) for name in ("h1", "h2")]
-        known = Plan(1, {"a": {"db": ShardPlan(holdings, Cause.DIVIDED)}})
+        known = Plan(1, {"a": {"db": ShardPlan(holdings, PlanCause.DIVIDED)}})
         firsts = [self.holders(Shard("db"), known, f"g{n}")[0] for n in range(40)]
         self.assertGreater(min(firsts.count("h1"), firsts.count("h2")), 10)
 
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rowanrail.placement.hashed import Shard, rank
-from rowanrail.scheduling.plan import Cause, Holding, Plan, ShardPlan
+from rowanrail.scheduling.plan import Holding, Plan, PlanCause, ShardPlan
 from tests.relay.test_regions import PART_OF_A, Regions
 
 
@@ -21,8 +21,8 @@
     def plan(self, number, home, share=1 / 3):
         shards = [f"db/{n}" for n in range(3)]
         east = {key: ShardPlan([Holding(self.far.name, 1 / 3)]) for key in shards}
-        west = {key: ShardPlan([Holding(home.name, 1 / 3)], Cause.BUSY) for key in shards}
-        west[PART_OF_A.key] = ShardPlan([Holding(home.name, share)], Cause.BUSY)
+        west = {key: ShardPlan([Holding(home.name, 1 / 3)], PlanCause.BUSY) for key in shards}
+        west[PART_OF_A.key] = ShardPlan([Holding(home.name, share)], PlanCause.BUSY)
         return Plan(number, {"a": east, "b": west}, {home.name: home.name})
 
     def tell(self, plan, *only):
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -10,7 +10,7 @@
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer, Command, CommandKind
 from rowanrail.scheduling.admission import Admit, judge_arriving
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from rowanrail.scheduling.returning import GOES_FIRST_AFTER, ReturnTimes, return_base
 from tests.support.gateway import ManualClock
 
@@ -62,7 +62,7 @@
         whole = TIMEOUT * 1000
         returned = self.tries >= GOES_FIRST_AFTER
         crowd = self.crowd
-        entry = Entry(crowd.urgency, crowd.tenant, now, now + whole, returned=returned)
+        entry = QueueEntry(crowd.urgency, crowd.tenant, now, now + whole, returned=returned)
         self.tries += 1
         self.is_sent = self.is_over = False
         certain = pool.forecasts.errors.of(crowd.urgency).certain_share
@@ -86,7 +86,7 @@
         self.queued.leave()
         self.come_back(self.entry, "expired")
 
-    def come_back(self, entry: Entry, refused: str) -> None:
+    def come_back(self, entry: QueueEntry, refused: str) -> None:
         self.crowd.refused[refused] += 1
         if self.tries >= TRIES:
             return
--- a/tests/scheduling/line.py
+++ b/tests/scheduling/line.py
@@ -6,14 +6,14 @@
 
 from rowanrail.scheduling.admission import Forecast, Reject, Watch, judge_arriving, next_check
 from rowanrail.scheduling.forecast_error import ForecastError
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 
 
 @dataclass(slots=True)
 class Waiting:
     """A statement in the line, and when it is judged again."""
 
-    entry: Entry
+    entry: QueueEntry
     whole: float
     check_at: float
     watch: Watch
@@ -51,7 +51,7 @@
         interval = self._mean / len(self._ends)
         return Forecast((ahead + 1) * interval, self._mean, interval=interval)
 
-    def arrive(self, entry: Entry, now: float) -> Reject | None:
+    def arrive(self, entry: QueueEntry, now: float) -> Reject | None:
         """Judge a statement that comes; return its refusal."""
         whole = entry.deadline - entry.arrived
         waiting = Waiting(entry, whole, now + next_check(whole, self._mean, whole), Watch(whole))
@@ -99,5 +99,5 @@
             else:
                 waiting.check_at = now + next_check(left, self._mean, waiting.whole)
 
-    def _note(self, name: str, entry: Entry) -> None:
+    def _note(self, name: str, entry: QueueEntry) -> None:
         self.happened[name, entry.urgency] += 1
--- a/tests/scheduling/member.py
+++ b/tests/scheduling/member.py
@@ -10,7 +10,7 @@
 from rowanrail.members.channel import Channel, MemberDriver, Wire
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from tests.support.gateway import ManualClock
 
 OPENING = 0.012  # s of a slot for each new connection
@@ -118,7 +118,7 @@
         self.pool, self.clock, self.kind, self.work = pool, clock, kind, work
         self.began = clock.time()
         deadline = (self.began + kind.timeout) * 1000
-        entry = Entry(kind.urgency, kind.tenant, self.began * 1000, deadline, kind.weight)
+        entry = QueueEntry(kind.urgency, kind.tenant, self.began * 1000, deadline, kind.weight)
         self.waiter: Waiter | None = Waiter(entry, {}, self._take, self._expire)
         self.timer = clock.call_later(kind.timeout, self._expire)
         pool.acquire(self.waiter)
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -10,15 +10,15 @@
 
 from rowanrail.scheduling.admission import (
     Admit,
-    Cause,
     Forecast,
     Reject,
+    RejectionCause,
     judge_arriving,
     judge_sending,
     judge_waiting,
     next_check,
 )
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from tests.scheduling.line import MemberLine
 
 WHOLE = 800.0
@@ -36,7 +36,7 @@
         for urgency, rate in rates.items():
             while counts[urgency] < rate * now:
                 counts[urgency] += 1
-                line.arrive(Entry(urgency, "", now + counts[urgency] / 1e6, now + WHOLE), now)
+                line.arrive(QueueEntry(urgency, "", now + counts[urgency] / 1e6, now + WHOLE), now)
         line.step(now)
 
 
@@ -73,7 +73,7 @@
         line = MemberLine(SLOTS, itertools.cycle(UNEVEN_RUNS), RUN)
         fits = int(0.8 * CAPACITY * WHOLE)
         for number in range(fits):
-            line.arrive(Entry(1, "", number / 1e6, WHOLE), 0.0)
+            line.arrive(QueueEntry(1, "", number / 1e6, WHOLE), 0.0)
         for now in range(int(WHOLE)):
             line.step(float(now))
         self.assertEqual(line.happened["served", 1], fits)
@@ -82,7 +82,7 @@
         certain = MemberLine(SLOTS, itertools.repeat(RUN * 2 / 3), RUN)
         fits = int(1.5 * CAPACITY * WHOLE * 0.95)
         for number in range(fits):
-            self.assertIsNone(certain.arrive(Entry(1, "", number / 1e6, WHOLE), 0.0))
+            self.assertIsNone(certain.arrive(QueueEntry(1, "", number / 1e6, WHOLE), 0.0))
         for now in range(int(WHOLE)):
             certain.step(float(now))
         self.assertEqual(certain.happened["refused-waiting", 1], 0)
@@ -104,7 +104,7 @@
         self.assertEqual(judge_waiting(forecast, 600.0, WHOLE), Admit())
         verdict = judge_waiting(forecast, 500.0, WHOLE)
         self.assertIsInstance(verdict, Reject)
-        self.assertIs(verdict.cause, Cause.HOPELESS)
+        self.assertIs(verdict.cause, RejectionCause.HOPELESS)
 
     def test_a_slow_member_is_no_reason_while_much_time_is_left(self):
         slow = Forecast(0.0, 900.0, has_room=True)
@@ -124,4 +124,4 @@
     def test_what_has_no_time_for_the_way_is_not_sent(self):
         verdict = judge_sending(told_wait=0.0, way=80.0, left=79.0, whole=WHOLE)
         self.assertIsInstance(verdict, Reject)
-        self.assertIs(verdict.cause, Cause.WAY_TOO_LONG)
+        self.assertIs(verdict.cause, RejectionCause.WAY_TOO_LONG)
--- a/tests/scheduling/test_planner.py
+++ b/tests/scheduling/test_planner.py
@@ -4,7 +4,7 @@
 
 from rowanrail.scheduling.demand import SPANS, DemandWindow, PartDemand
 from rowanrail.scheduling.group_draft import DIVIDE_AT, GatewayLoad
-from rowanrail.scheduling.plan import NO_PLAN, Cause, Plan
+from rowanrail.scheduling.plan import NO_PLAN, Plan, PlanCause
 from rowanrail.scheduling.planner import Layout, propose
 
 ZONES = ("z1", "z2", "z3", "z4")
@@ -94,7 +94,7 @@
         proposal = propose(demand, gateways(slow=("z1-g0", "z1-g1")), layout, NO_PLAN)
         (change,) = proposal.changes
         self.assertEqual(
-            (change.group, change.before, change.cause), ("z1", ("z1-g0",), Cause.SLOW)
+            (change.group, change.before, change.cause), ("z1", ("z1-g0",), PlanCause.SLOW)
         )
         self.assertNotIn(change.after[0], ("z1-g0", "z1-g1"))
         self.assertEqual(proposal.plan.shard("z2", "db1").gateways, ["z2-g0"])
@@ -221,7 +221,7 @@
         loads = gateways(lost=(lost,))
         proposal = propose(self.demand, loads, self.layout, self.plan, resting)
         (change,) = proposal.changes
-        self.assertEqual((change.before, change.cause), ((lost,), Cause.LOST))
+        self.assertEqual((change.before, change.cause), ((lost,), PlanCause.LOST))
         self.assertEqual(change.after, ("z1-g0",), "the hash has it stand in already")
 
     def test_a_zone_that_is_gone_leaves_its_connections_to_the_others(self):
--- a/tests/scheduling/test_queue.py
+++ b/tests/scheduling/test_queue.py
@@ -8,7 +8,7 @@
     REUSES_BETWEEN,
     TURNS_BETWEEN,
     URGENT_REUSES_BETWEEN,
-    Entry,
+    QueueEntry,
     Supply,
     WorkQueue,
     is_hopeless,
@@ -19,7 +19,7 @@
 
 
 class Statement:
-    def __init__(self, name: str, entry: Entry) -> None:
+    def __init__(self, name: str, entry: QueueEntry) -> None:
         self.name, self.entry = name, entry
 
 
@@ -28,7 +28,7 @@
         self.queue = WorkQueue()
 
     def add(self, name, urgency, tenant="", deadline=800.0, **fields):
-        self.queue.add(Statement(name, Entry(urgency, tenant, 0.0, deadline, **fields)), 0.0)
+        self.queue.add(Statement(name, QueueEntry(urgency, tenant, 0.0, deadline, **fields)), 0.0)
 
     def add_each(self, number, name, *entry, **fields):
         for _ in range(number):
@@ -170,14 +170,14 @@
 
     def test_a_slow_member_does_not_make_a_newcomer_hopeless(self):
         # Else nothing were sent there any more, and nobody learned that it is fast again.
-        self.assertFalse(is_hopeless(Entry(1, "", 0.0, 800.0), now=0.0, run_time=5000.0))
+        self.assertFalse(is_hopeless(QueueEntry(1, "", 0.0, 800.0), now=0.0, run_time=5000.0))
 
 
 class AheadTest(QueueTest):
     """What a newcomer is told must be the order in which the queue runs."""
 
     def runs_before(self, urgency, tenant, **fields):
-        told = self.queue.ahead_of(Entry(urgency, tenant, 0.0, 800.0, **fields))
+        told = self.queue.ahead_of(QueueEntry(urgency, tenant, 0.0, 800.0, **fields))
         self.add("it", urgency, tenant, **fields)
         before = 0
         while self.run_next() != "it":
@@ -206,7 +206,7 @@
         for _ in range(60):
             self.add("urgent", 0)
             self.run_next()
-        told = self.queue.ahead_of(Entry(2, "", 0.0, 800.0))
+        told = self.queue.ahead_of(QueueEntry(2, "", 0.0, 800.0))
         self.assertGreater(told, 2 * len(self.queue))
         self.add("it", 2)
         before = 0
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -6,7 +6,7 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Refusal
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from tests.scheduling.member import Caller, Kind, SlottedMember, play
 from tests.support.gateway import ManualClock, PlayedGateway
 
@@ -332,9 +332,9 @@
         for _ in range(100):
             Caller(pool, clock, usual, WORK)
         now = clock.time() * 1000
-        urgent = pool.forecasts.of(Entry(0, "a", now))
-        same = pool.forecasts.of(Entry(2, "a", now))
-        stranger = pool.forecasts.of(Entry(2, "b", now))
+        urgent = pool.forecasts.of(QueueEntry(0, "a", now))
+        same = pool.forecasts.of(QueueEntry(2, "a", now))
+        stranger = pool.forecasts.of(QueueEntry(2, "b", now))
         self.assertLess(urgent.wait, 20.0)
         self.assertLess(stranger.wait, same.wait / 3)
         self.assertFalse(same.has_room)
@@ -345,7 +345,7 @@
 
     def test_an_idle_member_has_room(self):
         pool = SharedMember().pools[0]
-        forecast = pool.forecasts.of(Entry(1, "a", 0.0))
+        forecast = pool.forecasts.of(QueueEntry(1, "a", 0.0))
         self.assertTrue(forecast.has_room)
         self.assertGreater(forecast.wait, 10.0)  # its connection has to be opened
 
