--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -37,7 +37,8 @@
             readings.append(("connections_leased", member, len(pool.connections.leases)))
             readings.append(("concurrency_limit", member, pool.concurrency.value))
             readings.append(("under_way", member, pool.connections.under_way))
-            readings.append(("queue_longest_wait_seconds", member, pool.longest_wait_seconds))
+            waited = pool.queue.longest_wait_seconds(now)
+            readings.append(("queue_longest_wait_seconds", member, waited))
             for urgency, length in pool.queue.lengths.items():
                 readings.append(("queue_length", {**member, "urgency": str(urgency)}, length))
             readings.append(("member_latency_seconds", member, pool.forecasts.latency_seconds))
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -69,12 +69,6 @@
         """Number of those who use or wait for a connection."""
         return len(self.connections.leases) + len(self.queue)
 
-    @property
-    def longest_wait_seconds(self) -> float:
-        """For how long the first of those who wait has done so."""
-        oldest = self.queue.oldest
-        return 0.0 if oldest is None else self._scheduler.time() - oldest / 1000
-
     @property
     def is_failing(self) -> bool:
         """Whether connections failed a moment ago."""
@@ -264,10 +258,6 @@
         self.connections.set_limit(limit)
         self._start_waiting()
 
-    def set_sharing(self, holders: int) -> None:
-        """Note how many holders are thought to share the member, and what it announces."""
-        self.concurrency.set_sharing(self.record.slots, holders)
-
     def close(self) -> None:
         """Close everything that is not leased and refuse those who wait."""
         self._closed = True
--- a/src/rowanrail/gateway/pools/wait_queue.py
+++ b/src/rowanrail/gateway/pools/wait_queue.py
@@ -14,6 +14,11 @@
 class WaitQueue(WorkQueue[Waiter]):
     """The wait queue of one pool."""
 
+    def longest_wait_seconds(self, now: float) -> float:
+        """Return for how long the first of those who wait has done so, by steady seconds."""
+        oldest = self.oldest
+        return 0.0 if oldest is None else now - oldest / 1000
+
     def refuse(self, answer: Answer, tenant: str | None = None) -> None:
         """Refuse all who wait, or those who want a connection of one tenant."""
         for waiter in list(self):
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -83,7 +83,8 @@
                 self.pools[record.instance] = pool
             else:
                 pool.record = record
-                pool.set_sharing(self.share.holders(self._is_near(record)))
+                holders = self.share.holders(self._is_near(record))
+                pool.concurrency.set_sharing(record.slots, holders)
         self.estimates.set_members(records)
         self.primary.set_members(records)
 
@@ -113,7 +114,7 @@
     def _apply_limit(self) -> None:
         for pool in self.pools.values():
             is_near = self._is_near(pool.record)
-            pool.set_sharing(self.share.holders(is_near))
+            pool.concurrency.set_sharing(pool.record.slots, self.share.holders(is_near))
             limit = self.share.limit(is_near)
             if pool.connections.limit != limit:
                 pool.set_limit(limit)
--- a/src/rowanrail/members/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -53,10 +53,10 @@
         self.on_proof: Callable[[str], None] = lambda instance: None
         self.on_trouble: Callable[[], None] = lambda: None
         self.monitor_seconds = MONITOR_SECONDS
+        self.history = SampleHistory()  # of the newest term
         self._proof = proof
         self._scheduler = scheduler
         self._sampler = MemberSampler(self.belief, self, driver, scheduler)
-        self._samples = SampleHistory()
         self._waiting = FloorWaiters()
 
     @property
@@ -77,12 +77,7 @@
     @property
     def sample(self) -> PositionSample | None:
         """The newest proof of the primary's position."""
-        return self._samples.newest
-
-    @property
-    def history(self) -> SampleHistory:
-        """The samples of the newest term."""
-        return self._samples
+        return self.history.newest
 
     @property
     def is_awaited(self) -> bool:
@@ -106,7 +101,7 @@
 
     def can_give(self, asked_since: float) -> bool:
         """Return whether there is a sample that was asked for at ``asked_since`` or later."""
-        return self._samples.oldest_since(asked_since) is not None
+        return self.history.oldest_since(asked_since) is not None
 
     def set_lender(self, lender: Lender) -> None:
         """Borrow connections for samples of the primary, as far as they can be had."""
@@ -127,7 +122,7 @@
         """Note that ``instance`` led when it answered what was asked at ``asked_at``."""
         if position is None:
             return
-        if not self._samples.add(asked_at, position, instance):
+        if not self.history.add(asked_at, position, instance):
             return  # it led when it answered, and has been replaced since
         self.belief.note_proof(self._scheduler.time())
         self._sampler.note_connected(instance)
@@ -145,7 +140,7 @@
 
         It lets reads go on; that this gateway does not reach the primary stays true.
         """
-        if self._samples.add(asked_at, position, instance):
+        if self.history.add(asked_at, position, instance):
             self._waiting.serve(self.sample)
 
     def note_begun(self, instance: str, asked_at: float, begun: Answer) -> None:
@@ -178,7 +173,7 @@
 
     def need(self, asked_since: float, give: GiveFloor) -> None:
         """Give a position sampled at ``asked_since`` or later, now or once there is one."""
-        sample = self._samples.oldest_since(asked_since)
+        sample = self.history.oldest_since(asked_since)
         if sample is not None:
             give(sample.position)
             return
