--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -7,8 +7,8 @@
 import enum
 from collections.abc import Callable
 
-from rowanrail.gateway.pools.place_in_line import PlaceInLine
 from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.queued_request import QueuedRequest
 from rowanrail.gateway.services.member_estimates import Wanted
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
@@ -26,8 +26,8 @@
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, Command, CommandKind, StatementKind, TypedStatement
 from rowanrail.model.trace import Trace
-from rowanrail.scheduling.admission import Admit, Cause, judge_arriving
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.admission import Admit, RejectionCause, judge_arriving
+from rowanrail.scheduling.queue import QueueEntry
 from rowanrail.scheduling.returning import return_base
 
 # Reads, writes and commits. A member begins and ends a transaction without a slot, so that the
@@ -63,7 +63,7 @@
         self.pool: MemberPool | None = None
         self.attempts = 0
         self.attempt_timer: Timer | None = None
-        self.place: PlaceInLine | None = None
+        self.queued: QueuedRequest | None = None
         self.floor: Position | None = None  # what a member's log must hold
         self.sent_at = 0.0
         self.stage = Stage.ACCEPTED
@@ -103,7 +103,7 @@
         if self.channel is not None or not trouble:
             return
         tracker.forget(self.floor_callback())
-        self.turn_away(Cause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
+        self.turn_away(RejectionCause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
 
     def floor_callback(self) -> Callable[[Position | None], None] | None:
         """Return what waits for a sample of the primary, if anything does."""
@@ -118,7 +118,7 @@
         """See :meth:`Statement.let_go`."""
         if self.away is not None:
             self.away.finish(answer)  # nothing, if the answer is its own
-        self.leave_line()
+        self.leave_queue()
 
     def hand_over(self, statement: TypedStatement, writes: bool) -> bool:
         """Have a gateway that reaches the primary run a statement of which nothing was sent.
@@ -162,7 +162,7 @@
     def limit_opening(self) -> None:
         """Wait only a short while for the first connection to a member."""
         if (
-            self.place is not None
+            self.queued is not None
             and self.pool is not None
             and not self.pool.connections.established
         ):
@@ -191,8 +191,8 @@
         self.pool.note_silence()
         if self.channel is not None:
             self.channel.close()  # answers as lost what is outstanding, which goes elsewhere
-        elif self.place is not None:
-            self.leave_line()
+        elif self.queued is not None:
+            self.leave_queue()
             self.try_next_member()
 
     def try_next_member(self) -> None:
@@ -205,7 +205,7 @@
         """Ask a pool for a connection."""
 
         def respond(channel: Channel | None, answer: Answer) -> None:
-            self.place = None
+            self.queued = None
             if channel is not None and self.respond is None:
                 pool.release(channel)
                 return
@@ -219,25 +219,25 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
         entry, values = self.entry(), self.session.values
-        self.place = PlaceInLine(pool, entry, values, self.clock, respond, self._leave_hopeless)
-        self.place.start()
+        self.queued = QueuedRequest(pool, entry, values, self.clock, respond, self._leave_hopeless)
+        self.queued.start()
 
-    def leave_line(self) -> None:
+    def leave_queue(self) -> None:
         """Wait no longer for a connection."""
-        place, self.place = self.place, None
-        if place is not None:
-            place.leave()
+        queued, self.queued = self.queued, None
+        if queued is not None:
+            queued.leave()
 
     def _leave_hopeless(self) -> None:
         """Go where there is room, or refuse, as not run, what would be answered too late."""
-        self.place = None
+        self.queued = None
         if self.pool is not None and not self.try_roomier(self.pool):
-            self.refuse_crowded(self.pool, Cause.HOPELESS)
+            self.refuse_crowded(self.pool, RejectionCause.HOPELESS)
 
-    def entry(self) -> Entry:
+    def entry(self) -> QueueEntry:
         """Return how the statement stands among those that want a connection."""
         deadline = self.arrived_at + self.route.timeout_seconds
-        return Entry(
+        return QueueEntry(
             self.route.priority,
             self.tenant,
             self.arrived_at * 1000,
@@ -287,7 +287,9 @@
                 return found
         return None
 
-    def refuse_crowded(self, pool: MemberPool, cause: Cause = Cause.CROWDED) -> None:
+    def refuse_crowded(
+        self, pool: MemberPool, cause: RejectionCause = RejectionCause.CROWDED
+    ) -> None:
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -13,7 +13,7 @@
 
 __all__ = [
     "Admit",
-    "Cause",
+    "RejectionCause",
     "Forecast",
     "Reject",
     "Verdict",
@@ -21,7 +21,7 @@
     "judge_arriving",
     "judge_sending",
     "judge_waiting",
-    "next_look",
+    "next_check",
 ]
 
 # Usual times that must be left of a statement which has waited: nineteen of twenty answers take
@@ -33,14 +33,16 @@
 # Of the time given. A member that is slow for the moment may be faster for the next statement, so
 # that its usual time is held against a statement only when little is left.
 LAST_SHARE = 0.1
-# Of the time left passes between two looks at a statement that waits: eight looks in 800 ms.
-LOOK_SHARE = 0.25
-HOPELESS_LOOKS = 2  # in a row, after which a statement is given up
-LOOK_MS = 50.0  # at the least; a tenth of the strictest objective that callers asked for so far
-SHORTEST_LOOK_MS = 1.0  # so that time passes between two looks
+# Of the time left, between two checks of a statement that waits: eight checks in 800 ms.
+CHECK_SHARE = 0.25
+LATE_CHECKS = 2  # in a row, after which a statement is given up; chosen
+# Milliseconds between two checks at the least, but for the last one: a tenth of the strictest
+# objective that callers asked for so far.
+CHECK_INTERVAL_MS = 50.0
+LEAST_CHECK_INTERVAL_MS = 1.0  # so that time passes between any two checks
 
 
-class Cause(enum.Enum):
+class RejectionCause(enum.Enum):
     """Why a statement was turned away; a bounded set, for logs and metrics."""
 
     CROWDED = "crowded"
@@ -88,13 +90,13 @@
 
     Parameters
     ----------
-    cause : Cause
+    cause : RejectionCause
         For the client, the log and the metrics.
     return_in : float
         Milliseconds after which its client had better come back, not spread yet.
     """
 
-    cause: Cause
+    cause: RejectionCause
     return_in: float
 
 
@@ -126,7 +128,7 @@
     >>> judge_arriving(Forecast(wait=900, run=10), left=800, whole=800)
     Admit()
     >>> judge_arriving(Forecast(wait=1400, run=10), left=800, whole=800)
-    Reject(cause=<Cause.CROWDED: 'crowded'>, return_in=1000.0)
+    Reject(cause=<RejectionCause.CROWDED: 'crowded'>, return_in=1000.0)
 
     Nothing is refused while room is free:
 
@@ -135,7 +137,7 @@
     """
     if forecast.has_room or _may_be_in_time(forecast, left, certain):
         return Admit()
-    return Reject(Cause.CROWDED, return_base(forecast.wait, whole))
+    return Reject(RejectionCause.CROWDED, return_base(forecast.wait, whole))
 
 
 def judge_waiting(
@@ -143,22 +145,22 @@
 ) -> Verdict:
     """Judge a statement that waits for room since a while.
 
-    Its wait is what is left of it: only those count that still stand ahead. Room that comes when
-    its time is as good as over is of no use: it would be sent and left in doubt.
+    Its wait is what is left of it: only those count that are still ahead. Room that comes when it
+    could hardly be answered any more is of no use: it would be sent and left in doubt.
 
     Examples
     --------
     >>> judge_waiting(Forecast(wait=300, run=10), left=200, whole=800)
     Admit()
     >>> judge_waiting(Forecast(wait=400, run=10), left=200, whole=800)
-    Reject(cause=<Cause.HOPELESS: 'hopeless'>, return_in=100.0)
+    Reject(cause=<RejectionCause.HOPELESS: 'hopeless'>, return_in=100.0)
     >>> judge_waiting(Forecast(wait=0, run=20, has_room=True), left=50, whole=800)
-    Reject(cause=<Cause.HOPELESS: 'hopeless'>, return_in=100.0)
+    Reject(cause=<RejectionCause.HOPELESS: 'hopeless'>, return_in=100.0)
     """
     is_nearly_over = left <= _last_moment(forecast.run, whole)
     if not is_nearly_over and (forecast.has_room or _may_be_in_time(forecast, left, certain)):
         return Admit()
-    return Reject(Cause.HOPELESS, return_base(forecast.wait, whole))
+    return Reject(RejectionCause.HOPELESS, return_base(forecast.wait, whole))
 
 
 def judge_sending(told_wait: float, way: float, left: float, whole: float) -> Verdict:
@@ -177,24 +179,24 @@
     Examples
     --------
     >>> judge_sending(told_wait=0, way=80, left=60, whole=800).cause
-    <Cause.WAY_TOO_LONG: 'way-too-long'>
+    <RejectionCause.WAY_TOO_LONG: 'way-too-long'>
     >>> judge_sending(told_wait=800, way=80, left=800, whole=800).cause
-    <Cause.HOLDER_CROWDED: 'holder-crowded'>
+    <RejectionCause.HOLDER_CROWDED: 'holder-crowded'>
     >>> judge_sending(told_wait=0, way=80, left=800, whole=800)
     Admit()
     """
     if left <= way:
-        return Reject(Cause.WAY_TOO_LONG, return_base(told_wait, whole))
+        return Reject(RejectionCause.WAY_TOO_LONG, return_base(told_wait, whole))
     if told_wait + way <= left:
         return Admit()
-    return Reject(Cause.HOLDER_CROWDED, return_base(told_wait, whole))
+    return Reject(RejectionCause.HOLDER_CROWDED, return_base(told_wait, whole))
 
 
 class Watch:
-    """Judges one waiting statement look by look.
+    """Judges one waiting statement again and again.
 
     A forecast jumps for a moment when a member answers slowly or urgent statements come, so that
-    a statement is given up only if two looks in a row found it hopeless, or at the last one.
+    a statement is given up only if two checks in a row found it too late, or at the last one.
 
     Parameters
     ----------
@@ -208,41 +210,41 @@
     ['Admit', 'Admit', 'Admit', 'Reject']
     """
 
-    __slots__ = ("_hopeless_looks", "_whole")
+    __slots__ = ("_late_checks", "_whole")
 
     def __init__(self, whole: float) -> None:
         self._whole = whole
-        self._hopeless_looks = 0
+        self._late_checks = 0
 
     def judge(self, forecast: Forecast, left: float, certain: float) -> Verdict:
         """Judge the statement again; see :func:`judge_waiting`."""
         verdict = judge_waiting(forecast, left, self._whole, certain)
         if isinstance(verdict, Admit):
-            self._hopeless_looks = 0
+            self._late_checks = 0
             return verdict
-        self._hopeless_looks += 1
+        self._late_checks += 1
         is_last = left <= _last_moment(forecast.run, self._whole)
-        return verdict if is_last or self._hopeless_looks >= HOPELESS_LOOKS else Admit()
+        return verdict if is_last or self._late_checks >= LATE_CHECKS else Admit()
 
-    def next_look(self, forecast: Forecast, left: float) -> float:
-        """Return after how many milliseconds it is judged again; see :func:`next_look`."""
-        return next_look(left, forecast.run, self._whole)
+    def next_check(self, forecast: Forecast, left: float) -> float:
+        """Return after how many milliseconds it is judged again; see :func:`next_check`."""
+        return next_check(left, forecast.run, self._whole)
 
 
-def next_look(left: float, run: float, whole: float) -> float:
+def next_check(left: float, run: float, whole: float) -> float:
     """Return after how many milliseconds a waiting statement is judged again.
 
-    The last look comes when its time is as good as over.
+    The last check comes when it could not be answered any more if it were sent later.
 
     Examples
     --------
-    >>> next_look(left=800, run=20, whole=800)
+    >>> next_check(left=800, run=20, whole=800)
     200.0
-    >>> next_look(left=80, run=20, whole=800)
+    >>> next_check(left=80, run=20, whole=800)
     20
     """
     last = left - _last_moment(run, whole)
-    return max(SHORTEST_LOOK_MS, min(max(LOOK_MS, LOOK_SHARE * left), last))
+    return max(LEAST_CHECK_INTERVAL_MS, min(max(CHECK_INTERVAL_MS, CHECK_SHARE * left), last))
 
 
 def _last_moment(run: float, whole: float) -> float:
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -6,7 +6,7 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Refusal
-from rowanrail.scheduling.queue import Entry
+from rowanrail.scheduling.queue import QueueEntry
 from tests.scheduling.member import Caller, Kind, SlottedMember, play
 from tests.support.gateway import ManualClock, PlayedGateway
 
@@ -279,8 +279,8 @@
         self.assertLess(self.clock.time() - began, self.kind.timeout - 0.04)
 
 
-class RestingTransactionTest(unittest.TestCase):
-    """A transaction that rests holds a connection, and none of the places."""
+class IdleTransactionTest(unittest.TestCase):
+    """An idle transaction holds a connection, and none of the places."""
 
     def setUp(self):
         self.shared = SharedMember(holders=1)
@@ -288,10 +288,10 @@
         self.kind = Kind(1, "a", 0.0, WORK)
 
     def test_others_run_in_its_place(self):
-        resting = [Transaction() for _ in range(self.pool.concurrency.value)]
-        for transaction in resting:
+        idle = [Transaction() for _ in range(self.pool.concurrency.value)]
+        for transaction in idle:
             self.pool.connections.leases.begin(transaction.channel)
-            self.pool.note_resting(transaction)
+            self.pool.note_idle(transaction)
         self.assertEqual(self.pool.connections.under_way, 0)
         Caller(self.pool, self.shared.clock, self.kind, WORK)
         self.shared.clock.advance(0.1)
@@ -302,9 +302,9 @@
         leases = self.pool.connections.leases
         leases.begin(transaction.channel)
         usual = leases.seconds
-        self.pool.note_resting(transaction)
+        self.pool.note_idle(transaction)
         self.shared.clock.advance(3.0)
-        self.pool.connections.resting.remove(transaction)
+        self.pool.connections.idle_transactions.remove(transaction)
         leases.end(transaction.channel)
         self.assertLess(leases.seconds, usual)
 
@@ -332,9 +332,9 @@
         for _ in range(100):
             Caller(pool, clock, usual, WORK)
         now = clock.time() * 1000
-        urgent = pool.forecasts.of(Entry(0, "a", now))
-        same = pool.forecasts.of(Entry(2, "a", now))
-        stranger = pool.forecasts.of(Entry(2, "b", now))
+        urgent = pool.forecasts.of(QueueEntry(0, "a", now))
+        same = pool.forecasts.of(QueueEntry(2, "a", now))
+        stranger = pool.forecasts.of(QueueEntry(2, "b", now))
         self.assertLess(urgent.wait, 20.0)
         self.assertLess(stranger.wait, same.wait / 3)
         self.assertFalse(same.has_room)
@@ -345,7 +345,7 @@
 
     def test_an_idle_member_has_room(self):
         pool = SharedMember().pools[0]
-        forecast = pool.forecasts.of(Entry(1, "a", 0.0))
+        forecast = pool.forecasts.of(QueueEntry(1, "a", 0.0))
         self.assertTrue(forecast.has_room)
         self.assertGreater(forecast.wait, 10.0)  # its connection has to be opened
 
