--- /dev/null
+++ b/tests/unit/test_architecture.py
@@ -0,0 +1,55 @@
+"""The page of the whole names only modules, tests, events and files that exist."""
+
+import importlib.util
+import re
+import unittest
+from pathlib import Path
+
+from rowanlab import documents  # noqa: F401 - fills the catalogue of events
+from rowanrail.kernel.events import CATALOGUE
+
+ROOT = Path(__file__).resolve().parents[2]
+TEXT = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
+
+
+def named(pattern):
+    return sorted(set(re.findall(pattern, TEXT)))
+
+
+class ArchitectureTest(unittest.TestCase):
+    def test_its_modules_and_tests_exist(self):
+        modules = named(r"`((?:rowanrail|rowanlab|tests)(?:\.\w+)*)`")
+        self.assertGreater(len(modules), 40)
+        for name in modules:
+            with self.subTest(name):
+                self.assertIsNotNone(importlib.util.find_spec(name))
+
+    def test_its_events_exist(self):
+        for number in named(r"RR(\d{4})"):
+            with self.subTest(number):
+                self.assertIn(int(number), CATALOGUE)
+
+    def test_its_files_and_links_exist(self):
+        paths = [*named(r"`(platform/[\w/]+\.py)"), *(f"docs/{p}" for p in named(r"\]\((\w+\.md)"))]
+        for path in paths:
+            with self.subTest(path):
+                self.assertTrue((ROOT / path).exists())
+
+    def test_its_packages_are_those_of_the_product(self):
+        packages = {
+            path.name
+            for path in (ROOT / "src/rowanrail").iterdir()
+            if (path / "__init__.py").exists()
+        }
+        named_ones = {name.split(".")[1] for name in named(r"`(rowanrail\.\w+)")}
+        self.assertEqual(packages - named_ones, set())
+
+    def test_its_messages_exist(self):
+        sources = "".join(
+            path.read_text() for path in (ROOT / "src/rowanrail").rglob("messages.py")
+        )
+        sources += (ROOT / "src/rowanrail/coordination/commands.py").read_text()
+        for name in ("Run", "Reply", "PutRequest", "PutDocument", "DirectoryRequest"):
+            self.assertIn(f"class {name}(", sources)
+        for name in ("HeartbeatNotice", "GatewayReport", "IntendPromotion", "Readmit"):
+            self.assertIn(f"class {name}(", sources)
