--- a/src/rowanrail/explain/rejections.py
+++ b/src/rowanrail/explain/rejections.py
@@ -38,7 +38,7 @@
             f"when it came about {wait} ms of waiting lay before it and {left} ms were left"
         ),
     ),
-    RejectionCause.HOPELESS.value: RejectionRule(
+    RejectionCause.PAST_DEADLINE.value: RejectionRule(
         f"{_ADMISSION}.judge_waiting",
         lambda wait, run, left, peer: (
             f"while it waited about {wait} ms still lay before it and {left} ms were left"
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -19,7 +19,7 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
 from rowanrail.scheduling.member_weight import Trouble
-from rowanrail.scheduling.queue import QueueEntry, Supply, is_hopeless
+from rowanrail.scheduling.queue import QueueEntry, Supply, is_past_deadline
 
 __all__ = ["MemberPool"]
 
@@ -138,7 +138,7 @@
         pick = self.queue.next(supply, only_samples=is_full)
         if pick is None:
             return False
-        if is_hopeless(pick.item.entry, now, self.forecasts.latency_seconds * 1000):
+        if is_past_deadline(pick.item.entry, now, self.forecasts.latency_seconds * 1000):
             self.queue.expire(pick.item)
             return True
         if pick.needs_opening:
--- a/src/rowanrail/gateway/pools/wait_queue.py
+++ b/src/rowanrail/gateway/pools/wait_queue.py
@@ -33,5 +33,5 @@
 
     def expire_late(self, now: float, run_time: float) -> None:
         """Tell all who could no longer be answered in time; both in milliseconds."""
-        for waiter in self.hopeless(now, run_time):
+        for waiter in self.past_deadline(now, run_time):
             self.expire(waiter)
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -219,7 +219,9 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
         entry, values = self.entry(), self.session.values
-        self.queued = QueuedRequest(pool, entry, values, self.clock, respond, self._leave_hopeless)
+        self.queued = QueuedRequest(
+            pool, entry, values, self.clock, respond, self._leave_past_deadline
+        )
         self.queued.start()
 
     def leave_queue(self) -> None:
@@ -228,11 +230,11 @@
         if queued is not None:
             queued.leave()
 
-    def _leave_hopeless(self) -> None:
+    def _leave_past_deadline(self) -> None:
         """Go where there is room, or refuse, as not run, what would be answered too late."""
         self.queued = None
         if self.pool is not None and not self.try_roomier(self.pool):
-            self.refuse_crowded(self.pool, RejectionCause.HOPELESS)
+            self.refuse_crowded(self.pool, RejectionCause.PAST_DEADLINE)
 
     def entry(self) -> QueueEntry:
         """Return how the statement stands among those that want a connection."""
--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -46,7 +46,7 @@
     """Why a statement was turned away; a bounded set, for logs and metrics."""
 
     CROWDED = "crowded"
-    HOPELESS = "hopeless"
+    PAST_DEADLINE = "hopeless"  # the name that logs and metrics have for it
     HOLDER_CROWDED = "holder-crowded"
     WAY_TOO_LONG = "way-too-long"
     NO_PRIMARY = "no-primary"
@@ -153,14 +153,14 @@
     >>> judge_waiting(Forecast(wait=300, run=10), left=200, whole=800)
     Admit()
     >>> judge_waiting(Forecast(wait=400, run=10), left=200, whole=800)
-    Reject(cause=<RejectionCause.HOPELESS: 'hopeless'>, return_in=100.0)
+    Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, return_in=100.0)
     >>> judge_waiting(Forecast(wait=0, run=20, has_room=True), left=50, whole=800)
-    Reject(cause=<RejectionCause.HOPELESS: 'hopeless'>, return_in=100.0)
+    Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, return_in=100.0)
     """
     is_nearly_over = left <= _last_moment(forecast.run, whole)
     if not is_nearly_over and (forecast.has_room or _may_be_in_time(forecast, left, certain)):
         return Admit()
-    return Reject(RejectionCause.HOPELESS, return_base(forecast.wait, whole))
+    return Reject(RejectionCause.PAST_DEADLINE, return_base(forecast.wait, whole))
 
 
 def judge_sending(told_wait: float, way: float, left: float, whole: float) -> Verdict:
--- a/src/rowanrail/scheduling/entry.py
+++ b/src/rowanrail/scheduling/entry.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from typing import Protocol, TypeVar
 
-__all__ = ["QueueEntry", "Queued", "Waiting", "is_hopeless", "tenant_weight"]
+__all__ = ["QueueEntry", "Queued", "Waiting", "is_past_deadline", "tenant_weight"]
 
 # Of an entry's own time: at most so much is set aside for its run, so that one that has just come
-# is never hopeless, however slow the member was of late.
+# is never past its deadline, however slow the member was of late.
 LONGEST_RUN_SHARE = 0.25
 WEIGHT_STEP = 2.0  # factor between tenants of neighbouring priorities
 LOWEST_WEIGHT = 1 / 16  # a tenant's wait stays bounded, whatever its priority
@@ -51,7 +51,7 @@
     return max(LOWEST_WEIGHT, WEIGHT_STEP**-priority)
 
 
-def is_hopeless(entry: QueueEntry, now: float, run_time: float) -> bool:
+def is_past_deadline(entry: QueueEntry, now: float, run_time: float) -> bool:
     """Return whether an entry's answer would come too late if it were sent now.
 
     Parameters
@@ -65,7 +65,7 @@
     Examples
     --------
     >>> entry = QueueEntry(0, "", arrived=0.0, deadline=800.0)
-    >>> is_hopeless(entry, 700.0, 90.0), is_hopeless(entry, 700.0, 110.0)
+    >>> is_past_deadline(entry, 700.0, 90.0), is_past_deadline(entry, 700.0, 110.0)
     (False, True)
     """
     run_time = min(run_time, LONGEST_RUN_SHARE * (entry.deadline - entry.arrived))
--- a/src/rowanrail/scheduling/queue.py
+++ b/src/rowanrail/scheduling/queue.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Generic
 
-from rowanrail.scheduling.entry import Queued, QueueEntry, Waiting, is_hopeless, tenant_weight
+from rowanrail.scheduling.entry import Queued, QueueEntry, Waiting, is_past_deadline, tenant_weight
 from rowanrail.scheduling.fair_share import FairShare, QueuePosition
 
 __all__ = [
@@ -14,7 +14,7 @@
     "Queued",
     "Supply",
     "WorkQueue",
-    "is_hopeless",
+    "is_past_deadline",
     "tenant_weight",
 ]
 
@@ -237,9 +237,9 @@
 
         return [self._classes[urgency] for urgency in sorted(waiting, key=order)]
 
-    def hopeless(self, now: float, run_time: float = 0.0) -> list[Waiting]:
-        """Return those for whom :func:`is_hopeless` is true."""
-        return [item for item in self if is_hopeless(item.entry, now, run_time)]
+    def past_deadline(self, now: float, run_time: float = 0.0) -> list[Waiting]:
+        """Return those for whom :func:`is_past_deadline` is true."""
+        return [item for item in self if is_past_deadline(item.entry, now, run_time)]
 
     def ahead_of(self, entry: QueueEntry, needs_opening: bool = False) -> float:
         """Return about how many run before an entry that comes now, or waits already.
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -99,19 +99,19 @@
         # An objective of 500 ms is missed, the time of 800 ms is not.
         self.assertEqual(judge_arriving(Forecast(780.0, 10.0), WHOLE, WHOLE), Admit())
 
-    def test_what_was_hopeless_at_a_moment_of_waiting_is_told_then(self):
+    def test_what_was_too_late_at_a_moment_of_waiting_is_told_then(self):
         forecast = Forecast(900.0, RUN)
         self.assertEqual(judge_waiting(forecast, 600.0, WHOLE), Admit())
         verdict = judge_waiting(forecast, 500.0, WHOLE)
         self.assertIsInstance(verdict, Reject)
-        self.assertIs(verdict.cause, RejectionCause.HOPELESS)
+        self.assertIs(verdict.cause, RejectionCause.PAST_DEADLINE)
 
     def test_a_slow_member_is_no_reason_while_much_time_is_left(self):
         slow = Forecast(0.0, 900.0, has_room=True)
         self.assertEqual(judge_waiting(slow, 700.0, WHOLE), Admit())
         self.assertIsInstance(judge_waiting(slow, 75.0, WHOLE), Reject)
 
-    def test_looks_come_before_the_time_is_over_and_never_without_time_between(self):
+    def test_checks_come_before_the_time_is_over_and_never_without_time_between(self):
         left, looks = WHOLE, 0
         while isinstance(judge_waiting(Forecast(0.0, 20.0), left, WHOLE), Admit):
             step = next_check(left, 20.0, WHOLE)
--- a/tests/scheduling/test_queue.py
+++ b/tests/scheduling/test_queue.py
@@ -11,7 +11,7 @@
     QueueEntry,
     Supply,
     WorkQueue,
-    is_hopeless,
+    is_past_deadline,
     tenant_weight,
 )
 
@@ -161,16 +161,16 @@
         self.assertEqual(set(runs[:-1]), {"large"})
 
 
-class HopelessTest(QueueTest):
+class PastDeadlineTest(QueueTest):
     def test_those_whose_answer_would_be_late_are_listed(self):
         self.add("late", 1, deadline=200.0)
         self.add("good", 1, deadline=800.0)
-        late = self.queue.hopeless(now=180.0, run_time=30.0)
+        late = self.queue.past_deadline(now=180.0, run_time=30.0)
         self.assertEqual([statement.name for statement in late], ["late"])
 
-    def test_a_slow_member_does_not_make_a_newcomer_hopeless(self):
+    def test_a_slow_member_does_not_make_a_new_arrival_too_late(self):
         # Else nothing were sent there any more, and nobody learned that it is fast again.
-        self.assertFalse(is_hopeless(QueueEntry(1, "", 0.0, 800.0), now=0.0, run_time=5000.0))
+        self.assertFalse(is_past_deadline(QueueEntry(1, "", 0.0, 800.0), now=0.0, run_time=5000.0))
 
 
 class AheadTest(QueueTest):
--- a/tests/scheduling/test_rushes.py
+++ b/tests/scheduling/test_rushes.py
@@ -66,7 +66,7 @@
         # With times told that are all 0.5 s, and waits to the end, 0.66 of them were.
         self.assertGreater(done_share(self.least), 0.9)
 
-    def test_most_of_what_is_hopeless_is_told_before_half_of_its_time(self):
+    def test_most_of_what_is_too_late_is_told_before_half_of_its_time(self):
         arriving = sum(crowd.refused["arriving"] for crowd in self.least)
         self.assertGreater(arriving, 0.25 * refused(self.least))
 
