--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -194,7 +194,7 @@
     def past_deadline(self, pool: MemberPool) -> None:
         """See :meth:`ConnectedStatement.past_deadline`."""
         if not self.try_roomier(pool):
-            self.reject_crowded(pool, RejectionCause.HOPELESS)
+            self.reject_crowded(pool, RejectionCause.PAST_DEADLINE)
 
     def may_wait_at(self, pool: MemberPool) -> bool:
         """Return whether the statement can still be served at a member."""
