--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -14,7 +14,7 @@
 
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.directory.reports import telling
+from rowanrail.directory.reports import worth_reporting
 from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
@@ -77,7 +77,7 @@
     while _is_busy(frontend, holder) and loop.time() - begun_at < END_SHARE * stop_seconds:
         if loop.time() - begun_at > ABORT_SHARE * stop_seconds:
             gateway.abort_transactions()
-            holder.abort_resting()
+            holder.end_idle_transactions()
             frontend.begin_closing()
         await asyncio.sleep(POLL_SECONDS)
     frontend.close()
@@ -243,7 +243,7 @@
     return GatewayReport(
         settings.name,
         settings.zone,
-        telling(gateway.health()),
+        worth_reporting(gateway.health()),
         relay_address=_relay_address(settings),
         group=settings.sharing_group,
         load=meter.latest,
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -34,7 +34,7 @@
         readings += _primary_gauges(name, service.primary, now)
         for instance, pool in service.pools.items():
             labels = {"service": name, "member": instance}
-            readings += _pool_gauges(labels, pool)
+            readings += _pool_gauges(labels, pool, now)
             readings += _estimate_gauges(labels, instance, service.estimates)
     return readings
 
@@ -46,7 +46,7 @@
     return [("sample_age_seconds", labels, age), ("primary_failing_seconds", labels, failing)]
 
 
-def _pool_gauges(labels: dict[str, str], pool: MemberPool) -> list[Reading]:
+def _pool_gauges(labels: dict[str, str], pool: MemberPool, now_seconds: float) -> list[Reading]:
     connections = pool.connections
     readings: list[Reading] = [
         ("connections", labels, connections.count),
@@ -54,7 +54,7 @@
         ("connections_leased", labels, len(connections.leases)),
         ("concurrency_limit", labels, pool.concurrency.value),
         ("under_way", labels, connections.under_way),
-        ("queue_longest_wait_seconds", labels, pool.longest_wait_seconds),
+        ("queue_longest_wait_seconds", labels, pool.queue.longest_wait_seconds(now_seconds)),
     ]
     for urgency, length in pool.queue.lengths.items():
         readings.append(("queue_length", {**labels, "urgency": str(urgency)}, length))
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -9,8 +9,8 @@
 
 from rowanrail.gateway.pools.connections import Connections
 from rowanrail.gateway.pools.forecasts import MemberForecasts
+from rowanrail.gateway.pools.idle_transactions import IdleTransaction
 from rowanrail.gateway.pools.member_health import MemberHealth
-from rowanrail.gateway.pools.resting import Resting
 from rowanrail.gateway.pools.wait_queue import WaitQueue
 from rowanrail.gateway.pools.waiter import Waiter
 from rowanrail.kernel.clock import Scheduler
@@ -19,7 +19,7 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
 from rowanrail.scheduling.member_weight import Trouble
-from rowanrail.scheduling.queue import Entry, Supply, is_hopeless
+from rowanrail.scheduling.queue import QueueEntry, Supply, is_past_deadline
 
 __all__ = ["MemberPool"]
 
@@ -29,7 +29,7 @@
 
     Of those, only as many are in use at a time as its :class:`ConcurrencyLimit` says, so that
     statements wait here, where urgency and deadline are known, and not at the member. A transaction
-    that rests uses none, and its later statements aren't held back.
+    that is idle uses none, and its later statements aren't held back.
 
     Parameters
     ----------
@@ -69,12 +69,6 @@
         """Number of those who use or wait for a connection."""
         return len(self.connections.leases) + len(self.queue)
 
-    @property
-    def longest_wait_seconds(self) -> float:
-        """For how long the first of those who wait has done so."""
-        oldest = self.queue.oldest
-        return 0.0 if oldest is None else self._scheduler.time() - oldest / 1000
-
     @property
     def is_failing(self) -> bool:
         """Whether connections failed a moment ago."""
@@ -111,7 +105,7 @@
         self._scheduler.call_later(self.connections.opening.seconds, self._start_waiting)
         self._start_waiting()
 
-    def _has_room_for(self, entry: Entry) -> bool:
+    def _has_room_for(self, entry: QueueEntry) -> bool:
         # All reads wait for a sample, so that none of them would run in its place.
         return entry.urgency < 0 or self.connections.under_way < self.concurrency.value
 
@@ -144,7 +138,7 @@
         pick = self.queue.next(supply, only_samples=is_full)
         if pick is None:
             return False
-        if is_hopeless(pick.item.entry, now, self.forecasts.latency_seconds * 1000):
+        if is_past_deadline(pick.item.entry, now, self.forecasts.latency_seconds * 1000):
             self.queue.expire(pick.item)
             return True
         if pick.needs_opening:
@@ -168,11 +162,11 @@
         self.connections.keep(channel)
         self._start_waiting()
 
-    # Transactions that rest
+    # Idle transactions
 
-    def note_resting(self, transaction: Resting) -> None:
+    def note_idle(self, transaction: IdleTransaction) -> None:
         """Note that a transaction holds a connection and does nothing."""
-        self.connections.resting.add(transaction)
+        self.connections.idle_transactions.add(transaction)
         self._start_waiting()
 
     # Opening
@@ -215,7 +209,7 @@
         if refusal is None:
             self.concurrency.note_answer(now, seconds * 1000, self.connections.under_way)
         elif refusal is Refusal.BUSY:
-            self.concurrency.note_turned_away(now, self.connections.under_way)
+            self.concurrency.note_busy(now, self.connections.under_way)
 
     def _note_failure(self) -> None:
         backoff = self.health.note_failure(self._scheduler.time())
@@ -256,7 +250,7 @@
         now = self._scheduler.time()
         self.queue.expire_late(now * 1000, self.forecasts.latency_seconds * 1000)
         if self.connections.is_crowded:
-            self.connections.resting.reclaim(waiter.since for waiter in self.queue)
+            self.connections.idle_transactions.reclaim(waiter.since for waiter in self.queue)
         self.connections.trim(now, is_kept)
 
     def set_limit(self, limit: int) -> None:
@@ -264,10 +258,6 @@
         self.connections.set_limit(limit)
         self._start_waiting()
 
-    def set_sharing(self, holders: int) -> None:
-        """Note how many holders are thought to share the member, and what it announces."""
-        self.concurrency.set_sharing(self.record.slots, holders)
-
     def close(self) -> None:
         """Close everything that is not leased and refuse those who wait."""
         self._closed = True
--- a/src/rowanrail/gateway/pools/wait_queue.py
+++ b/src/rowanrail/gateway/pools/wait_queue.py
@@ -14,6 +14,11 @@
 class WaitQueue(WorkQueue[Waiter]):
     """The wait queue of one pool."""
 
+    def longest_wait_seconds(self, now: float) -> float:
+        """Return for how long the first of those who wait has done so, by steady seconds."""
+        oldest = self.oldest
+        return 0.0 if oldest is None else now - oldest / 1000
+
     def refuse(self, answer: Answer, tenant: str | None = None) -> None:
         """Refuse all who wait, or those who want a connection of one tenant."""
         for waiter in list(self):
@@ -28,5 +33,5 @@
 
     def expire_late(self, now: float, run_time: float) -> None:
         """Tell all who could no longer be answered in time; both in milliseconds."""
-        for waiter in self.hopeless(now, run_time):
+        for waiter in self.past_deadline(now, run_time):
             self.expire(waiter)
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -1,4 +1,9 @@
-"""One statement under way at another gateway: its deadline, its place, its one answer."""
+"""One statement under way at another gateway: its deadline, its holder, its one answer.
+
+Owns the statement's timers and its call on a link. Relies on :mod:`holder_choice` for where it
+goes, on :mod:`remote_admission` for whether it is sent, and on :mod:`forwarding_rules` for what
+follows when no answer comes.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -34,7 +39,7 @@
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
 from rowanrail.placement.hashed import Shard
-from rowanrail.scheduling.admission import Cause, Forecast
+from rowanrail.scheduling.admission import Forecast, RejectionCause
 
 __all__ = ["Forwarded", "ForwardingTerms", "Placement"]
 
@@ -250,7 +255,7 @@
         retry_after = self._work.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
         unknown = Forecast(0.0, 0.0)
         self._rejection = rejection(
-            Cause.NO_PLACE, unknown, self._left, self._route.priority, retry_after
+            RejectionCause.NO_PLACE, unknown, self._left, self._route.priority, retry_after
         )
         self._finish(busy(reason, retry_after))
 
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -1,4 +1,8 @@
-"""What this gateway holds of services' connections: by the plan, and by the hash without one."""
+"""What this gateway holds of services' connections: by the plan, and by the hash without one.
+
+Owns the plan in force and the count of gateways that share. Relies on ``placement`` for the shares,
+on :mod:`neighbours` for who stands in for a holder that is down, and sets services' limits.
+"""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -26,7 +30,7 @@
 
 
 class Holdings:
-    """Tells services how many connections they may open here, and which are kept.
+    """Sets how many connections services may open here, and which are kept.
 
     Parameters
     ----------
@@ -83,7 +87,7 @@
 
     def _is_shared(self, name: str) -> bool:
         service = self._host.services.get(name)
-        return service is not None and service.is_shared
+        return service is not None and service.share.is_shared
 
     def take(self, plan: Plan) -> None:
         """Go by a plan if it is newer than the one in force.
@@ -132,14 +136,14 @@
         self.apply()
 
     def apply(self) -> None:
-        """Tell services what they may open by the plan in force."""
+        """Set what services may open by the plan in force."""
         for service in self._host.services.values():
-            self._tell(service)
+            self._set_allowance(service)
 
     def tick(self, services: Iterable[Service]) -> None:
         """Let time pass: handovers end, and others stand in for holders that are down.
 
-        Only services with connections are looked at: most gateways hold none of most services.
+        Only services with connections are gone through: most gateways hold none of most services.
 
         Parameters
         ----------
@@ -150,16 +154,16 @@
         if was_handing_over and not self._is_handing_over:
             self.apply()
         for service in services:
-            if service.has_connections and (service.is_regional or service.is_planned):
-                self._tell(service)
+            if service.has_connections and (service.share.is_regional or service.share.is_planned):
+                self._set_allowance(service)
 
     def _hands_over(self) -> bool:
         return self._planned is not None and self._planned.is_handing_over
 
-    def _tell(self, service: Service) -> None:
-        name, is_regional = service.spec.name, service.is_regional
+    def _set_allowance(self, service: Service) -> None:
+        name, is_regional = service.spec.name, service.share.is_regional
         allowance = None
-        if self._planned is not None and service.is_shared:
+        if self._planned is not None and service.share.is_shared:
             allowance = self._planned.allowance(name, is_regional)
         service.set_allowance(allowance)
         if service.has_connections and (is_regional or allowance is not None):
@@ -172,10 +176,10 @@
         if self._host.stopping:
             return frozenset()
         name = service.spec.name
-        shards = shards_of(name) if service.is_regional else [Shard(name)]
+        shards = shards_of(name) if service.share.is_regional else [Shard(name)]
         if self._neighbours is None:
             return frozenset(shards)
-        named = service.planned_shards
+        named = service.share.planned_shards
         where_held = self._neighbours.where_held
         here = frozenset(
             p for p in shards if p not in named and isinstance(where_held(p), HeldHere)
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -70,8 +70,8 @@
         Where the gateway stands.
     names : PreparedNames
         Names under which it prepares shapes at members.
-    clock : Scheduler
-        Time and timers.
+    scheduler : Scheduler
+        Time and timers, in seconds: for work on own connections.
     link_outcome : LinkOutcome
         Says what a lost link leaves in doubt.
     remote_admission : RemoteAdmission
@@ -88,7 +88,7 @@
         self,
         locality: Locality,
         names: PreparedNames,
-        clock: Scheduler,
+        scheduler: Scheduler,
         link_outcome: LinkOutcome,
         remote_admission: RemoteAdmission,
         neighbours: Neighbours | None,
@@ -97,7 +97,7 @@
     ) -> None:
         self._locality = locality
         self._names = names
-        self._clock = clock
+        self._scheduler = scheduler
         self._link_outcome = link_outcome
         self._remote_admission = remote_admission
         self._neighbours = neighbours
@@ -106,7 +106,7 @@
 
     def work_for(self, service: Service, tenant: str, local: LocalWork) -> Work:
         """Return the work for a tenant's statements: here, or through a holder's connections."""
-        if self._neighbours is None or not service.is_shared:
+        if self._neighbours is None or not service.share.is_shared:
             return local
         shard = Shard.of(service.spec.name, tenant)
         if isinstance(self._neighbours.where_held(shard), HeldHere):
@@ -119,14 +119,14 @@
         What comes on a detour is sent no further.
         """
         primary_fails = bool(service.primary.failing_since)
-        if is_detour and not detour_may_run(service.is_regional, primary_fails):
+        if is_detour and not detour_may_run(service.share.is_regional, primary_fails):
             return None
         if is_detour or self._detours is None:
-            return LocalWork(service, self._names, self._clock)
+            return LocalWork(service, self._names, self._scheduler)
         return LocalWork(
             service,
             self._names,
-            self._clock,
+            self._scheduler,
             OtherGateways(
                 functools.partial(self._find_detour, service),
                 functools.partial(self._find_remote_holder, service),
@@ -164,11 +164,11 @@
         is_detour: bool = False,
     ) -> ForwardedWork:
         if local is None:
-            local = LocalWork(service, self._names, self._clock)
+            local = LocalWork(service, self._names, self._scheduler)
         return ForwardedWork(
             placement,
             local,
-            Clock(self._clock),
+            Clock(self._scheduler),
             self._link_outcome,
             self._remote_admission,
             is_detour,
--- a/src/rowanrail/gateway/session_values.py
+++ b/src/rowanrail/gateway/session_values.py
@@ -7,7 +7,7 @@
 from rowanrail.members.channel import Channel
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Command, CommandKind, StatementKind, TypedStatement
-from rowanrail.tenants.model import Identity
+from rowanrail.tenants.model import ClientIdentity
 
 
 class SessionValues:
@@ -20,7 +20,7 @@
 
     __slots__ = ("floors", "identity", "is_retrying", "prepared", "rejections", "values")
 
-    def __init__(self, identity: Identity = Identity()) -> None:  # noqa: B008 - it is frozen
+    def __init__(self, identity: ClientIdentity = ClientIdentity()) -> None:  # noqa: B008 - it is frozen
         self.identity = identity
         self.values: dict[str, str] = {}
         self.prepared: dict[str, tuple[bool, str]] = {}
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -8,8 +8,8 @@
 import enum
 from collections.abc import Callable
 
-from rowanrail.gateway.pools.place_in_line import PlaceInLine
 from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.gateway.pools.queued_request import QueuedRequest
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.attempts import OPEN_ATTEMPT_SECONDS, answer_limit_seconds
@@ -18,7 +18,7 @@
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, Command, CommandKind
-from rowanrail.scheduling.entry import Entry
+from rowanrail.scheduling.entry import QueueEntry
 
 __all__ = ["ConnectedStatement", "Stage"]
 
@@ -50,12 +50,12 @@
         self.pool: MemberPool | None = None  # of that member
         self.channel: Channel | None = None
         self.sent_at = 0.0
-        self._queued: PlaceInLine | None = None
+        self._queued: QueuedRequest | None = None
         self._attempt_timer: Timer | None = None
 
     # What differs between kinds of work
 
-    def entry(self) -> Entry:
+    def entry(self) -> QueueEntry:
         """Return how the statement stands among those that want a connection."""
         raise NotImplementedError
 
@@ -125,7 +125,7 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
         entry, values = self.entry(), self.session.values
-        self._queued = PlaceInLine(pool, entry, values, self.clock, respond, self._expired)
+        self._queued = QueuedRequest(pool, entry, values, self.clock, respond, self._expired)
         self._queued.start()
 
     def _expired(self) -> None:
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -28,8 +28,8 @@
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
-from rowanrail.scheduling.admission import Admit, Cause, judge_arriving
-from rowanrail.scheduling.entry import Entry
+from rowanrail.scheduling.admission import Admit, RejectionCause, judge_arriving
+from rowanrail.scheduling.entry import QueueEntry
 from rowanrail.scheduling.returning import return_base
 
 
@@ -93,7 +93,7 @@
         if self.channel is not None or not trouble:
             return
         tracker.forget(self.floor_callback())
-        self.reject(Cause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
+        self.reject(RejectionCause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
 
     def floor_callback(self) -> Callable[[Position | None], None] | None:
         """Return what waits for a sample of the primary, if anything does."""
@@ -179,10 +179,10 @@
 
     # Admission
 
-    def entry(self) -> Entry:
+    def entry(self) -> QueueEntry:
         """See :meth:`ConnectedStatement.entry`."""
         deadline = self.arrived_at + self.route.timeout_seconds
-        return Entry(
+        return QueueEntry(
             self.route.priority,
             self.tenant,
             self.arrived_at * 1000,
@@ -194,7 +194,7 @@
     def past_deadline(self, pool: MemberPool) -> None:
         """See :meth:`ConnectedStatement.past_deadline`."""
         if not self.try_roomier(pool):
-            self.reject_crowded(pool, Cause.HOPELESS)
+            self.reject_crowded(pool, RejectionCause.PAST_DEADLINE)
 
     def may_wait_at(self, pool: MemberPool) -> bool:
         """Return whether the statement can still be served at a member."""
@@ -235,7 +235,9 @@
                 return found
         return None
 
-    def reject_crowded(self, pool: MemberPool, cause: Cause = Cause.CROWDED) -> None:
+    def reject_crowded(
+        self, pool: MemberPool, cause: RejectionCause = RejectionCause.CROWDED
+    ) -> None:
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
--- a/tests/scheduling/test_queue.py
+++ b/tests/scheduling/test_queue.py
@@ -8,10 +8,10 @@
     REUSES_BETWEEN,
     TURNS_BETWEEN,
     URGENT_REUSES_BETWEEN,
-    Entry,
+    QueueEntry,
     Supply,
     WorkQueue,
-    is_hopeless,
+    is_past_deadline,
     tenant_weight,
 )
 
@@ -19,7 +19,7 @@
 
 
 class Statement:
-    def __init__(self, name: str, entry: Entry) -> None:
+    def __init__(self, name: str, entry: QueueEntry) -> None:
         self.name, self.entry = name, entry
 
 
@@ -28,7 +28,7 @@
         self.queue = WorkQueue()
 
     def add(self, name, urgency, tenant="", deadline=800.0, **fields):
-        self.queue.add(Statement(name, Entry(urgency, tenant, 0.0, deadline, **fields)), 0.0)
+        self.queue.add(Statement(name, QueueEntry(urgency, tenant, 0.0, deadline, **fields)), 0.0)
 
     def add_each(self, number, name, *entry, **fields):
         for _ in range(number):
@@ -161,23 +161,23 @@
         self.assertEqual(set(runs[:-1]), {"large"})
 
 
-class HopelessTest(QueueTest):
+class PastDeadlineTest(QueueTest):
     def test_those_whose_answer_would_be_late_are_listed(self):
         self.add("late", 1, deadline=200.0)
         self.add("good", 1, deadline=800.0)
-        late = self.queue.hopeless(now=180.0, run_time=30.0)
+        late = self.queue.past_deadline(now=180.0, run_time=30.0)
         self.assertEqual([statement.name for statement in late], ["late"])
 
-    def test_a_slow_member_does_not_make_a_newcomer_hopeless(self):
+    def test_a_slow_member_does_not_make_a_new_arrival_too_late(self):
         # Else nothing were sent there any more, and nobody learned that it is fast again.
-        self.assertFalse(is_hopeless(Entry(1, "", 0.0, 800.0), now=0.0, run_time=5000.0))
+        self.assertFalse(is_past_deadline(QueueEntry(1, "", 0.0, 800.0), now=0.0, run_time=5000.0))
 
 
 class AheadTest(QueueTest):
     """What a newcomer is told must be the order in which the queue runs."""
 
     def runs_before(self, urgency, tenant, **fields):
-        told = self.queue.ahead_of(Entry(urgency, tenant, 0.0, 800.0, **fields))
+        told = self.queue.ahead_of(QueueEntry(urgency, tenant, 0.0, 800.0, **fields))
         self.add("it", urgency, tenant, **fields)
         before = 0
         while self.run_next() != "it":
@@ -206,7 +206,7 @@
         for _ in range(60):
             self.add("urgent", 0)
             self.run_next()
-        told = self.queue.ahead_of(Entry(2, "", 0.0, 800.0))
+        told = self.queue.ahead_of(QueueEntry(2, "", 0.0, 800.0))
         self.assertGreater(told, 2 * len(self.queue))
         self.add("it", 2)
         before = 0
