--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.metrics import Reading
 from rowanrail.members.primary import PrimaryTracker
 
-NEVER = -1.0
+NO_AGE_SECONDS = -1.0  # shown where nothing was heard yet
 SHOWN_TENANTS = 100  # of a gateway; bounds its metrics where there are thousands
 
 
@@ -41,7 +41,7 @@
 
 def _primary_gauges(service: str, tracker: PrimaryTracker, now_seconds: float) -> list[Reading]:
     labels = {"service": service}
-    age = now_seconds - tracker.sample.asked_at if tracker.sample else NEVER
+    age = now_seconds - tracker.sample.asked_at if tracker.sample else NO_AGE_SECONDS
     failing = now_seconds - tracker.failing_since if tracker.failing_since else 0.0
     return [("sample_age_seconds", labels, age), ("primary_failing_seconds", labels, failing)]
 
@@ -105,7 +105,7 @@
 
 
 def _seconds(age: float | None) -> float:
-    return NEVER if age is None else age / 1000
+    return NO_AGE_SECONDS if age is None else age / 1000
 
 
 def relay_gauges(neighbours: Neighbours, holder: Holder, detours: Detours) -> list[Reading]:
--- a/src/rowanrail/gateway/work/attempts.py
+++ b/src/rowanrail/gateway/work/attempts.py
@@ -21,7 +21,7 @@
     "READ_ATTEMPT_LATENCIES",
     "READ_ATTEMPT_SHARE",
     "ReadStep",
-    "RETRY_SECONDS",
+    "MEMBER_RETRY_SECONDS",
     "Sent",
     "WriteStep",
     "answer_limit_seconds",
@@ -58,7 +58,7 @@
 # 20, 40 and 60 ms, when slots have come free.
 BUSY_RETRIES = 3
 # Seconds between two tries of what could not run: about a round trip inside a region.
-RETRY_SECONDS = 0.02
+MEMBER_RETRY_SECONDS = 0.02
 
 
 class ReadStep(enum.Enum):
@@ -214,7 +214,7 @@
 
 def busy_pause_seconds(retries: int) -> float:
     """Return how long to wait before the given retry (1 for the first) of a busy statement."""
-    return RETRY_SECONDS * retries
+    return MEMBER_RETRY_SECONDS * retries
 
 
 def unanswered(sent: Sent) -> Refusal:
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -6,7 +6,7 @@
 :mod:`rowanrail.scheduling.returning` for the spreading of retries.
 """
 
-from rowanrail.gateway.work.attempts import RETRY_SECONDS
+from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause
@@ -64,7 +64,7 @@
 
 def may_defer(now_seconds: float, defer_until_seconds: float) -> bool:
     """Return whether there is time for another try, a retry interval from now."""
-    return now_seconds + RETRY_SECONDS <= defer_until_seconds
+    return now_seconds + MEMBER_RETRY_SECONDS <= defer_until_seconds
 
 
 def primary_trouble(failing_since_seconds: float, is_crowded: bool) -> str:
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -11,7 +11,7 @@
 
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work.attempts import RETRY_SECONDS
+from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
 from rowanrail.gateway.work.refusals import (
     busy,
     defer_seconds,
@@ -30,7 +30,7 @@
 
 __all__ = ["Statement"]
 
-UNKNOWN = Forecast(0.0, 0.0)  # of no member
+NO_FORECAST = Forecast(0.0, 0.0)  # of no member
 
 
 class Statement:
@@ -117,7 +117,7 @@
             if self.respond is not None:
                 function()
 
-        self.clock.call_later(RETRY_SECONDS, again)
+        self.clock.call_later(MEMBER_RETRY_SECONDS, again)
 
     def refuse_unplaced(self, answer: Answer) -> None:
         """Refuse what no member took; as busy it is rejected, with its Retry-After."""
@@ -130,7 +130,11 @@
             self.reject(verdict.cause, answer.message, verdict.return_in)
 
     def reject(
-        self, cause: RejectionCause, reason: str, base: float = 0.0, forecast: Forecast = UNKNOWN
+        self,
+        cause: RejectionCause,
+        reason: str,
+        base: float = 0.0,
+        forecast: Forecast = NO_FORECAST,
     ) -> None:
         """Refuse, as not run, and tell the client when to retry, one after the other.
 
