--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -43,7 +43,7 @@
 from rowanrail.members.primary_health import health_of
 from rowanrail.members.samples import PositionSample
 from rowanrail.model.members import PrimaryHealth
-from rowanrail.model.routing import Route, RoutingConfiguration
+from rowanrail.model.routing import Route, RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.load import ServiceLoad
@@ -187,22 +187,7 @@
         if known is not None and configuration.version < known.version + (not corrects):
             return False
         self.configuration = configuration
-        for name in list(self.services):
-            if name not in configuration.services:
-                self.services.pop(name).close()
-        for name, spec in configuration.services.items():
-            service = self.services.get(name)
-            if service is not None:
-                service.set_spec(spec)
-                continue
-            service = Service(spec, self._locality, self._driver, self.clock, self._policies)
-            service.primary.on_alarm = functools.partial(self._note_primary, service)
-            service.primary.on_trouble = functools.partial(self._router.ask_for_samples, service)
-            told = functools.partial(note_weight, self._decisions, service)
-            service.estimates.weights.on_change = told
-            service.set_population(self._known.population)
-            service.set_members(self._known.members(name))
-            self.services[name] = service
+        self._set_services(configuration)
         for service in self.services.values():
             service.set_tenants(configuration.tenants or Tenants())
         self.holdings.apply()
@@ -216,6 +201,27 @@
         )
         return True
 
+    def _set_services(self, configuration: RoutingConfiguration) -> None:
+        for name in list(self.services):
+            if name not in configuration.services:
+                self.services.pop(name).close()
+        for name, spec in configuration.services.items():
+            service = self.services.get(name)
+            if service is not None:
+                service.set_spec(spec)
+            else:
+                self.services[name] = self._new_service(name, spec)
+
+    def _new_service(self, name: str, spec: ServiceSpec) -> Service:
+        service = Service(spec, self._locality, self._driver, self.clock, self._policies)
+        service.primary.on_alarm = functools.partial(self._note_primary, service)
+        service.primary.on_trouble = functools.partial(self._router.ask_for_samples, service)
+        note = functools.partial(note_weight, self._decisions, service)
+        service.estimates.weights.on_change = note
+        service.set_population(self._known.population)
+        service.set_members(self._known.members(name))
+        return service
+
     def when_configured(self, proceed: Callable[[], None]) -> None:
         """Call ``proceed`` once there is a configuration, or after a while without one."""
         if self.configuration is not None:
