--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -24,6 +24,7 @@
 )
 from rowanrail.gateway.gateway import Gateway, Peers
 from rowanrail.gateway.gauges import directory_gauges, gauges, relay_gauges, tenant_gauges
+from rowanrail.gateway.planned_stop import plan_stop
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.load_meter import LoadMeter
 from rowanrail.gateway.relay.metering import Metering
@@ -43,11 +44,6 @@
 from rowanrail.tenants.terms import QuotaTerms
 
 READY_PATH = "/ready"
-LEAVE_SHARE = 0.37  # of the time to stop: until then clients still come, not knowing better
-ABORT_SHARE = 0.5  # of the time to stop: how long open transactions may go on
-END_SHARE = 0.75  # of the time to stop: when statements that still run are cut
-POLL_SECONDS = 0.05  # between checks of what still runs during a planned stop
-
 ReloadSettings = Callable[[], GatewaySettings | None]
 
 
@@ -64,30 +60,6 @@
         return HttpResponse(200 if self._gateway.is_ready else 503)
 
 
-async def plan_stop(
-    gateway: Gateway, frontend: Frontend, holder: Holder, stop_seconds: float
-) -> None:
-    """Stop as planned: unwelcome first, then sessions at rest, then transactions, then all."""
-    loop = asyncio.get_running_loop()
-    begun_at = loop.time()
-    gateway.stopping = True
-    holder.leave()
-    await asyncio.sleep(LEAVE_SHARE * stop_seconds)
-    frontend.begin_closing()
-    while _is_busy(frontend, holder) and loop.time() - begun_at < END_SHARE * stop_seconds:
-        if loop.time() - begun_at > ABORT_SHARE * stop_seconds:
-            gateway.abort_transactions()
-            holder.end_idle_transactions()
-            frontend.begin_closing()
-        await asyncio.sleep(POLL_SECONDS)
-    frontend.close()
-    gateway.close()
-
-
-def _is_busy(frontend: Frontend, holder: Holder) -> bool:
-    return bool(frontend.busy_sessions() or holder.running or holder.open_transactions)
-
-
 @dataclass(frozen=True, slots=True)
 class GatewayParts:
     """What one gateway process consists of.
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -29,6 +29,7 @@
     "rowanrail.members.primary_belief",
     "rowanrail.members.sampling_rules",
     "rowanrail.members.samples",
+    "rowanrail.gateway.planned_stop",
     "rowanrail.gateway.work.attempts",
     "rowanrail.gateway.work.refusals",
     "rowanrail.placement.hashed",
