--- a/src/rowanrail/directory/digests.py
+++ b/src/rowanrail/directory/digests.py
@@ -15,10 +15,10 @@
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
-__all__ = ["DIGEST_BYTES", "Digest", "RecordKind", "digest_bytes", "record_hash"]
+__all__ = ["DIRECTORY_DIGEST_BYTES", "Digest", "RecordKind", "digest_bytes", "record_hash"]
 
-DIGEST_BYTES = 16  # two different directories agree by chance once in 2**128
-_MODULUS = 1 << (8 * DIGEST_BYTES)
+DIRECTORY_DIGEST_BYTES = 16  # two different directories agree by chance once in 2**128
+_MODULUS = 1 << (8 * DIRECTORY_DIGEST_BYTES)
 
 _encoder = msgspec.msgpack.Encoder()
 
@@ -34,7 +34,7 @@
 def record_hash(kind: RecordKind, record: MemberRecord | GatewayRecord) -> int:
     """Return the number by which a record counts in a digest."""
     data = _encoder.encode(record)
-    hashed = hashlib.blake2b(data, digest_size=DIGEST_BYTES, person=kind.value)
+    hashed = hashlib.blake2b(data, digest_size=DIRECTORY_DIGEST_BYTES, person=kind.value)
     return int.from_bytes(hashed.digest(), "big")
 
 
@@ -85,4 +85,4 @@
 
 def digest_bytes(*sums: int) -> bytes:
     """Return the digest of several sums together, as it is sent."""
-    return (sum(sums) % _MODULUS).to_bytes(DIGEST_BYTES, "big")
+    return (sum(sums) % _MODULUS).to_bytes(DIRECTORY_DIGEST_BYTES, "big")
--- a/src/rowanrail/gateway/discovery/known_directory.py
+++ b/src/rowanrail/gateway/discovery/known_directory.py
@@ -1,6 +1,6 @@
 """The directory in force at a gateway: hands on what has changed, and nothing else.
 
-Owns the directory in force and the members by service. Relies on :mod:`directory`; tells services,
+Owns the directory in force and the members by service. Relies on :mod:`directory`; hands services,
 neighbours and detours what is new to them.
 """
 
--- a/src/rowanrail/gateway/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -74,7 +74,7 @@
         self._set_known()
 
     def _set_known(self) -> None:
-        """Know both kinds of gateways; the directory's word on an address goes first."""
+        """Know both kinds of gateways; where both name an address the directory's counts."""
         named = [Neighbour(name, address) for name, address in self._addresses.items()]
         self._keeper.set_neighbours(n for n in [*named, *self._listed] if n.name != self._name)
 
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -19,7 +19,7 @@
     PlaceLater,
     PlaceNow,
     Refuse,
-    Reject,
+    RejectNotRun,
     Verdict,
     may_be_kept,
     without_holder,
@@ -68,7 +68,7 @@
     clock : Clock
         Time and timers.
     link_outcome : LinkOutcome
-        Says what a lost link leaves in doubt.
+        Says what may be promised when a link is lost.
     remote_admission : RemoteAdmission
         Rejects what the holders would reject.
     is_detour : bool
@@ -234,7 +234,7 @@
                 self._place()
             case PlaceLater():
                 self._wait_for_holder(reason)
-            case Reject():
+            case RejectNotRun():
                 self._reject(reason)
             case Refuse(refusal=refusal):
                 self._finish(Answer(refusal=refusal, message=reason))
@@ -247,7 +247,7 @@
         match without_holder(self._work.clock.now, self._began, objective):
             case PlaceLater():
                 self._retry = self._work.clock.call_in(PLACE_RETRY_MS, self._place)
-            case Reject():
+            case RejectNotRun():
                 self._reject(reason)
 
     def _reject(self, reason: str) -> None:
--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -22,7 +22,7 @@
     "PlaceLater",
     "PlaceNow",
     "Refuse",
-    "Reject",
+    "RejectNotRun",
     "Verdict",
     "after_loss",
     "after_not_served",
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reject:
+class RejectNotRun:
     """Answer that nothing ran, and after how long to retry."""
 
 
@@ -66,7 +66,7 @@
     may_be_kept: bool
 
 
-Verdict = PlaceNow | PlaceLater | Reject | Refuse | LostAtHolder
+Verdict = PlaceNow | PlaceLater | RejectNotRun | Refuse | LostAtHolder
 
 
 def may_be_kept(sent: Sent) -> bool:
@@ -109,7 +109,7 @@
     return PlaceNow() if sent is Sent.READ else LostAtHolder(may_be_kept(sent))
 
 
-def after_timeout(sent: Sent, is_owed: bool) -> Reject | Refuse | LostAtHolder:
+def after_timeout(sent: Sent, is_owed: bool) -> RejectNotRun | Refuse | LostAtHolder:
     """Return what follows at the end of a statement's time.
 
     Parameters
@@ -125,7 +125,7 @@
     Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
     """
     if not is_owed:
-        return Reject()
+        return RejectNotRun()
     match sent:
         case Sent.READ | Sent.WRITE:
             return Refuse(unanswered(sent))
@@ -133,7 +133,7 @@
             return LostAtHolder(may_be_kept(sent))
 
 
-def without_holder(now: float, began: float, objective: float) -> PlaceLater | Reject:
+def without_holder(now: float, began: float, objective: float) -> PlaceLater | RejectNotRun:
     """Return what follows while no gateway is known to run a statement.
 
     It waits for one as long as a new primary would be waited for, so that a holder that is
@@ -149,8 +149,8 @@
     Examples
     --------
     >>> without_holder(1100.0, 1000.0, objective=200.0), without_holder(1131.0, 1000.0, 200.0)
-    (PlaceLater(), Reject())
+    (PlaceLater(), RejectNotRun())
     """
     if now + PLACE_RETRY_MS > began + DEFER_SHARE * objective:
-        return Reject()
+        return RejectNotRun()
     return PlaceLater()
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -205,7 +205,7 @@
             Gets the outcome once.
         keeps_nothing : bool
             Whether nothing is kept of it, whether it runs or not. Then it is lost as soon as the
-            neighbour is suspected; anything else is in doubt only when the neighbour is gone.
+            neighbour is suspected; the outcome of anything else is unknown only when it is lost.
         """
         if self._port is None or self._state is LinkState.DOWN:
             settle(NotRun("the link is closed"))
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -27,7 +27,7 @@
 __all__ = ["Metering"]
 
 # Between checks for a burst, which is reported before its turn. A burst of four times a limit fills
-# what is tolerated beyond it in 0.3 s; two regions hear of it after two checks and 40 ms.
+# what is tolerated beyond it in 0.3 s; two regions learn of it after two checks and 40 ms.
 BURST_CHECK_MS = 75.0
 LIFE_BYTES = 4  # two lives of a gateway within 8 s are alike once in 4e9
 
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -246,8 +246,8 @@
             book.note_gateway(message.sender, message.report)
         fleet = book.fleet()
         asked = message.report.tenants
-        told = {tenant: total for tenant, total in fleet.tenants.items() if tenant in asked}
-        self.send(DemandCounted(message.call, Report(told, fleet.gateways, fleet.unknown)))
+        named = {tenant: total for tenant, total in fleet.tenants.items() if tenant in asked}
+        self.send(DemandCounted(message.call, Report(named, fleet.gateways, fleet.unknown)))
 
     # Single statements
 
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -43,7 +43,7 @@
 
     Where regions share, every region opens a few connections to each member, so that the sender of
     a detour may reach a primary that this gateway does not. Elsewhere this gateway is the only one
-    of its zone that has any, and its own may come back in time.
+    of its zone that has any, and its own may reach the primary again in time.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
     scheduler : Scheduler
         Time and timers, in seconds: for work on own connections.
     link_outcome : LinkOutcome
-        Says what a lost link leaves in doubt.
+        Says what may be promised when a link is lost.
     remote_admission : RemoteAdmission
         Rejects what other holders would reject.
     neighbours : Neighbours or None
--- a/src/rowanrail/rpc/tcp.py
+++ b/src/rowanrail/rpc/tcp.py
@@ -25,7 +25,7 @@
 from rowanrail.rpc.network import Handler, Listener, Network
 
 # TCP sends an opening packet that was lost again only after a second; a new attempt is sooner.
-CONNECT_TIMEOUT_SECONDS = 0.3
+RPC_CONNECT_SECONDS = 0.3
 # Chosen: unsent bytes beyond which notices to a peer that does not read are dropped.
 NOTICE_BACKLOG_BYTES = 8 * 1024 * 1024
 _LENGTH = struct.Struct("<I")
@@ -253,7 +253,7 @@
 
     async def _open(self, address: str) -> _Connection:
         host, port = split_address(address)
-        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
+        async with asyncio.timeout(RPC_CONNECT_SECONDS):
             reader, writer = await asyncio.open_connection(host, port)
         limit_silence(writer.transport)
         connection = _Connection(reader, writer)
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -8,7 +8,7 @@
     PlaceLater,
     PlaceNow,
     Refuse,
-    Reject,
+    RejectNotRun,
     after_loss,
     after_not_served,
     after_timeout,
@@ -40,7 +40,7 @@
 class TimeoutTest(unittest.TestCase):
     def test_what_no_holder_has_is_rejected_as_not_run(self):
         for sent in Sent:
-            self.assertEqual(after_timeout(sent, is_owed=False), Reject())
+            self.assertEqual(after_timeout(sent, is_owed=False), RejectNotRun())
 
     def test_what_a_holder_has_is_promised_nothing_that_is_not_certain(self):
         for sent, verdict in (
@@ -57,4 +57,4 @@
     def test_it_waits_while_the_next_try_is_within_its_share_of_the_objective(self):
         last = 1000.0 + 700.0 - PLACE_RETRY_MS
         self.assertEqual(without_holder(last, 1000.0, 1000.0), PlaceLater())
-        self.assertEqual(without_holder(last + 1, 1000.0, 1000.0), Reject())
+        self.assertEqual(without_holder(last + 1, 1000.0, 1000.0), RejectNotRun())
