--- a/src/rowanrail/gateway/relay/load_meter.py
+++ b/src/rowanrail/gateway/relay/load_meter.py
@@ -18,8 +18,8 @@
 # has it; a span that is reported twice counts once.
 REPORTED_MS = 1400.0
 LOOP_CHECK_MS = 500.0  # chosen: between checks of the loop and the links, ten in a span
-# Average lag of the loop. A statement passes a holder's loop four times: that is a fifth of a second,
-# of the half within which the most urgent ones are to be answered.
+# Average lag of the loop. A statement passes a holder's loop four times: that is a fifth of a
+# second, of the half within which the most urgent ones are to be answered.
 SLOW_LAG_MS = 50.0
 CHOKED_SHARE = 0.5  # chosen: of the checks of a span at which bytes waited for a link
 MOST_SHARDS = 8  # that are reported, about 150 bytes; the others are small ones
