--- a/src/rowanrail/scheduling/planner.py
+++ b/src/rowanrail/scheduling/planner.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 
 from rowanrail.scheduling.demand import GroupDemand
-from rowanrail.scheduling.group_draft import Change, GatewayLoad, GroupDraft
-from rowanrail.scheduling.plan import Cause, Holding, Plan, ShardPlan
+from rowanrail.scheduling.group_draft import GatewayLoad, GroupDraft, HolderChange
+from rowanrail.scheduling.plan import Holding, Plan, PlanCause, ShardPlan
 
 __all__ = ["Layout", "Proposal", "SharesChange", "propose", "shares_by_demand"]
 
 # Of a member's connections that are divided evenly, whatever the demand: clients that come to a
 # group all at once have to be served there until the plan follows them.
-EVEN_SHARE = 0.5
+EVEN_CONNECTION_SHARE = 0.5
 SHORT_FACTOR = 1.25  # shares change if one should be larger by so much: one connection in four
 SHARE_DIGITS = 4  # of a share, on the wire
 # By which the shares of one member's connections may miss one: above what rounding leaves, below
@@ -94,7 +94,7 @@
     """
 
     plan: Plan | None = None
-    changes: list[Change] = field(default_factory=list)
+    changes: list[HolderChange] = field(default_factory=list)
     shares: list[SharesChange] = field(default_factory=list)
 
 
@@ -112,8 +112,11 @@
     even = 1 / len(rates)
     if not total:
         return dict.fromkeys(rates, even)
-    by_demand = 1 - EVEN_SHARE
-    return {shard: EVEN_SHARE * even + by_demand * rate / total for shard, rate in rates.items()}
+    by_demand = 1 - EVEN_CONNECTION_SHARE
+    return {
+        shard: EVEN_CONNECTION_SHARE * even + by_demand * rate / total
+        for shard, rate in rates.items()
+    }
 
 
 def _most_holders(demand: Mapping[str, GroupDemand], layout: Layout) -> dict[_ShardOf, int]:
@@ -298,10 +301,10 @@
             [Holding(name, each) for name in holders], self._cause(shard), draft.is_split(key)
         )
 
-    def _cause(self, shard: _ShardOf) -> Cause:
+    def _cause(self, shard: _ShardOf) -> PlanCause:
         """Return why a shard has the holders that it gets: the last change of them."""
         for change in self._drafts[shard[0]].changes:
             if change.key == shard[1]:
                 return change.cause
         planned = self._current.shard(*shard)
-        return Cause.HASH if planned is None else planned.cause
+        return PlanCause.HASH if planned is None else planned.cause
