--- a/src/rowanrail/coordination/service.py
+++ b/src/rowanrail/coordination/service.py
@@ -38,7 +38,7 @@
     DirectoryReply,
     DirectoryRequest,
     GatewayReport,
-    HeldRequest,
+    LoggedDirectoryRequest,
 )
 from rowanrail.kernel.errors import RowanrailError, TransportError
 from rowanrail.model.members import MemberRecord
@@ -73,7 +73,7 @@
             RemoveRequest: self._remove,
             BarrierRequest: self._barrier,
             JoinRequest: self._join,
-            HeldRequest: self._watches.tell_held,
+            LoggedDirectoryRequest: self._watches.answer_logged_directory,
         }
 
     @staticmethod
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -19,8 +19,8 @@
     WHOLE,
     DirectoryReply,
     DirectoryRequest,
-    HeldReply,
-    HeldRequest,
+    LoggedDirectoryReply,
+    LoggedDirectoryRequest,
     controls_mark,
 )
 from rowanrail.kernel.clock import Clock, Timer
@@ -101,7 +101,7 @@
 
     async def answer(self, request: DirectoryRequest) -> DirectoryReply:
         """Tell what is newer than a gateway knows, at the latest when its hold is over."""
-        deadline = self._now() + min(request.hold_seconds, MAXIMUM_HOLD_SECONDS)
+        deadline = self._now() + min(request.wait_seconds, MAXIMUM_HOLD_SECONDS)
         while not self._may_answer(request):
             changed = self._changed
             try:
@@ -111,9 +111,9 @@
                 break
         return self._directory(request)
 
-    async def tell_held(self, request: msgspec.Struct) -> msgspec.Struct:
+    async def answer_logged_directory(self, request: msgspec.Struct) -> msgspec.Struct:
         """Tell what the log holds; see :mod:`rowanrail.gateway.discovery.provisional`."""
-        assert isinstance(request, HeldRequest)
+        assert isinstance(request, LoggedDirectoryRequest)
         self._node.check_failure("tell what is held")  # the log in memory is not what is on disk
         log = self._node.raft.log
         state = self._replay.state_of(log)
@@ -123,7 +123,7 @@
             directory = self._plain(state, True, self._held_parts.packed(request.group, WHOLE))
         else:
             directory = self._with_all(self._plain(state, True), state, request.group, True)
-        return HeldReply(
+        return LoggedDirectoryReply(
             self._node.raft.node,
             log.last_term,
             log.last_index,
--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and control nodes: reports, long polls for the directory, held logs.
+"""Messages between gateways and control nodes: reports, polls of the directory, what logs hold.
 
 Structs that are sent as arrays may have their fields renamed, not reordered; ``GatewayRecord`` is
 sent with its field names. The tag of a message is the string at its class.
@@ -84,7 +84,7 @@
 
 @message("DirectoryRequest")
 class DirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask for what is newer than the gateway knows; the answer waits for it up to ``hold_seconds``.
+    """Ask for what is newer than the gateway knows; the answer waits for it up to ``wait_seconds``.
 
     :param takes_parts: whether the gateway understands ``part`` of the reply.
     :param wants_whole: whether it needs the whole directory, of its revision or a later one.
@@ -95,7 +95,7 @@
     report: GatewayReport
     known_version: int
     known_revision: int
-    hold_seconds: float
+    wait_seconds: float
     takes_parts: bool = False
     wants_whole: bool = False
     known_controls: int = 0
@@ -140,7 +140,7 @@
 
 
 @message("HeldRequest")
-class HeldRequest(msgspec.Struct, frozen=True, array_like=True):
+class LoggedDirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask, for a gateway that has just started, what a node's log holds, committed or not.
 
     :param group: the zone or region with whose gateways it shares connections.
@@ -152,7 +152,7 @@
 
 
 @message("HeldReply")
-class HeldReply(msgspec.Struct, frozen=True, array_like=True):
+class LoggedDirectoryReply(msgspec.Struct, frozen=True, array_like=True):
     """What a control node's log holds, whether or not it knows a leader.
 
     :param node: the answering node's id.
--- a/src/rowanrail/gateway/discovery/control_follower.py
+++ b/src/rowanrail/gateway/discovery/control_follower.py
@@ -22,14 +22,19 @@
     DirectoryReply,
     DirectoryRequest,
     GatewayReport,
-    HeldReply,
-    HeldRequest,
+    LoggedDirectoryReply,
+    LoggedDirectoryRequest,
 )
 from rowanrail.gateway.discovery.control_choice import ControlChoice
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.discovery.directory_copy import DirectoryCopy
 from rowanrail.gateway.discovery.provisional import ProvisionalDirectory, may_take_unsure
-from rowanrail.gateway.events import CONTROL_LOST, CONTROL_REGAINED, DIRECTORY_DIFFERS, HELD_TAKEN
+from rowanrail.gateway.events import (
+    CONTROL_LOST,
+    CONTROL_REGAINED,
+    DIRECTORY_DIFFERS,
+    PROVISIONAL_TAKEN,
+)
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.access import Access
 from rowanrail.kernel.decisions import DecisionLog
@@ -167,20 +172,20 @@
         After a loss of all power nobody knows which node will be there, and lead, first.
         """
         asked: dict[str, asyncio.Task[None]] = {}
-        held: list[asyncio.Task[None]] = []
+        asked_logged: list[asyncio.Task[None]] = []
         try:
             while not self._is_informed:
                 for address in self._controls.addresses:
                     if address not in asked:
                         asked[address] = asyncio.ensure_future(self._ask_until_informed(address))
-                        held.append(asyncio.ensure_future(self._ask_held(address)))
+                        asked_logged.append(asyncio.ensure_future(self._ask_logged(address)))
                 await asyncio.wait(
                     asked.values(),
                     timeout=NEARER_CHECK_SECONDS,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
         finally:
-            for task in [*asked.values(), *held]:
+            for task in [*asked.values(), *asked_logged]:
                 task.cancel()
 
     async def _ask_until_informed(self, address: str) -> None:
@@ -190,19 +195,21 @@
                 return
             await asyncio.sleep(START_RETRY_SECONDS)
 
-    async def _ask_held(self, address: str) -> None:
+    async def _ask_logged(self, address: str) -> None:
         """Ask one control node what its log holds, until it answers."""
         while not self._is_informed:
             try:
-                request = HeldRequest(self._make_report().sharing_group, takes_parts=True)
+                request = LoggedDirectoryRequest(
+                    self._make_report().sharing_group, takes_parts=True
+                )
                 reply = await self._network.call(address, request, ROUND_TRIP_SECONDS)
-                if isinstance(reply, HeldReply) and not self._is_informed:
-                    self._take_held(reply)
+                if isinstance(reply, LoggedDirectoryReply) and not self._is_informed:
+                    self._take_logged(reply)
                 return
             except TransportError:
                 await asyncio.sleep(START_RETRY_SECONDS)
 
-    def _take_held(self, reply: HeldReply) -> None:
+    def _take_logged(self, reply: LoggedDirectoryReply) -> None:
         """Go by what a majority holds, until a node is sure."""
         longest = self._provisional.note(reply)
         if longest is None:
@@ -217,7 +224,10 @@
         self._gateway.apply(parsed.unwrap())
         self._gateway.set_directory(members)
         self._decisions.note(
-            HELD_TAKEN, version=directory.version, revision=directory.revision, held=longest.node
+            PROVISIONAL_TAKEN,
+            version=directory.version,
+            revision=directory.revision,
+            held=longest.node,
         )
 
     # Long polls
--- a/src/rowanrail/gateway/discovery/provisional.py
+++ b/src/rowanrail/gateway/discovery/provisional.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Iterable
 
-from rowanrail.directory.messages import DirectoryReply, HeldReply
+from rowanrail.directory.messages import DirectoryReply, LoggedDirectoryReply
 
 __all__ = ["ProvisionalDirectory", "longest_of_majority", "may_take_unsure"]
 
@@ -45,12 +45,12 @@
     return knows_configuration or waited_seconds > UNSURE_START_SECONDS
 
 
-def longest_of_majority(replies: Iterable[HeldReply]) -> HeldReply | None:
+def longest_of_majority(replies: Iterable[LoggedDirectoryReply]) -> LoggedDirectoryReply | None:
     """Return the reply that holds all that is committed, None if too few have answered.
 
     Parameters
     ----------
-    replies : iterable of HeldReply
+    replies : iterable of LoggedDirectoryReply
         At most one of each node. Nodes that do not vote prove nothing.
     """
     answered = {reply.node: reply for reply in replies}
@@ -64,7 +64,7 @@
     return longest
 
 
-def _end(reply: HeldReply) -> tuple[int, int]:
+def _end(reply: LoggedDirectoryReply) -> tuple[int, int]:
     return reply.last_term, reply.last_index
 
 
@@ -72,15 +72,15 @@
     """Configuration and members that a gateway goes by until a control node is sure."""
 
     def __init__(self) -> None:
-        self._replies: dict[str, HeldReply] = {}
+        self._replies: dict[str, LoggedDirectoryReply] = {}
         self._taken: DirectoryReply | None = None
 
-    def note(self, reply: HeldReply) -> HeldReply | None:
+    def note(self, reply: LoggedDirectoryReply) -> LoggedDirectoryReply | None:
         """Note what a control node's log holds.
 
         Returns
         -------
-        HeldReply or None
+        LoggedDirectoryReply or None
             What to go by from now on; None if too few have answered, if there is no
             configuration yet, or if the same was taken from another node.
         """
--- a/src/rowanrail/gateway/events.py
+++ b/src/rowanrail/gateway/events.py
@@ -59,7 +59,7 @@
     "gateway {peer} reaches the primary of {service}, which this one does not",
     "Reads go on behind its samples; writes and transactions run on its connections.",
 )
-HELD_TAKEN = define(
+PROVISIONAL_TAKEN = define(
     319,
     Level.INFO,
     "version {version} is taken from what a majority of the control nodes holds",
--- a/tests/coordination/test_differences.py
+++ b/tests/coordination/test_differences.py
@@ -18,7 +18,7 @@
     DirectoryRequest,
     GatewayRecord,
     GatewayReport,
-    HeldRequest,
+    LoggedDirectoryRequest,
 )
 from rowanrail.directory.packing import pack, unpack
 from rowanrail.gateway.discovery.control_follower import ControlFollower
@@ -256,7 +256,7 @@
 
     async def test_what_a_log_holds_comes_packed_to_who_takes_it(self):
         service = CoordinationService(PlayedNode(self.log, leads=False), new_state(), None, "a")
-        held = await service.handle(HeldRequest("a", takes_parts=True))
+        held = await service.handle(LoggedDirectoryRequest("a", takes_parts=True))
         self.assertIsNone(held.directory.members)
         self.assertEqual(len(unpack(held.directory.part).members), 8)
 
@@ -288,7 +288,7 @@
         self.requests = []
 
     async def call(self, address, request, timeout_seconds):
-        if isinstance(request, HeldRequest):
+        if isinstance(request, LoggedDirectoryRequest):
             raise TransportError("not listening yet", peer=address)
         self.requests.append((address, request))
         if address not in self.nodes:
--- a/tests/coordination/test_directory.py
+++ b/tests/coordination/test_directory.py
@@ -11,7 +11,12 @@
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.directory.messages import DirectoryRequest, GatewayRecord, GatewayReport, HeldRequest
+from rowanrail.directory.messages import (
+    DirectoryRequest,
+    GatewayRecord,
+    GatewayReport,
+    LoggedDirectoryRequest,
+)
 from rowanrail.model.members import MemberRecord
 from rowanrail.placement.hashed import rank
 
@@ -87,7 +92,7 @@
     async def test_a_node_tells_what_its_log_holds_though_it_knows_no_leader(self):
         commands = [Announce(MEMBER), SetGateways(gateways("b", 1), []), PutDocument(9, b"nine")]
         service = CoordinationService(PlayedNode(commands, leads=False), self.state, None, "a")
-        held = await service.handle(HeldRequest("a"))
+        held = await service.handle(LoggedDirectoryRequest("a"))
         self.assertEqual((held.node, held.last_term, held.last_index), ("v1", 2, 3))
         self.assertEqual(held.voters, ["v1", "v2", "v3"])
         self.assertEqual((held.directory.version, held.directory.document), (9, b"nine"))
--- a/tests/coordination/test_failed_storage.py
+++ b/tests/coordination/test_failed_storage.py
@@ -4,7 +4,7 @@
 import unittest
 
 from rowanlab.simulator.world import World
-from rowanrail.directory.messages import DirectoryRequest, GatewayReport, HeldRequest
+from rowanrail.directory.messages import DirectoryRequest, GatewayReport, LoggedDirectoryRequest
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.model.members import MemberRecord
 from tests.support.simulated_controls import SimulatedControls
@@ -77,7 +77,7 @@
             await self.fail(failed)
             process = self.controls.world.process(failed.name)
             with self.assertRaises(RowanrailError):
-                call = failed.node.service.handle(HeldRequest("z1"))
+                call = failed.node.service.handle(LoggedDirectoryRequest("z1"))
                 await self.controls.world.run_in(process, call)
 
         self.play(scenario)
--- a/tests/coordination/test_messages.py
+++ b/tests/coordination/test_messages.py
@@ -9,7 +9,7 @@
     DirectoryReply,
     DirectoryRequest,
     GatewayReport,
-    HeldRequest,
+    LoggedDirectoryRequest,
 )
 from rowanrail.model.members import PrimaryHealth
 from rowanrail.rpc.codec import FrameKind, decode_frame, encode_frame
@@ -49,7 +49,7 @@
         request = self.received(DirectoryRequest(report, 7, 9, 1.0, True, True, 5), 4)
         self.assertEqual(request, DirectoryRequest(report, 7, 9, 1.0))
         self.assertFalse(request.takes_parts or request.wants_whole or request.known_controls)
-        self.assertFalse(self.received(HeldRequest("a", True), 1).takes_parts)
+        self.assertFalse(self.received(LoggedDirectoryRequest("a", True), 1).takes_parts)
 
     def test_a_reply_of_the_release_before_has_no_part(self):
         reply = DirectoryReply(True, 7, b"", 9, [], 1, 1, [], ["c1:1"], "a", [], part=b"part")
@@ -62,8 +62,8 @@
             report: GatewayReport
             known_version: int
             known_revision: int
-            hold_seconds: float
+            wait_seconds: float
 
         request = DirectoryRequest(GatewayReport("g1", "a", []), 7, 9, 1.0, True, True, 5)
         decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(request), type=EarlierRequest)
-        self.assertEqual((decoded.known_revision, decoded.hold_seconds), (9, 1.0))
+        self.assertEqual((decoded.known_revision, decoded.wait_seconds), (9, 1.0))
--- a/tests/gateway/test_control_choice.py
+++ b/tests/gateway/test_control_choice.py
@@ -3,7 +3,7 @@
 import unittest
 import zlib
 
-from rowanrail.directory.messages import DirectoryReply, HeldReply, controls_mark
+from rowanrail.directory.messages import DirectoryReply, LoggedDirectoryReply, controls_mark
 from rowanrail.gateway.discovery.control_choice import ControlChoice
 from rowanrail.gateway.discovery.provisional import (
     UNSURE_START_SECONDS,
@@ -56,7 +56,7 @@
 
 def held(node, term, index, version, document=b"document"):
     directory = DirectoryReply(False, version, zlib.compress(document), index, [], 1, 1, [], [])
-    return HeldReply(node, term, index, ["v1", "v2", "v3"], directory)
+    return LoggedDirectoryReply(node, term, index, ["v1", "v2", "v3"], directory)
 
 
 class ProvisionalTest(unittest.TestCase):
--- a/tests/gateway/test_control_follower.py
+++ b/tests/gateway/test_control_follower.py
@@ -9,8 +9,8 @@
 from rowanrail.directory.messages import (
     DirectoryReply,
     GatewayReport,
-    HeldReply,
-    HeldRequest,
+    LoggedDirectoryReply,
+    LoggedDirectoryRequest,
     controls_mark,
 )
 from rowanrail.gateway.discovery.control_follower import ControlFollower
@@ -31,7 +31,7 @@
         self.asked = []
 
     async def call(self, address, request, timeout_seconds):
-        if isinstance(request, HeldRequest):
+        if isinstance(request, LoggedDirectoryRequest):
             if address not in self.held:
                 raise TransportError("not listening yet", peer=address)
             return self.held[address]
@@ -50,7 +50,7 @@
 def held(node, term, index, version, document=b"document"):
     """Return what a control node says that its log holds."""
     directory = DirectoryReply(False, version, zlib.compress(document), index, [], 1, 1, [], [])
-    return HeldReply(node, term, index, VOTERS, directory)
+    return LoggedDirectoryReply(node, term, index, VOTERS, directory)
 
 
 def node(zone, current=True, version=7, after=0.0):
@@ -59,7 +59,7 @@
     async def answer(request):
         await asyncio.sleep(after)
         if request.known_version >= version:
-            await asyncio.sleep(request.hold_seconds)
+            await asyncio.sleep(request.wait_seconds)
         return DirectoryReply(
             current, version, zlib.compress(b"document"), 3, [], 1, 1, [], ["n1", "n2", "n3"], zone
         )
@@ -248,13 +248,13 @@
         self.assertEqual(longest_of_majority(replies).node, "v3")
 
     def test_a_node_with_an_empty_disk_does_not_count(self):
-        empty = HeldReply("v3@new", 0, 0, [], held("", 0, 0, 0).directory)
+        empty = LoggedDirectoryReply("v3@new", 0, 0, [], held("", 0, 0, 0).directory)
         self.assertIsNone(longest_of_majority([held("v1", 2, 9, 7), empty]))
 
     def test_nodes_that_no_longer_vote_do_not_count(self):
-        newest = HeldReply("v1", 4, 9, ["v1", "v4", "v5"], held("v1", 4, 9, 7).directory)
+        newest = LoggedDirectoryReply("v1", 4, 9, ["v1", "v4", "v5"], held("v1", 4, 9, 7).directory)
         self.assertIsNone(longest_of_majority([newest, held("v2", 2, 9, 7)]))
-        fourth = HeldReply("v4", 4, 8, ["v1", "v4", "v5"], held("v4", 4, 8, 7).directory)
+        fourth = LoggedDirectoryReply("v4", 4, 8, ["v1", "v4", "v5"], held("v4", 4, 8, 7).directory)
         self.assertEqual(longest_of_majority([newest, fourth]).node, "v1")
 
 
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -90,7 +90,7 @@
         self.cost = Cost()
 
     async def call(self, address, request, timeout_seconds):
-        if type(request).__name__ == "HeldRequest":
+        if type(request).__name__ == "LoggedDirectoryRequest":
             raise TransportError("not listening yet", peer=address)
         self.cost.taken += len(encode_frame(FrameKind.REQUEST, 1, request))
         reply = await self.service.handle(request)
