--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -27,7 +27,7 @@
 
 
 class CutDriver(PlayedDriver):
-    """A gateway's way to the members, some of which it may not reach."""
+    """A gateway's path to the members, some of which it may not reach."""
 
     def __init__(self, members):
         super().__init__(members)
@@ -41,7 +41,7 @@
 
 
 class ZoneAlone:
-    """The one gateway of its zone, with its own way to the members."""
+    """The one gateway of its zone, with its own path to the members."""
 
     def __init__(self, world, name):
         self.clock = world.clock
@@ -64,7 +64,7 @@
         return PlayedClient(self, session)
 
     def lose(self, member):
-        """Cut the way to a member, with all connections over it."""
+        """Cut the path to a member, with all connections over it."""
         self.driver.cut.add(member.instance)
         for pool in self.gateway.services["db"].pools.values():
             if pool.record.instance == member.instance:
@@ -89,7 +89,7 @@
         self.cut.lose(self.primary)
 
     def run_until_served(self, text, database="orders"):
-        """Return the answer of a client that tries again as it is told to, for 1.5 s at most."""
+        """Return the answer of a client that tries again as the refusal says, for 1.5 s at most."""
         answer = Answer(refusal=Refusal.BUSY)
         for _ in range(5):
             client = self.cut.client(database)
@@ -133,8 +133,8 @@
             self.clock.advance(0.3)
         self.assertFalse([link for link in self.network.links if link.ends[0] == "z3"])
 
-    def test_the_way_that_was_found_first_is_kept_and_told_once(self):
-        # Seen in an incident: two gateways answered each question, and the way changed each time.
+    def test_the_detour_that_was_found_first_is_kept_and_logged_once(self):
+        # Seen in an incident: two gateways answered each question, so the detour changed each time.
         self.run_until_served("WRITE b 2")
         for number in range(5):
             self.cut.client("orders").ask(f"WRITE c {number}")
@@ -151,7 +151,7 @@
         answer = self.cut.client("orders").run("WRITE b 2", seconds=0.4)
         self.assertEqual(answer.refusal, Refusal.BUSY)
 
-    def test_the_way_is_straight_again_once_the_primary_is_reached(self):
+    def test_there_is_no_detour_again_once_the_primary_is_reached(self):
         self.run_until_served("WRITE b 2")
         self.cut.driver.cut.clear()
         self.clock.advance(1.0)
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -1,10 +1,10 @@
-"""Regions whose shards are held as a plan says: homes of members, and tenants' connections."""
+"""Regions whose shards are held as a plan says: remote holders, and tenants' connections."""
 
 import unittest
 
 from rowanrail.placement.hashed import Shard, rank
 from rowanrail.scheduling.plan import Holding, Plan, PlanCause, ShardPlan
-from tests.relay.test_regions import PART_OF_A, Regions
+from tests.relay.test_regions import SHARD_OF_A, Regions
 
 
 class PlannedRegions(Regions):
@@ -12,18 +12,18 @@
 
     def __init__(self):
         super().__init__()
-        self.planned_home = next(
+        self.planned_holder = next(
             one
             for name, one in self.gateways.items()
-            if name.startswith("gb") and one is not self.home
+            if name.startswith("gb") and one is not self.holder
         )
 
-    def plan(self, number, home, share=1 / 3):
+    def plan(self, number, holder, share=1 / 3):
         shards = [f"db/{n}" for n in range(3)]
-        east = {key: ShardPlan([Holding(self.far.name, 1 / 3)]) for key in shards}
-        west = {key: ShardPlan([Holding(home.name, 1 / 3)], PlanCause.BUSY) for key in shards}
-        west[PART_OF_A.key] = ShardPlan([Holding(home.name, share)], PlanCause.BUSY)
-        return Plan(number, {"a": east, "b": west}, {home.name: home.name})
+        east = {key: ShardPlan([Holding(self.sender.name, 1 / 3)]) for key in shards}
+        west = {key: ShardPlan([Holding(holder.name, 1 / 3)], PlanCause.BUSY) for key in shards}
+        west[SHARD_OF_A.key] = ShardPlan([Holding(holder.name, share)], PlanCause.BUSY)
+        return Plan(number, {"a": east, "b": west}, {holder.name: holder.name})
 
     def tell(self, plan, *only):
         for one in only or self.gateways.values():
@@ -31,11 +31,11 @@
         self.clock.advance(0.1)
 
 
-class PlannedHomeTest(unittest.TestCase):
+class PlannedRemoteHolderTest(unittest.TestCase):
     def setUp(self):
         self.world = PlannedRegions()
-        self.new = self.world.planned_home
-        self.old = self.world.home
+        self.new = self.world.planned_holder
+        self.old = self.world.holder
 
     def write(self, times=2):
         for _ in range(times):
@@ -46,7 +46,7 @@
     def open_at(self, one):
         return one.gateway.services["db"].pools["m1"].connections.count
 
-    def test_a_write_runs_at_the_home_that_the_plan_names(self):
+    def test_a_write_runs_at_the_holder_that_the_plan_names(self):
         self.world.tell(self.world.plan(1, self.new))
         self.write(3)
         self.assertGreater(self.open_at(self.new), 0)
@@ -55,7 +55,7 @@
         kept = [channel.tenant for channel in pool.connections.idle]
         self.assertNotIn("a", kept, "the hash's holder gives it up")
 
-    def test_a_planned_home_that_is_lost_is_stood_in_for_by_the_hash(self):
+    def test_a_planned_holder_that_is_lost_is_stood_in_for_by_the_hash(self):
         self.world.tell(self.world.plan(1, self.new))
         self.write()
         del self.world.network.holders[self.new.name]
@@ -64,11 +64,11 @@
                 twin.break_off("reset")
         self.write()
 
-    def test_a_home_that_did_not_hear_of_the_plan_runs_what_comes(self):
-        self.world.tell(self.world.plan(1, self.new), self.world.far)
+    def test_a_holder_that_did_not_hear_of_the_plan_runs_what_comes(self):
+        self.world.tell(self.world.plan(1, self.new), self.world.sender)
         self.write()
 
-    def test_a_sender_that_did_not_hear_of_the_plan_is_served_by_the_old_home(self):
+    def test_a_sender_that_did_not_hear_of_the_plan_is_served_by_the_old_holder(self):
         self.world.tell(self.world.plan(1, self.new), self.new, self.old)
         self.write()
 
@@ -83,6 +83,6 @@
         self.assertLessEqual(limit, 30 - 3 - 6, "all shards of the region are held there")
 
     def test_the_order_without_a_plan_is_that_of_the_hash(self):
-        neighbours = self.world.far.gateway._neighbours
+        neighbours = self.world.sender.gateway._neighbours
         shard = Shard.of("db", "somebody")
         self.assertEqual(neighbours._order(shard.key), rank(shard.key, ["ga1", "ga2"]))
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -30,7 +30,7 @@
 
 REGIONS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 GATEWAYS = {"ga1": "a1", "ga2": "a2", "gb1": "b1", "gb2": "b2"}
-PART_OF_A = Shard.of("db", "a")
+SHARD_OF_A = Shard.of("db", "a")
 POPULATION = Population(4, 2, is_regional=True)
 
 
@@ -100,10 +100,10 @@
             region = REGIONS[GATEWAYS[name]]
             others = {r: listed for r, listed in in_region.items() if r != region}
             one.gateway.set_directory(Directory(1, records, POPULATION, in_region[region], others))
-        self.home = self.gateways[rank(PART_OF_A.key, ["gb1", "gb2"])[0]]
-        self.far = self.gateways[rank(PART_OF_A.key, ["ga1", "ga2"])[0]]
+        self.holder = self.gateways[rank(SHARD_OF_A.key, ["gb1", "gb2"])[0]]
+        self.sender = self.gateways[rank(SHARD_OF_A.key, ["ga1", "ga2"])[0]]
         self.clock.advance(0.5)
-        self.far.client("orders").ask("READ a")  # opens the links
+        self.sender.client("orders").ask("READ a")  # opens the links
         self.clock.advance(0.5)
 
     def configure(self, version, keys, only=None, **limits):
@@ -112,25 +112,25 @@
                 one.gateway.apply(configuration(version, keys, **limits))
 
     def client(self, database, key="key-of-a"):
-        return self.far.client(database, key)
+        return self.sender.client(database, key)
 
     def wires_for(self, member, tenant):
         return [w for w in member.wires if w.channel.tenant == tenant and not w.closed]
 
 
-class HomeTest(unittest.TestCase):
+class RemoteHolderTest(unittest.TestCase):
     def setUp(self):
         self.world = Regions()
 
     def test_a_write_runs_on_the_connections_of_the_primarys_region(self):
-        home, far = (
-            one.gateway.services["db"].pools["m1"] for one in (self.world.home, self.world.far)
+        holder, sender = (
+            one.gateway.services["db"].pools["m1"] for one in (self.world.holder, self.world.sender)
         )
-        before = (home.connections.count, far.connections.count)
+        before = (holder.connections.count, sender.connections.count)
         answer = self.world.client("orders", "key-of-b").run("WRITE a 1", seconds=0.2)
         self.assertIsNone(answer.refusal)
         self.assertEqual(
-            (home.connections.count, far.connections.count), (before[0] + 1, before[1])
+            (holder.connections.count, sender.connections.count), (before[0] + 1, before[1])
         )
 
     def test_a_transaction_runs_there_from_its_first_statement_to_its_end(self):
@@ -150,22 +150,24 @@
         self.world.client("reports").run("READ b", seconds=0.2)
         self.assertIn("READ b", self.world.near.texts())
 
-    def test_a_home_that_does_not_reach_the_primary_sends_the_work_back(self):
-        home = self.world.home
-        home.driver.cut.add("m1")
-        service = home.gateway.services["db"]
+    def test_a_holder_that_does_not_reach_the_primary_sends_the_work_back(self):
+        holder = self.world.holder
+        holder.driver.cut.add("m1")
+        service = holder.gateway.services["db"]
         service.primary.belief.failing_since = self.world.clock.now
         answer = self.world.client("orders").run("WRITE a 1", seconds=0.4)
         self.assertIsNone(answer.refusal, answer)
-        self.assertGreater(self.world.far.gateway.services["db"].pools["m1"].connections.count, 0)
+        self.assertGreater(
+            self.world.sender.gateway.services["db"].pools["m1"].connections.count, 0
+        )
 
-    def test_a_lost_home_leaves_a_write_in_doubt(self):
+    def test_a_lost_holder_there_leaves_a_write_in_doubt(self):
         self.world.primary.script = [None]
         client = self.world.client("orders")
         client.ask("WRITE a 1")
         self.world.clock.advance(0.1)
         for twin in self.world.network.links:
-            if self.world.home.name in twin.ends:
+            if self.world.holder.name in twin.ends:
                 twin.break_off("reset")
         self.world.clock.advance(0.1)
         self.assertEqual(client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
@@ -174,7 +176,7 @@
 class HolderTest(unittest.TestCase):
     def setUp(self):
         self.world = Regions()
-        self.service = self.world.home.gateway.services["db"]
+        self.service = self.world.holder.gateway.services["db"]
         self.run_each()
 
     def run_each(self):
@@ -198,7 +200,7 @@
         self.assertEqual(links, 0)
 
     def test_a_gateway_that_stops_gives_its_connections_up(self):
-        self.world.home.gateway.stopping = True
+        self.world.holder.gateway.stopping = True
         self.world.clock.advance(0.3)
         self.assertNotIn(
             "a", [channel.tenant for channel in self.service.pools["m1"].connections.idle]
@@ -207,9 +209,9 @@
     def test_a_gateway_that_helped_out_gives_its_connections_up(self):
         # Found on a played day: three gateways that had stood in while a primary was cut off
         # kept 17 connections each, and its members were full for the rest of the day.
-        names = rank(PART_OF_A.key, ["gb1", "gb2"])
+        names = rank(SHARD_OF_A.key, ["gb1", "gb2"])
         helper = self.world.gateways[names[1]]
-        helper.client("orders").run("WRITE a 1", seconds=0.2)  # knows the way to the holder
+        helper.client("orders").run("WRITE a 1", seconds=0.2)  # its link to the holder is open
         local = helper.gateway.local_work("db", is_detour=True)
         session = helper.client("orders").session
         answers = []
@@ -231,7 +233,7 @@
 
     def test_a_holder_that_knows_of_the_withdrawal_runs_nothing_for_the_key(self):
         client = self.world.client("orders")
-        self.world.configure(2, {"key-of-b": "b"}, only=self.world.home)
+        self.world.configure(2, {"key-of-b": "b"}, only=self.world.holder)
         known = len(self.world.primary.texts())
         client.ask("WRITE a 1")
         self.world.clock.advance(1.0)
@@ -242,13 +244,13 @@
         client = self.world.client("orders")
         client.run("BEGIN")
         client.run("WRITE a 1", seconds=0.2)
-        self.world.configure(2, {"key-of-b": "b"}, only=self.world.home)
+        self.world.configure(2, {"key-of-b": "b"}, only=self.world.holder)
         answer = client.run("COMMIT", seconds=0.3)
         self.assertEqual(answer.refusal, Refusal.DENIED)
         self.assertNotIn("COMMIT", self.world.primary.texts())
 
     def test_a_holder_behind_in_versions_takes_the_word_of_one_that_is_ahead(self):
-        self.world.configure(2, {"key-of-a": "a", "key-of-c": "c"}, only=self.world.far)
+        self.world.configure(2, {"key-of-a": "a", "key-of-c": "c"}, only=self.world.sender)
         answer = self.world.client("orders", "key-of-c").run("WRITE a 1", seconds=0.2)
         self.assertIsNone(answer.refusal, answer)
 
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -1,4 +1,4 @@
-"""What a sender refuses by itself, from what the holder told with its answers."""
+"""What a sender rejects by itself, from what the holder reported with its answers."""
 
 import unittest
 
--- a/tests/relay/test_far_replicas.py
+++ b/tests/relay/test_remote_replicas.py
@@ -12,7 +12,7 @@
 FULL = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
 
 
-class FarReplicaTest(unittest.TestCase):
+class RemoteReplicaTest(unittest.TestCase):
     def setUp(self):
         """Have the primary and a replica stand in region a, and a replica in region b."""
         self.world = world = Regions()
@@ -77,10 +77,10 @@
 
     def setUp(self):
         self.world = Regions()
-        self.home = self.world.home.gateway.services["db"]
-        self.here = self.world.far.gateway.services["db"]
+        self.there = self.world.holder.gateway.services["db"]
+        self.here = self.world.sender.gateway.services["db"]
         for _ in range(5):
-            self.home.pools["m2"].note_error()
+            self.there.pools["m2"].note_error()
 
     def weight_here(self):
         wanted = Wanted("reports")
@@ -105,7 +105,7 @@
     def test_it_is_not_told_on(self):
         self.run_at_home()
         self.assertEqual(self.here.estimates.weights.doubts(), {})
-        self.assertEqual(list(self.home.estimates.weights.doubts()), ["m2"])
+        self.assertEqual(list(self.there.estimates.weights.doubts()), ["m2"])
 
     def test_a_member_that_others_can_not_reach_still_serves_here(self):
         self.run_at_home()
