--- /dev/null
+++ b/tests/coordination/test_duty.py
@@ -0,0 +1,192 @@
+"""The failover duty from a lost primary to the orders that the platform gets, in virtual time."""
+
+import asyncio
+import random
+import unittest
+from dataclasses import dataclass, field
+
+import msgspec
+
+from rowanlab.simulator.world import World
+from rowanrail.coordination.duty import Promoter, PromotionOutcome
+from rowanrail.coordination.member_questions import StatusReader, StatusReply
+from rowanrail.kernel.errors import RowanrailError
+from rowanrail.members.channel import MemberDriver, Wire
+from rowanrail.model.members import MemberRecord
+from rowanrail.model.position import Position
+from rowanrail.model.statements import Answer, CommandKind, Refusal
+from tests.support.simulated_controls import SimulatedControls
+
+SEEDS = (1, 2, 3)
+HEARTBEAT_SECONDS = 0.4
+REPLACED_SECONDS = 20.0
+
+
+@dataclass
+class PlayedMember:
+    """A member that leads or not, and is silent or not."""
+
+    instance: str
+    leads: bool
+    silent: bool = False
+    sequence: int = 0
+
+    def record(self):
+        address = f"{self.instance}:1"
+        return MemberRecord(self.instance, "db", address, "z1", self.leads, False, 4, self.sequence)
+
+
+class PlayedWire(Wire):
+    def __init__(self, member, channel):
+        self.member, self.channel = member, channel
+
+    def send(self, commands):
+        for command in commands:
+            if not self.member.silent:
+                refused = command.kind is CommandKind.BEGIN and not self.member.leads
+                rows = [b"leads" if self.member.leads else b"follows"]
+                answer = Answer(
+                    rows=rows if command.kind is CommandKind.STATUS else [],
+                    refusal=Refusal.NOT_PRIMARY if refused else None,
+                    position=Position(1, 9),
+                )
+                asyncio.get_running_loop().call_soon(self.channel.answered, answer)
+
+    def close(self):
+        pass
+
+
+@dataclass
+class PlayedPlatform(MemberDriver, StatusReader):
+    """Three members, and the platform's call, whose answers a test may hold back."""
+
+    members: list = field(default_factory=list)
+    orders: list = field(default_factory=list)  # node, token, instance
+    outcomes: list = field(default_factory=list)  # of the next orders; accepted after them
+
+    def open(self, address, service, instance, channel):
+        member = next(member for member in self.members if member.instance == instance)
+        if not member.silent:
+            channel.opened(PlayedWire(member, channel), Position(1, 9))
+
+    def read(self, answer):
+        if answer.refusal is not None or not answer.rows:
+            return None
+        return StatusReply(answer.rows[0] == b"leads", 1, Position(1, 9))
+
+    def carry_out(self, node, token, instance):
+        self.orders.append((node, token, instance))
+        outcome = self.outcomes.pop(0) if self.outcomes else PromotionOutcome.ACCEPTED
+        if outcome is PromotionOutcome.ACCEPTED:
+            for member in self.members:
+                member.leads = member.instance == instance
+        return outcome
+
+
+class PlayedPromoter(Promoter):
+    def __init__(self, platform, node):
+        self.platform, self.node = platform, node
+
+    async def promote(self, service, instance, token):
+        await asyncio.sleep(0.05)
+        return self.platform.carry_out(self.node, token, instance)
+
+
+class DutyTest(unittest.TestCase):
+    """Three control nodes of one seed, and a service whose primary falls silent."""
+
+    def play(self, scenario, outcomes=()):
+        for seed in SEEDS:
+            with self.subTest(seed=seed):
+                self.platform = PlayedPlatform(outcomes=list(outcomes))
+                self.platform.members = [PlayedMember(f"m{n}", leads=n == 1) for n in (1, 2, 3)]
+                self.random = random.Random(seed)
+                world = World(seed)
+                self.controls = SimulatedControls(world)
+                for control in self.controls.nodes:
+                    promoter = PlayedPromoter(self.platform, control.name)
+                    control.ports = (self.platform, self.platform, promoter)
+                world.run(self._begin(world, scenario))
+
+    async def _begin(self, world, scenario):
+        await self.controls.start()
+        for member in self.platform.members:
+            world.run_in(world.spawn(member.instance, "z1"), self._beat(member))
+        await asyncio.sleep(3.0)
+        self.assertEqual(self.platform.orders, [])
+        await scenario()
+
+    async def _beat(self, member):
+        while True:
+            if not member.silent:
+                member.sequence += 1
+                control = self.random.choice(self.controls.nodes)
+                await self.announce(control, member.record())
+            await asyncio.sleep(HEARTBEAT_SECONDS)
+
+    async def announce(self, control, record):
+        process = self.controls.world.process(control.name)
+        if not process.alive:
+            return
+        try:
+            call = control.node.service.announce(msgspec.structs.replace(record))
+            await self.controls.world.run_in(process, call)
+        except RowanrailError:
+            pass  # said again with the next heartbeat
+
+    async def until(self, holds):
+        async with asyncio.timeout(REPLACED_SECONDS):
+            while not holds():
+                await asyncio.sleep(0.05)
+
+    def primary(self):
+        return next(member for member in self.platform.members if member.leads)
+
+    def lose_primary(self):
+        self.primary().silent = True
+
+    def test_a_silent_primary_is_replaced_by_one_order(self):
+        async def scenario():
+            self.lose_primary()
+            await self.until(lambda: not self.primary().silent)
+            await asyncio.sleep(3.0)
+            self.assertEqual(len(self.platform.orders), 1)
+
+        self.play(scenario)
+
+    def test_an_order_without_an_answer_or_refused_is_followed_by_another_with_a_higher_token(self):
+        async def scenario():
+            self.lose_primary()
+            await self.until(lambda: not self.primary().silent)
+            tokens = [token for _, token, _ in self.platform.orders]
+            self.assertEqual(len(tokens), 3)
+            self.assertEqual(tokens, sorted(set(tokens)))
+
+        self.play(scenario, [PromotionOutcome.UNKNOWN, PromotionOutcome.REFUSED])
+
+    def test_the_next_leader_goes_on_with_higher_tokens(self):
+        async def scenario():
+            self.lose_primary()
+            await self.until(lambda: bool(self.platform.orders))
+            first = self.platform.orders[0][0]
+            next(c for c in self.controls.nodes if c.name == first).kill()
+            await self.until(lambda: not self.primary().silent)
+            nodes = [node for node, _, _ in self.platform.orders]
+            tokens = [token for _, token, _ in self.platform.orders]
+            self.assertEqual(nodes[0], first)
+            self.assertNotEqual(nodes[-1], first)
+            self.assertEqual(tokens, sorted(set(tokens)))
+
+        self.play(scenario, [PromotionOutcome.UNKNOWN])
+
+    def test_nobody_is_promoted_while_no_member_answers(self):
+        async def scenario():
+            for member in self.platform.members:
+                member.silent = True
+            await asyncio.sleep(8.0)
+            self.assertEqual(self.platform.orders, [])
+            for member in self.platform.members[1:]:
+                member.silent = False
+            await self.until(lambda: not self.primary().silent)
+
+        self.play(scenario)
--- /dev/null
+++ b/tests/gateway/test_time_limits.py
@@ -0,0 +1,57 @@
+"""Reads whose time ends where they wait, and members that open no connection."""
+
+import unittest
+
+from rowanrail.model.routing import Consistency, Route, RoutingConfiguration, ServiceSpec
+from rowanrail.model.statements import NOT_RUN
+from tests.support.gateway import PlayedGateway
+
+SHORT, LONG = 0.1, 5.0  # seconds of a route
+
+
+def route(name, seconds, objective):
+    return Route(name, name, "db", Consistency.BOUNDED, seconds, objective, 1.0, 1)
+
+
+class TimeLimitTest(unittest.TestCase):
+    def setUp(self):
+        self.played = PlayedGateway()
+        routes = {
+            name: route(name, seconds, objective)
+            for name, seconds, objective in (
+                ("reports", 1.0, 0.5),
+                ("short", SHORT, LONG),
+                ("long", LONG, LONG),
+            )
+        }
+        services = {"db": ServiceSpec("db", 30)}
+        self.played.gateway.apply(RoutingConfiguration(2, routes, services, 3.0))
+        self.played.clock.advance(1.0)
+
+    def warm(self):
+        self.played.client("reports").run("READ warm", seconds=0.1)
+
+    def test_a_read_that_was_sent_and_not_answered_closes_its_connection(self):
+        self.warm()
+        self.played.near.script = [None]
+        answer = self.played.client("short").run("READ a", seconds=SHORT)
+        self.assertIsNotNone(answer.refusal)
+        self.assertEqual(self.played.near.open_wires(), [])
+        self.played.near.wires[-1].channel.lost("late")  # nothing comes of it any more
+        self.assertEqual(self.played.near.texts(), ["READ warm", "READ a"])
+
+    def test_a_read_that_had_no_connection_in_time_is_refused_as_not_run(self):
+        for member in self.played.members:
+            for wire in member.open_wires():
+                wire.channel.lost("reset")
+            member.silent = True
+        answer = self.played.client("short").run("READ a", seconds=SHORT)
+        self.assertIn(answer.refusal, NOT_RUN)
+        self.assertEqual([m.texts() for m in self.played.members], [[], [], []])
+
+    def test_a_transaction_begins_elsewhere_if_a_member_opens_no_connection(self):
+        self.played.near.silent = True
+        client = self.played.client("reports")
+        client.run("BEGIN READ")
+        self.assertIsNone(client.run("READ a", seconds=0.2).refusal)
+        self.assertEqual(self.played.near.texts(), [])
--- a/tests/relay/test_forwarding.py
+++ b/tests/relay/test_forwarding.py
@@ -49,6 +49,15 @@
             self.assertEqual(member.wires[number].values, {"a": "x"})
             self.assertEqual(list(member.wires[number].prepared.values()), ["READ q"])
 
+    def test_a_write_that_the_holder_does_not_answer_in_time_is_in_doubt(self):
+        client = self.zone.last.client("orders")
+        client.run("WRITE a 1", seconds=0.1)
+        self.zone.primary.script = [None]
+        answer = client.run("WRITE b 2", seconds=1.0)
+        self.assertEqual(answer.refusal, Refusal.OUTCOME_UNKNOWN)
+        self.zone.clock.advance(2.0)
+        self.assertEqual(self.zone.primary.texts(), ["WRITE a 1", "WRITE b 2"])
+
     def test_a_read_whose_link_breaks_is_asked_for_at_the_next_holder(self):
         client = self.zone.last.client("reports")
         client.run("READ a", seconds=0.1)
@@ -187,6 +196,17 @@
         for text in texts:
             self.assertIsNone(self.client.run(text, seconds=0.1).refusal)
 
+    def test_it_runs_here_once_no_other_holder_is_left(self):
+        client = self.zone.last.client("orders")
+        client.run("WRITE a 1", seconds=0.3)
+        self.zone.kill(self.zone.first)
+        self.zone.kill(self.zone.second)
+        client.run("BEGIN")
+        self.assertIsNone(client.run("WRITE b 2", seconds=0.3).refusal)
+        self.assertIsNone(client.run("COMMIT").refusal)
+        self.assertEqual(self.zone.opened_by(self.zone.last), 1)
+        self.assertEqual(self.zone.primary.texts()[1:], ["WRITE b 2", "COMMIT"])
+
     def test_it_stays_on_one_connection(self):
         self.begin("READ a", "WRITE a 1")
         self.assertIsNone(self.client.run("COMMIT", seconds=0.1).refusal)
--- a/tests/support/simulated_controls.py
+++ b/tests/support/simulated_controls.py
@@ -1,4 +1,4 @@
-"""Control nodes for gateways in virtual time, with disks that can fail; nobody is outside."""
+"""Control nodes for gateways in virtual time, with disks that can fail."""
 
 import asyncio
 from typing import Any
@@ -52,6 +52,11 @@
 
     def __init__(self, world: World, served: Served, name: str, zone: str) -> None:
         super().__init__(world, name, zone, world.random.uniform(*CLOCK_RATES))
+        self.ports: tuple[MemberDriver, StatusReader, Promoter] = (
+            _NoDriver(),
+            _NoReader(),
+            _NoPromoter(),
+        )
         self._served = served
 
     def start(self, bootstrap: bool) -> None:
@@ -80,7 +85,7 @@
             DecisionLog(self.name, descriptor=-1, wall_clock=self._world.wall_clock),
             _NoFormat(),
         )
-        await self.node.start(_NoDriver(), _NoReader(), _NoPromoter())
+        await self.node.start(*self.ports)
 
 
 class SimulatedControls:
