--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -1,7 +1,13 @@
-"""The proxy's core for typed statements: routes in force, services, sessions, planned stops."""
+"""The proxy's core for typed statements: routes in force, services, sessions, planned stops.
+
+For the process, its front ends and other gateways. Owns the configuration and the directory in
+force, the services, the sessions, and the tick that lets time pass at services. Relies on the parts
+that it is given: a driver of members, a log, the other gateways.
+"""
 
 import functools
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.discovery.known_directory import KnownDirectory
@@ -28,7 +34,8 @@
 from rowanrail.gateway.sessions.outcomes import Outcomes
 from rowanrail.gateway.sessions.pending import PendingProof, PendingStart
 from rowanrail.gateway.sessions.session import Session
-from rowanrail.gateway.work.work import LocalWork, SingleStatement, Work, WorkInTransaction
+from rowanrail.gateway.work.local import LocalWork
+from rowanrail.gateway.work.ports import Work
 from rowanrail.kernel.clock import Clock, Scheduler, Timer
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
@@ -37,7 +44,7 @@
 from rowanrail.members.samples import PositionSample
 from rowanrail.model.members import PrimaryHealth
 from rowanrail.model.routing import Route, RoutingConfiguration
-from rowanrail.model.statements import Answer, Refusal, TypedStatement
+from rowanrail.model.statements import Answer, Refusal
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.scheduling.plan import Plan
@@ -46,12 +53,34 @@
 from rowanrail.tenants.terms import QuotaTerms
 
 TICK_SECONDS = 0.05  # a sixth of the shortest time that is watched, SAMPLE_TIMEOUT_SECONDS
-# Of them, between looks at services that nobody uses. 75 such services took 0.7 % of a core when
-# each was looked at at every tick.
+# Of them, between checks of services that nobody uses. 75 such services took 0.7 % of a core when
+# each was checked at every tick.
 TICKS_OF_IDLE = 10
-DEFAULT_IDLE_SECONDS = 60.0  # until the configuration says how long a transaction may rest
+DEFAULT_IDLE_SECONDS = 60.0  # until the configuration says how long a transaction may be idle
 PROVE_SECONDS = 0.3  # for which another gateway waits for a sample
-START_HOLD_SECONDS = 1.2  # clients wait for the answer to their start for 2 s
+START_WAIT_SECONDS = 1.2  # clients wait for the answer to their start for 2 s
+
+
+@dataclass(frozen=True, slots=True)
+class Peers:
+    """The other gateways, as far as this one has to do with them.
+
+    Parameters
+    ----------
+    neighbours : Neighbours or None
+        Those of the same group, where connections are shared; None if they are not.
+    detours : Detours or None
+        Those of other groups; None if none is ever asked.
+    planned : PlannedHolders or None
+        Who holds connections by the control nodes' plan; None if holders are hashed.
+    """
+
+    neighbours: Neighbours | None = None
+    detours: Detours | None = None
+    planned: PlannedHolders | None = None
+
+
+NO_PEERS = Peers()
 
 
 class Gateway:
@@ -64,10 +93,8 @@
         clock: Scheduler,
         decisions: DecisionLog,
         registry: Registry,
-        neighbours: Neighbours | None = None,
-        detours: Detours | None = None,
+        peers: Peers = NO_PEERS,
         quota_terms: QuotaTerms = QuotaTerms(),  # noqa: B008 - it is frozen
-        planned: PlannedHolders | None = None,
     ) -> None:
         self.clock = clock
         self.names = PreparedNames()
@@ -75,39 +102,50 @@
         self.services: dict[str, Service] = {}
         self.sessions: dict[Session, None] = {}
         self.stopping = False
-        self.holdings = Holdings(self, neighbours, detours, planned, decisions)
         self.on_alarm: Callable[[], None] = lambda: None
         self._locality = locality
         self._driver = driver
         self._decisions = decisions
+        self._peers = peers
         self._policies = GatewayPolicies.create(registry)
-        self._known = KnownDirectory(neighbours, detours)
-        self._remote_admission = RemoteAdmission(Clock(clock))
-        self._neighbours = neighbours
-        self._detours = detours
-        if neighbours is not None:
-            neighbours.on_link = self._note_link
-        if detours is not None:
-            detours.on_found = self._note_detour
-            detours.on_lost = self._remote_admission.forget
         self._timer: Timer | None = None
+        self._ticks = 0
         self._unconfigured: list[PendingStart] = []
         self._session_count = 0
-        self._ticks = 0
-        check = self._policies.key_check
-        self.access = Access(Clock(clock), decisions, check, quota_terms)
-        self._router = WorkRouter(
-            locality,
+        self.access = Access(Clock(clock), decisions, self._policies.key_check, quota_terms)
+        self.outcomes = Outcomes(decisions, self.access)
+        self.holdings = Holdings(self, peers.neighbours, peers.detours, peers.planned, decisions)
+        self.outcomes.on_trace = self.holdings.note_own
+        self._known = KnownDirectory(peers.neighbours, peers.detours)
+        self._remote_admission = RemoteAdmission(Clock(clock))
+        self._router = self._make_router()
+        self._follow_peers()
+
+    def _make_router(self) -> WorkRouter:
+        return WorkRouter(
+            self._locality,
             self.names,
-            clock,
+            self.clock,
             self._policies.link_outcome,
             self._remote_admission,
-            neighbours,
-            detours,
+            self._peers.neighbours,
+            self._peers.detours,
             lambda: self.access.version,
         )
-        self.outcomes = Outcomes(decisions, self.access)
-        self.outcomes.on_trace = self.holdings.note_own
+
+    def _follow_peers(self) -> None:
+        """Learn what becomes of links to other gateways, and which detours are found."""
+        neighbours, detours = self._peers.neighbours, self._peers.detours
+        if neighbours is not None:
+            neighbours.on_link = self._note_link
+        if detours is not None:
+            detours.on_found = self._note_detour
+            detours.on_lost = self._remote_admission.forget
+
+    @property
+    def peers(self) -> Peers:
+        """The other gateways."""
+        return self._peers
 
     def start(self) -> None:
         """Begin to watch the services."""
@@ -123,7 +161,7 @@
         self._timer = self.clock.call_later(TICK_SECONDS, self._tick)
 
     def _due_services(self) -> list[Service]:
-        """Return the services that are looked at now: those in use, at times all."""
+        """Return the services that are checked now: those in use, at times all."""
         if self._ticks % TICKS_OF_IDLE:
             return [service for service in self.services.values() if service.is_due]
         return list(self.services.values())
@@ -185,7 +223,7 @@
             return
         waiting = PendingStart(proceed)
         self._unconfigured.append(waiting)
-        self.clock.call_later(START_HOLD_SECONDS, waiting.run)
+        self.clock.call_later(START_WAIT_SECONDS, waiting.run)
 
     def set_directory(self, directory: Directory) -> None:
         """Know the members that announced themselves, and the gateways beside this one."""
@@ -288,29 +326,6 @@
             return DEFAULT_IDLE_SECONDS
         return self.configuration.idle_transaction_seconds
 
-    def refuse_over_quota(self, session: Session) -> Answer | None:
-        """See :meth:`SessionHost.refuse_over_quota`."""
-        return self.access.refuse_over_quota(session)
-
-    def note_return(self, session: Session) -> None:
-        """See :meth:`SessionHost.note_return`."""
-        self.access.note_return(session)
-
-    def note_not_run(self, session: Session) -> None:
-        """See :meth:`SessionHost.note_not_run`."""
-        self.access.note_not_run(session)
-
-    def note_outcome(
-        self,
-        session: Session,
-        statement: TypedStatement,
-        answer: Answer,
-        seconds: float,
-        operation: SingleStatement | WorkInTransaction | None,
-    ) -> None:
-        """See :meth:`SessionHost.note_outcome`."""
-        self.outcomes.note(session, statement, answer, seconds, operation)
-
     def session_closed(self, session: Session) -> None:
         """See :meth:`SessionHost.session_closed`."""
         self.sessions.pop(session, None)
@@ -318,7 +333,7 @@
     # The planned stop
 
     def abort_transactions(self) -> None:
-        """End all resting transactions."""
+        """End all transactions that are idle."""
         for session in list(self.sessions):
             session.abort("the proxy is stopping")
 
@@ -330,8 +345,8 @@
             session.close()
         for service in self.services.values():
             service.close()
-        if self._neighbours is not None:
-            self._neighbours.close()
-        if self._detours is not None:
-            self._detours.close()
+        if self._peers.neighbours is not None:
+            self._peers.neighbours.close()
+        if self._peers.detours is not None:
+            self._peers.detours.close()
         self._decisions.flush()
