--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -1,4 +1,9 @@
-"""One statement of a client: its time, its one answer, and what a refusal tells its client."""
+"""One statement of a client: its time, its one answer, and what a refusal tells its client.
+
+For the kinds of work. Owns the timers of the statement's time-out and of its deferral, who gets the
+answer, and the rejection that is logged. Relies on :mod:`rowanrail.gateway.work.refusals` for how
+long a statement is deferred and what it is told.
+"""
 
 from collections.abc import Callable
 
@@ -51,7 +56,7 @@
         self.session = session
         self.clock = clock
         self.timer: Timer | None = None
-        self.hold_timer: Timer | None = None
+        self.deferral_timer: Timer | None = None
         self.respond: Respond | None = None
         self.arrived_at = 0.0
         self.rejection: Rejection | None = None
@@ -62,8 +67,8 @@
         return self.session.identity.tenant
 
     @property
-    def hold_until(self) -> float:
-        """Moment after which a statement that no member could run is refused."""
+    def defer_until(self) -> float:
+        """Moment, in seconds, until which a statement that no member could run is deferred."""
         return self.arrived_at + defer_seconds(self.route.objective_seconds)
 
     @property
@@ -83,14 +88,14 @@
         self.rejection = None
         self.timer = self.clock.call_later(self.route.timeout_seconds, self.on_timeout)
         limit = defer_seconds(self.route.objective_seconds)
-        self.hold_timer = self.clock.call_later(limit, self.on_hold)
+        self.deferral_timer = self.clock.call_later(limit, self.on_deferral_over)
 
     def on_timeout(self) -> None:
-        """Answer at the end of the statement's time."""
+        """Answer when the statement's time is over."""
         raise NotImplementedError
 
-    def on_hold(self) -> None:
-        """Refuse what nobody could run so far, if nobody will soon."""
+    def on_deferral_over(self) -> None:
+        """Reject what could not run so far, if it can not soon."""
         raise NotImplementedError
 
     def route_left(self) -> Route:
@@ -103,8 +108,8 @@
         )
 
     def retry_later(self, function: Callable[[], None], answer: Answer) -> None:
-        """Try again in a moment, or give the refusal if the time to hold is over."""
-        if not may_defer(self.clock.time(), self.hold_until):
+        """Try again in a moment, or give the refusal if its deferral is over."""
+        if not may_defer(self.clock.time(), self.defer_until):
             self.refuse_unplaced(answer)
             return
 
@@ -115,38 +120,38 @@
         self.clock.call_later(RETRY_SECONDS, again)
 
     def refuse_unplaced(self, answer: Answer) -> None:
-        """Refuse what found no place; one that is busy tells when to come back."""
+        """Refuse what no member took; as busy it is rejected, with its Retry-After."""
         tracker = self.service.primary
         has_primary = bool(tracker.believed) and not tracker.failing_since
         verdict = judge_unplaced(answer.refusal, has_primary)
         if verdict is None:
             self.finish(answer)
         else:
-            self.turn_away(verdict.cause, answer.message, verdict.return_in)
+            self.reject(verdict.cause, answer.message, verdict.return_in)
 
-    def turn_away(
+    def reject(
         self, cause: RejectionCause, reason: str, base: float = 0.0, forecast: Forecast = UNKNOWN
     ) -> None:
-        """Refuse, as not run, and tell the client its place among those who come back.
+        """Refuse, as not run, and tell the client when to retry, one after the other.
 
         Parameters
         ----------
         base : float
-            Milliseconds until the first of them is welcome.
+            Milliseconds until the first of those who were rejected is welcome.
         """
         urgency = self.route.priority
-        told = self.service.returns.next(
+        retry_after = self.service.returns.next(
             shortest_retry_after_ms(base), forecast.interval, (cause, urgency)
         )
-        self.rejection = rejection(cause, forecast, self.time_left, urgency, told)
-        self.finish(busy(reason, told))
+        self.rejection = rejection(cause, forecast, self.time_left, urgency, retry_after)
+        self.finish(busy(reason, retry_after))
 
     def stop_timers(self) -> None:
-        """Forget the statement's time: it has its answer, or somebody else minds it."""
-        for timer in (self.timer, self.hold_timer):
+        """Forget the statement's time: it has its answer, or another gateway runs it."""
+        for timer in (self.timer, self.deferral_timer):
             if timer is not None:
                 timer.cancel()
-        self.timer = self.hold_timer = None
+        self.timer = self.deferral_timer = None
 
     def finish(self, answer: Answer) -> None:
         """Give the statement's answer, once."""
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -1,4 +1,9 @@
-"""A transaction: one connection from its first statement to its end."""
+"""A transaction: one connection from its first statement to its end.
+
+For :class:`rowanrail.gateway.work.local.LocalWork`. Owns whether it has begun, written and failed,
+and who runs it if another gateway does. Relies on the member, which keeps nothing of a transaction
+without its commit.
+"""
 
 from collections.abc import Callable
 
@@ -17,10 +22,12 @@
     refusal_of_lost,
     unanswered,
 )
+from rowanrail.gateway.work.commands import commands_for
+from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.freshness import note_commit, oldest_sample, prefetch
-from rowanrail.gateway.work.operation import Operation, Stage
+from rowanrail.gateway.work.operation import Operation
+from rowanrail.gateway.work.ports import OtherGateways, Work, WorkInTransaction
 from rowanrail.gateway.work.refusals import LATE, busy
-from rowanrail.gateway.work.work_port import Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import ORIGIN, Position
@@ -38,8 +45,8 @@
 class Transaction(Operation):
     """A transaction: its connection from the first statement to the end.
 
-    It begins at the member with its first statement, so that a transaction that rests right
-    after BEGIN holds no connection.
+    It begins at the member with its first statement, so that one that is idle right after BEGIN
+    holds no connection.
     """
 
     def __init__(
@@ -49,9 +56,10 @@
         session: SessionValues,
         names: PreparedNames,
         clock: Scheduler,
+        others: OtherGateways,
         read_only: bool,
     ) -> None:
-        super().__init__(service, route, session, names, clock)
+        super().__init__(service, route, session, names, clock, others)
         self.read_only = read_only
         self.wrote = False
         self.failed = False
@@ -103,16 +111,16 @@
 
     def _begin(self) -> None:
         if not self.read_only:
-            self._acquire_primary()
+            self.acquire_primary(self._begin, self._with_channel)
             return
-        if self.route.consistency is Consistency.PRIMARY and self._move(
-            self.find_home(self.tenant)
+        if self.route.consistency is Consistency.PRIMARY and self.move_to(
+            self.others.find_remote_holder(self.tenant, "")
         ):
             return
         self.stage = Stage.WAITS_FOR_SAMPLE
         since = oldest_sample(self.route, self._begun_at)
         prefetch(self.service, self.route, self.clock.time())
-        if self.service.primary.can_give(since) or not self.refuse_long_lost():
+        if self.service.primary.can_give(since) or not self.reject_long_lost():
             self.service.primary.need(since, self._with_floor)
 
     def _with_floor(self, position: Position | None) -> None:
@@ -127,42 +135,22 @@
             return
         roomy = pool if self.is_prompt(pool) else self.roomier(self._excluded)
         if roomy is None:
-            self.refuse_crowded(pool)
+            self.reject_crowded(pool)
             return
         pool = roomy
-        home = self.find_home(self.tenant, pool.record.instance)
-        if home is not None and self._move(home):
+        if self.move_to(self.others.find_remote_holder(self.tenant, pool.record.instance)):
             return
         self.attempts += 1
         self.acquire(pool, self._with_channel)
         self.limit_opening()
 
-    def _acquire_primary(self) -> None:
-        self.stage = Stage.WAITS_FOR_PRIMARY
-        pool = self.service.primary_pool()
-        if self._move(self.find_home(self.tenant)):
-            return
-        if self.service.primary.failing_since and self._move(self.find_detour()):
-            return
-        if self.refuse_long_lost():
-            return
-        if pool is None or pool.is_failing:
-            self.service.primary.request_sample()
-            self.retry_later(self._begin, busy("no primary is known"))
-            return
-        if not self.may_wait_at(pool):
-            self.refuse_crowded(pool)
-            return
-        self.floor = None
-        self.acquire(pool, self._with_channel)
-
-    def _move(self, work: Work | None) -> bool:
-        """Have another gateway run the transaction from its first statement."""
+    def move_to(self, work: Work | None) -> bool:
+        """Have another gateway run the transaction from its first statement, if one is named."""
         respond = self.respond
         if work is None or respond is None:
             return False
         self._moved = work.transaction(self.route, self.session, self.read_only)
-        self.away = self._moved
+        self.remote = self._moved
         self.respond = None
         self.stop_timers()
         self._moved.run(self.statement, respond)
@@ -183,7 +171,7 @@
             self.retry_later(self._begin, busy(answer.message))
             return
         kind = CommandKind.BEGIN_READ if self.read_only else CommandKind.BEGIN
-        commands = self.replay(channel)
+        commands = self.service.policies.state_replay.commands(channel, self.session)
         commands.append(Command(kind, floor=self.floor))
         channel.in_transaction = True
         if self.read_only:
@@ -249,7 +237,7 @@
         if is_write(self.statement, self.session):
             self.wrote = True
         commands = replay_in_transaction(self.channel, self.session)
-        commands += self.command(self.statement, None)
+        commands += commands_for(self.statement, None, self.channel, self.session, self.names)
         if self.read_only:
             self.limit_answer()
         self.send(commands, self._statement_answered)
@@ -344,14 +332,12 @@
 
         def rolled_back(answer: Answer) -> None:
             channel.in_transaction = False
-            channel.on_closed = lambda channel: None
             if answer.refusal is not None:
                 channel.close()
             # A value set inside of a transaction may be undone with it.
             channel.uncertain = bool(channel.values)
             pool.release(channel)
 
-        channel.on_closed = lambda channel: None
         channel.send([Command(CommandKind.ROLLBACK)], [rolled_back])
 
     def on_timeout(self) -> None:
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -83,6 +83,6 @@
         self.assertLessEqual(limit, 30 - 3 - 6, "all shards of the region are held there")
 
     def test_the_order_without_a_plan_is_that_of_the_hash(self):
-        neighbours = self.world.sender.gateway._neighbours
+        neighbours = self.world.sender.gateway.peers.neighbours
         shard = Shard.of("db", "somebody")
         self.assertEqual(neighbours._order(shard.key), rank(shard.key, ["ga1", "ga2"]))
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,7 +1,7 @@
 """Gateways of one zone that share one gateway's connections, on a manual clock."""
 
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.gateway import Gateway, Peers
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.serving import Holder
 from rowanrail.gateway.services.locality import Locality
@@ -40,8 +40,7 @@
             zone.clock,
             self.decisions,
             Registry(),
-            self.neighbours,
-            planned=PlannedHolders(name, "a", zone.relay_clock),
+            Peers(self.neighbours, planned=PlannedHolders(name, "a", zone.relay_clock)),
         )
         self.holder = Holder(self.gateway, zone.relay_clock)
         self.gateway.start()
