--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -22,12 +22,13 @@
     GATEWAY_STOPPED,
     GATEWAY_STOPPING,
 )
-from rowanrail.gateway.gateway import Gateway, Peers
+from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.gauges import directory_gauges, gauges, relay_gauges, tenant_gauges
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.load_meter import LoadMeter
 from rowanrail.gateway.relay.metering import Metering
 from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.relay.serving import Holder
 from rowanrail.gateway.relay.transport import TcpHolderServer, TcpLinkOpener
 from rowanrail.gateway.services.locality import Locality
--- a/src/rowanrail/gateway/discovery/known_directory.py
+++ b/src/rowanrail/gateway/discovery/known_directory.py
@@ -7,8 +7,7 @@
 from collections.abc import Mapping
 
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.relay.detours import Detours
-from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.services.service import Service
 from rowanrail.model.members import MemberRecord
 from rowanrail.placement.hashed import Population
@@ -24,15 +23,13 @@
 
     Parameters
     ----------
-    neighbours : Neighbours or None
-        Gateways of the same group, where connections are shared.
-    detours : Detours or None
-        Gateways that may be asked for a detour to a primary.
+    peers : Peers
+        Gateways of the same group, where connections are shared, and those of other groups.
     """
 
-    def __init__(self, neighbours: Neighbours | None, detours: Detours | None) -> None:
-        self._neighbours = neighbours
-        self._detours = detours
+    def __init__(self, peers: Peers) -> None:
+        self._neighbours = peers.neighbours
+        self._detours = peers.detours
         self._directory = Directory(-1, [])
         self._members: dict[str, list[MemberRecord]] = {}
 
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -7,7 +7,6 @@
 
 import functools
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.discovery.known_directory import KnownDirectory
@@ -19,9 +18,8 @@
     MEMBERS_TAKEN,
 )
 from rowanrail.gateway.policies import GatewayPolicies
-from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.holdings import Holdings
-from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.relay.peers import NO_PEERS, Peers
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.relay.work_routing import WorkRouter
 from rowanrail.gateway.services.locality import Locality
@@ -45,7 +43,6 @@
 from rowanrail.model.members import PrimaryHealth
 from rowanrail.model.routing import Route, RoutingConfiguration
 from rowanrail.model.statements import Answer, Refusal
-from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.scheduling.plan import Plan
 from rowanrail.tenants.demand import DemandBook
@@ -61,28 +58,6 @@
 START_WAIT_SECONDS = 1.2  # clients wait for the answer to their start for 2 s
 
 
-@dataclass(frozen=True, slots=True)
-class Peers:
-    """The other gateways, as far as this one has to do with them.
-
-    Parameters
-    ----------
-    neighbours : Neighbours or None
-        Those of the same group, where connections are shared; None if they are not.
-    detours : Detours or None
-        Those of other groups; None if none is ever asked.
-    planned : PlannedHolders or None
-        Who holds connections by the control nodes' plan; None if holders are hashed.
-    """
-
-    neighbours: Neighbours | None = None
-    detours: Detours | None = None
-    planned: PlannedHolders | None = None
-
-
-NO_PEERS = Peers()
-
-
 class Gateway:
     """Sessions and services of one proxy."""
 
@@ -114,9 +89,9 @@
         self._session_count = 0
         self.access = Access(Clock(clock), decisions, self._policies.key_check, quota_terms)
         self.outcomes = Outcomes(decisions, self.access)
-        self.holdings = Holdings(self, peers.neighbours, peers.detours, peers.planned, decisions)
+        self.holdings = Holdings(self, peers, decisions)
         self.outcomes.on_trace = self.holdings.note_own
-        self._known = KnownDirectory(peers.neighbours, peers.detours)
+        self._known = KnownDirectory(peers)
         self._remote_admission = RemoteAdmission(Clock(clock))
         self._router = self._make_router()
         self._follow_peers()
@@ -128,8 +103,7 @@
             self.clock,
             self._policies.link_outcome,
             self._remote_admission,
-            self._peers.neighbours,
-            self._peers.detours,
+            self._peers,
             lambda: self.access.version,
         )
 
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -8,10 +8,9 @@
 from typing import Protocol
 
 from rowanrail.gateway.events import HOLDING_BEGUN, HOLDING_ENDED, PLAN_TAKEN
-from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.holder_choice import HeldHere
 from rowanrail.gateway.relay.load_meter import LoadMeter
-from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.services.service import Service
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.trace import Trace
@@ -36,12 +35,8 @@
     ----------
     host : HoldingsHost
         The gateway.
-    neighbours : Neighbours or None
-        The gateways with which connections are shared; None if there are none.
-    detours : Detours or None
-        Gateways of other groups.
-    planned : PlannedHolders or None
-        The plan; None if holders are hashed.
+    peers : Peers
+        The gateways with which connections are shared, those of other groups, and the plan.
     decisions : DecisionLog
         Gets what begins and ends to be held.
     """
@@ -49,12 +44,11 @@
     def __init__(
         self,
         host: HoldingsHost,
-        neighbours: Neighbours | None,
-        detours: Detours | None,
-        planned: PlannedHolders | None,
+        peers: Peers,
         decisions: DecisionLog,
     ) -> None:
         self._host = host
+        neighbours, detours, planned = peers.neighbours, peers.detours, peers.planned
         self._neighbours = neighbours
         self._detours = detours
         self._planned = planned
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -21,10 +21,9 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.policies import LinkOutcome
-from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.forwarding import ForwardedWork, Placement
 from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere
-from rowanrail.gateway.relay.neighbours import Neighbours
+from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.relay.remote_holder import RemoteHolder
 from rowanrail.gateway.services.locality import Locality
@@ -76,10 +75,8 @@
         Says what may be promised when a link is lost.
     remote_admission : RemoteAdmission
         Rejects what other holders would reject.
-    neighbours : Neighbours or None
-        Gateways that share connections with this one.
-    detours : Detours or None
-        Gateways of other zones or regions.
+    peers : Peers
+        Gateways that share connections with this one, and those of other zones or regions.
     version : callable
         Returns the version of the configuration in force.
     """
@@ -91,8 +88,7 @@
         scheduler: Scheduler,
         link_outcome: LinkOutcome,
         remote_admission: RemoteAdmission,
-        neighbours: Neighbours | None,
-        detours: Detours | None,
+        peers: Peers,
         version: Callable[[], int],
     ) -> None:
         self._locality = locality
@@ -100,8 +96,8 @@
         self._scheduler = scheduler
         self._link_outcome = link_outcome
         self._remote_admission = remote_admission
-        self._neighbours = neighbours
-        self._detours = detours
+        self._neighbours = peers.neighbours
+        self._detours = peers.detours
         self._version = version
 
     def work_for(self, service: Service, tenant: str, local: LocalWork) -> Work:
--- a/tests/gateway/test_known_directory.py
+++ b/tests/gateway/test_known_directory.py
@@ -5,6 +5,7 @@
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.discovery.known_directory import KnownDirectory
 from rowanrail.gateway.relay.neighbours import Neighbour
+from rowanrail.gateway.relay.peers import Peers
 from rowanrail.model.members import MemberRecord
 from rowanrail.placement.hashed import Population
 
@@ -48,7 +49,7 @@
     def setUp(self):
         self.neighbours, self.detours = ToldGateways(), ToldGateways()
         self.services = {"db1": ToldService(), "db2": ToldService()}
-        self.known = KnownDirectory(self.neighbours, self.detours)
+        self.known = KnownDirectory(Peers(self.neighbours, self.detours))
         self.members = [member("m1", "db1"), member("m2", "db2")]
         self.set(1)
         for service in self.services.values():
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -3,9 +3,10 @@
 import unittest
 
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.gateway import Gateway, Peers
+from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
+from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.relay.serving import Holder
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.session import Session
