--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -42,9 +42,14 @@
 class GatewayReport(msgspec.Struct, frozen=True, array_like=True):
     """What a gateway sees; sent on to the leader.
 
-    :param hops: 1 once a control node has sent it on.
-    :param group: the zone or region whose gateways share connections; empty for the zone.
-    :param load: what came to it in a span of time, None if that was reported before.
+    Parameters
+    ----------
+    hops : int
+        1 once a control node has sent it on.
+    group : str
+        The zone or region whose gateways share connections; empty for the zone.
+    load : LoadReport or None
+        What came to it in a span of time, None if that was reported before.
     """
 
     gateway: str
@@ -67,9 +72,14 @@
 class DirectoryPart(msgspec.Struct, frozen=True, array_like=True):
     """The directory as one group's gateways know it, or what changed of it.
 
-    :param since: the revision from which it leads on; ``WHOLE`` if it holds everything.
-    :param digest: of the whole directory to which it leads, see :mod:`digests`.
-    :param gone_members: instances that are known no more; likewise for the other two.
+    Parameters
+    ----------
+    since : int
+        The revision from which it leads on; ``WHOLE`` if it holds everything.
+    digest : bytes
+        Of the whole directory to which it leads, see :mod:`digests`.
+    gone_members : list of str
+        Instances that are known no more; likewise for the other two.
     """
 
     since: int
@@ -86,10 +96,16 @@
 class DirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask for what is newer than the gateway knows; the answer waits for it up to ``wait_seconds``.
 
-    :param takes_parts: whether the gateway understands ``part`` of the reply.
-    :param wants_whole: whether it needs the whole directory, of its revision or a later one.
-    :param known_controls: see :func:`controls_mark`.
-    :param known_plan: number of the plan of holders, None if the gateway goes by none.
+    Parameters
+    ----------
+    takes_parts : bool
+        Whether the gateway understands ``part`` of the reply.
+    wants_whole : bool
+        Whether it needs the whole directory, of its revision or a later one.
+    known_controls : int
+        See :func:`controls_mark`.
+    known_plan : int or None
+        Number of the plan of holders, None if the gateway goes by none.
     """
 
     report: GatewayReport
@@ -111,17 +127,28 @@
 class DirectoryReply(msgspec.Struct, frozen=True, array_like=True):
     """What is newer.
 
-    :param current: whether this node hears a leader; else the gateway asks another node.
-    :param document: the configuration (compressed), empty if the known one is the newest.
-    :param members: all members, None if the known revision is the newest, or with ``part``.
-    :param gateways: how many gateways there are, in ``zones`` zones (or regions that share).
-    :param neighbours: the gateways of the asking gateway's group, with ``members``.
-    :param controls: addresses of all control nodes; empty if the gateway knows them.
-    :param zone: where the answering node stands.
-    :param others: gateways of other groups that hold connections there, with ``members``.
-    :param part: a packed :class:`DirectoryPart` for gateways that take one; empty if there is
-        nothing new.
-    :param plan: of holders, None if the known one is the newest.
+    Parameters
+    ----------
+    current : bool
+        Whether this node hears a leader; else the gateway asks another node.
+    document : bytes
+        The configuration (compressed), empty if the known one is the newest.
+    members : list of MemberRecord or None
+        All members, None if the known revision is the newest, or with ``part``.
+    gateways : int
+        How many gateways there are, in ``zones`` zones (or regions that share).
+    neighbours : list of GatewayRecord
+        The gateways of the asking gateway's group, with ``members``.
+    controls : list of str
+        Addresses of all control nodes; empty if the gateway knows them.
+    zone : str
+        Where the answering node stands.
+    others : list of GatewayRecord
+        Gateways of other groups that hold connections there, with ``members``.
+    part : bytes
+        A packed :class:`DirectoryPart` for gateways that take one; empty if there is nothing new.
+    plan : Plan or None
+        Of holders, None if the known one is the newest.
     """
 
     current: bool
@@ -143,8 +170,12 @@
 class LoggedDirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask, for a gateway that has just started, what a node's log holds, committed or not.
 
-    :param group: the zone or region with whose gateways it shares connections.
-    :param takes_parts: whether the gateway understands ``part`` of the directory.
+    Parameters
+    ----------
+    group : str
+        The zone or region with whose gateways it shares connections.
+    takes_parts : bool
+        Whether the gateway understands ``part`` of the directory.
     """
 
     group: str
@@ -155,11 +186,18 @@
 class LoggedDirectoryReply(msgspec.Struct, frozen=True, array_like=True):
     """What a control node's log holds, whether or not it knows a leader.
 
-    :param node: the answering node's id.
-    :param last_term: term of the log's last entry.
-    :param last_index: index of the log's last entry.
-    :param voters: ids of the nodes that vote, by the newest membership in the log.
-    :param directory: the whole state after the last entry.
+    Parameters
+    ----------
+    node : str
+        The answering node's id.
+    last_term : int
+        Term of the log's last entry.
+    last_index : int
+        Index of the log's last entry.
+    voters : list of str
+        Ids of the nodes that vote, by the newest membership in the log.
+    directory : DirectoryReply
+        The whole state after the last entry.
     """
 
     node: str
--- a/src/rowanrail/gateway/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -131,7 +131,7 @@
         def settle(outcome: Outcome) -> None:
             match outcome:
                 case Sampled(instance=instance, position=position):
-                    self._keeper.note_up(link)
+                    self._keeper.note_answer(link)
                     if self._book.note_reached(service, name, self._clock.now):
                         self.on_found(service, name)
                     take(asked_at, instance, position)
@@ -156,9 +156,9 @@
         return self._keeper.reach(name) or NoHolder()
 
     @property
-    def note_up(self) -> Callable[..., None]:
-        """See :meth:`rowanrail.gateway.relay.neighbours.LinkKeeper.note_up`."""
-        return self._keeper.note_up
+    def note_answer(self) -> Callable[..., None]:
+        """See :meth:`rowanrail.gateway.relay.neighbours.LinkKeeper.note_answer`."""
+        return self._keeper.note_answer
 
     def close(self) -> None:
         """Close all links."""
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -51,7 +51,7 @@
         """Return where statements of a service, or of some tenants of it, run now."""
 
     @property
-    def note_up(self) -> Callable[[Link], None]:
+    def note_answer(self) -> Callable[[Link], None]:
         """Note that the gateway behind a link answered."""
 
 
@@ -61,7 +61,7 @@
 
     Parameters
     ----------
-    neighbours : Placement
+    placement : Placement
         Says at which gateway they run.
     local : LocalWork
         For the case that it is this gateway in the end.
@@ -77,7 +77,7 @@
         Of the configuration by which clients' keys were taken.
     """
 
-    neighbours: Placement
+    placement: Placement
     local: LocalWork
     clock: Clock
     link_outcome: LinkOutcome
@@ -104,13 +104,13 @@
         self._attempts = 0
         self._ran = False  # whether a statement of its transaction was answered
         self._peer = ""
-        self._told: Trace | None = None
+        self._holder_trace: Trace | None = None
         self._rejection: Rejection | None = None
 
     def trace(self) -> Trace:
         """See :meth:`rowanrail.gateway.work.ports.SingleStatement.trace`."""
-        if self._told is not None:
-            return msgspec.structs.replace(self._told, via=self._peer)
+        if self._holder_trace is not None:
+            return msgspec.structs.replace(self._holder_trace, via=self._peer)
         stage = Stage.SENT if self._sent else Stage.WAITS_FOR_HOLDER
         return Trace(
             self._route.service,
@@ -127,7 +127,7 @@
     def _begin(self, statement: TypedStatement, respond: Respond) -> None:
         self._statement = statement
         self._respond = respond
-        self._told = None
+        self._holder_trace = None
         self._rejection = None
         self._sent = False
         self._attempts = 0
@@ -198,7 +198,7 @@
         if self._respond is None:
             return
         shard = Shard.of(self._route.service, self._session.identity.tenant)
-        match self._work.neighbours.where_held(shard):
+        match self._work.placement.where_held(shard):
             case HeldHere():
                 self._run_here()
             case HeldAt(link=link):
@@ -210,13 +210,13 @@
         reply, link = outcome.reply, self._link
         self._call = 0
         if link is not None:
-            self._work.neighbours.note_up(link)
+            self._work.placement.note_answer(link)
         service = self._route.service
         floor = self._session.floors.get(service)
         if reply.floor is not None and (floor is None or reply.floor > floor):
             self._session.floors[service] = reply.floor
         self._work.local.note_doubts(reply.doubts)
-        self._told = reply.trace
+        self._holder_trace = reply.trace
         self._work.remote_admission.note(
             self._peer, service, self._session.identity.tenant, reply.load
         )
--- a/src/rowanrail/gateway/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -118,7 +118,7 @@
         peer.backoff.note_loss(self._clock.now)
         self.on_link(link.peer, False, reason)
 
-    def note_up(self, link: Link) -> None:
+    def note_answer(self, link: Link) -> None:
         """Note that a gateway answered: the next loss is waited out from the start."""
         peer = self._peers.get(link.peer)
         if peer is not None and peer.link is link and peer.backoff.note_answer():
--- a/src/rowanrail/gateway/relay/remote_holder.py
+++ b/src/rowanrail/gateway/relay/remote_holder.py
@@ -49,6 +49,6 @@
         return found
 
     @property
-    def note_up(self) -> Callable[[Link], None]:
-        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.note_up`."""
-        return self._detours.note_up
+    def note_answer(self) -> Callable[[Link], None]:
+        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.note_answer`."""
+        return self._detours.note_answer
--- a/src/rowanrail/rpc/codec.py
+++ b/src/rowanrail/rpc/codec.py
@@ -49,7 +49,10 @@
 def message(tag: str) -> Callable[[MessageType], MessageType]:
     """Return a class decorator that registers a message type under its tag on the wire.
 
-    :raises ValueError: if another class holds the tag.
+    Raises
+    ------
+    ValueError
+        If another class holds the tag.
     """
 
     def decorate(message_type: MessageType) -> MessageType:
@@ -78,7 +81,10 @@
 def decode_frame(data: bytes) -> tuple[FrameKind, int, msgspec.Struct]:
     """Return kind, call id and message of a frame.
 
-    :raises TransportError: if the bytes are no valid frame of this protocol version.
+    Raises
+    ------
+    TransportError
+        If the bytes are no valid frame of this protocol version.
     """
     try:
         frame = _frame_decoder.decode(data)
--- a/src/rowanrail/rpc/network.py
+++ b/src/rowanrail/rpc/network.py
@@ -33,7 +33,10 @@
     ) -> msgspec.Struct:
         """Send a request and return its reply.
 
-        :raises TransportError: if there is no reply in time, or the peer reports a failure.
+        Raises
+        ------
+        TransportError
+            If there is no reply in time, or the peer reports a failure.
         """
 
     @abstractmethod
--- a/src/rowanrail/rpc/tcp.py
+++ b/src/rowanrail/rpc/tcp.py
@@ -34,7 +34,10 @@
 def split_address(address: str) -> tuple[str, int]:
     """Split ``host:port``.
 
-    :raises TransportError: if the address is malformed.
+    Raises
+    ------
+    TransportError
+        If the address is malformed.
     """
     host, separator, port = address.rpartition(":")
     if not separator or not port.isdigit():
