--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -4,8 +4,9 @@
 does not serve, and what its sender no longer waits for is ended. A transaction whose sender is gone
 is rolled back.
 
-Owns the statements and transactions of each link. Relies on ``work`` to run them, on :mod:`terms`
-to read and answer them, and on the gateway for keys, samples and loads.
+Owns the statements and transactions of each link. Relies on :mod:`serving_rules` for which of them
+run, on ``work`` to run them, on :mod:`terms` to read and answer them, and on the gateway for keys,
+samples and loads.
 """
 
 from collections.abc import Callable
@@ -27,6 +28,7 @@
     Run,
     SampleReply,
 )
+from rowanrail.gateway.relay.serving_rules import Arrival, judge_arrival
 from rowanrail.gateway.relay.terms import load_session, reply_to, route_of, statement_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.connected import Stage
@@ -46,8 +48,6 @@
 IDLE_MARGIN_MS = 1000.0  # chosen: the client's own gateway ends an idle transaction before that
 IDLE_CHECK_MS = 1000.0  # chosen: between checks for transactions that have been idle for too long
 
-WITHDRAWN = "the key was withdrawn"
-
 Send = Callable[[FromHolder], None]
 
 
@@ -206,10 +206,8 @@
         if isinstance(message, Run):
             self._holder.on_run(Shard.of(message.service, message.tenant))
         match message:
-            case Run(transaction=0):
-                self._run_single(message)
             case Run():
-                self._run_in_transaction(message)
+                self._run(message)
             case End(transaction=number):
                 self._end(number)
             case Drop(call=call):
@@ -250,12 +248,47 @@
         named = {tenant: total for tenant, total in fleet.tenants.items() if tenant in asked}
         self.send(DemandCounted(message.call, Report(named, fleet.gateways, fleet.unknown)))
 
-    # Single statements
+    # Statements
+
+    def _run(self, run: Run) -> None:
+        is_open = run.transaction in self._transactions
+        begins = run.begins or not run.transaction
+        match judge_arrival(is_open, begins, self._admits(run), self._holder.host.stopping):
+            case Arrival.RUN if is_open:
+                self._run_on(self._transactions[run.transaction], run)
+            case Arrival.RUN:
+                self._begin(run)
+            case Arrival.NOT_SERVED:
+                self.send(NotServed(run.call, "it is stopping"))
+            case Arrival.DENIED:
+                self._end(run.transaction)
+                self._refuse(run, Refusal.DENIED, "the key was withdrawn")
+            case Arrival.ENDED:
+                self._refuse(run, Refusal.ABORTED, "the transaction was ended at its holder")
 
-    def _run_single(self, run: Run) -> None:
-        work = self._work(run)
+    def _admits(self, run: Run) -> bool:
+        identity = ClientIdentity(run.tenant, run.key)
+        return self._holder.host.admits(run.database, identity, run.version)
+
+    def _begin(self, run: Run) -> None:
+        """Begin a single statement or a transaction, if its service is known here."""
+        work = self._holder.host.local_work(run.service, run.is_detour)
         if work is None:
-            return
+            self.send(NotServed(run.call, f"it does not serve {run.service} now"))
+        elif run.transaction:
+            session = SessionValues()
+            opened = work.transaction(route_of(run), session, run.read_only)
+            transaction = self._transactions[run.transaction] = _Transaction(work, opened, session)
+            self._run_on(transaction, run)
+        else:
+            self._run_single(work, run)
+
+    def _refuse(self, run: Run, refusal: Refusal, reason: str) -> None:
+        """Refuse a statement of which nothing may run, here or elsewhere."""
+        trace = Trace(run.service, Stage.ACCEPTED.value)
+        self.send(reply_to(run, Answer(refusal=refusal, message=reason), None, trace))
+
+    def _run_single(self, work: LocalWork, run: Run) -> None:
         session = SessionValues()
         load_session(session, run)
         single = work.single(route_of(run), session, run.writes)
@@ -270,52 +303,13 @@
             doubts = single.local.doubts()
             self.send(reply_to(run, answer, floor, single.work.trace(), load, doubts))
 
-    def _work(self, run: Run) -> LocalWork | None:
-        """Return the work for new statements, or answer that there is none."""
-        host = self._holder.host
-        if not self._admits(run):
-            self._refuse(run, Refusal.DENIED, WITHDRAWN)
-            return None
-        work = None if host.stopping else host.local_work(run.service, run.is_detour)
-        if work is None:
-            reason = "it is stopping" if host.stopping else f"it does not serve {run.service} now"
-            self.send(NotServed(run.call, reason))
-        return work
-
-    def _admits(self, run: Run) -> bool:
-        identity = ClientIdentity(run.tenant, run.key)
-        return self._holder.host.admits(run.database, identity, run.version)
-
-    # Transactions
-
-    def _run_in_transaction(self, run: Run) -> None:
-        transaction = self._transactions.get(run.transaction)
-        if transaction is None:
-            if not run.begins:
-                # It may not begin anew.
-                self._refuse(run, Refusal.ABORTED, "the transaction was ended at its holder")
-                return
-            work = self._work(run)
-            if work is None:
-                return
-            session = SessionValues()
-            opened = work.transaction(route_of(run), session, run.read_only)
-            transaction = self._transactions[run.transaction] = _Transaction(work, opened, session)
-        elif not self._admits(run):
-            self._end(run.transaction)
-            self._refuse(run, Refusal.DENIED, WITHDRAWN)
-            return
+    def _run_on(self, transaction: _Transaction, run: Run) -> None:
         load_session(transaction.session, run)
         transaction.call = run.call
         transaction.work.run(
             statement_of(run), lambda answer: self._answer_in_transaction(run, answer)
         )
 
-    def _refuse(self, run: Run, refusal: Refusal, reason: str) -> None:
-        """Refuse a statement of which nothing may run, here or elsewhere."""
-        trace = Trace(run.service, Stage.ACCEPTED.value)
-        self.send(reply_to(run, Answer(refusal=refusal, message=reason), None, trace))
-
     def _answer_in_transaction(self, run: Run, answer: Answer) -> None:
         transaction = self._transactions.get(run.transaction)
         if transaction is None or transaction.call != run.call:
--- /dev/null
+++ b/src/rowanrail/gateway/relay/serving_rules.py
@@ -0,0 +1,50 @@
+"""What a holder does with a statement that another gateway sent.
+
+The sender's client is promised what the answer says: nothing that is called not served or denied
+has run here, and a transaction that was ended here is never begun anew in the middle.
+
+Owns nothing and relies on nothing; :mod:`serving` acts on the verdicts.
+"""
+
+import enum
+
+__all__ = ["Arrival", "judge_arrival"]
+
+
+class Arrival(enum.Enum):
+    """What is done with a statement on its arrival."""
+
+    RUN = "run"
+    NOT_SERVED = "not-served"  # nothing ran: the sender may run it elsewhere
+    DENIED = "denied"  # its key was withdrawn; an open transaction is rolled back
+    ENDED = "ended"  # its transaction is no longer open here: aborted
+
+
+def judge_arrival(is_open: bool, begins: bool, is_admitted: bool, is_stopping: bool) -> Arrival:
+    """Return what is done with a statement that another gateway sent.
+
+    Parameters
+    ----------
+    is_open : bool
+        Whether it belongs to a transaction that is open here.
+    begins : bool
+        Whether it is the first statement of its transaction, or stands alone.
+    is_admitted : bool
+        Whether its client's key holds, by the newer of the two gateways' configurations.
+    is_stopping : bool
+        Whether a planned stop has begun; open transactions go on for a while.
+
+    Examples
+    --------
+    >>> judge_arrival(is_open=True, begins=False, is_admitted=True, is_stopping=True).value
+    'run'
+    >>> judge_arrival(is_open=False, begins=True, is_admitted=True, is_stopping=True).value
+    'not-served'
+    >>> judge_arrival(is_open=False, begins=False, is_admitted=True, is_stopping=False).value
+    'ended'
+    """
+    if not (is_open or begins):
+        return Arrival.ENDED
+    if not is_admitted:
+        return Arrival.DENIED
+    return Arrival.NOT_SERVED if is_stopping and not is_open else Arrival.RUN
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -22,6 +22,7 @@
     "rowanrail.gateway.relay.forwarding_rules",
     "rowanrail.gateway.relay.holder_choice",
     "rowanrail.gateway.relay.liveness",
+    "rowanrail.gateway.relay.serving_rules",
     "rowanrail.gateway.relay.work_routing",
     "rowanrail.gateway.services.service_share",
     "rowanrail.gateway.services.locality",
