--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -18,10 +18,10 @@
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.relay.work_routing import WorkRouter
+from rowanrail.gateway.services.load_measure import measure
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.primary_lines import note_primary
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.services.told_load import measure
 from rowanrail.gateway.services.weight_lines import note_weight
 from rowanrail.gateway.session_values import PreparedNames
 from rowanrail.gateway.sessions.access import Access
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -36,7 +36,7 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Trace
 from rowanrail.placement.hashed import Shard
-from rowanrail.scheduling.load import LoadTeller, ServiceLoad
+from rowanrail.scheduling.load import LoadReporter, ServiceLoad
 from rowanrail.tenants.demand import DemandBook, Report
 from rowanrail.tenants.model import ClientIdentity
 
@@ -125,7 +125,7 @@
     def __init__(self, host: HolderHost, clock: Clock) -> None:
         self.host = host
         self.clock = clock
-        self.teller = LoadTeller(clock, host.load)
+        self.teller = LoadReporter(clock, host.load)
         self.on_region: Callable[[CountDemand], None] = lambda message: None
         self._links: dict[ServedLink, None] = {}
         self.on_run: Callable[[Shard], None] = lambda shard: None
@@ -265,7 +265,7 @@
         single = self._singles.pop(run.call, None)
         if single is not None:
             floor = single.session.floors.get(run.service)
-            load = self._holder.teller.tell(run.service, run.tenant)
+            load = self._holder.teller.report(run.service, run.tenant)
             doubts = single.local.doubts()
             self.send(reply_to(run, answer, floor, single.work.trace(), load, doubts))
 
@@ -325,7 +325,7 @@
             del self._transactions[run.transaction]
             transaction.work.end()
         floor = transaction.session.floors.get(run.service)
-        load = self._holder.teller.tell(run.service, run.tenant)
+        load = self._holder.teller.report(run.service, run.tenant)
         doubts = transaction.local.doubts()
         self.send(reply_to(run, answer, floor, transaction.work.trace(), load, doubts))
 
--- a/src/rowanrail/gateway/services/told_load.py
+++ b/src/rowanrail/gateway/services/load_measure.py
@@ -1,4 +1,8 @@
-"""The load of a service at this gateway, as it is told to the gateways that send here."""
+"""The load of a service at this gateway, as it is reported to the gateways that send here.
+
+A function of the pools' forecasts, without state; when it is reported is said by
+:class:`rowanrail.scheduling.load.LoadReporter`.
+"""
 
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.service import Service
--- a/src/rowanrail/gateway/services/member_weights.py
+++ b/src/rowanrail/gateway/services/member_weights.py
@@ -9,7 +9,7 @@
 
 from rowanrail.kernel.clock import Clock
 from rowanrail.scheduling.member_weight import MemberWeight, Trouble, Weight, is_trouble
-from rowanrail.scheduling.told_weights import ToldWeights
+from rowanrail.scheduling.reported_weights import ReportedWeights
 
 __all__ = ["MemberWeights"]
 
@@ -27,13 +27,13 @@
         self.on_change: Callable[[str, bool], None] = lambda instance, has_fallen: None
         self._clock = clock
         self._weights: dict[str, MemberWeight] = {}
-        self._told = ToldWeights()
+        self._reported = ReportedWeights()
         self._busy: Counter[str] = Counter()  # busy refusals running
 
     def set_members(self, instances: set[str]) -> None:
         """Know the members; those that left are forgotten."""
         self._weights = {name: self._weights.get(name) or MemberWeight() for name in instances}
-        self._told.keep(instances)
+        self._reported.keep(instances)
 
     def own(self, instance: str) -> Weight:
         """Return a member's weight by what was met here."""
@@ -41,8 +41,8 @@
         return Weight(1.0, "", 0) if known is None else known.weight
 
     def effective(self, instance: str) -> float:
-        """Return a member's weight with what others told."""
-        return self.own(instance).value * self._told.factor(instance, self._clock.now)
+        """Return a member's weight with what others reported."""
+        return self.own(instance).value * self._reported.factor(instance, self._clock.now)
 
     # What was met here
 
@@ -88,14 +88,14 @@
         if was_fallen and not known.is_fallen:
             self.on_change(instance, False)
 
-    # What gateways tell each other
+    # What gateways report to each other
 
-    def doubts(self) -> dict[str, int]:
+    def reduced(self) -> dict[str, int]:
         """Return the members that lost weight here, and how much is left in hundredths."""
         weights = {name: weight.weight.value for name, weight in self._weights.items()}
         return {name: round(value * 100) for name, value in weights.items() if value < 1.0}
 
-    def note_doubts(self, doubts: dict[str, int]) -> None:
-        """Take what another gateway told of the members that it doubts."""
-        known = {name: left / 100 for name, left in doubts.items() if name in self._weights}
-        self._told.note(known, self._clock.now)
+    def note_reported(self, reduced: dict[str, int]) -> None:
+        """Take the members that lost weight at another gateway, and how much is left there."""
+        known = {name: left / 100 for name, left in reduced.items() if name in self._weights}
+        self._reported.note(known, self._clock.now)
--- a/src/rowanrail/gateway/services/primary_lines.py
+++ b/src/rowanrail/gateway/services/primary_lines.py
@@ -1,4 +1,4 @@
-"""Lines of the log about a service's primary: lost, or found again."""
+"""Log lines about a service's primary: lost, or found again."""
 
 from rowanrail.gateway.events import PRIMARY_LOST, PRIMARY_PROVED
 from rowanrail.kernel.decisions import DecisionLog
--- a/src/rowanrail/gateway/services/weight_lines.py
+++ b/src/rowanrail/gateway/services/weight_lines.py
@@ -1,4 +1,4 @@
-"""Lines of the log on members that lose their weight, or have it back."""
+"""Log lines on members that lose their weight, or have it back."""
 
 from rowanrail.gateway.events import MEMBER_FELL, MEMBER_ROSE
 from rowanrail.gateway.services.service import Service
@@ -10,7 +10,7 @@
 def note_weight(decisions: DecisionLog, service: Service, instance: str, has_fallen: bool) -> None:
     """Log a change of a member's weight with what decided it.
 
-    A member is told to fall once, until it has risen again, which takes its probes seconds.
+    A fall of a member is logged once, until it has risen again, which takes its probes seconds.
     """
     weight = service.estimates.weights.own(instance)
     pool = service.pools.get(instance)
--- a/src/rowanrail/gateway/work/work.py
+++ b/src/rowanrail/gateway/work/work.py
@@ -67,8 +67,8 @@
 
     def doubts(self) -> dict[str, int]:
         """Return the members of which this gateway's statements found trouble, see Reply."""
-        return self._service.estimates.weights.doubts()
+        return self._service.estimates.weights.reduced()
 
     def note_doubts(self, doubts: dict[str, int]) -> None:
         """Take what another gateway told of the members that it doubts."""
-        self._service.estimates.weights.note_doubts(doubts)
+        self._service.estimates.weights.note_reported(doubts)
--- a/src/rowanrail/members/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -135,8 +135,8 @@
             self.on_primary()
         self._waiting.serve(self.sample)
 
-    def note_told(self, asked_at: float, instance: str, position: Position) -> None:
-        """Take a position that another gateway had proved, asked for at ``asked_at`` or later.
+    def note_reported(self, asked_at: float, instance: str, position: Position) -> None:
+        """Take a position that another gateway proved, asked for at ``asked_at`` or later.
 
         It lets reads go on; that this gateway does not reach the primary stays true.
         """
--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -163,14 +163,14 @@
     return Reject(RejectionCause.PAST_DEADLINE, return_base(forecast.wait, whole))
 
 
-def judge_sending(told_wait: float, way: float, left: float, whole: float) -> Verdict:
+def judge_sending(reported_wait: float, way: float, left: float, whole: float) -> Verdict:
     """Judge a statement that would be sent to another gateway.
 
     Parameters
     ----------
-    told_wait : float
-        Milliseconds that an answer certainly takes there, as may be assumed of what it told; 0
-        if nothing is.
+    reported_wait : float
+        Milliseconds that an answer certainly takes there, as may be assumed of its report; 0
+        if nothing is known.
     way : float
         Milliseconds there and back.
     left, whole : float
@@ -178,18 +178,18 @@
 
     Examples
     --------
-    >>> judge_sending(told_wait=0, way=80, left=60, whole=800).cause
+    >>> judge_sending(reported_wait=0, way=80, left=60, whole=800).cause
     <RejectionCause.WAY_TOO_LONG: 'way-too-long'>
-    >>> judge_sending(told_wait=800, way=80, left=800, whole=800).cause
+    >>> judge_sending(reported_wait=800, way=80, left=800, whole=800).cause
     <RejectionCause.HOLDER_CROWDED: 'holder-crowded'>
-    >>> judge_sending(told_wait=0, way=80, left=800, whole=800)
+    >>> judge_sending(reported_wait=0, way=80, left=800, whole=800)
     Admit()
     """
     if left <= way:
-        return Reject(RejectionCause.WAY_TOO_LONG, return_base(told_wait, whole))
-    if told_wait + way <= left:
+        return Reject(RejectionCause.WAY_TOO_LONG, return_base(reported_wait, whole))
+    if reported_wait + way <= left:
         return Admit()
-    return Reject(RejectionCause.HOLDER_CROWDED, return_base(told_wait, whole))
+    return Reject(RejectionCause.HOLDER_CROWDED, return_base(reported_wait, whole))
 
 
 class Watch:
--- a/src/rowanrail/scheduling/load.py
+++ b/src/rowanrail/scheduling/load.py
@@ -1,6 +1,6 @@
-"""What a holder of connections tells about its load with each answer, and how it ages.
+"""What a holder of connections reports of its load with each answer, and how that ages.
 
-It travels with answers that are sent anyhow. What was told is a moment old when it comes and may be
+It travels with answers that are sent anyhow. A report is a moment old when it comes and may be
 wrong soon after, so that the sender takes the least that may still be true, forgets it after a
 second, and sends a probe now and then, whose answer says when room is back.
 """
@@ -17,34 +17,34 @@
     "URGENCIES",
     "Assumed",
     "LoadBook",
-    "LoadTeller",
+    "LoadReporter",
     "ServiceLoad",
     "Subject",
     "rounded",
-    "worth_telling",
+    "worth_reporting",
 ]
 
-URGENCIES = 3  # told one by one; routes of callers name no more so far
-# Milliseconds for which what a holder told is assumed: about the time of a try, after which its
-# backlog is another one.
+URGENCIES = 3  # reported one by one; routes of callers name no more so far
+# Milliseconds for which a report of a holder is assumed to hold: about the time of a try, after
+# which its backlog is another one.
 ASSUMED_MS = 1000.0
 # Milliseconds between two statements that are sent although they would be refused: ten answers a
 # second tell within a tenth of a second that room is back.
 PROBE_MS = 100.0
-# Milliseconds for which a load that was worked out is told again; short beside what is told.
-TOLD_AGAIN_MS = 10.0
-# Milliseconds for which a word is taken as it was told: until the answer to the next probe is here,
-# 40 ms away. A line that stands is refilled as it goes on, so that it is as long as before.
+# Milliseconds for which a load that was worked out is reported again; short beside the times in it.
+REPORTED_AGAIN_MS = 10.0
+# Milliseconds for which a report is taken as it is: until the answer to the next probe is here,
+# 40 ms away. A standing queue is refilled as it goes on, so that it is as long as before.
 FRESH_MS = PROBE_MS + 50.0
-LEAST_TOLD_MS = 20.0  # shorter waits change no decision
-# Words that are kept: those of 100 tenants at 10 holders; about 300 KB.
+LEAST_REPORTED_MS = 20.0  # shorter waits change no decision
+# Reports that are kept: those of 100 tenants at 10 holders; about 300 KB.
 MOST_BOOKED = 1024
 
 
 class Subject(NamedTuple):
-    """Of what a holder told: a tenant's statements of one service.
+    """What a report is of: a tenant's statements of one service.
 
-    A tenant's rush stands behind its own share, so that each tenant's wait is another one.
+    A tenant's burst waits behind its own share, so that each tenant's wait is another one.
     """
 
     peer: str
@@ -64,7 +64,7 @@
     reads : list of int
         The same at the member where a read takes least.
     pace : int
-        Statements a second by which the line at the primary goes on; 0 if it is not known.
+        Statements a second by which the wait queue of the primary goes on; 0 if it is not known.
     """
 
     waits: list[int] = []
@@ -84,19 +84,19 @@
         return waits[min(max(urgency, 0), len(waits) - 1)] if waits else 0
 
 
-def worth_telling(load: ServiceLoad) -> bool:
+def worth_reporting(load: ServiceLoad) -> bool:
     """Return whether a load says more than that there is room.
 
     Examples
     --------
-    >>> worth_telling(ServiceLoad([0, 5], [0, 0])), worth_telling(ServiceLoad([0, 500], [0, 0]))
+    >>> worth_reporting(ServiceLoad([0, 5], [0, 0])), worth_reporting(ServiceLoad([0, 500], [0, 0]))
     (False, True)
     """
-    return max([*load.waits, *load.reads], default=0) >= LEAST_TOLD_MS
+    return max([*load.waits, *load.reads], default=0) >= LEAST_REPORTED_MS
 
 
-class LoadTeller:
-    """What a holder tells about its services, worked out once for answers that leave together.
+class LoadReporter:
+    """What a holder reports of its services, worked out once for answers that leave together.
 
     Parameters
     ----------
@@ -109,19 +109,19 @@
     def __init__(self, clock: Clock, measure: Callable[[str, str], ServiceLoad | None]) -> None:
         self._clock = clock
         self._measure = measure
-        self._worked_out_at = -TOLD_AGAIN_MS
-        self._told: dict[tuple[str, str], ServiceLoad | None] = {}
+        self._worked_out_at = -REPORTED_AGAIN_MS
+        self._reported: dict[tuple[str, str], ServiceLoad | None] = {}
 
-    def tell(self, service: str, tenant: str) -> ServiceLoad | None:
+    def report(self, service: str, tenant: str) -> ServiceLoad | None:
         """Return the load of a service for a tenant, None if there is room."""
-        if self._clock.now - self._worked_out_at >= TOLD_AGAIN_MS:
-            self._told.clear()
+        if self._clock.now - self._worked_out_at >= REPORTED_AGAIN_MS:
+            self._reported.clear()
             self._worked_out_at = self._clock.now
-        if (service, tenant) not in self._told:
+        if (service, tenant) not in self._reported:
             load = self._measure(service, tenant)
-            is_told = load is not None and worth_telling(load)
-            self._told[service, tenant] = load if is_told else None
-        return self._told[service, tenant]
+            is_worth = load is not None and worth_reporting(load)
+            self._reported[service, tenant] = load if is_worth else None
+        return self._reported[service, tenant]
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
     wait : float
         Milliseconds that an answer takes there, at the least; 0 if nothing is known.
     pace : float
-        Statements a second by which its line goes on; 0 if it is not known.
+        Statements a second by which its wait queue goes on; 0 if it is not known.
     """
 
     wait: float = 0.0
@@ -141,8 +141,8 @@
 
 
 @dataclass(slots=True)
-class _Word:
-    """The last that a holder told of a subject, and when a probe was sent on its account."""
+class _LastReport:
+    """The last report of a holder on a subject, and when a probe was sent on its account."""
 
     load: ServiceLoad
     heard_at: float
@@ -150,7 +150,7 @@
 
 
 class LoadBook:
-    """What the holders told that a gateway sends to.
+    """The last reports of the holders that a gateway sends to.
 
     Parameters
     ----------
@@ -160,64 +160,64 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._words: dict[Subject, _Word] = {}
+        self._reports: dict[Subject, _LastReport] = {}
 
     def __len__(self) -> int:
-        return len(self._words)
+        return len(self._reports)
 
     def note(self, subject: Subject, load: ServiceLoad | None) -> None:
-        """Take what a holder told; None says that there is room, or comes from an older one."""
-        before = self._words.pop(subject, None)
+        """Take a report of a holder; None says that there is room, or comes from an older one."""
+        before = self._reports.pop(subject, None)
         if load is None:
             return
-        if len(self._words) >= MOST_BOOKED:
+        if len(self._reports) >= MOST_BOOKED:
             self._forget_old()
-        if len(self._words) < MOST_BOOKED:
+        if len(self._reports) < MOST_BOOKED:
             probed_at = before.probed_at if before else self._clock.now
-            self._words[subject] = _Word(load, self._clock.now, probed_at)
+            self._reports[subject] = _LastReport(load, self._clock.now, probed_at)
 
     def forget(self, peer: str) -> None:
         """Assume nothing of a holder whose link is lost."""
-        for subject in [subject for subject in self._words if subject.peer == peer]:
-            del self._words[subject]
+        for subject in [subject for subject in self._reports if subject.peer == peer]:
+            del self._reports[subject]
 
     def assume(self, subject: Subject, urgency: int, writes: bool) -> Assumed:
         """Return what may be assumed of a holder for a statement now.
 
-        If no probe has renewed its word, the line may have gone on without being refilled: the
-        time is taken as shorter by what its word is too old.
+        If no probe has renewed its report, the queue may have gone on without being refilled: the
+        time is taken as shorter by what the report is too old.
         """
-        word = self._words.get(subject)
-        if word is None:
+        last = self._reports.get(subject)
+        if last is None:
             return Assumed()
-        age = self._clock.now - word.heard_at
+        age = self._clock.now - last.heard_at
         if age > ASSUMED_MS:
             return Assumed()
-        time = word.load.wait(urgency, writes) - max(0.0, age - FRESH_MS)
-        return Assumed(max(0.0, time), word.load.pace)
+        time = last.load.wait(urgency, writes) - max(0.0, age - FRESH_MS)
+        return Assumed(max(0.0, time), last.load.pace)
 
     def may_probe(self, subject: Subject) -> bool:
-        """Return whether a statement is to be sent in spite of what was told; notes that it is."""
-        word = self._words.get(subject)
-        if word is None:
+        """Return whether a statement is sent in spite of the last report; notes that it is."""
+        last = self._reports.get(subject)
+        if last is None:
             return True
-        if self._clock.now - word.probed_at < PROBE_MS:
+        if self._clock.now - last.probed_at < PROBE_MS:
             return False
-        word.probed_at = self._clock.now
+        last.probed_at = self._clock.now
         return True
 
     def _forget_old(self) -> None:
         limit = self._clock.now - ASSUMED_MS
-        for subject in [known for known, word in self._words.items() if word.heard_at < limit]:
-            del self._words[subject]
+        for subject in [known for known, last in self._reports.items() if last.heard_at < limit]:
+            del self._reports[subject]
 
 
 def rounded(waits: Sequence[float]) -> list[int]:
-    """Return waits as they are told: whole milliseconds, none that changes no decision.
+    """Return waits as they are reported: whole milliseconds, none that changes no decision.
 
     Examples
     --------
     >>> rounded([3.2, 480.6])
     [0, 481]
     """
-    return [round(wait) if wait >= LEAST_TOLD_MS else 0 for wait in waits]
+    return [round(wait) if wait >= LEAST_REPORTED_MS else 0 for wait in waits]
--- a/src/rowanrail/scheduling/member_weight.py
+++ b/src/rowanrail/scheduling/member_weight.py
@@ -17,8 +17,8 @@
 # Of one member, by all gateways together; more would be load of their own on a member in trouble.
 PROBES_PER_SECOND = 40.0
 LEAST_WEIGHT = 0.05  # so that it still serves if all others are worse
-FALLEN = 0.5  # below it a member has fallen, which is remembered and told
-RISEN = 0.9  # from it on it is told that the member is back
+FALLEN = 0.5  # below it a member has fallen, which is remembered and logged
+RISEN = 0.9  # from it on the log says that the member is back
 GAIN = 0.25  # by each probe that is answered: four bring a member back that failed once
 LEAST_GAIN = GAIN / 8  # about half a minute for one that falls again and again
 FALL_MEMORY_MS = 30_000.0  # ms for which a fall makes the return slower; longer than flaps last
--- a/src/rowanrail/tenants/demand.py
+++ b/src/rowanrail/tenants/demand.py
@@ -103,7 +103,7 @@
         return self.unknown / max(1, self.gateways)
 
 
-class _Told(NamedTuple):
+class _Heard(NamedTuple):
     report: Report
     at: float
 
@@ -119,13 +119,13 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._gateways: dict[str, _Told] = {}
-        self._regions: dict[str, _Told] = {}
+        self._gateways: dict[str, _Heard] = {}
+        self._regions: dict[str, _Heard] = {}
         self._has_rush = False
 
     @property
     def has_rush(self) -> bool:
-        """Whether a gateway told of a rush that other regions have not heard of yet."""
+        """Whether a gateway reported a rush that other regions have not heard of yet."""
         return self._has_rush
 
     def note_gateway(self, name: str, report: Report) -> None:
@@ -137,11 +137,11 @@
             Another one for each life of a gateway: what it began before it ended still counts.
         """
         self._has_rush = self._has_rush or report.is_early
-        self._gateways[name] = _Told(report, self._clock.now)
+        self._gateways[name] = _Heard(report, self._clock.now)
 
     def note_region(self, name: str, report: Report) -> None:
         """Note what another region runs for its clients."""
-        self._regions[name] = _Told(report, self._clock.now)
+        self._regions[name] = _Heard(report, self._clock.now)
 
     def tell_region(self) -> Report:
         """Return the sums of this region for the others, who know of each rush then."""
@@ -158,17 +158,17 @@
         self._regions = self._since(self._regions, REGION_MS)
         return _sum([self.region(), *map(self._as_of_now, self._regions.values())])
 
-    def _as_of_now(self, told: _Told) -> Report:
+    def _as_of_now(self, heard: _Heard) -> Report:
         """Return a report; of an old one only what began, not how that goes on."""
-        if self._clock.now - told.at <= STALE_MS:
-            return told.report
-        tenants = told.report.tenants.items()
+        if self._clock.now - heard.at <= STALE_MS:
+            return heard.report
+        tenants = heard.report.tenants.items()
         silent = {name: Demand(demand.begun, silent=demand.begun) for name, demand in tenants}
         return Report(silent, gateways=0)
 
-    def _since(self, told: dict[str, _Told], age: float) -> dict[str, _Told]:
+    def _since(self, known: dict[str, _Heard], age: float) -> dict[str, _Heard]:
         limit = self._clock.now - age
-        return {name: word for name, word in told.items() if word.at >= limit}
+        return {name: heard for name, heard in known.items() if heard.at >= limit}
 
 
 def _sum(reports: Iterable[Report]) -> Report:
--- a/src/rowanrail/tenants/quota.py
+++ b/src/rowanrail/tenants/quota.py
@@ -129,7 +129,7 @@
         self._terms = terms
         self._tenants = Tenants()
         self._counts: dict[str, Counts] = {}
-        self._started_at = self._told_at = clock.now
+        self._started_at = self._heard_at = clock.now
         self._unknown_share = 0.0
         self._population = 0
         self._heard_share = 1.0
@@ -185,7 +185,7 @@
         if not self._may_begin(counts, target, part, urgency):
             counts.refused += 1
             fleet = counts.fleet
-            age = now - self._told_at
+            age = now - self._heard_at
             limit = self._terms.limit(tenant)
             return OverLimit(limit, fleet.begun, fleet.asked_lately, part, age, self._heard_share)
         counts.begin(now)
@@ -199,7 +199,7 @@
     def _may_begin(self, counts: Counts, target: float, part: float, urgency: int) -> bool:
         now = self._clock.now
         begun = counts.begun.at(now)
-        if now - self._told_at > ALONE_MS:
+        if now - self._heard_at > ALONE_MS:
             return begun + 1 <= ALONE_LEAST + ALONE_SHARE * target
         if begun + 1 > target:
             return False
@@ -233,9 +233,9 @@
         now = self._clock.now
         self._has_rush = False
         demands = {name: counts.demand(now) for name, counts in self._counts.items()}
-        told = {name: demand for name, demand in demands.items() if demand != _NOTHING}
+        reported = {name: demand for name, demand in demands.items() if demand != _NOTHING}
         unknown = max(0.0, 1 - (now - self._started_at) / self._terms.window)
-        return Report(told, unknown=unknown)
+        return Report(reported, unknown=unknown)
 
     def take_fleet(self, fleet: Report) -> None:
         """Learn the sums of all gateways."""
@@ -245,7 +245,7 @@
             self._whole_at = now
         elif now - self._whole_at < GRACE_MS:
             return
-        self._told_at = now
+        self._heard_at = now
         self._unknown_share = fleet.unknown_share
         self._heard_share = share
         for name, counts in self._counts.items():
--- a/tests/relay/test_far_replicas.py
+++ b/tests/relay/test_far_replicas.py
@@ -104,8 +104,8 @@
 
     def test_it_is_not_told_on(self):
         self.run_at_home()
-        self.assertEqual(self.here.estimates.weights.doubts(), {})
-        self.assertEqual(list(self.home.estimates.weights.doubts()), ["m2"])
+        self.assertEqual(self.here.estimates.weights.reduced(), {})
+        self.assertEqual(list(self.home.estimates.weights.reduced()), ["m2"])
 
     def test_a_member_that_others_can_not_reach_still_serves_here(self):
         self.run_at_home()
--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -11,7 +11,7 @@
     MOST_BOOKED,
     Assumed,
     LoadBook,
-    LoadTeller,
+    LoadReporter,
     ServiceLoad,
     Subject,
 )
@@ -85,7 +85,7 @@
         self.manual = ManualClock()
         self.measured = 0
         self.load = FULL
-        self.teller = LoadTeller(Clock(self.manual), self.measure)
+        self.teller = LoadReporter(Clock(self.manual), self.measure)
 
     def measure(self, service, tenant):
         self.measured += 1
@@ -93,15 +93,15 @@
 
     def test_answers_that_leave_together_are_told_what_was_worked_out_once(self):
         for _ in range(50):
-            self.assertEqual(self.teller.tell("db", "anna"), FULL)
+            self.assertEqual(self.teller.report("db", "anna"), FULL)
         self.assertEqual(self.measured, 1)
         self.manual.advance(0.02)
-        self.teller.tell("db", "anna")
+        self.teller.report("db", "anna")
         self.assertEqual(self.measured, 2)
 
     def test_where_there_is_room_nothing_is_told(self):
         self.load = ServiceLoad([0, 0, 3], [0, 0, 0], 444)
-        self.assertIsNone(self.teller.tell("db", "anna"))
+        self.assertIsNone(self.teller.report("db", "anna"))
 
 
 class SizeTest(unittest.TestCase):
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -43,7 +43,7 @@
     "rowanrail.scheduling.member_weight",
     "rowanrail.scheduling.lag",
     "rowanrail.scheduling.run_times",
-    "rowanrail.scheduling.told_weights",
+    "rowanrail.scheduling.reported_weights",
     "rowanrail.scheduling.wait_forecast",
     "rowanrail.scheduling.warming",
     "rowanrail.tenants.demand",
