--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -1,4 +1,9 @@
-"""A single read: a floor, then any member whose log holds it."""
+"""An autocommit read: a floor, then any member whose log holds it.
+
+For :class:`rowanrail.gateway.work.local.LocalWork`. Owns the members that are excluded and how
+often the read failed. Relies on :mod:`rowanrail.gateway.work.attempts` for what follows a refusal;
+a read changes nothing, so that it may run anywhere, again and again.
+"""
 
 from collections.abc import Callable
 
@@ -10,8 +15,10 @@
     step_after_read,
     unanswered,
 )
+from rowanrail.gateway.work.commands import commands_for
+from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.freshness import oldest_sample, prefetch
-from rowanrail.gateway.work.operation import Operation, Stage
+from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.refusals import LATE, PRIMARY_RETRY_AFTER_MS, busy
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import ORIGIN, Position
@@ -20,8 +27,8 @@
 from rowanrail.scheduling.admission import RejectionCause
 
 
-class LoneRead(Operation):
-    """A single read: a floor, then any member whose log holds it."""
+class AutocommitRead(Operation):
+    """An autocommit read: a floor, then any member whose log holds it."""
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
         """Begin."""
@@ -30,15 +37,15 @@
         self.begin_statement(respond)
         self._errors = 0
         self._asked_since = oldest_sample(self.route, self.arrived_at)
-        if self.route.consistency is Consistency.PRIMARY and self._go_home():
-            return  # replicas are behind by more than a sample takes to come from there
+        if self.route.consistency is Consistency.PRIMARY and self._go_to_holder():
+            return  # replicas lag by more than a sample takes to come from that region
         self._need_floor()
 
-    def _go_home(self) -> bool:
-        return self.hand_home(self.statement, writes=False)
+    def _go_to_holder(self) -> bool:
+        return self.hand_to_holder(self.statement, writes=False)
 
-    def _go_to(self, instance: str) -> bool:
-        """Have the holder in a far member's region run the read."""
+    def _go_to_remote(self, instance: str) -> bool:
+        """Have the holder in a remote member's region run the read."""
         respond, sent_at = self.respond, self.clock.time()
         assert respond is not None
 
@@ -47,7 +54,7 @@
             respond(answer)
 
         self.respond = answered
-        if self.hand_home(self.statement, False, instance):
+        if self.hand_to_holder(self.statement, False, instance):
             self.service.estimates.note_sent_afar(instance)
             return True
         self.respond = respond
@@ -59,7 +66,7 @@
         tracker = self.service.primary
         if not tracker.can_give(self._asked_since) and tracker.is_long_lost:
             if not self.hand_over(self.statement, writes=False):
-                self.refuse_long_lost()
+                self.reject_long_lost()
             return
         tracker.need(self._asked_since, self._with_floor)
 
@@ -67,7 +74,7 @@
         if self.respond is None:
             return
         if position is None:
-            self.turn_away(
+            self.reject(
                 RejectionCause.NO_PRIMARY,
                 "no primary confirms its position",
                 PRIMARY_RETRY_AFTER_MS,
@@ -90,10 +97,10 @@
         if not self.is_prompt(pool):
             roomy = self.roomier(self.excluded)
             if roomy is None:
-                self.refuse_crowded(pool)
+                self.reject_crowded(pool)
                 return
             pool = roomy
-        if self.service.is_far(pool) and self._go_to(pool.record.instance):
+        if self.service.is_far(pool) and self._go_to_remote(pool.record.instance):
             return
         self.acquire(pool, self._with_channel)
         self.limit_opening()
@@ -106,8 +113,8 @@
         if channel is None:
             self.try_next_member()
             return
-        commands = self.replay(channel)
-        commands += self.command(self.statement, self.floor)
+        commands = self.service.policies.state_replay.commands(channel, self.session)
+        commands += commands_for(self.statement, self.floor, channel, self.session, self.names)
         self.limit_answer()
         self.send(commands, self._answered)
 
@@ -122,7 +129,7 @@
         roomy = self.roomier(self.excluded | {pool.record.instance})
         if roomy is None:
             return False
-        if not (self.service.is_far(roomy) and self._go_to(roomy.record.instance)):
+        if not (self.service.is_far(roomy) and self._go_to_remote(roomy.record.instance)):
             self.acquire(roomy, self._with_channel)
         return True
 
@@ -163,7 +170,7 @@
                 self._ask_primary()
 
     def _ask_primary(self) -> None:
-        if self._go_home():
+        if self._go_to_holder():
             return
         primary = self.service.primary_pool()
         if primary is not None and primary.record.instance not in self.excluded:
@@ -171,7 +178,7 @@
             if self.may_wait_at(primary):
                 self.acquire(primary, self._with_channel)
             else:
-                self.refuse_crowded(primary)
+                self.reject_crowded(primary)
             return
         self._choose()
 
