--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -78,9 +78,9 @@
 
     def _tick(self) -> None:
         is_due = self._clock.now >= self._due_at
-        if self._guard.is_limiting and (is_due or self._guard.has_rush or self._book.has_rush):
+        if self._guard.is_limiting and (is_due or self._guard.has_burst or self._book.has_burst):
             self._due_at = self._clock.now + REPORT_MS
-            self._report(is_early=self._guard.has_rush)
+            self._report(is_early=self._guard.has_burst)
         self._clock.call_in(BURST_CHECK_MS, self._tick)
 
     def _report(self, is_early: bool) -> None:
--- a/src/rowanrail/scheduling/concurrency.py
+++ b/src/rowanrail/scheduling/concurrency.py
@@ -37,7 +37,7 @@
 QUEUE_SHARE = 0.75
 SHORTEST_QUEUE_MS = 4.0  # ms; less than that is what a busy machine's scheduler adds
 AVERAGE_WEIGHT = 0.1  # of the newest answer: about the last ten count
-# ms for which the quickest answer is remembered, at least. Longer than a rush, so that a queue that
+# For which the quickest answer is remembered, at least. Longer than a burst, so that a queue that
 # stands for seconds isn't taken for the way; shorter than what a slower route lasts.
 QUICKEST_MEMORY_MS = 30_000.0
 
--- a/src/rowanrail/scheduling/fair_share.py
+++ b/src/rowanrail/scheduling/fair_share.py
@@ -1,7 +1,7 @@
 """Entries of one urgency, shared fairly between tenants.
 
 Start-time fair queueing: each start puts a tenant's tag forward by 1 / weight, and the one with the
-smallest tag is next. A tenant's rush stands behind its own tag.
+smallest tag is next. A tenant's burst stands behind its own tag.
 """
 
 import bisect
--- a/src/rowanrail/scheduling/queue.py
+++ b/src/rowanrail/scheduling/queue.py
@@ -94,7 +94,7 @@
     ...     entry: QueueEntry
     >>> queue = WorkQueue()
     >>> for number in range(3):
-    ...     queue.add(Statement(f"rush {number}", QueueEntry(1, "large", 0.0)), 0.0)
+    ...     queue.add(Statement(f"burst {number}", QueueEntry(1, "large", 0.0)), 0.0)
     >>> queue.add(Statement("small", QueueEntry(1, "small", 1.0)), 1.0)
     >>> queue.add(Statement("urgent", QueueEntry(0, "large", 2.0)), 2.0)
     >>> order = []
@@ -102,7 +102,7 @@
     ...     order.append(pick.item.name)
     ...     queue.start(pick.item)
     >>> order
-    ['urgent', 'rush 0', 'small', 'rush 1', 'rush 2']
+    ['urgent', 'burst 0', 'small', 'burst 1', 'burst 2']
     """
 
     def __init__(self) -> None:
--- a/src/rowanrail/tenants/counts.py
+++ b/src/rowanrail/tenants/counts.py
@@ -14,9 +14,9 @@
 LATELY_MS = 1000.0  # over which rates are taken: three reports
 # What a tenant asks for here since the last report, against what the last report lets expect, and
 # operations at least: then the next report doesn't wait for its turn. The sums would else tell of
-# a rush 0.3 to 0.6 s late, and at four times a limit that is all that is tolerated beyond it.
-RUSH_FACTOR = 2.0
-RUSH_LEAST = 3
+# a burst 0.3 to 0.6 s late, and at four times a limit that is all that is tolerated beyond it.
+BURST_FACTOR = 2.0
+BURST_LEAST = 3
 # Over which a gateway counts how a tenant's demand is made up of urgent and other operations: a
 # few of each kind come to one gateway in it, and a mix changes slowly.
 MIX_MS = 3000.0
@@ -73,9 +73,9 @@
         self.expected = 0.0  # to be asked for until the next one
 
     @property
-    def is_rush(self) -> bool:
+    def is_burst(self) -> bool:
         """Whether much more is asked for than the last report lets expect."""
-        return self.unreported >= max(RUSH_LEAST, RUSH_FACTOR * self.expected)
+        return self.unreported >= max(BURST_LEAST, BURST_FACTOR * self.expected)
 
     def ask(self, now: float, urgency: int) -> None:
         """Count an operation that is asked for."""
@@ -112,7 +112,7 @@
     def _leaving(self, now: float) -> float:
         """Return what leaves the window within a second, at the slower rate if that changes.
 
-        After a rush many leave at once, and then few. Room that is only about to come free is not
+        After a burst many leave at once, and then few. Room that is only about to come free is not
         given away: the sums of others are late by as much.
         """
         soon = self.begun.leaving(now, REPORT_MS) * LATELY_MS / REPORT_MS
--- a/src/rowanrail/tenants/demand.py
+++ b/src/rowanrail/tenants/demand.py
@@ -121,12 +121,12 @@
         self._clock = clock
         self._gateways: dict[str, _Heard] = {}
         self._regions: dict[str, _Heard] = {}
-        self._has_rush = False
+        self._has_burst = False
 
     @property
-    def has_rush(self) -> bool:
-        """Whether a gateway reported a rush that other regions have not heard of yet."""
-        return self._has_rush
+    def has_burst(self) -> bool:
+        """Whether a gateway reported a burst that other regions have not heard of yet."""
+        return self._has_burst
 
     def note_gateway(self, name: str, report: Report) -> None:
         """Note what a gateway of this region runs for its clients.
@@ -136,7 +136,7 @@
         name : str
             Another one for each life of a gateway: what it began before it ended still counts.
         """
-        self._has_rush = self._has_rush or report.is_early
+        self._has_burst = self._has_burst or report.is_early
         self._gateways[name] = _Heard(report, self._clock.now)
 
     def note_region(self, name: str, report: Report) -> None:
@@ -144,8 +144,8 @@
         self._regions[name] = _Heard(report, self._clock.now)
 
     def tell_region(self) -> Report:
-        """Return the sums of this region for the others, who know of each rush then."""
-        self._has_rush = False
+        """Return the sums of this region for the others, who know of each burst then."""
+        self._has_burst = False
         return self.region()
 
     def region(self) -> Report:
--- a/src/rowanrail/tenants/quota.py
+++ b/src/rowanrail/tenants/quota.py
@@ -29,7 +29,7 @@
 # For which sums of a part of the fleet are passed over after sums of all of it: two reports, after
 # which a meter that has just taken over has heard of everybody.
 GRACE_MS = 700.0
-# Age of the fleet's sums while a tenant's demand grows: two looks for a rush, and the way between
+# Age of the fleet's sums while a tenant's demand grows: two checks for a burst, and the way between
 # regions. At other times they are up to 600 ms old, but then little changes.
 LATE_MS = 300.0
 # In which the count is led to the limit. With 1,000 refusals begin while a tenth of a limit is
@@ -134,12 +134,12 @@
         self._population = 0
         self._heard_share = 1.0
         self._whole_at = -math.inf
-        self._has_rush = False
+        self._has_burst = False
 
     @property
-    def has_rush(self) -> bool:
+    def has_burst(self) -> bool:
         """Whether some tenant's demand has grown so much that others should know at once."""
-        return self._has_rush
+        return self._has_burst
 
     @property
     def heard_share(self) -> float:
@@ -178,7 +178,7 @@
         if counts is None:
             counts = self._counts[name] = Counts(self._terms.window)
         counts.ask(now, urgency)
-        self._has_rush = self._has_rush or counts.is_rush
+        self._has_burst = self._has_burst or counts.is_burst
         margin = URGENT_MARGIN if counts.is_urgent(urgency) else USED_MARGIN
         target = self._terms.target(tenant, margin)
         part = part_that_begins(counts.fleet, target, self._unknown(tenant))
@@ -231,7 +231,7 @@
     def report(self) -> Report:
         """Return what began and was asked for here."""
         now = self._clock.now
-        self._has_rush = False
+        self._has_burst = False
         demands = {name: counts.demand(now) for name, counts in self._counts.items()}
         reported = {name: demand for name, demand in demands.items() if demand != _NOTHING}
         unknown = max(0.0, 1 - (now - self._started_at) / self._terms.window)
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -38,14 +38,14 @@
             self.clock.advance(0.05)
             self.pool.trim()
 
-    def test_a_rush_of_many_tenants_may_use_all(self):
+    def test_a_burst_of_many_tenants_may_use_all(self):
         for tenant in TENANTS:
             self.use(tenant)
             self.pass_time(0.1)
         self.assertEqual(self.pool.connections.count, LIMIT)
 
     def test_half_are_kept_when_it_is_over(self):
-        self.test_a_rush_of_many_tenants_may_use_all()
+        self.test_a_burst_of_many_tenants_may_use_all()
         self.pass_time(SPARE_IDLE_SECONDS + 0.1)
         self.assertEqual(self.pool.connections.count, KEPT)
         self.pass_time(TENANT_IDLE_SECONDS / 2)
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True)
-class Rush:
+class Burst:
     """A time, in s from the start, in which some crowds send a multiple of their usual."""
 
     begin: float
@@ -132,7 +132,7 @@
 
 def play(
     holders: list[Holder],
-    crowds: list[tuple[Crowd, Rush | None]],
+    crowds: list[tuple[Crowd, Burst | None]],
     seconds: float,
     seed: int = 1,
 ) -> None:
@@ -141,15 +141,15 @@
     clock = holders[0].clock
     start = clock.time()
 
-    def come(crowd: Crowd, rush: Rush | None, holder: Holder) -> None:
+    def come(crowd: Crowd, burst: Burst | None, holder: Holder) -> None:
         passed = clock.time() - start
         if passed >= seconds:
             return
         Client(holder, crowd, crowd.work * rng.uniform(1, 5) / 3)
-        factor = rush.factor_at(passed) if rush is not None else 1.0
-        clock.call_later(rng.expovariate(crowd.rate * factor), come, crowd, rush, holder)
+        factor = burst.factor_at(passed) if burst is not None else 1.0
+        clock.call_later(rng.expovariate(crowd.rate * factor), come, crowd, burst, holder)
 
-    for number, (crowd, rush) in enumerate(crowds):
+    for number, (crowd, burst) in enumerate(crowds):
         holder = holders[number % len(holders)]
-        clock.call_later(rng.expovariate(crowd.rate), come, crowd, rush, holder)
+        clock.call_later(rng.expovariate(crowd.rate), come, crowd, burst, holder)
     clock.advance(seconds + 12.0)
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -40,7 +40,7 @@
         line.step(now)
 
 
-class RushTest(unittest.TestCase):
+class BurstTest(unittest.TestCase):
     """A class at 2.5 times its usual load before one member, beside a more urgent one."""
 
     @classmethod
--- a/tests/scheduling/test_rushes.py
+++ b/tests/scheduling/test_bursts.py
@@ -8,7 +8,7 @@
 import unittest
 
 from rowanrail.gateway.pools.pool import MemberPool
-from tests.scheduling.clients import Crowd, Holder, Rush, play
+from tests.scheduling.clients import Burst, Crowd, Holder, play
 from tests.scheduling.member import SlottedMember
 from tests.support.gateway import ManualClock
 
@@ -38,7 +38,7 @@
     return sum(len(crowd.done) for crowd in listed) / operations
 
 
-class EverybodysRushTest(unittest.TestCase):
+class EverybodysBurstTest(unittest.TestCase):
     """Pattern: all classes at 2.5 times their usual for 8 s, 1.6 times what the member can do."""
 
     @classmethod
@@ -47,8 +47,8 @@
         cls.middle = crowds(1, 0.2, 0.015)
         cls.least = crowds(2, 0.35, 0.009)
         cls.all = cls.urgent + cls.middle + cls.least
-        rush = Rush(4.0, 12.0, 2.5)
-        play(holders(), [(crowd, rush) for crowd in cls.all], 20.0)
+        burst = Burst(4.0, 12.0, 2.5)
+        play(holders(), [(crowd, burst) for crowd in cls.all], 20.0)
 
     def test_nobody_waits_until_its_time_is_over(self):
         # A day of 20,000 statements is allowed ten of them.
@@ -87,22 +87,22 @@
         self.assertEqual(done_share(listed), 1.0)
 
 
-class TenantsRushTest(unittest.TestCase):
+class TenantsBurstTest(unittest.TestCase):
     """Pattern: one tenant sends 25 times its usual, twice what the member can do."""
 
     @classmethod
     def setUpClass(cls):
         cls.listed = crowds(1, 0.6, 0.009)
-        cls.rushing, *cls.others = cls.listed
-        rush = Rush(2.0, 8.0, 25.0)
-        rushes = [(cls.rushing, rush), *((crowd, None) for crowd in cls.others)]
-        play(holders(), rushes, 12.0)
+        cls.bursting, *cls.others = cls.listed
+        burst = Burst(2.0, 8.0, 25.0)
+        bursts = [(cls.bursting, burst), *((crowd, None) for crowd in cls.others)]
+        play(holders(), bursts, 12.0)
 
     def test_the_other_tenants_are_served(self):
         self.assertGreater(done_share(self.others), 0.999)
         self.assertLess(refused(self.others), 0.02 * sum(c.operations for c in self.others))
 
-    def test_the_tenant_that_rushes_is_told_at_once(self):
-        counts = self.rushing.refused
+    def test_the_tenant_that_bursts_is_told_at_once(self):
+        counts = self.bursting.refused
         self.assertGreater(counts["arriving"], counts["waiting"] + counts["expired"])
         self.assertLessEqual(counts["expired"], 1)
--- a/tests/scheduling/test_queue.py
+++ b/tests/scheduling/test_queue.py
@@ -84,7 +84,7 @@
         self.assertEqual(len(self.queue), 0)
 
 
-class RushOfATenantTest(QueueTest):
+class BurstOfATenantTest(QueueTest):
     """Pattern: one tenant sends six times its usual, and all of it stands in the queue."""
 
     def test_a_small_tenant_waits_for_one_turn_of_the_others(self):
@@ -106,7 +106,7 @@
         self.assertEqual(Counter(self.run_each(10)), {"large": 5, "small": 5})
 
 
-class RushOfAClassTest(QueueTest):
+class BurstOfAClassTest(QueueTest):
     """Pattern: urgent statements come without end."""
 
     def test_each_less_urgent_class_keeps_one_start_in_ten(self):
@@ -184,11 +184,11 @@
             before += 1
         return told, before
 
-    def test_all_of_a_tenants_own_rush(self):
+    def test_all_of_a_tenants_own_burst(self):
         self.add_each(30, "large", 1, "large")
         self.assertEqual(self.runs_before(1, "large"), (30.0, 30))
 
-    def test_little_of_another_tenants_rush(self):
+    def test_little_of_another_tenants_burst(self):
         self.add_each(30, "large", 1, "large")
         told, before = self.runs_before(1, "small")
         self.assertLessEqual(abs(told - before), 1)
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -56,11 +56,11 @@
             for _ in range(self._holders)
         ]
 
-    def load(self, urgency: int, part: float, work: float = WORK, rush: float = 1.0) -> list[Kind]:
+    def load(self, urgency: int, part: float, work: float = WORK, burst: float = 1.0) -> list[Kind]:
         """Add a class that asks for a part of the member's slots; the first tenant, for more."""
         rate = part * self.member.slots / work / self.tenants
         kinds = [Kind(urgency, f"t{number}", rate, work) for number in range(self.tenants)]
-        kinds[0].rate *= rush
+        kinds[0].rate *= burst
         self.kinds += kinds
         return kinds
 
@@ -73,14 +73,14 @@
         return sum(len(kind.times) * kind.work for kind in self.kinds) / (8.0 * self.member.slots)
 
 
-class RushOfAClassTest(unittest.TestCase):
+class BurstOfAClassTest(unittest.TestCase):
     """Pattern: the least urgent class comes at 2.5 times what it usually asks for."""
 
     def setUp(self):
         self.shared = SharedMember()
         self.urgent = self.shared.load(0, 0.1, work=0.003)
         self.middle = self.shared.load(1, 0.2, work=0.015)
-        self.rush = self.shared.load(2, 2.5 * 0.5)
+        self.burst = self.shared.load(2, 2.5 * 0.5)
         self.shared.play(8.0)
 
     def test_the_queue_stands_at_the_holders(self):
@@ -97,26 +97,26 @@
         self.assertGreater(self.shared.work_share, 0.9)
 
     def test_the_least_urgent_are_not_shut_out(self):
-        self.assertGreater(served(self.rush), 0.4)
+        self.assertGreater(served(self.burst), 0.4)
 
 
-class RushOfATenantTest(unittest.TestCase):
+class BurstOfATenantTest(unittest.TestCase):
     """Pattern: one tenant sends six times its usual, at one of three holders or the only one."""
 
     def play(self, holders: int) -> list[Kind]:
         self.shared = SharedMember(holders)
         self.shared.load(0, 0.05, work=0.003)
-        kinds = self.shared.load(1, 0.7, rush=6.0)
+        kinds = self.shared.load(1, 0.7, burst=6.0)
         self.shared.play(8.0)
         return kinds
 
-    def test_its_rush_delays_itself_first(self):
+    def test_its_burst_delays_itself_first(self):
         for holders in (1, 3):
             with self.subTest(holders=holders):
-                rushing, *others = self.play(holders)
+                bursting, *others = self.play(holders)
                 self.assertGreater(served(others), 0.99)
                 self.assertLess(percentile(times(others), 0.99), OBJECTIVE)
-                self.assertGreater(served([rushing]), 0.3)
+                self.assertGreater(served([bursting]), 0.3)
 
     def test_it_does_not_cost_the_others_their_connections(self):
         self.play(holders=1)
@@ -129,11 +129,11 @@
     def test_urgent_statements_get_a_connection_in_time(self):
         shared = SharedMember(tenants=90)
         urgent = shared.load(0, 0.1, work=0.003)
-        rush = shared.load(2, 1.1)
+        burst = shared.load(2, 1.1)
         shared.play(8.0)
         self.assertGreater(served(urgent), 0.99)
         self.assertLess(percentile(times(urgent), 0.99), OBJECTIVE)
-        self.assertGreater(served(rush), 0.4)
+        self.assertGreater(served(burst), 0.4)
         self.assertLess(shared.member.turned_away_share, TURNED_AWAY)
 
 
@@ -320,7 +320,7 @@
 
 
 class ForecastTest(unittest.TestCase):
-    """Pattern: a rush of the least urgent class; what a newcomer is told comes about."""
+    """Pattern: a burst of the least urgent class; what a newcomer is told comes about."""
 
     def test_it_tells_urgencies_and_tenants_apart(self):
         shared = SharedMember(holders=1)
--- a/tests/tenants/test_quota.py
+++ b/tests/tenants/test_quota.py
@@ -57,11 +57,11 @@
         self.tell_regions(self.books)
 
     def look(self):
-        """Have gateways and meters tell of a rush before their turn."""
+        """Have gateways and meters tell of a burst before their turn."""
         for number, guard in enumerate(self.guards):
-            if guard.has_rush:
+            if guard.has_burst:
                 self.tell(number, self.books, is_early=True)
-        if any(book.has_rush for book in self.books):
+        if any(book.has_burst for book in self.books):
             self.tell_regions(self.books)
 
     def tell(self, number, books, is_early=False):
@@ -137,8 +137,8 @@
             fleet.play(8, 110, weights, random.Random(seed))
             self.assertLessEqual(fleet.most_in_a_window(), fleet.bound)
 
-    def test_a_rush_of_four_times_the_limit_stays_within_the_tolerance(self):
-        # What a rush began leaves the window within a second, 5 s later; then few leave.
+    def test_a_burst_of_four_times_the_limit_stays_within_the_tolerance(self):
+        # What a burst began leaves the window within a second, 5 s later; then few leave.
         for seed in range(5):
             with self.subTest(seed=seed):
                 fleet = Fleet(Tenant("a", rate=100, burst=100))
@@ -158,7 +158,7 @@
             asked += 5 * 60
         self.assertLessEqual(below, 0.015 * asked)
 
-    def test_urgent_operations_of_a_rush_begin_before_others(self):
+    def test_urgent_operations_of_a_burst_begin_before_others(self):
         # Seen on a heavy day: a tenant at four times its limit had its most urgent operations,
         # an eighth of all, refused as often as any other.
         fleet = Fleet(Tenant("a", rate=50, burst=50))
@@ -258,7 +258,7 @@
             return
         for side, books in zip(self.sides, (self.books, self.other_books), strict=True):
             for number in side:
-                if self.guards[number].has_rush:
+                if self.guards[number].has_burst:
                     self.tell(number, books, is_early=True)
             self.tell_regions(books)
 
@@ -266,28 +266,28 @@
 class SplitTest(unittest.TestCase):
     """A cut between gateways parts the sums of what a tenant runs.
 
-    Seen with 86 gateways: a cut from 2.5 to 9.5 s after clients came, a tenant's rush on both
+    Seen with 86 gateways: a cut from 2.5 to 9.5 s after clients came, a tenant's burst on both
     sides of it. No side limited anything for 5 s, since each took the last words of the other,
-    from before the rush, for all that the other runs: 1,849 operations began in a window of 5 s
+    from before the burst, for all that the other runs: 1,849 operations began in a window of 5 s
     where 1,703 were tolerated.
     """
 
-    def play(self, seed, first_side=6, weights=(1,) * 12, rush=150, seconds=7):
+    def play(self, seed, first_side=6, weights=(1,) * 12, burst=150, seconds=7):
         fleet = SplitFleet(Tenant("a", rate=50, burst=50), first_side=first_side)
         chooser = random.Random(seed)
         fleet.play(2.5, 31, weights, chooser)
         fleet.split()
         fleet.play(1.5, 31, weights, chooser)
-        fleet.play(seconds, rush, weights, chooser)
+        fleet.play(seconds, burst, weights, chooser)
         return fleet, chooser
 
-    def test_a_rush_on_both_sides_of_a_split_stays_within_the_tolerance(self):
+    def test_a_burst_on_both_sides_of_a_split_stays_within_the_tolerance(self):
         for seed in range(5):
             with self.subTest(seed=seed):
                 fleet, _ = self.play(seed)
                 self.assertLessEqual(fleet.most_in_a_window(), fleet.bound)
 
-    def test_a_rush_on_uneven_sides_stays_within_the_tolerance(self):
+    def test_a_burst_on_uneven_sides_stays_within_the_tolerance(self):
         for first_side in (2, 4, 9):
             with self.subTest(first_side=first_side):
                 fleet, _ = self.play(1, first_side)
@@ -307,7 +307,7 @@
     def test_who_asks_as_usual_is_not_refused_for_a_split(self):
         for seed in range(5):
             with self.subTest(seed=seed):
-                fleet, _ = self.play(seed, rush=31)
+                fleet, _ = self.play(seed, burst=31)
                 self.assertLessEqual(fleet.refused, 0.01 * 31 * 11)
 
     def test_a_small_tenant_on_one_side_is_not_refused_for_a_split(self):
@@ -337,7 +337,7 @@
         fleet.play(8, 31, weights, chooser)
         self.assertEqual(fleet.refused, 0)
 
-    def test_a_rush_that_begins_with_a_split_stays_within_the_tolerance(self):
+    def test_a_burst_that_begins_with_a_split_stays_within_the_tolerance(self):
         for seed in range(5):
             with self.subTest(seed=seed):
                 fleet = SplitFleet(Tenant("a", rate=50, burst=50))
