--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -40,7 +40,7 @@
         line.step(now)
 
 
-class RushTest(unittest.TestCase):
+class BurstTest(unittest.TestCase):
     """A class at 2.5 times its usual load before one member, beside a more urgent one."""
 
     @classmethod
@@ -122,6 +122,6 @@
         self.assertLess(looks, 12)
 
     def test_what_has_no_time_for_the_way_is_not_sent(self):
-        verdict = judge_sending(told_wait=0.0, way=80.0, left=79.0, whole=WHOLE)
+        verdict = judge_sending(reported_wait=0.0, way=80.0, left=79.0, whole=WHOLE)
         self.assertIsInstance(verdict, Reject)
         self.assertIs(verdict.cause, RejectionCause.WAY_TOO_LONG)
