--- a/src/rowanrail/gateway/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -74,7 +74,7 @@
         self._set_known()
 
     def _set_known(self) -> None:
-        """Know both kinds of gateways; the directory's word on an address goes first."""
+        """Know both kinds of gateways; where both name an address the directory's counts."""
         named = [Neighbour(name, address) for name, address in self._addresses.items()]
         self._keeper.set_neighbours(n for n in [*named, *self._listed] if n.name != self._name)
 
@@ -131,7 +131,7 @@
         def settle(outcome: Outcome) -> None:
             match outcome:
                 case Sampled(instance=instance, position=position):
-                    self._keeper.note_up(link)
+                    self._keeper.note_answer(link)
                     if self._book.note_reached(service, name, self._clock.now):
                         self.on_found(service, name)
                     take(asked_at, instance, position)
@@ -156,9 +156,9 @@
         return self._keeper.reach(name) or NoHolder()
 
     @property
-    def note_up(self) -> Callable[..., None]:
-        """See :meth:`rowanrail.gateway.relay.neighbours.LinkKeeper.note_up`."""
-        return self._keeper.note_up
+    def note_answer(self) -> Callable[..., None]:
+        """See :meth:`rowanrail.gateway.relay.neighbours.LinkKeeper.note_answer`."""
+        return self._keeper.note_answer
 
     def close(self) -> None:
         """Close all links."""
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -27,7 +27,7 @@
 __all__ = ["Metering"]
 
 # Between checks for a burst, which is reported before its turn. A burst of four times a limit fills
-# what is tolerated beyond it in 0.3 s; two regions hear of it after two checks and 40 ms.
+# what is tolerated beyond it in 0.3 s; two regions learn of it after two checks and 40 ms.
 BURST_CHECK_MS = 75.0
 LIFE_BYTES = 4  # two lives of a gateway within 8 s are alike once in 4e9
 
@@ -78,9 +78,9 @@
 
     def _tick(self) -> None:
         is_due = self._clock.now >= self._due_at
-        if self._guard.is_limiting and (is_due or self._guard.has_rush or self._book.has_rush):
+        if self._guard.is_limiting and (is_due or self._guard.has_burst or self._book.has_burst):
             self._due_at = self._clock.now + REPORT_MS
-            self._report(is_early=self._guard.has_rush)
+            self._report(is_early=self._guard.has_burst)
         self._clock.call_in(BURST_CHECK_MS, self._tick)
 
     def _report(self, is_early: bool) -> None:
