--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -153,7 +153,7 @@
         if over is None:
             return None
         self._over_limit += 1
-        return_in = limit_retry_after_ms(self._over_limit, over.wait)
+        retry_after_ms = limit_retry_after_ms(self._over_limit, over.wait)
         self._decisions.note(
             OVER_QUOTA,
             session=session.label,
@@ -166,10 +166,10 @@
             heard=round(over.heard, 2),
             urgency=urgency,
             version=self.version,
-            return_in=round(return_in),
+            return_in=round(retry_after_ms),
         )
-        self._note_rejection(session, RejectionCause.TENANT_LIMIT.value, urgency, return_in)
-        return busy("the tenant is at its limit", return_in)
+        self._note_rejection(session, RejectionCause.TENANT_LIMIT.value, urgency, retry_after_ms)
+        return busy("the tenant is at its limit", retry_after_ms)
 
     def _urgency(self, session: Session) -> int:
         known = self._configuration
@@ -183,15 +183,17 @@
         if rejection is None:
             self._remember(session, 0.0)
             return
-        cause, urgency, return_in = rejection.cause, rejection.urgency, rejection.return_in
-        self._note_rejection(session, cause, urgency, return_in)
+        cause, urgency = rejection.cause, rejection.urgency
+        self._note_rejection(session, cause, urgency, rejection.return_in)
 
-    def _note_rejection(self, session: Session, cause: str, urgency: int, return_in: float) -> None:
-        self._remember(session, return_in)
-        self.on_rejection(cause, urgency, return_in)
+    def _note_rejection(
+        self, session: Session, cause: str, urgency: int, retry_after_ms: float
+    ) -> None:
+        self._remember(session, retry_after_ms)
+        self.on_rejection(cause, urgency, retry_after_ms)
 
-    def _remember(self, session: Session, return_in: float) -> None:
-        self._returners.note(_label(session), return_in, session.values.rejections + 1)
+    def _remember(self, session: Session, retry_after_ms: float) -> None:
+        self._returners.note(_label(session), retry_after_ms, session.values.rejections + 1)
 
     def note_return(self, session: Session) -> None:
         """See :meth:`rowanrail.gateway.sessions.session.SessionAccess.note_return`."""
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -200,13 +200,13 @@
         """Return whether the statement can still be served at a member."""
         forecast = pool.forecasts.of(self.entry())
         certain = pool.forecasts.errors.of(self.route.priority).certain_share
-        verdict = judge_arriving(forecast, self.time_left, self.time_given, certain)
+        verdict = judge_arriving(forecast, self.time_left_ms, self.time_given_ms, certain)
         return isinstance(verdict, Admit)
 
     def is_prompt(self, pool: MemberPool) -> bool:
         """Return whether a member has room soon enough for an answer within the objective."""
         forecast = pool.forecasts.of(self.entry())
-        waited = self.time_given - self.time_left
+        waited = self.time_given_ms - self.time_left_ms
         return is_prompt(forecast, self.route.objective_seconds, waited)
 
     # Choice
@@ -243,7 +243,7 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         forecast = pool.forecasts.of(self.entry())
         reason = f"{self.member} is crowded for {forecast.wait:.0f} ms"
-        self.reject(cause, reason, return_base(forecast.wait, self.time_given), forecast)
+        self.reject(cause, reason, return_base(forecast.wait, self.time_given_ms), forecast)
 
     def try_roomier(self, pool: MemberPool) -> bool:
         """Go to a better member than one, if there is any; return whether it did."""
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -133,12 +133,12 @@
     return max(SHORTEST_LEFT_SECONDS, whole_seconds - waited_seconds)
 
 
-def busy(message: str, return_in: float | None = None) -> Answer:
+def busy(message: str, retry_after_ms: float | None = None) -> Answer:
     """Return the refusal of a statement that was not run for want of room.
 
     Parameters
     ----------
-    return_in : float or None
+    retry_after_ms : float or None
         Milliseconds after which the client had better retry.
 
     Examples
@@ -146,20 +146,20 @@
     >>> busy("m1 is crowded for 900 ms", 350).message
     'm1 is crowded for 900 ms; retry in 0.35 s'
     """
-    if return_in is not None:
-        message = f"{message or 'busy'}; retry in {return_in / 1000:.2f} s"
+    if retry_after_ms is not None:
+        message = f"{message or 'busy'}; retry in {retry_after_ms / 1000:.2f} s"
     return Answer(refusal=Refusal.BUSY, message=message)
 
 
 def rejection(
-    cause: RejectionCause, forecast: Forecast, left: float, urgency: int, return_in: float
+    cause: RejectionCause, forecast: Forecast, left_ms: float, urgency: int, retry_after_ms: float
 ) -> Rejection:
     """Return what is logged of a statement that is rejected; times in milliseconds."""
     return Rejection(
         cause.value,
         round(forecast.wait),
         round(forecast.run),
-        round(left),
+        round(left_ms),
         urgency,
-        round(return_in),
+        round(retry_after_ms),
     )
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -72,14 +72,14 @@
         return self.arrived_at + defer_seconds(self.route.objective_seconds)
 
     @property
-    def time_given(self) -> float:
+    def time_given_ms(self) -> float:
         """Milliseconds that the statement was given."""
         return self.route.timeout_seconds * 1000
 
     @property
-    def time_left(self) -> float:
+    def time_left_ms(self) -> float:
         """Milliseconds until the statement's time is over."""
-        return self.time_given - (self.clock.time() - self.arrived_at) * 1000
+        return self.time_given_ms - (self.clock.time() - self.arrived_at) * 1000
 
     def begin_statement(self, respond: Respond) -> None:
         """Take a statement and start its clock."""
@@ -133,21 +133,21 @@
         self,
         cause: RejectionCause,
         reason: str,
-        base: float = 0.0,
+        base_ms: float = 0.0,
         forecast: Forecast = NO_FORECAST,
     ) -> None:
         """Refuse, as not run, and tell the client when to retry, one after the other.
 
         Parameters
         ----------
-        base : float
+        base_ms : float
             Milliseconds until the first of those who were rejected is welcome.
         """
         urgency = self.route.priority
         retry_after = self.service.returns.next(
-            shortest_retry_after_ms(base), forecast.interval, (cause, urgency)
+            shortest_retry_after_ms(base_ms), forecast.interval, (cause, urgency)
         )
-        self.rejection = rejection(cause, forecast, self.time_left, urgency, retry_after)
+        self.rejection = rejection(cause, forecast, self.time_left_ms, urgency, retry_after)
         self.finish(busy(reason, retry_after))
 
     def stop_timers(self) -> None:
