--- a/src/rowanrail/gateway/__init__.py
+++ b/src/rowanrail/gateway/__init__.py
@@ -1,6 +1,8 @@
 """The proxy path for front ends that hand over typed statements.
 
-Decisions here are event driven and free of I/O: a front end calls :class:`session.Session`,
-a driver of the back-end port calls :class:`channel.Channel`, and time comes from
-:class:`clock.Clock`. Nothing here creates a task or a future for a statement.
+From a client down to a member: ``sessions`` take statements, ``work`` runs them, ``services``
+choose a member, ``pools`` hold its connections; ``relay`` has other gateways run them,
+``discovery`` follows the control nodes. ``gateway`` joins these, ``daemon`` is the process.
+Decisions are event driven and free of I/O: time comes from a scheduler, a member's answers from
+its driver, and no task or future is created for a statement.
 """
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -94,12 +94,10 @@
             self.attempts = 0
             self.retry_later(self._need_floor, busy("no member can serve the read"))
             return
-        if not self.is_prompt(pool):
-            roomy = self.roomier(self.excluded)
-            if roomy is None:
-                self.reject_crowded(pool)
-                return
-            pool = roomy
+        roomy = self.prompt_or_roomier(pool, self.excluded)
+        if roomy is None:
+            return
+        pool = roomy
         if self.service.is_far(pool) and self._go_to_remote(pool.record.instance):
             return
         self.acquire(pool, self._with_channel)
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -235,6 +235,13 @@
                 return found
         return None
 
+    def prompt_or_roomier(self, pool: MemberPool, excluded: set[str]) -> MemberPool | None:
+        """Return a member if it is prompt, else a roomier one; without one, reject the read."""
+        found = pool if self.is_prompt(pool) else self.roomier(excluded)
+        if found is None:
+            self.reject_crowded(pool)
+        return found
+
     def reject_crowded(
         self, pool: MemberPool, cause: RejectionCause = RejectionCause.CROWDED
     ) -> None:
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -133,9 +133,8 @@
             self._excluded.clear()
             self.retry_later(self._begin, busy("no member can serve the transaction"))
             return
-        roomy = pool if self.is_prompt(pool) else self.roomier(self._excluded)
+        roomy = self.prompt_or_roomier(pool, self._excluded)
         if roomy is None:
-            self.reject_crowded(pool)
             return
         pool = roomy
         if self.move_to(self.others.find_remote_holder(self.tenant, pool.record.instance)):
