--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -17,7 +17,7 @@
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause, judge_sending
 from rowanrail.scheduling.load import Assumed, LoadBook, ServiceLoad, Subject
-from rowanrail.scheduling.returning import ReturnTimes
+from rowanrail.scheduling.retrying import RetryTimes
 
 __all__ = ["RejectedBySender", "RemoteAdmission", "RemoteRequest"]
 
@@ -79,7 +79,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._book = LoadBook(clock)
-        self._returns = ReturnTimes(clock)
+        self._returns = RetryTimes(clock)
 
     def note(self, peer: str, service: str, tenant: str, load: ServiceLoad | None) -> None:
         """Take what a holder reported with an answer to a tenant's statement."""
@@ -115,7 +115,7 @@
     ) -> RejectedBySender:
         interval = 1000 / (SENDER_SHARE * assumed.pace) if assumed.pace else 0.0
         retry_after = self._returns.next(
-            verdict.return_in, interval, (request.peer, request.urgency)
+            verdict.retry_after_ms, interval, (request.peer, request.urgency)
         )
         forecast = Forecast(assumed.wait, request.round_trip)
         if verdict.cause is RejectionCause.WAY_TOO_LONG:
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -28,7 +28,7 @@
 from rowanrail.placement.planned import Allowance
 from rowanrail.scheduling.choice import choose
 from rowanrail.scheduling.queue import tenant_weight
-from rowanrail.scheduling.returning import ReturnTimes
+from rowanrail.scheduling.retrying import RetryTimes
 from rowanrail.tenants.model import Tenant, Tenants
 
 IN_USE_SECONDS = 10.0  # without a statement for so long a primary need not be watched; chosen
@@ -58,7 +58,7 @@
         self._probes = MemberProbes(self.estimates.weights, driver, milliseconds)
         self.used_at = -IN_USE_SECONDS
         self._held_connections = False
-        self.returns = ReturnTimes(Clock(clock))
+        self.retry_times = RetryTimes(Clock(clock))
         # Holders of the zones draw differently, and a simulation can be played again.
         self._randomness = random.Random(f"{locality.zone}/{spec.name}")  # noqa: S311 - no secret
         self._locality = locality
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -17,7 +17,7 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import RejectionCause
-from rowanrail.scheduling.returning import GOES_FIRST_AFTER, Label, Returners, client_label
+from rowanrail.scheduling.retrying import GOES_FIRST_AFTER, Label, RetryingClients, client_label
 from rowanrail.tenants.demand import DemandBook
 from rowanrail.tenants.model import ClientIdentity, Tenants, key_digest
 from rowanrail.tenants.quota import QuotaGuard
@@ -54,7 +54,7 @@
         self._quota = QuotaGuard(clock, terms)
         self._demand = DemandBook(clock)
         self._configuration: RoutingConfiguration | None = None
-        self._returners = Returners(clock)
+        self._retrying_clients = RetryingClients(clock)
         self._over_limit = 0
         self.on_rejection: Callable[[str, int, float], None] = lambda *rejection: None
 
@@ -191,11 +191,11 @@
         self.on_rejection(cause, urgency, return_in)
 
     def _remember(self, session: Session, return_in: float) -> None:
-        self._returners.note(_label(session), return_in, session.values.rejections + 1)
+        self._retrying_clients.note(_label(session), return_in, session.values.rejections + 1)
 
     def note_return(self, session: Session) -> None:
         """See :meth:`rowanrail.gateway.sessions.session.SessionAccess.note_return`."""
-        times = self._returners.claim(_label(session))
+        times = self._retrying_clients.claim(_label(session))
         session.values.rejections = times
         session.values.is_retrying = times >= GOES_FIRST_AFTER
 
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -30,7 +30,7 @@
 from rowanrail.model.trace import Trace
 from rowanrail.scheduling.admission import Admit, RejectionCause, judge_arriving
 from rowanrail.scheduling.entry import QueueEntry
-from rowanrail.scheduling.returning import return_base
+from rowanrail.scheduling.retrying import retry_after_base
 
 
 class Operation(ConnectedStatement):
@@ -188,7 +188,7 @@
             self.arrived_at * 1000,
             deadline=deadline * 1000,
             weight=self.service.weight(self.tenant),
-            returned=self.session.is_retrying,
+            is_retrying=self.session.is_retrying,
         )
 
     def past_deadline(self, pool: MemberPool) -> None:
@@ -243,7 +243,7 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         forecast = pool.forecasts.of(self.entry())
         reason = f"{self.member} is crowded for {forecast.wait:.0f} ms"
-        self.reject(cause, reason, return_base(forecast.wait, self.time_given), forecast)
+        self.reject(cause, reason, retry_after_base(forecast.wait, self.time_given), forecast)
 
     def try_roomier(self, pool: MemberPool) -> bool:
         """Go to a better member than one, if there is any; return whether it did."""
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -3,14 +3,14 @@
 For the kinds of work and for limits of tenants, which ask here and do what the verdict says. Owns
 nothing: pure functions on plain values, in the unit that a name ends with. Relies on
 :mod:`rowanrail.scheduling.admission` for the causes and on
-:mod:`rowanrail.scheduling.returning` for the spreading of retries.
+:mod:`rowanrail.scheduling.retrying` for the spreading of retries.
 """
 
 from rowanrail.gateway.work.attempts import RETRY_SECONDS
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause
-from rowanrail.scheduling.returning import SHORTEST_RETURN_MS, spread
+from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS, spread
 
 __all__ = [
     "DEFER_SHARE",
@@ -98,7 +98,7 @@
     Examples
     --------
     >>> judge_unplaced(Refusal.BUSY, has_primary=False)
-    Reject(cause=<RejectionCause.NO_PRIMARY: 'no-primary'>, return_in=1000.0)
+    Reject(cause=<RejectionCause.NO_PRIMARY: 'no-primary'>, retry_after_ms=1000.0)
     >>> judge_unplaced(Refusal.ABORTED, has_primary=False)
     """
     if refusal is not Refusal.BUSY:
@@ -108,7 +108,7 @@
 
 def shortest_retry_after_ms(base_ms: float) -> float:
     """Return the Retry-After that a rejection starts from; 0 if nothing speaks for a time."""
-    return max(base_ms, SHORTEST_RETURN_MS)
+    return max(base_ms, SHORTEST_RETRY_AFTER_MS)
 
 
 def limit_retry_after_ms(number: int, wait_ms: float) -> float:
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -127,7 +127,7 @@
         if verdict is None:
             self.finish(answer)
         else:
-            self.reject(verdict.cause, answer.message, verdict.return_in)
+            self.reject(verdict.cause, answer.message, verdict.retry_after_ms)
 
     def reject(
         self, cause: RejectionCause, reason: str, base: float = 0.0, forecast: Forecast = UNKNOWN
@@ -140,7 +140,7 @@
             Milliseconds until the first of those who were rejected is welcome.
         """
         urgency = self.route.priority
-        retry_after = self.service.returns.next(
+        retry_after = self.service.retry_times.next(
             shortest_retry_after_ms(base), forecast.interval, (cause, urgency)
         )
         self.rejection = rejection(cause, forecast, self.time_left, urgency, retry_after)
--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from rowanrail.scheduling.forecast_error import CERTAIN_SHARE
-from rowanrail.scheduling.returning import return_base
+from rowanrail.scheduling.retrying import retry_after_base
 
 __all__ = [
     "Admit",
@@ -92,12 +92,12 @@
     ----------
     cause : RejectionCause
         For the client, the log and the metrics.
-    return_in : float
+    retry_after_ms : float
         Milliseconds after which its client had better come back, not spread yet.
     """
 
     cause: RejectionCause
-    return_in: float
+    retry_after_ms: float
 
 
 Verdict = Admit | Reject
@@ -128,7 +128,7 @@
     >>> judge_arriving(Forecast(wait=900, run=10), left=800, whole=800)
     Admit()
     >>> judge_arriving(Forecast(wait=1400, run=10), left=800, whole=800)
-    Reject(cause=<RejectionCause.CROWDED: 'crowded'>, return_in=1000.0)
+    Reject(cause=<RejectionCause.CROWDED: 'crowded'>, retry_after_ms=1000.0)
 
     Nothing is refused while room is free:
 
@@ -137,7 +137,7 @@
     """
     if forecast.has_room or _may_be_in_time(forecast, left, certain):
         return Admit()
-    return Reject(RejectionCause.CROWDED, return_base(forecast.wait, whole))
+    return Reject(RejectionCause.CROWDED, retry_after_base(forecast.wait, whole))
 
 
 def judge_waiting(
@@ -153,14 +153,14 @@
     >>> judge_waiting(Forecast(wait=300, run=10), left=200, whole=800)
     Admit()
     >>> judge_waiting(Forecast(wait=400, run=10), left=200, whole=800)
-    Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, return_in=100.0)
+    Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, retry_after_ms=100.0)
     >>> judge_waiting(Forecast(wait=0, run=20, has_room=True), left=50, whole=800)
-    Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, return_in=100.0)
+    Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, retry_after_ms=100.0)
     """
     is_nearly_over = left <= _last_moment(forecast.run, whole)
     if not is_nearly_over and (forecast.has_room or _may_be_in_time(forecast, left, certain)):
         return Admit()
-    return Reject(RejectionCause.PAST_DEADLINE, return_base(forecast.wait, whole))
+    return Reject(RejectionCause.PAST_DEADLINE, retry_after_base(forecast.wait, whole))
 
 
 def judge_sending(reported_wait: float, way: float, left: float, whole: float) -> Verdict:
@@ -186,10 +186,10 @@
     Admit()
     """
     if left <= way:
-        return Reject(RejectionCause.WAY_TOO_LONG, return_base(reported_wait, whole))
+        return Reject(RejectionCause.WAY_TOO_LONG, retry_after_base(reported_wait, whole))
     if reported_wait + way <= left:
         return Admit()
-    return Reject(RejectionCause.HOLDER_CROWDED, return_base(reported_wait, whole))
+    return Reject(RejectionCause.HOLDER_CROWDED, retry_after_base(reported_wait, whole))
 
 
 class Watch:
--- a/src/rowanrail/scheduling/entry.py
+++ b/src/rowanrail/scheduling/entry.py
@@ -28,8 +28,8 @@
         Milliseconds on the steady clock after which its answer would come too late.
     weight : float
         Share of its tenant among tenants of the same urgency.
-    returned : bool
-        Whether its client was turned away more than once and has come back as it was told.
+    is_retrying : bool
+        Whether its client was rejected more than once and retries when it was told to.
     """
 
     urgency: int
@@ -37,7 +37,7 @@
     arrived: float
     deadline: float = float("inf")
     weight: float = 1.0
-    returned: bool = False
+    is_retrying: bool = False
 
 
 def tenant_weight(priority: int) -> float:
--- a/src/rowanrail/scheduling/fair_share.py
+++ b/src/rowanrail/scheduling/fair_share.py
@@ -23,9 +23,9 @@
 
     @property
     def order(self) -> tuple[bool, float, int]:
-        """How it stands among those of its tenant: those that returned first, then by deadline."""
+        """How it stands among those of its tenant: those that retry first, then by deadline."""
         entry = self.item.entry
-        return (not entry.returned, entry.deadline, self.number)
+        return (not entry.is_retrying, entry.deadline, self.number)
 
 
 @dataclass(slots=True)
@@ -71,9 +71,9 @@
     def _order(self, flow: Flow[Waiting]) -> tuple[bool, float, float, int]:
         head = flow.places[0]
         entry = head.item.entry
-        # One that came back goes first, but not by taking more than its tenant's share.
+        # One that retries goes first, but not by taking more than its tenant's share.
         is_within_share = flow.tag <= self._virtual
-        return (not (entry.returned and is_within_share), flow.tag, entry.deadline, head.number)
+        return (not (entry.is_retrying and is_within_share), flow.tag, entry.deadline, head.number)
 
     def start(self, place: QueuePosition[Waiting]) -> None:
         """Note that an entry runs."""
@@ -121,4 +121,4 @@
 def _is_before(place: QueuePosition[Waiting], entry: QueueEntry) -> bool:
     if place.item.entry is entry:
         return False  # its own place
-    return place.order[:2] <= (not entry.returned, entry.deadline)
+    return place.order[:2] <= (not entry.is_retrying, entry.deadline)
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -398,8 +398,8 @@
             if times < 2:
                 told = client.answers[-1].message.rpartition("retry in ")[2].removesuffix(" s")
                 self.played.clock.advance(float(told))
-        first, *_ = sorted(self.pool.queue, key=lambda waiter: not waiter.entry.returned)
-        self.assertTrue(first.entry.returned)
+        first, *_ = sorted(self.pool.queue, key=lambda waiter: not waiter.entry.is_retrying)
+        self.assertTrue(first.entry.is_retrying)
         self.assertLess(self.pool.forecasts.of(first.entry).wait, 100.0)
 
     def test_who_comes_sooner_than_it_was_told_is_a_newcomer(self):
--- a/tests/gateway/test_statement_rules.py
+++ b/tests/gateway/test_statement_rules.py
@@ -7,7 +7,7 @@
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import NOT_RUN, Refusal, SessionState
 from rowanrail.scheduling.admission import Forecast, RejectionCause
-from rowanrail.scheduling.returning import SHORTEST_RETURN_MS
+from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS
 
 OPEN = SessionState.TRANSACTION
 
@@ -166,13 +166,15 @@
 class UnplacedTest(unittest.TestCase):
     def test_without_a_primary_clients_retry_when_a_successor_can_be_there(self):
         verdict = refusals.judge_unplaced(Refusal.BUSY, has_primary=False)
-        self.assertEqual((verdict.cause, verdict.return_in), (RejectionCause.NO_PRIMARY, 1000.0))
+        self.assertEqual(
+            (verdict.cause, verdict.retry_after_ms), (RejectionCause.NO_PRIMARY, 1000.0)
+        )
 
     def test_with_a_primary_they_retry_as_soon_as_may_be(self):
         verdict = refusals.judge_unplaced(Refusal.BUSY, has_primary=True)
-        self.assertEqual((verdict.cause, verdict.return_in), (RejectionCause.NO_PLACE, 0.0))
-        shortest = refusals.shortest_retry_after_ms(verdict.return_in)
-        self.assertEqual(shortest, SHORTEST_RETURN_MS)
+        self.assertEqual((verdict.cause, verdict.retry_after_ms), (RejectionCause.NO_PLACE, 0.0))
+        shortest = refusals.shortest_retry_after_ms(verdict.retry_after_ms)
+        self.assertEqual(shortest, SHORTEST_RETRY_AFTER_MS)
 
     def test_a_refusal_that_says_more_is_passed_on(self):
         for refusal in set(Refusal) - {Refusal.BUSY}:
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -11,7 +11,7 @@
 from rowanrail.model.statements import Answer, Command, CommandKind
 from rowanrail.scheduling.admission import Admit, judge_arriving
 from rowanrail.scheduling.queue import QueueEntry
-from rowanrail.scheduling.returning import GOES_FIRST_AFTER, ReturnTimes, return_base
+from rowanrail.scheduling.retrying import GOES_FIRST_AFTER, RetryTimes, retry_after_base
 from tests.support.gateway import ManualClock
 
 TRIES = 3
@@ -43,7 +43,7 @@
     def __init__(self, pool: MemberPool, clock: ManualClock) -> None:
         self.pool = pool
         self.clock = clock
-        self.returns = ReturnTimes(Clock(clock))
+        self.retry_times = RetryTimes(Clock(clock))
 
 
 class Client:
@@ -60,9 +60,9 @@
     def attempt(self) -> None:
         pool, now = self.holder.pool, self.clock.time() * 1000
         whole = TIMEOUT * 1000
-        returned = self.tries >= GOES_FIRST_AFTER
+        is_retrying = self.tries >= GOES_FIRST_AFTER
         crowd = self.crowd
-        entry = QueueEntry(crowd.urgency, crowd.tenant, now, now + whole, returned=returned)
+        entry = QueueEntry(crowd.urgency, crowd.tenant, now, now + whole, is_retrying=is_retrying)
         self.tries += 1
         self.is_sent = self.is_over = False
         certain = pool.forecasts.errors.of(crowd.urgency).certain_share
@@ -91,8 +91,8 @@
         if self.tries >= TRIES:
             return
         forecast = self.holder.pool.forecasts.of(entry)
-        base = return_base(forecast.wait, TIMEOUT * 1000)
-        told = self.holder.returns.next(base, forecast.interval, entry.urgency) / 1000
+        base = retry_after_base(forecast.wait, TIMEOUT * 1000)
+        told = self.holder.retry_times.next(base, forecast.interval, entry.urgency) / 1000
         self.crowd.told.append(self.clock.time() + told)
         self.clock.call_later(told, self.attempt)
 
--- a/tests/scheduling/line.py
+++ b/tests/scheduling/line.py
@@ -21,7 +21,7 @@
 
     @property
     def order(self) -> tuple[int, bool, float]:
-        return (self.entry.urgency, not self.entry.returned, self.entry.arrived)
+        return (self.entry.urgency, not self.entry.is_retrying, self.entry.arrived)
 
 
 class MemberLine:
--- a/tests/scheduling/test_queue.py
+++ b/tests/scheduling/test_queue.py
@@ -64,15 +64,15 @@
         self.add("sample", -1, None)
         self.assertEqual(self.queue.next(ALL, only_samples=True).item.name, "sample")
 
-    def test_a_client_that_came_back_as_told_goes_before_newcomers(self):
-        self.add("newcomer", 1, "a", deadline=500.0)
-        self.add("returned", 1, "b", deadline=900.0, returned=True)
-        self.assertEqual(self.run_each(2), ["returned", "newcomer"])
+    def test_a_client_that_retries_when_told_to_goes_before_new_arrivals(self):
+        self.add("new", 1, "a", deadline=500.0)
+        self.add("retrying", 1, "b", deadline=900.0, is_retrying=True)
+        self.assertEqual(self.run_each(2), ["retrying", "new"])
 
-    def test_who_came_back_takes_no_more_than_the_share_of_its_tenant(self):
-        self.add_each(4, "returned", 1, "large", returned=True)
-        self.add_each(2, "newcomer", 1, "small")
-        self.assertEqual(self.run_each(4).count("newcomer"), 2)
+    def test_who_retries_takes_no_more_than_the_share_of_its_tenant(self):
+        self.add_each(4, "retrying", 1, "large", is_retrying=True)
+        self.add_each(2, "new", 1, "small")
+        self.assertEqual(self.run_each(4).count("new"), 2)
 
     def test_who_left_runs_no_more(self):
         self.add("a", 1)
@@ -174,7 +174,7 @@
 
 
 class AheadTest(QueueTest):
-    """What a newcomer is told must be the order in which the queue runs."""
+    """What a new arrival is told must be the order in which the queue runs."""
 
     def runs_before(self, urgency, tenant, **fields):
         told = self.queue.ahead_of(QueueEntry(urgency, tenant, 0.0, 800.0, **fields))
--- a/tests/scheduling/test_returning.py
+++ b/tests/scheduling/test_retrying.py
@@ -7,14 +7,14 @@
 import unittest
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.scheduling.returning import (
-    LONGEST_RETURN_MS,
+from rowanrail.scheduling.retrying import (
+    LONGEST_RETRY_AFTER_MS,
     REMEMBERED_MS,
-    SHORTEST_RETURN_MS,
-    Returners,
-    ReturnTimes,
+    SHORTEST_RETRY_AFTER_MS,
+    RetryingClients,
+    RetryTimes,
     client_label,
-    return_base,
+    retry_after_base,
 )
 from tests.support.gateway import ManualClock
 
@@ -27,10 +27,10 @@
     return max(sum(at <= other < at + TENTH_MS for other in moments) for at in moments)
 
 
-class ReturnTimesTest(unittest.TestCase):
+class RetryTimesTest(unittest.TestCase):
     def setUp(self):
         self.manual = ManualClock()
-        self.times = ReturnTimes(Clock(self.manual))
+        self.times = RetryTimes(Clock(self.manual))
 
     def test_many_refused_at_one_moment_return_as_the_line_goes_on(self):
         told = [self.times.next(200.0, INTERVAL) for _ in range(500)]
@@ -39,9 +39,9 @@
 
     def test_more_than_there_are_places_fill_the_time_evenly(self):
         told = [self.times.next(200.0, INTERVAL) for _ in range(20_000)]
-        self.assertLessEqual(max(told), LONGEST_RETURN_MS)
+        self.assertLessEqual(max(told), LONGEST_RETRY_AFTER_MS)
         beyond = told[2000:]
-        share = len(beyond) * TENTH_MS / (LONGEST_RETURN_MS - 200.0)
+        share = len(beyond) * TENTH_MS / (LONGEST_RETRY_AFTER_MS - 200.0)
         self.assertLessEqual(most_in_a_tenth(beyond[:2000]), 1.2 * share / 9)
 
     def test_after_the_places_are_over_the_next_one_returns_soon_again(self):
@@ -62,72 +62,74 @@
         self.assertLess(len(self.times._next_at), 100)
 
     def test_an_endless_backlog_is_told_a_time_within_the_clients_patience(self):
-        self.assertEqual(return_base(60_000.0, 800.0), LONGEST_RETURN_MS)
+        self.assertEqual(retry_after_base(60_000.0, 800.0), LONGEST_RETRY_AFTER_MS)
         for _ in range(100):
-            told = self.times.next(LONGEST_RETURN_MS, INTERVAL)
-            self.assertLessEqual(SHORTEST_RETURN_MS, told)
-            self.assertLessEqual(told, LONGEST_RETURN_MS)
+            told = self.times.next(LONGEST_RETRY_AFTER_MS, INTERVAL)
+            self.assertLessEqual(SHORTEST_RETRY_AFTER_MS, told)
+            self.assertLessEqual(told, LONGEST_RETRY_AFTER_MS)
 
 
-class ReturnersTest(unittest.TestCase):
+class RetryingClientsTest(unittest.TestCase):
     def setUp(self):
         self.manual = ManualClock()
-        self.returners = Returners(Clock(self.manual), most=10)
+        self.retrying_clients = RetryingClients(Clock(self.manual), most=10)
         self.label = client_label("anna", "orders", b"digest", "s1")
 
     def test_a_client_that_comes_back_in_its_time_is_known_once(self):
-        self.returners.note(self.label, 300.0)
+        self.retrying_clients.note(self.label, 300.0)
         self.manual.advance(0.3)
-        self.assertEqual(self.returners.claim(self.label), 1)
-        self.assertEqual(self.returners.claim(self.label), 0)
+        self.assertEqual(self.retrying_clients.claim(self.label), 1)
+        self.assertEqual(self.retrying_clients.claim(self.label), 0)
 
     def test_it_is_known_how_many_times_running_it_was_turned_away(self):
-        self.returners.note(self.label, 0.0, times=2)
-        self.assertEqual(self.returners.claim(self.label), 2)
+        self.retrying_clients.note(self.label, 0.0, times=2)
+        self.assertEqual(self.retrying_clients.claim(self.label), 2)
 
     def test_on_another_session_of_the_same_key_it_is_known(self):
-        self.returners.note(self.label, 300.0)
+        self.retrying_clients.note(self.label, 300.0)
         self.manual.advance(0.5)
-        self.assertTrue(self.returners.claim(client_label("anna", "orders", b"digest", "s2")))
+        self.assertTrue(
+            self.retrying_clients.claim(client_label("anna", "orders", b"digest", "s2"))
+        )
 
     def test_another_tenant_database_or_session_without_a_key_is_not(self):
-        self.returners.note(client_label("anna", "orders", b"", "s1"), 0.0)
+        self.retrying_clients.note(client_label("anna", "orders", b"", "s1"), 0.0)
         for label in (
             client_label("bob", "orders", b"", "s1"),
             client_label("anna", "carts", b"", "s1"),
             client_label("anna", "orders", b"", "s2"),
         ):
-            self.assertFalse(self.returners.claim(label))
+            self.assertFalse(self.retrying_clients.claim(label))
 
     def test_who_comes_too_early_gains_nothing_and_loses_nothing(self):
-        self.returners.note(self.label, 300.0)
+        self.retrying_clients.note(self.label, 300.0)
         self.manual.advance(0.1)
-        self.assertFalse(self.returners.claim(self.label))
+        self.assertFalse(self.retrying_clients.claim(self.label))
         self.manual.advance(0.2)
-        self.assertTrue(self.returners.claim(self.label))
+        self.assertTrue(self.retrying_clients.claim(self.label))
 
     def test_who_comes_much_later_is_a_newcomer(self):
-        self.returners.note(self.label, 300.0)
+        self.retrying_clients.note(self.label, 300.0)
         self.manual.advance((300.0 + REMEMBERED_MS + 1) / 1000)
-        self.assertFalse(self.returners.claim(self.label))
-        self.assertEqual(len(self.returners), 0)
+        self.assertFalse(self.retrying_clients.claim(self.label))
+        self.assertEqual(len(self.retrying_clients), 0)
 
     def test_memory_is_bounded_and_forgets_the_oldest(self):
         labels = [client_label("anna", "orders", b"", f"s{number}") for number in range(20)]
         for label in labels:
-            self.returners.note(label, 0.0)
-        self.assertEqual(len(self.returners), 10)
-        self.assertFalse(self.returners.claim(labels[0]))
-        self.assertTrue(self.returners.claim(labels[-1]))
+            self.retrying_clients.note(label, 0.0)
+        self.assertEqual(len(self.retrying_clients), 10)
+        self.assertFalse(self.retrying_clients.claim(labels[0]))
+        self.assertTrue(self.retrying_clients.claim(labels[-1]))
 
     def test_a_label_of_many_clients_is_bounded_as_well(self):
         for _ in range(50):
-            self.returners.note(self.label, 0.0)
-        self.assertLessEqual(len(self.returners), 10)
+            self.retrying_clients.note(self.label, 0.0)
+        self.assertLessEqual(len(self.retrying_clients), 10)
 
     def test_labels_that_nobody_claims_are_forgotten_in_time(self):
         for number in range(5):
-            self.returners.note(client_label("", "orders", b"", f"s{number}"), 0.0)
+            self.retrying_clients.note(client_label("", "orders", b"", f"s{number}"), 0.0)
         self.manual.advance(REMEMBERED_MS / 1000 + 0.1)
-        self.returners.note(self.label, 0.0)
-        self.assertEqual(len(self.returners), 1)
+        self.retrying_clients.note(self.label, 0.0)
+        self.assertEqual(len(self.retrying_clients), 1)
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -38,7 +38,7 @@
     "rowanrail.scheduling.forecast_error",
     "rowanrail.scheduling.load",
     "rowanrail.scheduling.queue",
-    "rowanrail.scheduling.returning",
+    "rowanrail.scheduling.retrying",
     "rowanrail.scheduling.choice",
     "rowanrail.scheduling.member_weight",
     "rowanrail.scheduling.lag",
