--- a/src/rowanrail/scheduling/lag.py
+++ b/src/rowanrail/scheduling/lag.py
@@ -13,7 +13,7 @@
 LAG_DECAY_MS = 1000.0
 # A log that lacks what is some age old may be behind by more: the estimate doubles until a read
 # shows that it holds something older, so that few reads are spent on finding the lag.
-GROWTH = 2.0
+LAG_GROWTH = 2.0
 SHORTEST_LAG_MS = 20.0  # ms; less can't be told from the time that answers take on their way
 
 
@@ -43,7 +43,7 @@
 
     def note_lacks(self, age: float, now: float) -> None:
         """Note that its log lacks what the primary's log has held for ``age``."""
-        self._lag = max(self.at(now), GROWTH * age, SHORTEST_LAG_MS)
+        self._lag = max(self.at(now), LAG_GROWTH * age, SHORTEST_LAG_MS)
         self._noted_at = now
 
     def note_holds(self, age: float, now: float) -> None:
