--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -54,11 +54,11 @@
         ("connections_leased", labels, len(connections.leases)),
         ("concurrency_limit", labels, pool.concurrency.value),
         ("under_way", labels, connections.under_way),
-        ("queue_longest_wait_seconds", labels, pool.queue.longest_wait_seconds(now_seconds)),
+        ("queue_longest_wait_seconds", labels, pool.queue.longest_wait(1000 * now_seconds) / 1000),
     ]
     for urgency, length in pool.queue.lengths.items():
         readings.append(("queue_length", {**labels, "urgency": str(urgency)}, length))
-    readings.append(("member_latency_seconds", labels, pool.forecasts.latency_seconds))
+    readings.append(("member_latency_seconds", labels, pool.forecasts.latency / 1000))
     readings.append(("member_suspect", labels, float(pool.is_suspect)))
     return readings
 
--- a/src/rowanrail/gateway/pools/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -13,7 +13,7 @@
 from rowanrail.gateway.pools.leases import Leases
 from rowanrail.gateway.pools.opening_rules import Opening, has_room_for_opening, judge_opening
 from rowanrail.gateway.pools.openings import Openings
-from rowanrail.kernel.clock import Scheduler
+from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel, MemberDriver
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Answer
@@ -24,13 +24,13 @@
 class Connections:
     """At most ``limit`` connections to one member; each may be a tenant's."""
 
-    def __init__(self, limit: int, driver: MemberDriver, scheduler: Scheduler) -> None:
+    def __init__(self, limit: int, driver: MemberDriver, clock: Clock) -> None:
         self.limit = limit
         self.idle = IdleChannels()
-        self.leases = Leases(scheduler)
-        self.opening = Openings(driver, scheduler)
-        self.idle_transactions = IdleTransactions(scheduler)
-        self._scheduler = scheduler
+        self.leases = Leases(clock)
+        self.opening = Openings(driver, clock)
+        self.idle_transactions = IdleTransactions(clock)
+        self._clock = clock
 
     @property
     def established(self) -> int:
@@ -81,15 +81,15 @@
 
     # Opening
 
-    def is_worth_opening(self, tenant: str | None, waiting: int, waited_seconds: float) -> bool:
+    def is_worth_opening(self, tenant: str | None, waiting: int, waited: float) -> bool:
         """Whether one should be opened for a tenant, None for whoever comes.
 
         Parameters
         ----------
         waiting : int
             How many want one of the tenant.
-        waited_seconds : float
-            For how long the first of them has waited.
+        waited : float
+            Milliseconds for which the first of them has waited.
         """
         if not has_room_for_opening(len(self.opening), len(self.idle), self.count, self.allowed):
             return False
@@ -100,8 +100,8 @@
             waiting,
             self.opening.of(owner),
             self.may_come_back(owner),
-            waited_seconds,
-            self.opening.seconds,
+            waited,
+            self.opening.average,
         )
         return verdict is Opening.NOW
 
@@ -140,7 +140,7 @@
             channel.close()
         if channel.closed:
             return
-        channel.last_used = self._scheduler.time()
+        channel.last_used = self._clock.now
         channel.on_closed = self.idle.discard
         self.idle.add(channel)
 
@@ -150,7 +150,7 @@
         Parameters
         ----------
         now : float
-            Steady seconds.
+            Steady milliseconds.
         is_kept : callable
             Says whether a tenant's statements come to this gateway.
         """
--- a/src/rowanrail/gateway/pools/error_share.py
+++ b/src/rowanrail/gateway/pools/error_share.py
@@ -5,7 +5,7 @@
 __all__ = ["ErrorShare"]
 
 ERROR_WEIGHT = 0.2  # of the newest answer in the share of answers that were errors
-ERROR_DECAY_SECONDS = 2.0  # after it a share without new answers has shrunk to 1/e
+ERROR_DECAY_MS = 2000.0  # after it a share without new answers has shrunk to 1/e
 
 
 class ErrorShare:
@@ -14,8 +14,8 @@
     Examples
     --------
     >>> errors = ErrorShare()
-    >>> errors.note(1.0, 10.0)
-    >>> errors.at(10.0), errors.at(20.0) < 0.01
+    >>> errors.note(1.0, 10_000.0)
+    >>> errors.at(10_000.0), errors.at(20_000.0) < 0.01
     (0.2, True)
     """
 
@@ -31,7 +31,7 @@
             self._noted_at = now
 
     def at(self, now: float) -> float:
-        """Return the share at a moment in seconds."""
+        """Return the share at a moment in milliseconds."""
         if not self._share:
             return 0.0
-        return self._share * math.exp((self._noted_at - now) / ERROR_DECAY_SECONDS)
+        return self._share * math.exp((self._noted_at - now) / ERROR_DECAY_MS)
--- a/src/rowanrail/gateway/pools/idle_channels.py
+++ b/src/rowanrail/gateway/pools/idle_channels.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Iterator
 
-from rowanrail.gateway.pools.idle_rules import idle_limit_seconds
+from rowanrail.gateway.pools.idle_rules import idle_limit
 from rowanrail.gateway.pools.waiter import Waiter
 from rowanrail.members.channel import Channel
 
@@ -71,7 +71,7 @@
         Parameters
         ----------
         now : float
-            Steady seconds.
+            Steady milliseconds.
         is_kept : callable
             Says whether a tenant's statements come to this gateway.
         spare : int
@@ -80,6 +80,6 @@
         idle = list(self._channels)
         for place, channel in enumerate(idle):
             kept = is_kept(channel.tenant)
-            seconds = idle_limit_seconds(place, len(idle), spare, kept, bool(channel.tenant))
-            if channel.last_used < now - seconds:
+            limit = idle_limit(place, len(idle), spare, kept, bool(channel.tenant))
+            if channel.last_used < now - limit:
                 channel.close()
--- a/src/rowanrail/gateway/pools/idle_rules.py
+++ b/src/rowanrail/gateway/pools/idle_rules.py
@@ -8,26 +8,26 @@
 import math
 
 __all__ = [
-    "GIVEN_UP_IDLE_SECONDS",
-    "IDLE_SECONDS",
+    "GIVEN_UP_IDLE_MS",
+    "IDLE_MS",
     "KEPT_IDLE",
     "KEPT_SHARE",
-    "SPARE_IDLE_SECONDS",
-    "TENANT_IDLE_SECONDS",
-    "idle_limit_seconds",
+    "SPARE_IDLE_MS",
+    "TENANT_IDLE_MS",
+    "idle_limit",
     "spare_connections",
 ]
 
-# Seconds. A gap between two statements of a busy service is shorter; chosen, not measured apart.
-IDLE_SECONDS = 0.6
-# Seconds. A connection of a tenant is kept until another tenant needs its place: opening one again
-# takes 12 ms of a slot. Shorter than the 60 s after which members close idle connections; chosen.
-TENANT_IDLE_SECONDS = 30.0
-# Seconds. At a gateway to which statements no longer come: those under way may still want it. The
-# one that takes over needs the places; with both full a member refuses a third of them.
-GIVEN_UP_IDLE_SECONDS = 0.1
-# Seconds. The same for connections of tenants beyond those that are to be left free for successors.
-SPARE_IDLE_SECONDS = 2.0
+# A gap between two statements of a busy service is shorter; chosen, not measured apart.
+IDLE_MS = 600.0
+# A connection of a tenant is kept until another tenant needs its place: opening one again takes
+# 12 ms of a slot. Shorter than the 60 s after which members close idle connections; chosen.
+TENANT_IDLE_MS = 30_000.0
+# At a gateway to which statements no longer come: those under way may still want it. The one that
+# takes over needs the places; with both full a member refuses a third of them.
+GIVEN_UP_IDLE_MS = 100.0
+# The same for connections of tenants beyond those that are to be left free for successors.
+SPARE_IDLE_MS = 2000.0
 # Connections that are kept however long they are idle: for the next statement and for samples; each
 # more would be one that others lack.
 KEPT_IDLE = 1
@@ -48,10 +48,8 @@
     return count - math.ceil(KEPT_SHARE * limit)
 
 
-def idle_limit_seconds(
-    place: int, idle: int, spare: int, is_kept: bool, is_of_tenant: bool
-) -> float:
-    """Return after how many seconds without use a connection is closed; infinite for never.
+def idle_limit(place: int, idle: int, spare: int, is_kept: bool, is_of_tenant: bool) -> float:
+    """Return after how many milliseconds without use a connection is closed; infinite for never.
 
     Parameters
     ----------
@@ -68,17 +66,15 @@
 
     Examples
     --------
-    >>> idle_limit_seconds(0, 1, spare=0, is_kept=True, is_of_tenant=False)
+    >>> idle_limit(0, 1, spare=0, is_kept=True, is_of_tenant=False)
     inf
-    >>> idle_limit_seconds(0, 2, 0, True, False), idle_limit_seconds(0, 2, 0, True, True)
-    (0.6, 30.0)
-    >>> idle_limit_seconds(0, 2, 1, True, True), idle_limit_seconds(1, 2, 0, False, True)
-    (2.0, 0.1)
+    >>> idle_limit(0, 2, 0, True, False), idle_limit(0, 2, 0, True, True)
+    (600.0, 30000.0)
+    >>> idle_limit(0, 2, 1, True, True), idle_limit(1, 2, 0, False, True)
+    (2000.0, 100.0)
     """
     if is_kept and place >= idle - KEPT_IDLE:
         return math.inf
-    if not is_kept:
-        seconds = GIVEN_UP_IDLE_SECONDS
-    else:
-        seconds = TENANT_IDLE_SECONDS if is_of_tenant else IDLE_SECONDS
-    return min(seconds, SPARE_IDLE_SECONDS) if place < spare else seconds
+    usual = TENANT_IDLE_MS if is_of_tenant else IDLE_MS
+    limit = usual if is_kept else GIVEN_UP_IDLE_MS
+    return min(limit, SPARE_IDLE_MS) if place < spare else limit
--- a/src/rowanrail/gateway/pools/idle_transactions.py
+++ b/src/rowanrail/gateway/pools/idle_transactions.py
@@ -8,13 +8,13 @@
 from itertools import takewhile
 from typing import Protocol
 
-from rowanrail.kernel.clock import Scheduler
+from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel
 
 __all__ = ["IdleTransaction", "IdleTransactions", "count_to_end"]
 
-PRESSURE_SECONDS = 0.04  # of waiting, after which an idle transaction may be ended for one; chosen
-LONG_IDLE_SECONDS = 0.5  # a sixth of the 3 s after which sites let one be ended; chosen
+PRESSURE_MS = 40.0  # of waiting, after which an idle transaction may be ended for one; chosen
+LONG_IDLE_MS = 500.0  # a sixth of the 3 s after which sites let one be ended; chosen
 
 
 class IdleTransaction(Protocol):
@@ -39,26 +39,24 @@
     Parameters
     ----------
     waited : iterable of float
-        Seconds for which each statement has waited for a connection.
+        Milliseconds for which each statement has waited for a connection.
     idle : iterable of float
-        Seconds for which each transaction has been idle, the longest first.
+        Milliseconds for which each transaction has been idle, the longest first.
 
     Examples
     --------
-    >>> count_to_end([0.1, 0.05, 0.01], idle=[3.0, 2.0, 1.0]), count_to_end([0.1, 0.1], [3.0, 0.4])
+    >>> count_to_end([100, 50, 10], idle=[3000, 2000, 1000]), count_to_end([100, 100], [3000, 400])
     (2, 1)
     """
-    wanted = sum(seconds >= PRESSURE_SECONDS for seconds in waited)
-    return min(
-        wanted, sum(1 for _ in takewhile(lambda seconds: seconds >= LONG_IDLE_SECONDS, idle))
-    )
+    wanted = sum(wait >= PRESSURE_MS for wait in waited)
+    return min(wanted, sum(1 for _ in takewhile(lambda time: time >= LONG_IDLE_MS, idle)))
 
 
 class IdleTransactions:
     """Those of one pool, the one that has been idle longest first."""
 
-    def __init__(self, scheduler: Scheduler) -> None:
-        self._scheduler = scheduler
+    def __init__(self, clock: Clock) -> None:
+        self._clock = clock
         self._since: dict[IdleTransaction, float] = {}
 
     def __len__(self) -> int:
@@ -70,20 +68,20 @@
 
     def add(self, transaction: IdleTransaction) -> None:
         """Note that one does nothing."""
-        self._since[transaction] = self._scheduler.time()
+        self._since[transaction] = self._clock.now
 
     def remove(self, transaction: IdleTransaction) -> None:
         """Note that one goes on, or has ended; its idle time doesn't count as use."""
         since = self._since.pop(transaction, None)
         if since is not None and transaction.channel is not None:
-            transaction.channel.leased_at += self._scheduler.time() - since
+            transaction.channel.leased_at += self._clock.now - since
 
     def reclaim(self, waiting_since: Iterable[float]) -> None:
         """End those that have been idle longest for those who have waited long."""
-        now = self._scheduler.time()
+        now = self._clock.now
         idle = list(self._since.items())
         count = count_to_end(
             (now - since for since in waiting_since), (now - since for _, since in idle)
         )
         for transaction, since in idle[:count]:
-            transaction.reclaim(f"it rested for {now - since:.1f} s while others waited")
+            transaction.reclaim(f"it rested for {(now - since) / 1000:.1f} s while others waited")
--- a/src/rowanrail/gateway/pools/leases.py
+++ b/src/rowanrail/gateway/pools/leases.py
@@ -2,22 +2,22 @@
 
 from collections import Counter
 
-from rowanrail.kernel.clock import Scheduler
+from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel
 
 __all__ = ["ANSWER_WEIGHT", "Leases"]
 
 ANSWER_WEIGHT = 0.1  # of the newest answer in a moving average, about the last ten count
 # About a short read within a region, so that no member starts as slow.
-INITIAL_ANSWER_SECONDS = 0.02
+INITIAL_ANSWER_MS = 20.0
 
 
 class Leases:
     """Leases of one pool; the idle time of a transaction is left out."""
 
-    def __init__(self, scheduler: Scheduler) -> None:
-        self.seconds = INITIAL_ANSWER_SECONDS
-        self._scheduler = scheduler
+    def __init__(self, clock: Clock) -> None:
+        self.average = INITIAL_ANSWER_MS  # ms for which one is in use
+        self._clock = clock
         self._of: Counter[str] = Counter()
         self._count = 0
 
@@ -37,14 +37,14 @@
         """Note that a connection is in use."""
         self._count += 1
         self._of[channel.tenant] += 1
-        channel.leased_at = self._scheduler.time()
+        channel.leased_at = self._clock.now
 
     def end(self, channel: Channel) -> None:
         """Note that it is no longer."""
         self._count -= 1
         self._of[channel.tenant] -= 1
-        self.note(self._scheduler.time() - channel.leased_at)
+        self.note(self._clock.now - channel.leased_at)
 
-    def note(self, seconds: float) -> None:
-        """Note for how long one was in use."""
-        self.seconds += ANSWER_WEIGHT * (seconds - self.seconds)
+    def note(self, taken: float) -> None:
+        """Note for how many milliseconds one was in use."""
+        self.average += ANSWER_WEIGHT * (taken - self.average)
--- a/src/rowanrail/gateway/pools/member_health.py
+++ b/src/rowanrail/gateway/pools/member_health.py
@@ -1,28 +1,28 @@
 """Whether a member can be reached, and for how long it is left alone after failures.
 
 A state on plain values, without I/O: the pool tells it what connections and answers showed. Times
-are steady seconds.
+are steady milliseconds.
 """
 
 from rowanrail.gateway.pools.error_share import ErrorShare
 
-__all__ = ["MemberHealth", "backoff_seconds"]
+__all__ = ["MemberHealth", "backoff_ms"]
 
-# Seconds. A failed connection is tried again after twice this; chosen, not measured apart.
-MINIMUM_BACKOFF_SECONDS = 0.1
-# Seconds. A member that came back is noticed by samples sooner, see MemberPool.note_reachable.
-MAXIMUM_BACKOFF_SECONDS = 2.0
+# A failed connection is tried again after twice this; chosen, not measured apart.
+MINIMUM_BACKOFF_MS = 100.0
+# A member that came back is noticed by samples sooner, see MemberPool.note_reachable.
+MAXIMUM_BACKOFF_MS = 2000.0
 
 
-def backoff_seconds(failures: int) -> float:
-    """Return for how long a member is left alone after so many failures running.
+def backoff_ms(failures: int) -> float:
+    """Return for how many milliseconds a member is left alone after so many failures running.
 
     Examples
     --------
-    >>> [backoff_seconds(failures) for failures in (1, 2, 3, 9)]
-    [0.2, 0.4, 0.8, 2.0]
+    >>> [backoff_ms(failures) for failures in (1, 2, 3, 9)]
+    [200.0, 400.0, 800.0, 2000.0]
     """
-    return min(MINIMUM_BACKOFF_SECONDS * 2.0**failures, MAXIMUM_BACKOFF_SECONDS)
+    return min(MINIMUM_BACKOFF_MS * 2.0**failures, MAXIMUM_BACKOFF_MS)
 
 
 class MemberHealth:
@@ -31,15 +31,15 @@
     Examples
     --------
     >>> health = MemberHealth()
-    >>> health.note_failure(now=10.0), health.is_failing(now=10.1), health.is_failing(now=10.3)
-    (0.2, True, False)
+    >>> health.note_failure(now=0.0), health.is_failing(now=100.0), health.is_failing(now=300.0)
+    (200.0, True, False)
 
     After a failure it is tried by one request at a time:
 
-    >>> health.is_suspect(now=10.3, load=0), health.is_suspect(now=10.3, load=1)
+    >>> health.is_suspect(now=300.0, load=0), health.is_suspect(now=300.0, load=1)
     (False, True)
     >>> health.note_success()
-    >>> health.is_suspect(now=10.3, load=1)
+    >>> health.is_suspect(now=300.0, load=1)
     False
     """
 
@@ -71,9 +71,9 @@
         return self._errors.at(now)
 
     def note_failure(self, now: float) -> float:
-        """Note a failure, and return for how many seconds the member is left alone."""
+        """Note a failure, and return for how many milliseconds the member is left alone."""
         self._failures += 1
-        backoff = backoff_seconds(self._failures)
+        backoff = backoff_ms(self._failures)
         self.failing_until = now + backoff
         return backoff
 
--- a/src/rowanrail/gateway/pools/opening_rules.py
+++ b/src/rowanrail/gateway/pools/opening_rules.py
@@ -9,9 +9,9 @@
 import enum
 
 __all__ = [
-    "CROWDED_SECONDS",
-    "INITIAL_OPENING_SECONDS",
-    "LONGEST_OPENING_SECONDS",
+    "CROWDED_MS",
+    "INITIAL_OPENING_MS",
+    "LONGEST_OPENING_MS",
     "OPENINGS_AT_ONCE",
     "ConnectionCap",
     "Opening",
@@ -21,9 +21,9 @@
 ]
 
 OPENINGS_AT_ONCE = 2  # of one pool; each takes a slot of the member for a while; chosen
-CROWDED_SECONDS = 0.5  # without new connections after a member had none left; chosen
-INITIAL_OPENING_SECONDS = 0.03  # 12 ms at the member and two round trips inside a region
-LONGEST_OPENING_SECONDS = 0.1  # a slow opening is no reason to let everybody wait long; chosen
+CROWDED_MS = 500.0  # without new connections after a member had none left; chosen
+INITIAL_OPENING_MS = 30.0  # 12 ms at the member and two round trips inside a region
+LONGEST_OPENING_MS = 100.0  # a slow opening is no reason to let everybody wait long; chosen
 OPENING_WEIGHT = 0.1  # of the newest opening in the average: about the last ten count; chosen
 
 
@@ -64,7 +64,7 @@
 
 
 def judge_opening(
-    waiting: int, opening: int, may_come_back: bool, waited_seconds: float, opening_seconds: float
+    waiting: int, opening: int, may_come_back: bool, waited: float, opening_time: float
 ) -> Opening:
     """Return whether one more connection is opened for a tenant, given that there is room.
 
@@ -79,37 +79,37 @@
         Connections that are being opened for it.
     may_come_back : bool
         Whether one of its connections is in use by more than a transaction that is idle.
-    waited_seconds : float
-        For which the first of them has waited.
-    opening_seconds : float
-        That an opening takes, as smoothed over the latest.
+    waited : float
+        Milliseconds for which the first of them has waited.
+    opening_time : float
+        Milliseconds that an opening takes, as smoothed over the latest.
 
     Examples
     --------
-    >>> judge_opening(2, 0, True, waited_seconds=0.01, opening_seconds=0.03).name
+    >>> judge_opening(2, 0, True, waited=10, opening_time=30).name
     'WAIT'
-    >>> judge_opening(2, 0, True, 0.04, 0.03).name, judge_opening(2, 0, False, 0.0, 0.03).name
+    >>> judge_opening(2, 0, True, 40, 30).name, judge_opening(2, 0, False, 0, 30).name
     ('NOW', 'NOW')
-    >>> judge_opening(1, 1, False, 0.04, 0.03).name
+    >>> judge_opening(1, 1, False, 40, 30).name
     'ENOUGH'
     """
     if opening >= waiting:
         return Opening.ENOUGH
-    if waited_seconds >= opening_seconds or not may_come_back:
+    if waited >= opening_time or not may_come_back:
         return Opening.NOW
     return Opening.WAIT
 
 
-def smoothed_opening(average_seconds: float, newest_seconds: float) -> float:
-    """Return how long an opening takes, with the newest one counted in.
+def smoothed_opening(average: float, newest: float) -> float:
+    """Return how many milliseconds an opening takes, with the newest one counted in.
 
     Examples
     --------
-    >>> round(smoothed_opening(0.03, 0.05), 3), smoothed_opening(0.03, 60.0)
-    (0.032, 0.1)
+    >>> smoothed_opening(30.0, 50.0), smoothed_opening(30.0, 60_000.0)
+    (32.0, 100.0)
     """
-    share = OPENING_WEIGHT * (newest_seconds - average_seconds)
-    return min(LONGEST_OPENING_SECONDS, average_seconds + share)
+    share = OPENING_WEIGHT * (newest - average)
+    return min(LONGEST_OPENING_MS, average + share)
 
 
 class ConnectionCap:
@@ -118,10 +118,10 @@
     Examples
     --------
     >>> cap = ConnectionCap()
-    >>> cap.allowed(14, now=10.0)
+    >>> cap.allowed(14, now=0.0)
     14
-    >>> cap.note_crowded(open_count=5, now=10.0)
-    >>> cap.allowed(14, now=10.4), cap.allowed(14, now=10.6)
+    >>> cap.note_crowded(open_count=5, now=0.0)
+    >>> cap.allowed(14, now=400.0), cap.allowed(14, now=600.0)
     (5, 14)
     """
 
@@ -133,9 +133,9 @@
 
     def note_crowded(self, open_count: int, now: float) -> None:
         """Note that the member has no more connections than those that are open."""
-        self._until = now + CROWDED_SECONDS
+        self._until = now + CROWDED_MS
         self._limit = max(1, open_count)
 
     def allowed(self, limit: int, now: float) -> int:
-        """Return how many there may be at a moment in seconds, of a limit."""
+        """Return how many there may be at a moment in milliseconds, of a limit."""
         return min(limit, self._limit) if now < self._until else limit
--- a/src/rowanrail/gateway/pools/openings.py
+++ b/src/rowanrail/gateway/pools/openings.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Iterator
 
 from rowanrail.gateway.pools.opening_rules import (
-    INITIAL_OPENING_SECONDS,
+    INITIAL_OPENING_MS,
     ConnectionCap,
     smoothed_opening,
 )
-from rowanrail.kernel.clock import Scheduler
+from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel, MemberDriver
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Answer
@@ -22,10 +22,10 @@
 class Openings:
     """Openings of one pool."""
 
-    def __init__(self, driver: MemberDriver, scheduler: Scheduler) -> None:
-        self.seconds = INITIAL_OPENING_SECONDS  # about how long one takes
+    def __init__(self, driver: MemberDriver, clock: Clock) -> None:
+        self.average = INITIAL_OPENING_MS  # ms that one takes
         self._driver = driver
-        self._scheduler = scheduler
+        self._clock = clock
         self._channels: set[Channel] = set()
         self._cap = ConnectionCap()
 
@@ -41,7 +41,7 @@
 
     def allowed(self, limit: int) -> int:
         """Return how many connections may be open, of a limit, after what the member said."""
-        return self._cap.allowed(limit, self._scheduler.time())
+        return self._cap.allowed(limit, self._clock.now)
 
     def start(
         self, record: MemberRecord, tenant: str, respond: Callable[[Channel, Answer], None]
@@ -51,18 +51,18 @@
         def on_open(channel: Channel, answer: Answer) -> None:
             self._channels.discard(channel)
             if answer.refusal is None:
-                taken = self._scheduler.time() - channel.last_used
-                self.seconds = smoothed_opening(self.seconds, taken)
+                taken = self._clock.now - channel.last_used
+                self.average = smoothed_opening(self.average, taken)
             respond(channel, answer)
 
         channel = Channel(record.address, record.instance, on_open, tenant)
-        channel.last_used = self._scheduler.time()
+        channel.last_used = self._clock.now
         self._channels.add(channel)
         self._driver.open(record.address, record.service, record.instance, channel)
 
     def note_crowded(self, open_count: int) -> None:
         """Note that the member has no more connections than those that are open."""
-        self._cap.note_crowded(open_count, self._scheduler.time())
+        self._cap.note_crowded(open_count, self._clock.now)
 
     def close(self) -> None:
         """Close all at once."""
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -2,7 +2,7 @@
 
 Owns a member's connections, health, concurrency limit, forecasts and wait queue, and brings them
 together: each has its rules in its own module. Relies on the driver for connections and on the
-scheduler for time.
+clock for time.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from rowanrail.gateway.pools.member_health import MemberHealth
 from rowanrail.gateway.pools.wait_queue import WaitQueue
 from rowanrail.gateway.pools.waiter import Waiter
-from rowanrail.kernel.clock import Scheduler
+from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel, MemberDriver
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Answer, Refusal
@@ -39,8 +39,8 @@
         Connections that there may be.
     driver : MemberDriver
         Opens connections.
-    scheduler : Scheduler
-        Steady seconds and timers.
+    clock : Clock
+        Time and timers in milliseconds.
     holders : int
         How many gateways are thought to share the member.
     """
@@ -50,17 +50,17 @@
         record: MemberRecord,
         limit: int,
         driver: MemberDriver,
-        scheduler: Scheduler,
+        clock: Clock,
         holders: int = 1,
     ) -> None:
         self.record = record
         self.concurrency = ConcurrencyLimit(record.slots, holders)
         self.health = MemberHealth()
-        self.connections = Connections(limit, driver, scheduler)
+        self.connections = Connections(limit, driver, clock)
         self.queue = WaitQueue()
         self.forecasts = MemberForecasts(self.connections, self.concurrency, self.queue)
         self.on_trouble: Callable[[Trouble], None] = lambda trouble: None
-        self._scheduler = scheduler
+        self.clock = clock
         self._is_starting = False
         self._closed = False
 
@@ -72,17 +72,17 @@
     @property
     def is_failing(self) -> bool:
         """Whether connections failed a moment ago."""
-        return self.health.is_failing(self._scheduler.time())
+        return self.health.is_failing(self.clock.now)
 
     @property
     def is_suspect(self) -> bool:
         """Whether new work should go elsewhere."""
-        return self.health.is_suspect(self._scheduler.time(), self.load)
+        return self.health.is_suspect(self.clock.now, self.load)
 
     @property
     def error_share(self) -> float:
         """Share of the latest answers that were errors; forgotten with time."""
-        return self.health.error_share(self._scheduler.time())
+        return self.health.error_share(self.clock.now)
 
     @property
     def can_lend(self) -> bool:
@@ -95,14 +95,14 @@
 
     def acquire(self, waiter: Waiter) -> None:
         """Give the waiter a connection now or later, or a refusal."""
-        waiter.since = self._scheduler.time()
+        waiter.since = self.clock.now
         if not self.queue and self._has_room_for(waiter.entry):
             channel = self.connections.idle.take_for(waiter)
             if channel is not None:
                 self._lease(channel, waiter)
                 return
-        self.queue.add(waiter, waiter.since * 1000)
-        self._scheduler.call_later(self.connections.opening.seconds, self._start_waiting)
+        self.queue.add(waiter, waiter.since)
+        self.clock.call_in(self.connections.opening.average, self._start_waiting)
         self._start_waiting()
 
     def _has_room_for(self, entry: QueueEntry) -> bool:
@@ -132,13 +132,13 @@
             return False
         connections = self.connections
         is_full = connections.under_way >= self.concurrency.value
-        now = self._scheduler.time() * 1000
+        now = self.clock.now
         idle = connections.idle
         supply = Supply(idle.tenants, self._may_open, connections.may_come_back)
         pick = self.queue.next(supply, only_samples=is_full)
         if pick is None:
             return False
-        if is_past_deadline(pick.item.entry, now, self.forecasts.latency_seconds * 1000):
+        if is_past_deadline(pick.item.entry, now, self.forecasts.latency):
             self.queue.expire(pick.item)
             return True
         if pick.needs_opening:
@@ -154,11 +154,17 @@
         self.connections.lease(channel)
         waiter.respond(channel, Answer())
 
-    def release(self, channel: Channel, latency_seconds: float | None = None) -> None:
-        """Take a connection back; a closed one, or one with answers outstanding, is dropped."""
+    def release(self, channel: Channel, latency: float | None = None) -> None:
+        """Take a connection back; a closed one, or one with answers outstanding, is dropped.
+
+        Parameters
+        ----------
+        latency : float or None
+            Milliseconds that the member took, if it answered a statement.
+        """
         self.connections.leases.end(channel)
-        if latency_seconds is not None:
-            self.forecasts.note_latency(latency_seconds)
+        if latency is not None:
+            self.forecasts.note_latency(latency)
         self.connections.keep(channel)
         self._start_waiting()
 
@@ -173,7 +179,7 @@
 
     def _may_open(self, tenant: str | None, since: float) -> bool:
         """Whether a connection should be opened for a tenant that has waited since then."""
-        waited = self._scheduler.time() - since / 1000
+        waited = self.clock.now - since
         waiting = self.queue.waiting_of(tenant)
         return not self.is_failing and self.connections.is_worth_opening(tenant, waiting, waited)
 
@@ -203,17 +209,25 @@
 
     # What answers show
 
-    def note_answered(self, refusal: Refusal | None, seconds: float) -> None:
-        """Note how the member answered a statement that takes a slot, and after how long."""
-        now = self._scheduler.time() * 1000
+    def note_answered(self, refusal: Refusal | None, taken: float) -> None:
+        """Note how the member answered a statement that takes a slot.
+
+        Parameters
+        ----------
+        refusal : Refusal or None
+            None if the member ran it.
+        taken : float
+            Milliseconds from sending to the answer.
+        """
+        now = self.clock.now
         if refusal is None:
-            self.concurrency.note_answer(now, seconds * 1000, self.connections.under_way)
+            self.concurrency.note_answer(now, taken, self.connections.under_way)
         elif refusal is Refusal.BUSY:
             self.concurrency.note_busy(now, self.connections.under_way)
 
     def _note_failure(self) -> None:
-        backoff = self.health.note_failure(self._scheduler.time())
-        self._scheduler.call_later(backoff, self._start_waiting)
+        backoff = self.health.note_failure(self.clock.now)
+        self.clock.call_in(backoff, self._start_waiting)
 
     def note_reachable(self) -> None:
         """Note that the member answers on another connection: nothing need be waited out."""
@@ -228,11 +242,11 @@
 
     def note_answer(self) -> None:
         """Note that the member answered."""
-        self.health.note_answer(is_error=False, now=self._scheduler.time())
+        self.health.note_answer(is_error=False, now=self.clock.now)
 
     def note_error(self) -> None:
         """Note that the member answered with an error of its own."""
-        self.health.note_answer(is_error=True, now=self._scheduler.time())
+        self.health.note_answer(is_error=True, now=self.clock.now)
         self.on_trouble(Trouble.ERROR)
 
     # Changes
@@ -247,8 +261,8 @@
         """
         if not self.queue and not self.connections.count:
             return  # as are most pools of most gateways, twenty times a second
-        now = self._scheduler.time()
-        self.queue.expire_late(now * 1000, self.forecasts.latency_seconds * 1000)
+        now = self.clock.now
+        self.queue.expire_late(now, self.forecasts.latency)
         if self.connections.is_crowded:
             self.connections.idle_transactions.reclaim(waiter.since for waiter in self.queue)
         self.connections.trim(now, is_kept)
--- a/src/rowanrail/gateway/pools/queued_request.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -8,7 +8,7 @@
 
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.waiter import Waiter
-from rowanrail.kernel.clock import Scheduler, Timer
+from rowanrail.kernel.clock import Timer
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer
 from rowanrail.scheduling.admission import Admit, Forecast, Watch
@@ -28,8 +28,6 @@
         How the statement stands among the others.
     values : dict
         Session values that the connection should have already, if one has.
-    scheduler : Scheduler
-        Steady seconds and timers.
     take : callable
         Gets the connection, or None with the reason.
     give_up : callable
@@ -41,13 +39,12 @@
         pool: MemberPool,
         entry: QueueEntry,
         values: dict[str, str],
-        scheduler: Scheduler,
         take: Callable[[Channel | None, Answer], None],
         give_up: Callable[[], None],
     ) -> None:
         self._pool = pool
         self._waiter = Waiter(entry, values, self._respond, self._lose)
-        self._scheduler = scheduler
+        self._clock = pool.clock
         self._take = take
         self._give_up = give_up
         self._given = entry.deadline - entry.arrived
@@ -59,7 +56,7 @@
 
     @property
     def _now(self) -> float:
-        return self._scheduler.time() * 1000
+        return self._clock.now
 
     @property
     def _left(self) -> float:
@@ -86,8 +83,8 @@
         self._take(channel, answer)
 
     def _check_later(self, forecast: Forecast) -> None:
-        seconds = self._watch.next_check(forecast, self._left) / 1000
-        self._timer = self._scheduler.call_later(seconds, self._check)
+        pause = self._watch.next_check(forecast, self._left)
+        self._timer = self._clock.call_in(pause, self._check)
 
     def _check(self) -> None:
         forecast = self._pool.forecasts.of(self._waiter.entry)
@@ -103,7 +100,7 @@
         self._give_up()
 
     def _note_waited(self, was_served: bool) -> None:
-        waited = self._now - self._waiter.since * 1000
+        waited = self._now - self._waiter.since
         self._error.note(self._expected, waited, self._given, was_served)
 
     def _end(self) -> None:
--- a/src/rowanrail/gateway/pools/wait_queue.py
+++ b/src/rowanrail/gateway/pools/wait_queue.py
@@ -14,10 +14,10 @@
 class WaitQueue(WorkQueue[Waiter]):
     """The wait queue of one pool."""
 
-    def longest_wait_seconds(self, now: float) -> float:
-        """Return for how long the first of those who wait has done so, by steady seconds."""
+    def longest_wait(self, now: float) -> float:
+        """Return for how many milliseconds the first of those who wait has done so."""
         oldest = self.oldest
-        return 0.0 if oldest is None else now - oldest / 1000
+        return 0.0 if oldest is None else now - oldest
 
     def refuse(self, answer: Answer, tenant: str | None = None) -> None:
         """Refuse all who wait, or those who want a connection of one tenant."""
--- a/src/rowanrail/gateway/services/load_measure.py
+++ b/src/rowanrail/gateway/services/load_measure.py
@@ -23,7 +23,7 @@
         Milliseconds on the steady clock.
     """
     near = [pool for pool in service.pools.values() if _serves(service, pool)]
-    if not any(pool.forecasts.expected_wait_seconds for pool in near):
+    if not any(pool.forecasts.expected_wait for pool in near):
         return None
     weight = service.weight(tenant)
     entries = [QueueEntry(urgency, tenant, now, weight=weight) for urgency in range(URGENCIES)]
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -43,27 +43,28 @@
         spec: ServiceSpec,
         locality: Locality,
         driver: MemberDriver,
-        clock: Scheduler,
+        scheduler: Scheduler,
         policies: GatewayPolicies,
     ) -> None:
         self.spec = spec
         self.share = ServiceShare(spec.connections)
         self.policies = policies
-        self.primary = PrimaryTracker(spec.name, driver, clock, policies.leadership_proof)
+        self.primary = PrimaryTracker(spec.name, driver, scheduler, policies.leadership_proof)
         self.primary.on_proof = self._note_proof
         self.primary.set_lender(self)
         self.pools: dict[str, MemberPool] = {}
-        milliseconds = Clock(clock)
-        self.estimates = MemberEstimates(locality, self.primary, milliseconds)
-        self._probes = MemberProbes(self.estimates.weights, driver, milliseconds)
+        clock = Clock(scheduler)
+        self.estimates = MemberEstimates(locality, self.primary, clock)
+        self._probes = MemberProbes(self.estimates.weights, driver, clock)
         self.used_at = -IN_USE_SECONDS
         self._held_connections = False
-        self.retry_times = RetryTimes(Clock(clock))
+        self.retry_times = RetryTimes(clock)
         # Holders of the zones draw differently, and a simulation can be played again.
         self._randomness = random.Random(f"{locality.zone}/{spec.name}")  # noqa: S311 - no secret
         self._locality = locality
         self._driver = driver
         self._clock = clock
+        self._scheduler = scheduler
         self._tenants = Tenants()
 
     def set_members(self, records: list[MemberRecord]) -> None:
@@ -122,7 +123,7 @@
     @property
     def in_use(self) -> bool:
         """Whether statements came a short while ago."""
-        return self._clock.time() - self.used_at < IN_USE_SECONDS
+        return self._scheduler.time() - self.used_at < IN_USE_SECONDS
 
     @property
     def is_due(self) -> bool:
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -142,7 +142,7 @@
         self.note_answer(answer)
         if answer.refusal is None:
             self.pool.note_answer()
-            self.release(self.clock.time() - self.sent_at)
+            self.release(1000 * (self.clock.time() - self.sent_at))
             self.finish(answer)
             return
         self._refused(answer, answer.refusal)
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -79,7 +79,7 @@
         """Give the member up for a read if its answer takes much longer than usual."""
         assert self.pool is not None
         objective = self.route.objective_seconds
-        self._limit_attempt(answer_limit_seconds(objective, self.pool.forecasts.latency_seconds))
+        self._limit_attempt(answer_limit_seconds(objective, self.pool.forecasts.latency / 1000))
 
     def _limit_attempt(self, seconds: float) -> None:
         self.end_attempt()
@@ -125,7 +125,7 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
         entry, values = self.entry(), self.session.values
-        self._queued = QueuedRequest(pool, entry, values, self.clock, respond, self._expired)
+        self._queued = QueuedRequest(pool, entry, values, respond, self._expired)
         self._queued.start()
 
     def _expired(self) -> None:
@@ -159,7 +159,7 @@
 
         def settle(answer: Answer) -> None:
             if pool is not None and takes_slot:
-                pool.note_answered(answer.refusal, self.clock.time() - sent_at)
+                pool.note_answered(answer.refusal, 1000 * (self.clock.time() - sent_at))
             respond(answer)
 
         self.sent_at = sent_at
@@ -167,11 +167,11 @@
         answered: list[Respond] = [check] * (len(commands) - 1)
         channel.send(commands, [*answered, settle])
 
-    def release(self, latency_seconds: float | None = None) -> None:
-        """Give the connection back."""
+    def release(self, latency: float | None = None) -> None:
+        """Give the connection back; ``latency`` is what an answer took, in milliseconds."""
         channel, self.channel = self.channel, None
         if channel is not None and self.pool is not None:
-            self.pool.release(channel, latency_seconds)
+            self.pool.release(channel, latency)
 
     def discard(self) -> None:
         """Close the connection: its state is not known, or answers on it are outstanding."""
--- a/src/rowanrail/members/channel.py
+++ b/src/rowanrail/members/channel.py
@@ -74,8 +74,8 @@
         self.prepared: set[str] = set()
         self.uncertain = False
         self.in_transaction = False
-        self.last_used = 0.0
-        self.leased_at = 0.0
+        self.last_used = 0.0  # steady ms, kept by its pool
+        self.leased_at = 0.0  # steady ms, kept by its pool
         self.on_closed: Callable[[Channel], None] = lambda channel: None
         self._on_open = on_open
         self._expected: deque[tuple[Respond, bool]] = deque()
--- a/src/rowanrail/scheduling/wait_forecast.py
+++ b/src/rowanrail/scheduling/wait_forecast.py
@@ -5,7 +5,7 @@
 get here; with none known, the first guess of :mod:`rowanrail.gateway.pools.leases` stands in.
 """
 
-__all__ = ["places", "wait_seconds"]
+__all__ = ["expected_wait", "places"]
 
 
 def places(concurrency_limit: int, usable: int) -> int:
@@ -26,8 +26,8 @@
     return max(1, min(concurrency_limit, usable))
 
 
-def wait_seconds(ahead: float, places: int, under_way: int, lease_seconds: float) -> float:
-    """Return how long a statement waits for a place.
+def expected_wait(ahead: float, places: int, under_way: int, lease: float) -> float:
+    """Return for how many milliseconds a statement waits for a place.
 
     Parameters
     ----------
@@ -37,15 +37,15 @@
         How many statements may be under way at once.
     under_way : int
         How many are.
-    lease_seconds : float
-        For how long a connection is in use by one statement.
+    lease : float
+        Milliseconds for which a connection is in use by one statement.
 
     Examples
     --------
-    >>> wait_seconds(0, places=4, under_way=3, lease_seconds=0.02)
+    >>> expected_wait(0, places=4, under_way=3, lease=20.0)
     0.0
-    >>> wait_seconds(3, places=4, under_way=4, lease_seconds=0.02)
-    0.02
+    >>> expected_wait(3, places=4, under_way=4, lease=20.0)
+    20.0
     """
     ahead -= places - under_way
-    return 0.0 if ahead < 0 else (ahead + 1) * lease_seconds / places
+    return 0.0 if ahead < 0 else (ahead + 1) * lease / places
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -125,7 +125,7 @@
     def fill(self, pool, ask):
         """Have so many wait before a member that the last ones are turned away."""
         for _ in range(30):
-            pool.connections.leases.note(0.5)
+            pool.connections.leases.note(500.0)
         self.played.primary.script = [None] * 500
         for _ in range(60):
             ask()
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -7,9 +7,10 @@
 
 import unittest
 
-from rowanrail.gateway.pools.idle_rules import KEPT_SHARE, SPARE_IDLE_SECONDS, TENANT_IDLE_SECONDS
+from rowanrail.gateway.pools.idle_rules import KEPT_SHARE, SPARE_IDLE_MS, TENANT_IDLE_MS
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.waiter import Waiter
+from rowanrail.kernel.clock import Clock
 from rowanrail.scheduling.queue import QueueEntry
 from tests.scheduling.member import SlottedMember
 from tests.support.gateway import ManualClock
@@ -23,7 +24,7 @@
     def setUp(self):
         self.clock = ManualClock()
         self.member = SlottedMember(self.clock)
-        self.pool = MemberPool(self.member.record(), LIMIT, self.member, self.clock)
+        self.pool = MemberPool(self.member.record(), LIMIT, self.member, Clock(self.clock))
 
     def use(self, tenant):
         """Have a statement of a tenant use a connection for a moment."""
@@ -46,9 +47,9 @@
 
     def test_half_are_kept_when_it_is_over(self):
         self.test_a_burst_of_many_tenants_may_use_all()
-        self.pass_time(SPARE_IDLE_SECONDS + 0.1)
+        self.pass_time(SPARE_IDLE_MS / 1000 + 0.1)
         self.assertEqual(self.pool.connections.count, KEPT)
-        self.pass_time(TENANT_IDLE_SECONDS / 2)
+        self.pass_time(TENANT_IDLE_MS / 2000)
         self.assertEqual(self.pool.connections.count, KEPT)
 
     def test_those_of_tenants_that_came_last_are_kept(self):
@@ -63,5 +64,5 @@
         for tenant in TENANTS[:KEPT]:
             self.use(tenant)
             self.pass_time(0.1)
-        self.pass_time(TENANT_IDLE_SECONDS / 2)
+        self.pass_time(TENANT_IDLE_MS / 2000)
         self.assertEqual(self.pool.connections.count, KEPT)
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -152,9 +152,7 @@
         self.played.near.script.clear()
         self.played.clock.advance(10)
         for pool in self.played.gateway.services["db"].pools.values():
-            pool.forecasts.latency_seconds = (
-                0.02  # answers take no time here, which no real one does
-            )
+            pool.forecasts.latency = 20.0  # answers take no time here, which no real one does
         for _ in range(10):
             client.run("READ d")
         self.assertGreater(len(self.played.near.texts()) - known, 5)
@@ -283,7 +281,7 @@
         pool = played.gateway.services["db"].pools["m1"]
         for _ in range(6):
             pool.note_silence()
-        self.assertGreater(pool.health.failing_until, played.clock.now + 1.5)
+        self.assertGreater(pool.health.failing_until, 1000 * (played.clock.now + 1.5))
         played.primary.reachable = True
         played.clock.advance(0.45)  # the probe is repeated each 0.3 s
         self.assertGreater(played.gateway.services["db"].primary.proved_at, played.clock.now - 0.4)
@@ -297,7 +295,7 @@
         self.played = PlayedGateway(slots=24)  # so that connections bind, not slots
         self.pool = self.played.gateway.services["db"].pools["m1"]
         for _ in range(30):
-            self.pool.connections.leases.note(0.2)
+            self.pool.connections.leases.note(200.0)
         self.busy = []
         self.played.primary.script = [None] * 100
         for _ in range(self.pool.connections.limit):
@@ -333,8 +331,8 @@
         # There it could still be served in its time-out, but other members have room at once.
         near = self.played.gateway.services["db"].pools["m2"]
         for _ in range(30):
-            near.connections.leases.note(0.2)
-        near.forecasts.latency_seconds = 0.001  # so that it is chosen, whatever stands before it
+            near.connections.leases.note(200.0)
+        near.forecasts.latency = 1.0  # so that it is chosen, whatever stands before it
         self.played.near.script = [None] * 200
         readers = [self.played.client("reports") for _ in range(60)]
         for reader in readers:
@@ -372,8 +370,8 @@
         for client in self.busy:
             client.session.close()
         self.played.clock.advance(0.3)
-        self.pool.connections.leases.note(60.0)
-        self.pool.forecasts.latency_seconds = 60.0
+        self.pool.connections.leases.note(60_000.0)
+        self.pool.forecasts.latency = 60_000.0
         self.played.primary.script = []
         for _ in range(5):
             self.assertIsNone(self.played.client("orders").run("WRITE c 3", seconds=0.2).refusal)
@@ -443,9 +441,7 @@
         self.assertEqual(pool.connections.count, 2)
         self.assertEqual(pool.connections.established, 0)
         pool.set_limit(2)
-        self.assertAlmostEqual(
-            pool.forecasts.expected_wait_seconds, pool.connections.leases.seconds / 2
-        )
+        self.assertAlmostEqual(pool.forecasts.expected_wait, pool.connections.leases.average / 2)
 
     def test_a_member_that_had_no_connection_left_is_asked_again_soon(self):
         # Found in an incident: after a loss of power members count the old connections for 3 s, and
@@ -477,7 +473,7 @@
         begun.run("WRITE a 1")
         pool = played.gateway.services["db"].pools["m1"]
         for _ in range(30):
-            pool.connections.leases.note(0.2)
+            pool.connections.leases.note(200.0)
         played.primary.script = [None] * (pool.connections.limit - 1)
         for _ in range(pool.connections.limit - 1):
             played.client("orders").ask("WRITE b 2")
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -75,7 +75,7 @@
     def fill(self):
         """Have more wait at the holder than it can serve in the time of a statement."""
         for _ in range(30):
-            self.pool.connections.leases.note(0.5)
+            self.pool.connections.leases.note(500.0)
         self.zone.primary.script = [None] * 500
         for _ in range(60):
             self.zone.last.client("orders").ask("WRITE b 2")
@@ -103,7 +103,7 @@
         self.zone.primary.script = []
         self.zone.clock.advance(1.2)  # those who waited have left
         for _ in range(60):
-            self.pool.connections.leases.note(0.01)
+            self.pool.connections.leases.note(10.0)
         answers = [self.zone.last.client("orders").run("WRITE e 5", 0.2) for _ in range(3)]
         self.assertIsNone(answers[-1].refusal)
 
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -71,7 +71,7 @@
             return
         self.entry = entry
         self.timer = self.clock.call_later(TIMEOUT, self.expire)
-        self.queued = QueuedRequest(pool, entry, {}, self.clock, self.take, self.give_up)
+        self.queued = QueuedRequest(pool, entry, {}, self.take, self.give_up)
         self.queued.start()
 
     def give_up(self) -> None:
@@ -107,8 +107,8 @@
 
     def answered(self, answer: Answer) -> None:
         pool, seconds = self.holder.pool, self.clock.time() - self.sent_at
-        pool.note_answered(answer.refusal, seconds)
-        pool.release(self.channel, seconds)
+        pool.note_answered(answer.refusal, 1000 * seconds)
+        pool.release(self.channel, 1000 * seconds)
         if self.is_over:
             return
         self.timer.cancel()
--- a/tests/scheduling/holders.py
+++ b/tests/scheduling/holders.py
@@ -101,7 +101,7 @@
             under_way=self.under_way[member.name],
             slots=member.slots,
             is_primary=member.name == self.primary,
-            error_share=self.errors[member.name].at(now / 1000),
+            error_share=self.errors[member.name].at(now),
             weight=self.health[member.name].weight.value,
             distance=distance,
         )
@@ -111,11 +111,11 @@
         match outcome:
             case Outcome.DONE:
                 self.times.note(name, kind, taken, now)
-                errors.note(0.0, now / 1000)
+                errors.note(0.0, now)
             case Outcome.TURNED_AWAY:
                 self.times.note_busy(name, kind, now)
             case Outcome.FAILED:
-                errors.note(1.0, now / 1000)
+                errors.note(1.0, now)
                 health.note_trouble(Trouble.ERROR, now)
             case Outcome.SILENT:
                 health.note_trouble(Trouble.SILENCE, now)
--- a/tests/scheduling/member.py
+++ b/tests/scheduling/member.py
@@ -143,8 +143,8 @@
 
     def _answered(self, answer: Answer) -> None:
         seconds = self.clock.time() - self.sent_at
-        self.pool.note_answered(answer.refusal, seconds)
-        self.pool.release(self.channel, seconds)
+        self.pool.note_answered(answer.refusal, 1000 * seconds)
+        self.pool.release(self.channel, 1000 * seconds)
         if answer.refusal is None:
             self.kind.times.append(self.clock.time() - self.began)
         else:
--- a/tests/scheduling/test_bursts.py
+++ b/tests/scheduling/test_bursts.py
@@ -8,6 +8,7 @@
 import unittest
 
 from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.kernel.clock import Clock
 from tests.scheduling.clients import Burst, Crowd, Holder, play
 from tests.scheduling.member import SlottedMember
 from tests.support.gateway import ManualClock
@@ -19,7 +20,7 @@
 def holders() -> list[Holder]:
     clock = ManualClock()
     member = SlottedMember(clock)
-    pools = [MemberPool(member.record(), 17, member, clock, holders=3) for _ in range(3)]
+    pools = [MemberPool(member.record(), 17, member, Clock(clock), holders=3) for _ in range(3)]
     return [Holder(pool, clock) for pool in pools]
 
 
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -4,6 +4,7 @@
 
 from rowanrail.gateway.gauges import gauges
 from rowanrail.gateway.pools.pool import MemberPool
+from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Refusal
 from rowanrail.scheduling.queue import QueueEntry
@@ -52,7 +53,9 @@
     def start_holders(self) -> None:
         """Begin anew with holders that know nothing."""
         self.pools = [
-            MemberPool(self._record, self._connections, self.member, self.clock, self._holders)
+            MemberPool(
+                self._record, self._connections, self.member, Clock(self.clock), self._holders
+            )
             for _ in range(self._holders)
         ]
 
@@ -238,7 +241,7 @@
         before = self.pool.concurrency.value
         for refusal in (Refusal.BEHIND, Refusal.NOT_PRIMARY, Refusal.FAILED, Refusal.LOST):
             for _ in range(50):
-                self.pool.note_answered(refusal, 0.5)
+                self.pool.note_answered(refusal, 500.0)
         self.assertEqual(self.pool.concurrency.value, before)
 
     def test_a_member_whose_queue_is_full_is_not_taken_for_a_lost_one(self):
@@ -301,12 +304,12 @@
         transaction = Transaction()
         leases = self.pool.connections.leases
         leases.begin(transaction.channel)
-        usual = leases.seconds
+        usual = leases.average
         self.pool.note_idle(transaction)
         self.shared.clock.advance(3.0)
         self.pool.connections.idle_transactions.remove(transaction)
         leases.end(transaction.channel)
-        self.assertLess(leases.seconds, usual)
+        self.assertLess(leases.average, usual)
 
 
 class Transaction:
