--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -127,7 +127,7 @@
         if verdict is None:
             self.finish(answer)
         else:
-            self.reject(verdict.cause, answer.message, verdict.return_in)
+            self.reject(verdict.cause, answer.message, verdict.retry_after_ms)
 
     def reject(
         self,
@@ -144,7 +144,7 @@
             Milliseconds until the first of those who were rejected is welcome.
         """
         urgency = self.route.priority
-        retry_after = self.service.returns.next(
+        retry_after = self.service.retry_times.next(
             shortest_retry_after_ms(base_ms), forecast.interval, (cause, urgency)
         )
         self.rejection = rejection(cause, forecast, self.time_left_ms, urgency, retry_after)
