--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -27,7 +27,7 @@
 from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, NoHolder, WhereHeld
 from rowanrail.gateway.relay.link import Link, Outcome, Replied
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
-from rowanrail.gateway.relay.terms import Order, answer_of, reply_margin, run_of
+from rowanrail.gateway.relay.terms import Outgoing, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.attempts import Sent
 from rowanrail.gateway.work.connected import Stage
@@ -147,7 +147,7 @@
         self._peer = link.peer
         self._link = link
         self._call = link.number_call()
-        order = Order(
+        outgoing = Outgoing(
             self._statement,
             self._route,
             self._session,
@@ -158,7 +158,7 @@
             begins=not self._ran,
             version=self._work.version,
         )
-        link.ask(run_of(order, self._call), self._settled, not may_be_kept(self._kind))
+        link.ask(run_of(outgoing, self._call), self._settled, may_be_kept(self._kind))
 
     def _settled(self, outcome: Outcome) -> None:
         raise NotImplementedError
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -110,12 +110,12 @@
 
     Parameters
     ----------
-    keeps_nothing : bool
-        Whether nothing is kept of it, whether it runs or not.
+    may_be_kept : bool
+        Whether the database may keep something of it if it runs.
     """
 
     settle: Settle
-    keeps_nothing: bool
+    may_be_kept: bool
 
 
 class Link:
@@ -193,7 +193,7 @@
         return self._next
 
     def ask(
-        self, question: Run | AskSample | CountDemand, settle: Settle, keeps_nothing: bool = False
+        self, question: Run | AskSample | CountDemand, settle: Settle, may_be_kept: bool = True
     ) -> None:
         """Send a statement, ask for a sample, or report what clients ask for.
 
@@ -203,9 +203,9 @@
             What is asked.
         settle : callable
             Gets the outcome once.
-        keeps_nothing : bool
-            Whether nothing is kept of it, whether it runs or not. Then it is lost as soon as the
-            neighbour is suspected; the outcome of anything else is unknown only when it is lost.
+        may_be_kept : bool
+            Whether the database may keep something of it if it runs. What is not kept is given up
+            as soon as the neighbour is suspected, all else only when the link is lost.
         """
         if self._port is None or self._state is LinkState.DOWN:
             settle(NotRun("the link is closed"))
@@ -213,7 +213,7 @@
         if not self._calls:
             self._heard = self._clock.now  # silence counts from the first answer that is owed
             self._pinged_at = None
-        self._calls[question.call] = _Call(settle, keeps_nothing)
+        self._calls[question.call] = _Call(settle, may_be_kept)
         self._port.send(question)
         if self._timer is None:
             self._timer = self._clock.call_in(CHECK_INTERVAL_MS, self._check)
@@ -301,7 +301,7 @@
 
     def _give_up_unkept(self, reason: str) -> None:
         """Settle as lost the calls of which nothing is kept, and have the neighbour forget them."""
-        given_up = [call for call, owed in self._calls.items() if owed.keeps_nothing]
+        given_up = [call for call, owed in self._calls.items() if not owed.may_be_kept]
         for call in given_up:
             owed = self._calls.pop(call, None)
             if owed is not None:  # settling an earlier one may have ended it
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -92,7 +92,7 @@
                 self._report_to_regions()
             case HeldAt(link=link):
                 question = CountDemand(link.number_call(), self._life, report)
-                link.ask(question, self._settled, keeps_nothing=True)
+                link.ask(question, self._settled, may_be_kept=False)
             case NoHolder():
                 pass  # the guard sees by the age of what it knows that it is alone
 
@@ -108,7 +108,7 @@
         if isinstance(holder, HeldAt):
             link = holder.link
             passed_on = msgspec.structs.replace(message, call=link.number_call(), is_passed_on=True)
-            link.ask(passed_on, lambda outcome: None, keeps_nothing=True)
+            link.ask(passed_on, lambda outcome: None, may_be_kept=False)
 
     def _settled(self, outcome: Outcome) -> None:
         if isinstance(outcome, Counted):
@@ -121,4 +121,4 @@
             if isinstance(holder, HeldAt):
                 link = holder.link
                 question = CountDemand(link.number_call(), self._region, report, is_region=True)
-                link.ask(question, lambda outcome: None, keeps_nothing=True)
+                link.ask(question, lambda outcome: None, may_be_kept=False)
--- a/src/rowanrail/gateway/relay/terms.py
+++ b/src/rowanrail/gateway/relay/terms.py
@@ -18,7 +18,7 @@
 from rowanrail.tenants.model import ClientIdentity
 
 __all__ = [
-    "Order",
+    "Outgoing",
     "answer_of",
     "load_session",
     "reply_margin",
@@ -36,8 +36,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """A statement as a session hands it over.
+class Outgoing:
+    """A statement that is sent to another gateway, as its session hands it over.
 
     Parameters
     ----------
@@ -67,20 +67,20 @@
     return REMOTE_REPLY_MARGIN_MS if is_detour else REPLY_MARGIN_MS
 
 
-def run_of(order: Order, call: int) -> Run:
-    """Return the message that has an order run."""
-    statement, route, session = order.statement, order.route, order.session
+def run_of(outgoing: Outgoing, call: int) -> Run:
+    """Return the message that has a statement run."""
+    statement, route, session = outgoing.statement, outgoing.route, outgoing.session
     shape = ""
     if statement.kind is StatementKind.EXECUTE:
         shape = session.prepared[statement.name][1]
     return Run(
         call=call,
-        transaction=order.transaction,
-        read_only=order.read_only,
+        transaction=outgoing.transaction,
+        read_only=outgoing.read_only,
         service=route.service,
         route=route.name,
         consistency=route.consistency,
-        timeout=max(SHORTEST_MS, order.timeout - reply_margin(order.is_detour)),
+        timeout=max(SHORTEST_MS, outgoing.timeout - reply_margin(outgoing.is_detour)),
         objective=route.objective_seconds * 1000,
         staleness=route.staleness_seconds * 1000,
         priority=route.priority,
@@ -93,12 +93,12 @@
         shape=shape,
         values=session.values,
         floor=session.floors.get(route.service),
-        is_detour=order.is_detour,
-        begins=order.begins,
+        is_detour=outgoing.is_detour,
+        begins=outgoing.begins,
         tenant=session.identity.tenant,
         key=session.identity.key,
         database=route.database,
-        version=order.version,
+        version=outgoing.version,
         returned=session.is_retrying,
     )
 
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -6,7 +6,7 @@
 
 from rowanrail.gateway.relay.messages import Reply, Run
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
-from rowanrail.gateway.relay.terms import Order, load_session, run_of
+from rowanrail.gateway.relay.terms import Outgoing, load_session, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import Refusal
@@ -167,7 +167,7 @@
         session, held = SessionValues(), SessionValues()
         session.is_retrying = True
         route = Route("orders", "orders", "db", Consistency.PRIMARY, 1.0, 0.5)
-        run = run_of(Order(statement("q1", "WRITE a 1"), route, session, 800.0), 1)
+        run = run_of(Outgoing(statement("q1", "WRITE a 1"), route, session, 800.0), 1)
         load_session(held, msgspec.msgpack.decode(msgspec.msgpack.encode(run), type=Run))
         self.assertTrue(held.is_retrying)
 
