--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -12,15 +12,17 @@
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_proxy.backend import BackendConnection, BackendDriver, MemberStatus
 from rowanrail.sql_proxy.monitor import MemberMonitor
+from rowanrail.sql_proxy.outcomes import (
+    GROUP_RETRY_AFTER_SECONDS,
+    ROUND_RETRY_MAXIMUM_SECONDS,
+    ROUND_RETRY_SECONDS,
+    next_round_pause,
+)
 from rowanrail.sql_proxy.policies import Freshness, LeavingCheck, TermConfirmation
 from rowanrail.sql_proxy.pool import Pool, PoolLimits
+from rowanrail.sql_proxy.serving import PRIMARY_SEARCH_SECONDS, current_primary, expected_seconds
 from rowanrail.sql_proxy.share import UNKNOWN, ConnectionShare
 
-ROUND_RETRY_SECONDS = 0.005
-ROUND_RETRY_MAXIMUM_SECONDS = 0.05
-SEARCH_SECONDS = 0.02
-RETRY_AFTER_SECONDS = 1.0
-
 
 class GroupOptions(msgspec.Struct, frozen=True):
     """What a proxy adds to a group's configuration."""
@@ -156,21 +158,17 @@
 
     def primary(self) -> Member | None:
         """Return the member that claims to be primary in the highest term seen, if any."""
-        claims = [member for member in self.members if member.monitor.is_primary]
-        best = max(claims, key=_term_of, default=None)
-        if best is None or _term_of(best) < self._highest_term():
+        terms = [_term_of(member) for member in self.members]
+        found = current_primary(terms, [member.monitor.is_primary for member in self.members])
+        if found is None:
             return None
-        if _term_of(best) > self._term:
+        best = self.members[found]
+        if terms[found] > self._term:
             self._on_new_primary(best)
         if not self.leaving_check.accepts_work(best.leaving):
             return None
         return best
 
-    def _highest_term(self) -> int:
-        """Return the highest term that a majority has reached, as far as is known."""
-        terms = sorted((_term_of(member) for member in self.members), reverse=True)
-        return terms[len(self.members) // 2]
-
     def _on_new_primary(self, primary: Member) -> None:
         self._term = _term_of(primary)
         for member in self.members:
@@ -194,12 +192,17 @@
                     "the group's primary has not applied what the session has seen"
                     if found is not None
                     else "the group has no primary",
-                    retry_after_seconds=RETRY_AFTER_SECONDS,
+                    retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
                     step="find primary",
                     peer=self.spec.name,
                 )
             self.kick()
-            await self._wait_change(min(deadline, loop.time() + SEARCH_SECONDS))
+            await self._wait_change(min(deadline, loop.time() + PRIMARY_SEARCH_SECONDS))
+
+    def fresh_primary(self, floor: Position) -> Member | None:
+        """Return the primary if reads there see all up to ``floor``."""
+        primary = self.primary()
+        return primary if primary is not None and self._has_applied(primary, floor) else None
 
     def _has_applied(self, primary: Member, floor: Position) -> bool:
         """Return whether reads at a primary see all up to ``floor``.
@@ -262,7 +265,7 @@
             if self.confirmation.is_replaced(position, statuses, members):
                 return False
             await asyncio.sleep(pause_seconds)
-            pause_seconds = min(2 * pause_seconds, ROUND_RETRY_MAXIMUM_SECONDS)
+            pause_seconds = next_round_pause(pause_seconds)
         return False
 
     async def acknowledged_floor(self, deadline: float) -> Position:
@@ -286,7 +289,7 @@
             if loop.time() >= deadline:
                 raise NotRunError(
                     "no majority of the group's members answers",
-                    retry_after_seconds=RETRY_AFTER_SECONDS,
+                    retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
                     step="find position",
                     peer=self.spec.name,
                 )
@@ -325,8 +328,7 @@
     def cost(self, member: Member) -> float:
         """Return the expected seconds for a statement at ``member``."""
         pool = member.pool
-        waiting = (pool.outstanding + 1) / max(1, min(pool.limit, pool.slots))
-        return pool.latency_seconds * max(1.0, waiting)
+        return expected_seconds(pool.latency_seconds, pool.outstanding, pool.limit, pool.slots)
 
 
 def _term_of(member: Member) -> int:
--- a/src/rowanrail/sql_proxy/reads.py
+++ b/src/rowanrail/sql_proxy/reads.py
@@ -5,20 +5,25 @@
 from rowanrail.kernel.errors import (
     BackendConnectError,
     BackendLostError,
-    BackendRefusedError,
+    CallerError,
     NotRunError,
 )
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_proxy.backend import StatementResult
-from rowanrail.sql_proxy.group import RETRY_AFTER_SECONDS, GroupRuntime, Member
+from rowanrail.sql_proxy.group import GroupRuntime, Member
 from rowanrail.sql_proxy.lease import Lease
+from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
 from rowanrail.sql_proxy.policies import OutcomeClassification
 from rowanrail.sql_proxy.pool import Priority
+from rowanrail.sql_proxy.serving import (
+    READ_RETRY_SECONDS,
+    REPLICA_WAIT_SECONDS,
+    ReadServer,
+    may_retry_read,
+    server_without_replica,
+)
 from rowanrail.sql_proxy.statistics import GroupStatistics
 
-REPLICA_WAIT_SECONDS = 0.03
-RETRY_PAUSE_SECONDS = 0.005
-
 
 class ReadRunner:
     """Runs reads of one group."""
@@ -46,30 +51,28 @@
         while True:
             lease = await self.lease(floor, allow_replica, settings, deadline)
             try:
-                result = await lease.execute(sql, deadline)
-            except BackendRefusedError:
-                lease.release()
-                raise
+                try:
+                    result = await lease.execute(sql, deadline)
+                finally:
+                    lease.release()
             except BackendLostError as error:
-                lease.release()
                 self._group.suspect(lease.member)
-                if loop.time() + RETRY_PAUSE_SECONDS >= deadline:
-                    raise self._outcomes.after_loss(
-                        str(error),
-                        sent=True,
-                        retry_after_seconds=RETRY_AFTER_SECONDS,
-                        step="read",
-                        peer=lease.member.name,
-                    ) from error
-                await asyncio.sleep(RETRY_PAUSE_SECONDS)
+                if not may_retry_read(loop.time(), deadline):
+                    raise self._lost(lease, error) from error
+                await asyncio.sleep(READ_RETRY_SECONDS)
                 continue
-            except BaseException:
-                lease.release()
-                raise
-            lease.release()
             self._statistics.count_read(lease.member.monitor.is_primary, allow_replica)
             return result
 
+    def _lost(self, lease: Lease, error: BackendLostError) -> CallerError:
+        return self._outcomes.after_loss(
+            str(error),
+            sent=True,
+            retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
+            step="read",
+            peer=lease.member.name,
+        )
+
     async def lease(
         self, floor: Position, allow_replica: bool, settings: tuple[str, ...], deadline: float
     ) -> Lease:
@@ -84,9 +87,9 @@
                 lease = await Lease.acquire(member, deadline, Priority.READ, settings)
             except (BackendConnectError, BackendLostError) as error:
                 self._group.suspect(member)
-                if loop.time() + RETRY_PAUSE_SECONDS >= deadline:
+                if not may_retry_read(loop.time(), deadline):
                     raise self._unavailable(str(error)) from error
-                await asyncio.sleep(RETRY_PAUSE_SECONDS)
+                await asyncio.sleep(READ_RETRY_SECONDS)
                 continue
             if floor == ORIGIN or lease.is_of_known_start():
                 return lease
@@ -105,19 +108,21 @@
                 fresh = await group.wait_fresh(floor, wait_until)
                 if fresh:
                     return min(fresh, key=group.cost)
-            primary = group.primary()
-            if primary is not None and group.freshness.is_fresh(primary.monitor.committed, floor):
-                return primary
-            if loop.time() + RETRY_PAUSE_SECONDS >= deadline:
-                raise self._unavailable("no member is fresh enough")
-            for member in group.members:
-                member.monitor.kick()
-            await asyncio.sleep(RETRY_PAUSE_SECONDS)
+            primary = group.fresh_primary(floor)
+            match server_without_replica(primary is not None, loop.time(), deadline):
+                case ReadServer.PRIMARY:
+                    assert primary is not None
+                    return primary
+                case ReadServer.REFUSE:
+                    raise self._unavailable("no member is fresh enough")
+                case ReadServer.WAIT:
+                    group.kick()
+                    await asyncio.sleep(READ_RETRY_SECONDS)
 
     def _unavailable(self, message: str) -> NotRunError:
         return NotRunError(
             message,
-            retry_after_seconds=RETRY_AFTER_SECONDS,
+            retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
             step="choose member",
             peer=self._group.spec.name,
         )
--- a/src/rowanrail/sql_proxy/requests.py
+++ b/src/rowanrail/sql_proxy/requests.py
@@ -19,11 +19,10 @@
 )
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.backend import StatementResult
+from rowanrail.sql_proxy.outcomes import NO_SUCH_TABLE_CODE
 from rowanrail.sql_proxy.pool import PooledConnection
 
 TABLE = "rowanrail_requests"
-DUPLICATE_KEY_CODE = 1062
-NO_SUCH_TABLE_CODE = 1146
 MAXIMUM_ID_CHARACTERS = 100
 CLOCK_SLACK_SECONDS = 300.0
 _ID = re.compile(r"^(\d{9,11})-[A-Za-z0-9._:-]+$")
@@ -113,7 +112,7 @@
 ) -> None:
     """Insert the record within the open transaction.
 
-    :raises BackendRefusedError: with :data:`DUPLICATE_KEY_CODE` if the id is taken.
+    :raises BackendRefusedError: with ``outcomes.DUPLICATE_KEY_CODE`` if the id is taken.
     """
     await connection.execute(
         f"INSERT INTO {TABLE} (id, digest, state, affected, insert_id, created) VALUES "
--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -5,14 +5,16 @@
 from abc import ABC, abstractmethod
 from collections.abc import Callable
 
-from rowanrail.config.model import Consistency, GroupSpec
+from rowanrail.config.model import GroupSpec
 from rowanrail.kernel.errors import NotRunError
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.backend import BackendDriver
-from rowanrail.sql_proxy.group import RETRY_AFTER_SECONDS, GroupOptions, GroupRuntime
+from rowanrail.sql_proxy.group import GroupOptions, GroupRuntime
+from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
 from rowanrail.sql_proxy.policies import OutcomeClassification
 from rowanrail.sql_proxy.reads import ReadRunner
+from rowanrail.sql_proxy.serving import FloorSource, floor_source, is_recent_floor
 from rowanrail.sql_proxy.statistics import GroupStatistics
 from rowanrail.sql_proxy.writes import WriteRunner
 
@@ -56,20 +58,19 @@
 
         :param known: the session's own position, None if it has none yet.
         """
-        consistency = self.spec.consistency
-        if consistency is Consistency.STRICT:
-            acknowledged = await self.group.acknowledged_floor(deadline)
-            return max(acknowledged, known or Position())
-        if consistency is Consistency.BOUNDED:
-            return max(await self._bounded_floor(deadline), known or Position())
-        if known is not None:
-            return known
-        return await self.group.acknowledged_floor(deadline)
-
-    async def _bounded_floor(self, deadline: float) -> Position:
+        own = known or Position()
+        match floor_source(self.spec.consistency, known is not None):
+            case FloorSource.OWN:
+                return own
+            case FloorSource.RECENT:
+                return max(await self._recent_or_asked(deadline), own)
+            case FloorSource.ASKED:
+                return max(await self.group.acknowledged_floor(deadline), own)
+
+    async def _recent_or_asked(self, deadline: float) -> Position:
         loop = asyncio.get_running_loop()
         taken_at, floor = self._recent_floor
-        if loop.time() - taken_at <= self.spec.maximum_staleness_seconds:
+        if is_recent_floor(loop.time() - taken_at, self.spec.maximum_staleness_seconds):
             return floor
         asked_at = loop.time()
         floor = await self.group.acknowledged_floor(deadline)
@@ -85,7 +86,7 @@
         if self.transactions >= limit:
             raise NotRunError(
                 f"{limit} transactions are open at this proxy",
-                retry_after_seconds=RETRY_AFTER_SECONDS,
+                retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
                 step="begin",
                 peer=self.spec.name,
             )
--- a/src/rowanrail/sql_proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -6,12 +6,13 @@
 from rowanrail.kernel.errors import (
     BackendLostError,
     BackendRefusedError,
+    CallerError,
     NotRunError,
     OutcomeUnknownError,
 )
 from rowanrail.sql_proxy.backend import StatementResult
-from rowanrail.sql_proxy.group import RETRY_AFTER_SECONDS
 from rowanrail.sql_proxy.lease import Lease
+from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS, LostCommit, lost_commit
 from rowanrail.sql_proxy.policies import Pinning
 from rowanrail.sql_proxy.pool import Priority
 from rowanrail.sql_proxy.requests import request_digest
@@ -121,22 +122,15 @@
         self.state = TransactionState.ENDED
         try:
             result = await self._lease.execute("COMMIT", deadline)
-        except BackendRefusedError:
-            self._lease.discard()
-            raise
         except BackendLostError as error:
             self._lease.release()
-            if recorded:
-                return await self._writer.settle(request_id, digest, settings, deadline)
-            if not self._work:
-                raise self._rolled_back() from error
-            raise self._outcomes.after_loss(
-                str(error),
-                sent=True,
-                retry_after_seconds=RETRY_AFTER_SECONDS,
-                step="commit",
-                peer=self._lease.member.name,
-            ) from error
+            match lost_commit(recorded, bool(self._work)):
+                case LostCommit.SETTLE:
+                    return await self._writer.settle(request_id, digest, settings, deadline)
+                case LostCommit.ROLLED_BACK:
+                    raise self._rolled_back() from error
+                case LostCommit.UNKNOWN:
+                    raise self._commit_unknown(error) from error
         except BaseException:
             self._lease.discard()
             raise
@@ -145,6 +139,15 @@
             await self._confirm(result, request_id if recorded else "", digest, settings, deadline)
         return result
 
+    def _commit_unknown(self, error: BackendLostError) -> CallerError:
+        return self._outcomes.after_loss(
+            str(error),
+            sent=True,
+            retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
+            step="commit",
+            peer=self._lease.member.name,
+        )
+
     async def _record(
         self, request_id: str, digest: str, deadline: float
     ) -> StatementResult | None:
@@ -225,7 +228,7 @@
     def _rolled_back(self) -> NotRunError:
         return NotRunError(
             f"the transaction was rolled back ({self.failure}); none of it lasts, begin it again",
-            retry_after_seconds=RETRY_AFTER_SECONDS,
+            retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
             step="transaction",
             peer=self._lease.member.name,
         )
--- a/src/rowanrail/sql_proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -12,14 +12,21 @@
 )
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_proxy.backend import StatementResult
-from rowanrail.sql_proxy.group import RETRY_AFTER_SECONDS, GroupRuntime
+from rowanrail.sql_proxy.group import GroupRuntime
 from rowanrail.sql_proxy.lease import Lease
+from rowanrail.sql_proxy.outcomes import (
+    GROUP_RETRY_AFTER_SECONDS,
+    NO_SUCH_TABLE_CODE,
+    WRITE_RETRY_SECONDS,
+    is_refused_by_replica,
+    is_under_way,
+    may_retry_recorded,
+    primary_wait_end,
+)
 from rowanrail.sql_proxy.policies import OutcomeClassification, RequestRecord
 from rowanrail.sql_proxy.pool import Priority
 from rowanrail.sql_proxy.requests import (
     CREATE_TABLE,
-    DUPLICATE_KEY_CODE,
-    NO_SUCH_TABLE_CODE,
     RequestState,
     clean_up_statement,
     find_record,
@@ -28,10 +35,7 @@
 )
 from rowanrail.sql_proxy.statistics import GroupStatistics
 
-RETRY_PAUSE_SECONDS = 0.01
-CLEAN_UP_EVERY_WRITES = 1000
-# The member's own word that it is no primary (any more); nothing ran.
-READ_ONLY_CODES = frozenset({1290, 1792, 1836, 3100})
+CLEAN_UP_EVERY_WRITES = 1000  # recorded writes between removals of old records; chosen
 
 
 class WriteRunner:
@@ -83,7 +87,8 @@
         :raises NotRunError: if there is none in time; nothing was sent.
         """
         loop = asyncio.get_running_loop()
-        until = min(deadline, loop.time() + self._group.spec.limits.failover_wait_seconds)
+        wait_seconds = self._group.spec.limits.failover_wait_seconds
+        until = primary_wait_end(loop.time(), deadline, wait_seconds)
         while True:
             primary = await self._group.wait_primary(until, floor)
             try:
@@ -96,11 +101,11 @@
                 if loop.time() >= until:
                     raise NotRunError(
                         str(error),
-                        retry_after_seconds=RETRY_AFTER_SECONDS,
+                        retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
                         step="connect",
                         peer=primary.name,
                     ) from error
-            await asyncio.sleep(RETRY_PAUSE_SECONDS)
+            await asyncio.sleep(WRITE_RETRY_SECONDS)
 
     async def confirm(self, result: StatementResult, deadline: float, peer: str) -> None:
         """Return once a majority holds the result's position in its own term.
@@ -126,10 +131,10 @@
                 result = await lease.execute(sql, deadline)
             except BackendRefusedError as error:
                 lease.release()
-                if error.code not in READ_ONLY_CODES:
+                if not is_refused_by_replica(error.code):
                     raise
                 self._group.suspect(lease.member)
-                await asyncio.sleep(RETRY_PAUSE_SECONDS)
+                await asyncio.sleep(WRITE_RETRY_SECONDS)
                 continue
             except BackendLostError as error:
                 lease.release()
@@ -139,7 +144,7 @@
                 raise self._outcomes.after_loss(
                     str(error),
                     sent=True,
-                    retry_after_seconds=RETRY_AFTER_SECONDS,
+                    retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
                     step="write",
                     peer=lease.member.name,
                 ) from error
@@ -172,13 +177,13 @@
                 return result
             except (BackendLostError, OutcomeUnknownError) as error:
                 self._group.suspect(lease.member)
-                if loop.time() + RETRY_PAUSE_SECONDS >= deadline:
+                if not may_retry_recorded(loop.time(), deadline):
                     raise self._unknown(request_id, str(error)) from error
             except BackendRefusedError as error:
-                if error.code not in READ_ONLY_CODES:
+                if not is_refused_by_replica(error.code):
                     raise
                 self._group.suspect(lease.member)
-            await asyncio.sleep(RETRY_PAUSE_SECONDS)
+            await asyncio.sleep(WRITE_RETRY_SECONDS)
 
     @staticmethod
     def _unknown(request_id: str, message: str) -> OutcomeUnknownError:
@@ -230,13 +235,16 @@
         error: BackendRefusedError,
         deadline: float,
     ) -> StatementResult:
-        """Return the recorded outcome of a refused repeat, or raise the refusal."""
+        """Return the recorded outcome of a refused repeat, or raise the refusal.
+
+        :raises BackendLostError: if the request has to be tried again to learn its outcome.
+        """
         if error.code == NO_SUCH_TABLE_CODE:
             await lease.execute(CREATE_TABLE, deadline)
             raise BackendLostError("the request table was created", step="record")
         record = await find_record(lease.connection, deadline, request_id)
         if record is None:
-            if error.code == DUPLICATE_KEY_CODE and "rowanrail" in error.message:
+            if is_under_way(error.code, error.message):
                 raise BackendLostError("the request is under way elsewhere", step="record")
             raise error
         self._statistics.repeated += 1
@@ -254,7 +262,7 @@
         :raises OutcomeUnknownError: if neither can be had in time.
         """
         loop = asyncio.get_running_loop()
-        while loop.time() + RETRY_PAUSE_SECONDS < deadline:
+        while may_retry_recorded(loop.time(), deadline):
             try:
                 lease = await self.lease_primary(deadline, Priority.WRITE, settings)
             except NotRunError:
@@ -263,24 +271,16 @@
                 return await self._bury(lease, request_id, digest, deadline)
             except (BackendLostError, BackendRefusedError, OutcomeUnknownError):
                 self._group.suspect(lease.member)
-            await asyncio.sleep(RETRY_PAUSE_SECONDS)
+            await asyncio.sleep(WRITE_RETRY_SECONDS)
         raise self._unknown(request_id, "the commit was lost")
 
     async def _bury(
         self, lease: Lease, request_id: str, digest: str, deadline: float
     ) -> StatementResult:
-        connection = lease.connection
         try:
             await lease.execute("BEGIN", deadline)
             try:
-                await insert_record(
-                    connection,
-                    deadline,
-                    request_id,
-                    digest,
-                    RequestState.TOMBSTONE,
-                    StatementResult(),
-                )
+                await self._insert_tombstone(lease, request_id, digest, deadline)
             except BackendRefusedError as error:
                 await lease.execute("ROLLBACK", deadline)
                 known = await self.known_outcome(lease, request_id, digest, error, deadline)
@@ -296,10 +296,21 @@
             raise
         lease.release()
         await self.confirm(ended, deadline, lease.member.name)
-        raise NotRunError(
+        raise self._never_runs(request_id)
+
+    @staticmethod
+    async def _insert_tombstone(
+        lease: Lease, request_id: str, digest: str, deadline: float
+    ) -> None:
+        state, result = RequestState.TOMBSTONE, StatementResult()
+        await insert_record(lease.connection, deadline, request_id, digest, state, result)
+
+    @staticmethod
+    def _never_runs(request_id: str) -> NotRunError:
+        return NotRunError(
             f"request {request_id} did not run and never will: its commit was lost before it "
             "took effect; send the work again under a new id",
-            retry_after_seconds=RETRY_AFTER_SECONDS,
+            retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
             step="commit",
         )
 
--- /dev/null
+++ b/tests/unit/test_sql_rules.py
@@ -0,0 +1,86 @@
+"""The SQL proxy's rules on plain values: who serves, what follows a failure."""
+
+import unittest
+
+from rowanrail.config.model import Consistency
+from rowanrail.sql_proxy import outcomes, serving
+from rowanrail.sql_proxy.outcomes import LostCommit
+from rowanrail.sql_proxy.serving import FloorSource, ReadServer
+
+
+class FloorTest(unittest.TestCase):
+    def test_strict_always_asks_and_bounded_takes_a_recent_one(self):
+        for has_position in (False, True):
+            self.assertIs(serving.floor_source(Consistency.STRICT, has_position), FloorSource.ASKED)
+            self.assertIs(
+                serving.floor_source(Consistency.BOUNDED, has_position), FloorSource.RECENT
+            )
+
+    def test_a_session_asks_only_before_it_has_seen_anything(self):
+        sources = [serving.floor_source(Consistency.SESSION, seen) for seen in (False, True)]
+        self.assertEqual(sources, [FloorSource.ASKED, FloorSource.OWN])
+
+    def test_a_recent_floor_is_as_old_as_the_group_allows(self):
+        self.assertTrue(serving.is_recent_floor(0.5, 0.5))
+        self.assertFalse(serving.is_recent_floor(0.51, 0.5))
+        self.assertFalse(serving.is_recent_floor(float("inf"), 0.5))
+
+
+class PrimaryTest(unittest.TestCase):
+    def test_the_claim_in_the_highest_term_wins(self):
+        self.assertEqual(serving.current_primary([3, 4, 4], [True, True, False]), 1)
+
+    def test_of_two_claims_in_one_term_the_first_is_taken(self):
+        self.assertEqual(serving.current_primary([4, 4, 4], [False, True, True]), 1)
+
+    def test_a_primary_that_a_majority_has_left_gets_no_work(self):
+        self.assertIsNone(serving.current_primary([3, 4, 4], [True, False, False]))
+
+    def test_one_member_in_a_later_term_is_no_majority(self):
+        self.assertEqual(serving.current_primary([3, 4, 3], [True, False, False]), 0)
+
+    def test_nobody_claims(self):
+        self.assertIsNone(serving.current_primary([0, 0, 0], [False, False, False]))
+
+
+class ReadServerTest(unittest.TestCase):
+    def test_the_primary_serves_what_no_replica_has(self):
+        self.assertIs(serving.server_without_replica(True, 9.0, 9.0), ReadServer.PRIMARY)
+
+    def test_without_it_a_read_waits_until_its_deadline(self):
+        self.assertIs(serving.server_without_replica(False, 8.0, 9.0), ReadServer.WAIT)
+        self.assertIs(serving.server_without_replica(False, 8.999, 9.0), ReadServer.REFUSE)
+
+    def test_a_member_with_free_slots_costs_its_latency(self):
+        self.assertEqual(serving.expected_seconds(0.01, 3, 8, 4), 0.01)
+        self.assertEqual(serving.expected_seconds(0.01, 11, 8, 4), 0.03)
+
+
+class OutcomeTest(unittest.TestCase):
+    def test_a_lost_commit_with_a_record_is_settled(self):
+        for has_written in (False, True):
+            self.assertIs(outcomes.lost_commit(True, has_written), LostCommit.SETTLE)
+
+    def test_without_one_it_is_unknown_only_if_something_was_written(self):
+        self.assertIs(outcomes.lost_commit(False, True), LostCommit.UNKNOWN)
+        self.assertIs(outcomes.lost_commit(False, False), LostCommit.ROLLED_BACK)
+
+    def test_a_member_that_is_no_primary_has_run_nothing(self):
+        for code in (1290, 1792, 1836, 3100):
+            self.assertTrue(outcomes.is_refused_by_replica(code))
+        self.assertFalse(outcomes.is_refused_by_replica(1062))
+
+    def test_a_duplicate_of_the_callers_own_table_is_answered(self):
+        self.assertTrue(outcomes.is_under_way(1062, "key 'rowanrail_requests.PRIMARY'"))
+        self.assertFalse(outcomes.is_under_way(1062, "key 'cues.PRIMARY'"))
+        self.assertFalse(outcomes.is_under_way(1205, "key 'rowanrail_requests.PRIMARY'"))
+
+    def test_a_write_waits_for_a_primary_no_longer_than_its_deadline(self):
+        self.assertEqual(outcomes.primary_wait_end(1.0, 9.0, 3.0), 4.0)
+        self.assertEqual(outcomes.primary_wait_end(1.0, 2.0, 3.0), 2.0)
+
+    def test_pauses_between_rounds_double_up_to_the_longest(self):
+        pauses = [outcomes.ROUND_RETRY_SECONDS]
+        for _ in range(5):
+            pauses.append(outcomes.next_round_pause(pauses[-1]))
+        self.assertEqual(pauses, [0.005, 0.01, 0.02, 0.04, 0.05, 0.05])
