--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -20,6 +20,8 @@
 
 __all__ = ["CAUSES", "CauseRule", "Evidence", "cause_of"]
 
+ROUNDING_SECONDS = 0.0015  # log times are whole milliseconds; two lines may be rounded apart
+
 
 @dataclass(frozen=True)
 class Evidence:
@@ -243,9 +245,18 @@
 
 
 def _over_limit(statement: LogLine, around: list[LogLine]) -> str:
-    """Return how far a tenant was over its limit when it was refused for that."""
+    """Return how far a tenant was over its limit when it was refused for that.
+
+    The limit is logged between the statement's arrival and its answer. The lines of a session's
+    earlier statements say nothing of this one.
+    """
+    begin = (
+        statement.time - float(statement.fields.get("milliseconds", 0)) / 1000 - ROUNDING_SECONDS
+    )
     for line in around:
-        if line.event != gateway_events.OVER_QUOTA.number or line.time != statement.time:
+        if line.event != gateway_events.OVER_QUOTA.number:
+            continue
+        if not begin <= line.time <= statement.time:
             continue
         seen = line.fields
         return (
--- a/tests/explain/test_causes.py
+++ b/tests/explain/test_causes.py
@@ -70,6 +70,19 @@
             "asked for in a second, as known 5 ms before",
         )
 
+    def over_limit(self, seconds_before, milliseconds):
+        over = line(
+            OVER_QUOTA, time=10.0 - seconds_before, tenant="t", limit=9, fleet=8, asked=7, age_ms=5
+        )
+        refused = line(REFUSED, outcome="busy", reason="at its limit", milliseconds=milliseconds)
+        return cause_of(refused, [over])
+
+    def test_a_limit_is_told_though_its_line_came_a_millisecond_before(self):
+        self.assertIn("tenant t may begin 9 operations", self.over_limit(0.001, 0.2))
+
+    def test_a_limit_that_an_earlier_statement_of_the_session_met_is_not_told(self):
+        self.assertNotIn("tenant t may begin", self.over_limit(0.030, 0.2))
+
     def test_a_lost_primary_goes_before_a_want_of_connections(self):
         fields = {"outcome": "busy", "stage": "waits-for-connection", "reason": "r", "member": "m1"}
         short = cause_of(answer(**fields), [])
