--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -137,7 +137,7 @@
         Without a member's name the primary is meant. None, too, where no such holder is reached.
         """
         pool = service.pools.get(instance) if instance else service.primary_pool()
-        if self._detours is None or pool is None or not service.is_far(pool):
+        if self._detours is None or pool is None or not service.is_remote(pool):
             return None
         region = self._locality.region_of(pool.record.zone)
         shard = Shard.of(service.spec.name, tenant)
--- a/src/rowanrail/gateway/services/load_measure.py
+++ b/src/rowanrail/gateway/services/load_measure.py
@@ -35,7 +35,7 @@
 
 
 def _serves(service: Service, pool: MemberPool) -> bool:
-    return not (pool.record.leaving or pool.is_failing or service.is_far(pool))
+    return not (pool.record.leaving or pool.is_failing or service.is_remote(pool))
 
 
 def _waits(pool: MemberPool, entries: list[QueueEntry]) -> list[float]:
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -67,7 +67,7 @@
         self._times = RunTimes()
         self._lags: dict[str, LagEstimate] = {}
         self._warming: dict[str, Warming] = {}
-        self._sent_afar: Counter[str] = Counter()  # under way at holders of other regions
+        self._sent_remote: Counter[str] = Counter()  # under way at holders of other regions
         self.weights = MemberWeights(clock)
 
     def set_members(self, records: list[MemberRecord]) -> None:
@@ -82,8 +82,8 @@
         instances = set(self._lags)
         self._times.keep(instances)
         self.weights.set_members(instances)
-        for gone in self._sent_afar.keys() - instances:
-            del self._sent_afar[gone]
+        for gone in self._sent_remote.keys() - instances:
+            del self._sent_remote[gone]
 
     def note_answer(
         self, instance: str, kind: str, answer: Answer, sent_at: float, floor: Position | None
@@ -105,22 +105,20 @@
                 self._times.note_busy(instance, kind, now)
                 self.weights.note_busy(instance)
 
-    def note_sent_afar(self, instance: str) -> None:
+    def note_sent_remote(self, instance: str) -> None:
         """Note that a read was sent to the holder in a member's region."""
-        self._sent_afar[instance] += 1
+        self._sent_remote[instance] += 1
 
-    def note_answer_from_afar(
-        self, instance: str, kind: str, answer: Answer, sent_at: float
-    ) -> None:
+    def note_remote_answer(self, instance: str, kind: str, answer: Answer, sent_at: float) -> None:
         """Learn from the answer of the holder in a member's region, sent at in seconds.
 
         It may have come from another member there, and what that holder refuses says nothing of
         the member: only times are learnt.
         """
         now = self._clock.now
-        if instance not in self._sent_afar:
+        if instance not in self._sent_remote:
             return  # the member left meanwhile
-        self._sent_afar[instance] -= 1
+        self._sent_remote[instance] -= 1
         if answer.refusal is None:
             self._times.note(instance, kind, now - sent_at * 1000, now)
         elif answer.refusal is Refusal.BUSY:
@@ -161,7 +159,7 @@
             run=expected_run(usual, work, is_remote),
             queue=self._times.queue(name, now),
             work=work,
-            under_way=pool.connections.under_way + self._sent_afar[name],
+            under_way=pool.connections.under_way + self._sent_remote[name],
             slots=record.slots,
             is_primary=is_primary,
             error_share=pool.error_share,
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -134,7 +134,7 @@
         """
         return self._held_connections or self.primary.is_busy or self.in_use
 
-    def is_far(self, pool: MemberPool | None) -> bool:
+    def is_remote(self, pool: MemberPool | None) -> bool:
         """Return whether gateways of another region hold the connections to a member."""
         if pool is None or not self.share.is_regional:
             return False
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -50,12 +50,12 @@
         assert respond is not None
 
         def answered(answer: Answer) -> None:
-            self.service.estimates.note_answer_from_afar(instance, self.kind, answer, sent_at)
+            self.service.estimates.note_remote_answer(instance, self.kind, answer, sent_at)
             respond(answer)
 
         self.respond = answered
         if self.hand_to_holder(self.statement, False, instance):
-            self.service.estimates.note_sent_afar(instance)
+            self.service.estimates.note_sent_remote(instance)
             return True
         self.respond = respond
         return False
@@ -100,7 +100,7 @@
                 self.reject_crowded(pool)
                 return
             pool = roomy
-        if self.service.is_far(pool) and self._go_to_remote(pool.record.instance):
+        if self.service.is_remote(pool) and self._go_to_remote(pool.record.instance):
             return
         self.acquire(pool, self._with_channel)
         self.limit_opening()
@@ -129,7 +129,7 @@
         roomy = self.roomier(self.excluded | {pool.record.instance})
         if roomy is None:
             return False
-        if not (self.service.is_far(roomy) and self._go_to_remote(roomy.record.instance)):
+        if not (self.service.is_remote(roomy) and self._go_to_remote(roomy.record.instance)):
             self.acquire(roomy, self._with_channel)
         return True
 
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -190,7 +190,7 @@
     def try_roomier(self, pool: MemberPool) -> bool:
         """See :meth:`Operation.try_roomier`."""
         roomy = self.roomier(self._excluded | {pool.record.instance}) if self.read_only else None
-        if roomy is None or self.service.is_far(roomy):
+        if roomy is None or self.service.is_remote(roomy):
             return False
         self.acquire(roomy, self._with_channel)
         return True
