--- a/src/rowanrail/gateway/pools/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -94,7 +94,7 @@
         if not has_room_for_opening(len(self.opening), len(self.idle), self.count, self.allowed):
             return False
         if tenant is None and self.leases.are_of_tenants:
-            return False  # the next that comes back will do
+            return False  # the next that is released will do
         owner = tenant or ""
         verdict = judge_opening(
             waiting,
--- a/src/rowanrail/gateway/pools/error_share.py
+++ b/src/rowanrail/gateway/pools/error_share.py
@@ -1,4 +1,8 @@
-"""The share of a member's latest answers that were errors of its own."""
+"""The share of a member's latest answers that were errors of its own.
+
+A moving average on plain values, in steady milliseconds. Without new answers it fades, so that a
+member that nobody asks is asked again.
+"""
 
 import math
 
--- a/src/rowanrail/gateway/pools/leases.py
+++ b/src/rowanrail/gateway/pools/leases.py
@@ -1,4 +1,8 @@
-"""Connections to one member that are in use, by tenant, and for how long they usually are."""
+"""Connections to one member that are in use, by tenant, and for how long they usually are.
+
+Owns their count and the average length of a use, on which forecasts of waiting rest; relies on the
+clock alone.
+"""
 
 from collections import Counter
 
--- a/src/rowanrail/gateway/pools/pool_loan.py
+++ b/src/rowanrail/gateway/pools/pool_loan.py
@@ -1,4 +1,9 @@
-"""A connection of a pool that is wanted, or used, for a sample of the member's position."""
+"""A connection of a pool that is wanted, or used, for a sample of the member's position.
+
+Implements :class:`rowanrail.members.probe.Loan` on a
+:class:`rowanrail.gateway.pools.pool.MemberPool`; owns the waiter that stands for it in the wait
+queue, before all statements.
+"""
 
 from collections.abc import Callable
 
--- a/src/rowanrail/gateway/pools/waiter.py
+++ b/src/rowanrail/gateway/pools/waiter.py
@@ -1,4 +1,9 @@
-"""Somebody who waits for a connection to one member."""
+"""Somebody who waits for a connection to one member.
+
+Owns what the pool needs to choose a connection and to hand it over: for a statement
+(:mod:`rowanrail.gateway.pools.queued_request`) or a sample
+(:mod:`rowanrail.gateway.pools.pool_loan`).
+"""
 
 from collections.abc import Callable
 
--- a/src/rowanrail/gateway/services/locality.py
+++ b/src/rowanrail/gateway/services/locality.py
@@ -1,4 +1,7 @@
-"""How near a member is to a gateway: same zone, same region, or further."""
+"""How near a member is to a gateway: same zone, same region, or further.
+
+A value made from the gateway's own zone and the configured regions, without state.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
--- a/src/rowanrail/gateway/services/primary_lines.py
+++ b/src/rowanrail/gateway/services/primary_lines.py
@@ -1,4 +1,7 @@
-"""Log lines about a service's primary: lost, or found again."""
+"""Log lines about a service's primary: lost, or found again.
+
+Decides nothing: it writes what the tracker already holds, after its alarm begins or ends.
+"""
 
 from rowanrail.gateway.events import PRIMARY_LOST, PRIMARY_PROVED
 from rowanrail.kernel.decisions import DecisionLog
@@ -9,7 +12,7 @@
 
 
 def note_primary(decisions: DecisionLog, tracker: PrimaryTracker, now: float) -> None:
-    """Log where a service's primary stands, after an alarm about it.
+    """Log the state of a service's primary, after an alarm about it.
 
     Parameters
     ----------
--- a/src/rowanrail/gateway/services/weight_lines.py
+++ b/src/rowanrail/gateway/services/weight_lines.py
@@ -1,4 +1,7 @@
-"""Log lines on members that lose their weight, or have it back."""
+"""Log lines on members that lose their weight, or have it back.
+
+Decides nothing: it writes what :mod:`rowanrail.scheduling.member_weight` decided, with its inputs.
+"""
 
 from rowanrail.gateway.events import MEMBER_FELL, MEMBER_ROSE
 from rowanrail.gateway.services.service import Service
--- a/src/rowanrail/kernel/clock.py
+++ b/src/rowanrail/kernel/clock.py
@@ -1,4 +1,8 @@
-"""Steady time in milliseconds."""
+"""Steady time in milliseconds.
+
+The one clock of the code (:class:`Clock`), and the port on which it rests (:class:`Scheduler`), in
+seconds as event loops have them. Modules that still take a scheduler call it so.
+"""
 
 from collections.abc import Callable
 from typing import Any, Protocol
--- a/src/rowanrail/members/leadership.py
+++ b/src/rowanrail/members/leadership.py
@@ -1,4 +1,9 @@
-"""Which answers of a member prove that it leads."""
+"""Which answers of a member prove that it leads.
+
+A plug-in of kind ``gateway-guard`` without state, asked by
+:class:`rowanrail.members.primary.PrimaryTracker` for each sample. Relies on the member, which
+refuses a BEGIN when it has been replaced.
+"""
 
 from rowanrail.kernel.registry import register
 from rowanrail.model.statements import Answer
--- a/src/rowanrail/members/monitor_interval.py
+++ b/src/rowanrail/members/monitor_interval.py
@@ -1,4 +1,8 @@
-"""How often a primary that nothing else proves is asked for a sample."""
+"""How often a primary that nothing else proves is asked for a sample.
+
+A function of the number of gateways, without state: many gateways ask less often each, so that a
+primary answers about as many samples whatever their number.
+"""
 
 __all__ = ["MONITOR_SECONDS", "monitor_seconds"]
 
--- a/src/rowanrail/members/primary_health.py
+++ b/src/rowanrail/members/primary_health.py
@@ -1,4 +1,8 @@
-"""What a gateway reports of a primary to the control nodes."""
+"""What a gateway reports of a primary to the control nodes.
+
+A function of a tracker's times, without state; steady seconds become milliseconds of age here, as
+clocks of two machines can't be compared.
+"""
 
 from rowanrail.members.primary import PrimaryTracker
 from rowanrail.model.members import PrimaryHealth
--- a/src/rowanrail/members/probe.py
+++ b/src/rowanrail/members/probe.py
@@ -1,4 +1,9 @@
-"""The connection on which a member is sampled: its own, or one that a pool lends."""
+"""The connection on which a member is sampled: its own, or one that a pool lends.
+
+Owns the state of one question (asked, under way, crowded, when to try again); the connections are
+lent and taken back through the ports :class:`Lender` and :class:`Loan`, so that members know
+nothing of pools.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -49,7 +54,7 @@
 
     @property
     def waits_for_loan(self) -> bool:
-        """Whether it stands in line for a connection of the pool."""
+        """Whether it is in the wait queue for a connection of the pool."""
         return self.loan is not None and self.channel is None
 
     def channel_closed(self) -> bool:
@@ -57,7 +62,7 @@
         return self.channel is None or self.channel.closed
 
     def give_back(self) -> None:
-        """Give a borrowed connection back, or leave the line."""
+        """Give a borrowed connection back, or leave the wait queue."""
         loan, self.loan = self.loan, None
         if loan is None:
             return
--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -43,7 +43,7 @@
 
 
 class RejectionCause(enum.Enum):
-    """Why a statement was turned away; a bounded set, for logs and metrics."""
+    """Why a statement was rejected; a bounded set, for logs and metrics."""
 
     CROWDED = "crowded"
     PAST_DEADLINE = "hopeless"  # the name that logs and metrics have for it
@@ -93,7 +93,7 @@
     cause : RejectionCause
         For the client, the log and the metrics.
     retry_after_ms : float
-        Milliseconds after which its client had better come back, not spread yet.
+        Milliseconds after which its client had better retry, not spread yet.
     """
 
     cause: RejectionCause
--- a/src/rowanrail/scheduling/choice.py
+++ b/src/rowanrail/scheduling/choice.py
@@ -33,7 +33,7 @@
 IDLE_RESERVE = 0.3
 FULL_RESERVE = 4.0
 # Errors cost a client an attempt, and after some the answer: as if so many times slower, and for
-# short statements by no less than what a client takes to come back (ms).
+# short statements by no less than what a client takes to retry (ms).
 ERROR_FACTOR = 10.0
 ERROR_COST_MS = 200.0
 SUSPECT_COST_MS = 5000.0  # ms; above any completion, so that a suspect member comes last
--- a/src/rowanrail/scheduling/demand.py
+++ b/src/rowanrail/scheduling/demand.py
@@ -1,4 +1,8 @@
-"""What is asked for in each group of gateways: what lasts, and not a short wave."""
+"""What is asked for in each group of gateways: what lasts, and not a short wave.
+
+Owns the last spans of demand; a planner moves holders by their median, so that a wave of some
+seconds moves nobody.
+"""
 
 import statistics
 from collections import deque
--- a/src/rowanrail/scheduling/entry.py
+++ b/src/rowanrail/scheduling/entry.py
@@ -1,4 +1,8 @@
-"""A statement that waits for room at a member, and what follows from it alone."""
+"""A statement that waits for room at a member, and what follows from it alone.
+
+Values and functions without state: urgency, deadline and tenant of a statement, whether it is past
+its deadline, and the weight of a tenant.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol, TypeVar
--- a/src/rowanrail/scheduling/forecast_error.py
+++ b/src/rowanrail/scheduling/forecast_error.py
@@ -1,4 +1,8 @@
-"""How far forecasts of waiting are out, and what of a forecast is certain for that."""
+"""How far forecasts of waiting are out, and what of a forecast is certain for that.
+
+Owns moving averages for one member, by urgency; admission asks them for the share of a forecast by
+which a statement may be rejected. Before anything was forecast a fixed share stands in.
+"""
 
 __all__ = ["CERTAIN_SHARE", "ForecastError", "ForecastErrors"]
 
--- a/src/rowanrail/scheduling/group_draft.py
+++ b/src/rowanrail/scheduling/group_draft.py
@@ -177,7 +177,7 @@
         """Have others hold what a gateway held that is not heard any more.
 
         What the hash names stands in already, and is taken first. A shard that the plan does not
-        name needs no word: links tell who is gone, and the hash goes on.
+        need not be named: links tell who is gone, and the hash goes on.
         """
         holders = self._holders[key]
         if key not in self.current or all(name in self.gateways for name in holders):
--- a/src/rowanrail/scheduling/load_report.py
+++ b/src/rowanrail/scheduling/load_report.py
@@ -1,4 +1,7 @@
-"""What a gateway tells the control nodes of the statements that came to it in a span of time."""
+"""What a gateway tells the control nodes of the statements that came to it in a span of time.
+
+Messages only; the order of their fields is on the wire.
+"""
 
 import msgspec
 
--- a/src/rowanrail/scheduling/plan.py
+++ b/src/rowanrail/scheduling/plan.py
@@ -1,4 +1,8 @@
-"""Which gateways hold a service's connections, by the demand that was measured: the types."""
+"""Which gateways hold a service's connections, by the demand that was measured: the types.
+
+Messages between control nodes and gateways; the order of their fields is on the wire.
+:mod:`rowanrail.scheduling.planner` makes them.
+"""
 
 import enum
 
--- a/src/rowanrail/scheduling/queue.py
+++ b/src/rowanrail/scheduling/queue.py
@@ -1,4 +1,9 @@
-"""Statements that wait for room at a member: who runs next, and who need not wait any longer."""
+"""Statements that wait for room at a member: who runs next, and who need not wait any longer.
+
+Owns the order of those who wait: samples, urgency with a share of the turns for each class, tenants
+by their weights (:mod:`rowanrail.scheduling.fair_share`), retries and deadlines. Says also for whom
+a connection is opened; opens none.
+"""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Collection, Iterator
@@ -19,8 +24,8 @@
 ]
 
 # Every tenth start is a less urgent class's while more urgent ones wait. Its statements may belong
-# to operations of several, which are lost with any of them, and its callers come back as more load
-# if nothing of theirs ends. A ninth more waiting is far within what urgent callers bear.
+# to operations of several, which are lost with any of them, and its callers retry, which is more
+# load if nothing of theirs ends. A ninth more waiting is far within what urgent callers bear.
 TURNS_BETWEEN = 9
 # Starts on idle connections for each opening that they may put off: an opening takes a slot for
 # longer than most statements. So openings take at most a twelfth of the slots while work of the
@@ -31,7 +36,7 @@
 # urgent callers aim at; openings may take a quarter of the slots for it.
 URGENT_REUSES_BETWEEN = 4
 # Factor on both for a tenant of which connections are in use, which must itself have been put off
-# so often: one of them mostly comes back sooner, unless others pass theirs on to themselves.
+# so often: one of them is mostly released sooner, unless others pass theirs on to themselves.
 COMING_BACK_FACTOR = 4
 LATEST_STARTS = 64  # by which the part that each class has of the starts is told
 
--- a/src/rowanrail/scheduling/warming.py
+++ b/src/rowanrail/scheduling/warming.py
@@ -1,4 +1,8 @@
-"""How slow a member is while it is cold after its start."""
+"""How slow a member is while it is cold after its start.
+
+A value made from what the member announced, in steady milliseconds; answers of its own soon tell
+more than it does.
+"""
 
 from dataclasses import dataclass
 
--- a/src/rowanrail/tenants/counts.py
+++ b/src/rowanrail/tenants/counts.py
@@ -1,4 +1,8 @@
-"""What one gateway counts of one tenant."""
+"""What one gateway counts of one tenant.
+
+Owns sliding counts of what was asked for and began here, and the credits of each class of urgency;
+:class:`rowanrail.tenants.quota.QuotaGuard` decides by them and by the sums of the fleet.
+"""
 
 from dataclasses import dataclass
 
--- a/src/rowanrail/tenants/demand.py
+++ b/src/rowanrail/tenants/demand.py
@@ -1,4 +1,8 @@
-"""What the gateways of a region, and the other regions, run for tenants: summed by one of them."""
+"""What the gateways of a region, and the other regions, run for tenants: summed by one of them.
+
+Owns the last report of each gateway and region with its age; what is older than its time is left
+out of the sums. The order of the messages' fields is on the wire.
+"""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,7 +13,7 @@
 
 __all__ = ["Demand", "DemandBook", "Report"]
 
-# A gateway's last word counts for a window, and for the 3 s before it counts as alone.
+# A gateway's last report counts for a window, and for the 3 s before it counts as alone.
 GATEWAY_MS = 8000.0
 # Another region's counts for longer, since its clients go on where it is only cut off; twice
 # the time for which regions lose each other on most days.
@@ -109,7 +113,7 @@
 
 
 class DemandBook:
-    """The last word of each gateway of the own region and of each other region.
+    """The last report of each gateway of the own region and of each other region.
 
     Parameters
     ----------
--- a/src/rowanrail/tenants/model.py
+++ b/src/rowanrail/tenants/model.py
@@ -1,4 +1,7 @@
-"""Tenants as configured, and the digests by which their API keys are known."""
+"""Tenants as configured, and the digests by which their API keys are known.
+
+Values without state. Keys themselves are neither kept nor logged.
+"""
 
 import hashlib
 from collections.abc import Mapping
--- a/src/rowanrail/tenants/precedence.py
+++ b/src/rowanrail/tenants/precedence.py
@@ -1,11 +1,15 @@
-"""Which kinds of a tenant's operations begin while its limit does not let all of them begin."""
+"""Which kinds of a tenant's operations begin while its limit does not let all of them begin.
+
+A function on plain values, without state; the part that may begin comes from
+:func:`rowanrail.tenants.quota.part_that_begins`.
+"""
 
 from collections.abc import Mapping
 
 __all__ = ["part_of_class"]
 
 # Of what may begin, is divided evenly: a class that is less urgent goes on at a tenth of its even
-# part, so that its callers see that it works, and come back, rather than stop.
+# part, so that its callers see that it works, and retry, rather than stop.
 EVEN_OPERATION_SHARE = 0.1
 
 
--- a/src/rowanrail/tenants/quota.py
+++ b/src/rowanrail/tenants/quota.py
@@ -35,8 +35,8 @@
 # In which the count is led to the limit. With 1,000 refusals begin while a tenth of a limit is
 # free; with 300 the count swings by a tenth.
 REACH_MS = 500.0
-# Without word of the fleet for so long a gateway counts as alone. Shorter than the 5 s for which
-# others count its last word, so that its part is not given away while it still uses it.
+# Without sums of the fleet for so long a gateway counts as alone. Shorter than the 5 s for which
+# others count its last report, so that its part is not given away while it still uses it.
 ALONE_MS = 3000.0
 # Of a target, for a gateway that is alone, and operations on top, so that a small tenant is not
 # shut out: three such gateways stay within what is tolerated beyond a limit.
@@ -44,7 +44,7 @@
 ALONE_LEAST = 2.0
 UNKNOWN_STEP = 0.2  # of a window: what leaves a window of 5 s in a second
 # Of the gateways, that are heard when nothing is split: some are always being started again, and
-# their last words of before still count.
+# their last reports of before still count.
 WHOLE_SHARE = 0.9
 
 
@@ -63,7 +63,7 @@
     part : float
         Of what is asked for may begin.
     age : float
-        Milliseconds since word of the fleet.
+        Milliseconds since the last sums of the fleet.
     heard : float
         Share of the fleet's gateways that were heard.
     """
@@ -77,7 +77,7 @@
 
     @property
     def wait(self) -> float:
-        """Milliseconds after which to come back: until about one in two may begin."""
+        """Milliseconds after which to retry: until about one in two may begin."""
         return min(LONGEST_WAIT_MS, REACH_MS / max(self.part, 0.01) / 2)
 
 
--- a/src/rowanrail/tenants/terms.py
+++ b/src/rowanrail/tenants/terms.py
@@ -1,4 +1,8 @@
-"""How limits of tenants are judged, and to which counts they are held."""
+"""How limits of tenants are judged, and to which counts they are held.
+
+A value made from the settings, and functions of it without state: the limit in a window, the count
+to which a tenant is held, and what is assumed of a window of which nothing is known.
+"""
 
 from dataclasses import dataclass
 
--- a/src/rowanrail/tenants/window.py
+++ b/src/rowanrail/tenants/window.py
@@ -1,4 +1,8 @@
-"""Counts over a sliding window of time."""
+"""Counts over a sliding window of time.
+
+Owns steps of 100 ms, in steady milliseconds; a count is never too low, and too high by one step at
+most.
+"""
 
 from collections import deque
 
