--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -11,7 +11,7 @@
 
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work.attempts import RETRY_SECONDS
+from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
 from rowanrail.gateway.work.refusals import (
     busy,
     defer_seconds,
@@ -30,7 +30,7 @@
 
 __all__ = ["Statement"]
 
-UNKNOWN = Forecast(0.0, 0.0)  # of no member
+NO_FORECAST = Forecast(0.0, 0.0)  # of no member
 
 
 class Statement:
@@ -72,14 +72,14 @@
         return self.arrived_at + defer_seconds(self.route.objective_seconds)
 
     @property
-    def time_given(self) -> float:
+    def time_given_ms(self) -> float:
         """Milliseconds that the statement was given."""
         return self.route.timeout_seconds * 1000
 
     @property
-    def time_left(self) -> float:
+    def time_left_ms(self) -> float:
         """Milliseconds until the statement's time is over."""
-        return self.time_given - (self.clock.time() - self.arrived_at) * 1000
+        return self.time_given_ms - (self.clock.time() - self.arrived_at) * 1000
 
     def begin_statement(self, respond: Respond) -> None:
         """Take a statement and start its clock."""
@@ -117,7 +117,7 @@
             if self.respond is not None:
                 function()
 
-        self.clock.call_later(RETRY_SECONDS, again)
+        self.clock.call_later(MEMBER_RETRY_SECONDS, again)
 
     def refuse_unplaced(self, answer: Answer) -> None:
         """Refuse what no member took; as busy it is rejected, with its Retry-After."""
@@ -130,20 +130,24 @@
             self.reject(verdict.cause, answer.message, verdict.retry_after_ms)
 
     def reject(
-        self, cause: RejectionCause, reason: str, base: float = 0.0, forecast: Forecast = UNKNOWN
+        self,
+        cause: RejectionCause,
+        reason: str,
+        base_ms: float = 0.0,
+        forecast: Forecast = NO_FORECAST,
     ) -> None:
         """Refuse, as not run, and tell the client when to retry, one after the other.
 
         Parameters
         ----------
-        base : float
+        base_ms : float
             Milliseconds until the first of those who were rejected is welcome.
         """
         urgency = self.route.priority
         retry_after = self.service.retry_times.next(
-            shortest_retry_after_ms(base), forecast.interval, (cause, urgency)
+            shortest_retry_after_ms(base_ms), forecast.interval, (cause, urgency)
         )
-        self.rejection = rejection(cause, forecast, self.time_left, urgency, retry_after)
+        self.rejection = rejection(cause, forecast, self.time_left_ms, urgency, retry_after)
         self.finish(busy(reason, retry_after))
 
     def stop_timers(self) -> None:
