--- a/src/rowanrail/sql_proxy/groups.py
+++ b/src/rowanrail/sql_proxy/groups.py
@@ -1,7 +1,7 @@
 """The groups that a proxy serves: which of them it watches, how often, and how they change.
 
 A proxy's cost for control must not grow with the number of configured groups. It watches
-the first :data:`ALWAYS_WATCHED_GROUPS`, used or not, unless many proxies share them, and of
+the first ``watching.ALWAYS_WATCHED_GROUPS``, used or not, unless many proxies share them, and of
 the others those that are in use. All watched members share one budget of background
 questions; a group with running statements is asked at the full rate.
 """
@@ -16,14 +16,19 @@
 from rowanrail.sql_proxy.group import GroupOptions
 from rowanrail.sql_proxy.services import GroupServices
 from rowanrail.sql_proxy.share import UNKNOWN
-
-ALWAYS_WATCHED_GROUPS = 16
-UNUSED_GROUP_SECONDS = 300.0
-WATCH_SECONDS = 0.25
-BACKGROUND_QUESTIONS_PER_SECOND = 6.0
+from rowanrail.sql_proxy.watching import (
+    ALWAYS_WATCHED_GROUPS,
+    WATCH_SECONDS,
+    background_interval_seconds,
+    is_due,
+    is_shared_by_many,
+    is_unused,
+)
+
+# Seconds between checks whether the last statement of a replaced group has ended. Chosen.
 RETIRE_POLL_SECONDS = 0.1
+# Groups that a proxy names to its control nodes, which bounds the report. Chosen.
 REPORTED_NAMES = 100
-CONNECTIONS_PER_WATCHER = 4
 
 
 class GroupTable:
@@ -46,7 +51,7 @@
         self._wall_clock = wall_clock
         self._specs: dict[str, GroupSpec] = {}
         self._by_database: dict[str, str] = {}
-        self._crowded: set[str] = set()
+        self._shared_by_many: set[str] = set()
         self._running: dict[str, GroupServices] = {}
         self._retiring: dict[GroupServices, asyncio.Task[None]] = {}
         self._drained: set[str] = set()
@@ -136,7 +141,7 @@
 
     def set_users(self, users: dict[str, int]) -> None:
         """Note how many proxies use each group."""
-        self._note_crowded(users)
+        self._note_shared(users)
         for name, services in self._running.items():
             services.group.set_users(users.get(name, UNKNOWN))
 
@@ -193,14 +198,13 @@
             self._drop_unused(now)
             interval = self._background_interval()
             for services in self._running.values():
-                if services.is_busy() or now >= services.group.asked_at + interval:
+                if is_due(services.is_busy(), now, services.group.asked_at, interval):
                     services.group.asked_at = now
                     services.group.kick()
 
     def _background_interval(self) -> float:
-        """Return the seconds between background rounds that the budget allows."""
         members = sum(len(services.group.members) for services in self._running.values())
-        return max(0.0, members / BACKGROUND_QUESTIONS_PER_SECOND - WATCH_SECONDS / 2)
+        return background_interval_seconds(members)
 
     def _watched_anyway(self) -> list[str]:
         """Return the groups to watch whether they are used or not.
@@ -208,23 +212,24 @@
         Where many proxies share a group's connections, one that does not use it holds none.
         """
         return [
-            name for name in list(self._specs)[:ALWAYS_WATCHED_GROUPS] if name not in self._crowded
+            name
+            for name in list(self._specs)[:ALWAYS_WATCHED_GROUPS]
+            if name not in self._shared_by_many
         ]
 
-    def _note_crowded(self, users: dict[str, int]) -> None:
-        """Note which groups many proxies share. What is not told of a group changes nothing."""
+    def _note_shared(self, users: dict[str, int]) -> None:
+        """Note which groups many proxies share. A group that is not reported stays as it was."""
         for name, proxies in users.items():
             spec = self._specs.get(name)
             if spec is None:
                 continue
-            if proxies * CONNECTIONS_PER_WATCHER > spec.limits.connections_per_member:
-                self._crowded.add(name)
+            if is_shared_by_many(proxies, spec.limits.connections_per_member):
+                self._shared_by_many.add(name)
             else:
-                self._crowded.discard(name)
+                self._shared_by_many.discard(name)
 
     def _drop_unused(self, now: float) -> None:
         kept = set(self._watched_anyway())
         for name, services in list(self._running.items()):
-            is_unused = now - services.used_at > UNUSED_GROUP_SECONDS
-            if name not in kept and is_unused and not services.is_busy():
+            if name not in kept and is_unused(now, services.used_at) and not services.is_busy():
                 self._running.pop(name).group.stop()
--- a/src/rowanrail/sql_proxy/pool.py
+++ b/src/rowanrail/sql_proxy/pool.py
@@ -20,13 +20,17 @@
 )
 from rowanrail.sql_proxy.backend import BackendConnection, MemberStatus, StatementResult
 from rowanrail.sql_proxy.policies import LateAnswerDiscard
-
-CONNECT_TIMEOUT_SECONDS = 2.0
-LATENCY_WEIGHT = 0.1
-INITIAL_LATENCY_SECONDS = 0.005
-MINIMUM_RETRY_SECONDS = 0.05
-CLOSE_GRACE_SECONDS = 1.0
-SPREAD_STEPS = 16
+from rowanrail.sql_proxy.queueing import (
+    INITIAL_LATENCY_SECONDS,
+    MINIMUM_RETRY_SECONDS,
+    OPEN_LIMIT_SECONDS,
+    displaces_last,
+    expected_wait_seconds,
+    has_room,
+    retry_after_seconds,
+    smoothed_latency,
+    would_be_late,
+)
 
 
 class Priority(enum.IntEnum):
@@ -156,9 +160,9 @@
 
     def expected_wait_seconds(self) -> float:
         """Return how long a request that arrives now is likely to wait."""
-        parallel = max(1, min(self.limit, self.slots))
-        ahead = len(self._waiting) + max(0, len(self.leased) - parallel)
-        return ahead * self.latency_seconds / parallel
+        return expected_wait_seconds(
+            len(self._waiting), len(self.leased), self.limit, self.slots, self.latency_seconds
+        )
 
     async def acquire(
         self, deadline: float, priority: Priority, settings: tuple[str, ...] = ()
@@ -176,7 +180,7 @@
                 return leased
             if self.open_count < self.limit:
                 return await self._open(deadline)
-            if loop.time() + self.expected_wait_seconds() > deadline:
+            if would_be_late(loop.time(), self.expected_wait_seconds(), deadline):
                 raise self._refusal("all connections are busy")
             await self._wait_turn(deadline, priority)
 
@@ -199,7 +203,7 @@
             raise BackendConnectError("refused a moment ago", step="connect", peer=self.peer)
         self.open_count += 1
         try:
-            limit = min(deadline, loop.time() + CONNECT_TIMEOUT_SECONDS)
+            limit = min(deadline, loop.time() + OPEN_LIMIT_SECONDS)
             async with asyncio.timeout_at(limit):
                 pooled = await self._connect()
         except (BackendConnectError, BackendLostError, BackendRefusedError, TimeoutError) as error:
@@ -242,14 +246,14 @@
                 self._wake_one()
 
     def _make_room(self, priority: Priority) -> None:
-        """Keep the queue bounded: what is least urgent and came last is refused at once.
+        """Keep the queue bounded: of the least urgent requests the last is refused at once.
 
         :raises NotRunError: if that is the request that has just come.
         """
-        if len(self._waiting) < self._queue_length:
+        if has_room(len(self._waiting), self._queue_length):
             return
         last = max(self._waiting, default=None)
-        if last is None or last[0] <= int(priority):
+        if last is None or not displaces_last(last[0], priority):
             raise self._refusal("too many requests wait")
         self._waiting.remove(last)
         heapq.heapify(self._waiting)
@@ -257,10 +261,8 @@
             last[2].set_exception(self._refusal("more urgent requests wait"))
 
     def _refusal(self, message: str) -> NotRunError:
-        # Spread, so that callers that were refused together don't come back together.
         self._refusals += 1
-        spread = 1 + (self._refusals % SPREAD_STEPS) / SPREAD_STEPS
-        retry_after = spread * max(MINIMUM_RETRY_SECONDS, 2 * self.expected_wait_seconds())
+        retry_after = retry_after_seconds(self._refusals, self.expected_wait_seconds())
         return NotRunError(message, retry_after_seconds=retry_after, step="acquire", peer=self.peer)
 
     def release(self, connection: PooledConnection, seconds: float | None = None) -> None:
@@ -270,7 +272,7 @@
         """
         self.leased.pop(connection, None)
         if seconds is not None:
-            self.latency_seconds += LATENCY_WEIGHT * (seconds - self.latency_seconds)
+            self.latency_seconds = smoothed_latency(self.latency_seconds, seconds)
         if connection.closed or not connection.is_reusable() or self.open_count > self.limit:
             self._close(connection)
         else:
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rowanrail.config.model import Consistency
-from rowanrail.sql_proxy import outcomes, serving
+from rowanrail.sql_proxy import outcomes, queueing, serving, watching
 from rowanrail.sql_proxy.outcomes import LostCommit
 from rowanrail.sql_proxy.serving import FloorSource, ReadServer
 
@@ -84,3 +84,50 @@
         for _ in range(5):
             pauses.append(outcomes.next_round_pause(pauses[-1]))
         self.assertEqual(pauses, [0.005, 0.01, 0.02, 0.04, 0.05, 0.05])
+
+
+class QueueTest(unittest.TestCase):
+    def test_the_wait_counts_who_is_ahead_by_what_the_member_runs_at_once(self):
+        self.assertEqual(queueing.expected_wait_seconds(0, 4, 8, 4, 0.02), 0.0)
+        self.assertEqual(queueing.expected_wait_seconds(0, 6, 8, 4, 0.02), 0.01)
+        self.assertEqual(queueing.expected_wait_seconds(6, 4, 8, 4, 0.02), 0.03)
+
+    def test_what_would_be_late_is_refused_at_once(self):
+        self.assertFalse(queueing.would_be_late(1.0, 0.5, 1.5))
+        self.assertTrue(queueing.would_be_late(1.0, 0.6, 1.5))
+
+    def test_only_a_more_urgent_request_displaces_another(self):
+        verdicts = [queueing.displaces_last(1, priority) for priority in (0, 1, 2)]
+        self.assertEqual(verdicts, [True, False, False])
+
+    def test_the_wait_queue_is_bounded(self):
+        self.assertTrue(queueing.has_room(0, 1))
+        self.assertFalse(queueing.has_room(1, 1))
+        self.assertFalse(queueing.has_room(0, 0))
+
+    def test_retry_times_are_spread_over_once_to_twice_the_soonest(self):
+        times = [queueing.retry_after_seconds(refusal, 0.5) for refusal in range(16)]
+        self.assertEqual(len(set(times)), 16)
+        self.assertEqual((min(times), max(times)), (1.0, 1.9375))
+
+    def test_the_latest_statement_counts_a_tenth(self):
+        self.assertAlmostEqual(queueing.smoothed_latency(0.01, 0.11), 0.02)
+
+
+class WatchTest(unittest.TestCase):
+    def test_the_budget_of_questions_is_shared_by_all_members(self):
+        self.assertEqual(watching.background_interval_seconds(48), 7.875)
+        self.assertEqual(watching.background_interval_seconds(0), 0.0)
+
+    def test_a_busy_group_is_always_asked(self):
+        self.assertTrue(watching.is_due(True, 1.0, 0.9, 7.0))
+        self.assertFalse(watching.is_due(False, 7.8, 0.9, 7.0))
+        self.assertTrue(watching.is_due(False, 8.0, 1.0, 7.0))
+
+    def test_many_proxies_share_a_group_at_four_connections_each(self):
+        self.assertFalse(watching.is_shared_by_many(25, 100))
+        self.assertTrue(watching.is_shared_by_many(26, 100))
+
+    def test_a_group_is_unused_after_five_minutes(self):
+        self.assertFalse(watching.is_unused(300.0, 0.0))
+        self.assertTrue(watching.is_unused(300.1, 0.0))
