--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -32,21 +32,21 @@
 
 
 class Member:
-    """One member: its pool, its monitor and whether it is leaving."""
+    """One member: its pool, its monitor, what it last said and whether it is leaving."""
 
     def __init__(self, name: str, zone: str, pool: Pool, monitor: MemberMonitor) -> None:
         self.name = name
         self.zone = zone
         self.pool = pool
         self.monitor = monitor
+        self.known = monitor.known
         self.drained = False
         self.listed_leaving = False
 
     @property
     def leaving(self) -> bool:
-        """Whether the member is leaving: by an operator, by the list, or by its own word."""
-        status = self.monitor.latest
-        return self.drained or self.listed_leaving or (status is not None and status.leaving)
+        """Whether the member is leaving: by an operator, by the list, or by its own report."""
+        return self.drained or self.listed_leaving or self.known.is_leaving
 
 
 class GroupRuntime:
@@ -158,8 +158,8 @@
 
     def primary(self) -> Member | None:
         """Return the member that claims to be primary in the highest term seen, if any."""
-        terms = [_term_of(member) for member in self.members]
-        found = current_primary(terms, [member.monitor.is_primary for member in self.members])
+        terms = [member.known.term for member in self.members]
+        found = current_primary(terms, [member.known.is_primary for member in self.members])
         if found is None:
             return None
         best = self.members[found]
@@ -170,7 +170,7 @@
         return best
 
     def _on_new_primary(self, primary: Member) -> None:
-        self._term = _term_of(primary)
+        self._term = primary.known.term
         for member in self.members:
             if member is not primary:
                 # What runs there can't be confirmed any more: end it now, not at its deadline.
@@ -211,7 +211,7 @@
         it yet; and a write of its own term may be undone at it, if it is demoted before it
         learns that a majority holds the write.
         """
-        return self.freshness.is_fresh(primary.monitor.committed, floor)
+        return self.freshness.is_fresh(primary.known.committed, floor)
 
     async def _wait_change(self, until: float) -> None:
         self._changed.clear()
@@ -223,7 +223,7 @@
 
     def suspect(self, member: Member) -> None:
         """Note that a connection to ``member`` broke: ask it again before it gets more work."""
-        member.monitor.reachable = False
+        member.known.suspect()
         self.kick()
 
     # Rounds
@@ -301,9 +301,9 @@
         return [
             member
             for member in self.members
-            if member.monitor.is_replica
+            if member.known.is_replica
             and self.leaving_check.accepts_work(member.leaving)
-            and self.freshness.is_fresh(member.monitor.committed, floor)
+            and self.freshness.is_fresh(member.known.committed, floor)
         ]
 
     def usable_replicas(self) -> list[Member]:
@@ -311,7 +311,7 @@
         return [
             member
             for member in self.members
-            if member.monitor.is_replica and self.leaving_check.accepts_work(member.leaving)
+            if member.known.is_replica and self.leaving_check.accepts_work(member.leaving)
         ]
 
     async def wait_fresh(self, floor: Position, until: float) -> list[Member]:
@@ -329,7 +329,3 @@
         """Return the expected seconds for a statement at ``member``."""
         pool = member.pool
         return expected_seconds(pool.latency_seconds, pool.outstanding, pool.limit, pool.slots)
-
-
-def _term_of(member: Member) -> int:
-    return member.monitor.latest.term if member.monitor.latest else 0
--- a/src/rowanrail/sql_proxy/lease.py
+++ b/src/rowanrail/sql_proxy/lease.py
@@ -39,8 +39,7 @@
 
     def is_of_known_start(self) -> bool:
         """Return whether what is known of the member holds for this connection."""
-        latest = self.member.monitor.latest
-        return latest is not None and latest.incarnation == self.connection.incarnation
+        return self.member.known.is_of_start(self.connection.incarnation)
 
     async def execute(self, sql: str, deadline: float) -> StatementResult:
         """Run a statement on the connection."""
--- a/src/rowanrail/sql_proxy/monitor.py
+++ b/src/rowanrail/sql_proxy/monitor.py
@@ -1,26 +1,25 @@
-"""Watching one member: its status, its freshness, and rounds that batch questions."""
+"""Questions to one member for its status, in rounds that answer all who wait.
+
+For the group's rounds and its background questions. Owns the connection for questions and who
+waits for an answer; fills in what is known of the member. Relies on the opener of connections.
+"""
 
 import asyncio
 import random
 from collections.abc import Callable
 
 from rowanrail.kernel.errors import BackendConnectError, BackendLostError, BackendRefusedError
-from rowanrail.model.position import ORIGIN, Position
-from rowanrail.sql_proxy.backend import BackendConnection, MemberRole, MemberStatus
+from rowanrail.sql_proxy.backend import BackendConnection, MemberStatus
+from rowanrail.sql_proxy.known_status import RECONNECT_SECONDS, STATUS_TIMEOUT_SECONDS, KnownStatus
 from rowanrail.sql_proxy.pool import Opener
 
-STATUS_TIMEOUT_SECONDS = 0.3
-RECONNECT_SECONDS = 0.1
-
 
 class MemberMonitor:
     """Asks a member for its status; a question joins the round that begins after it."""
 
     def __init__(self, peer: str, opener: Opener, randomness: random.Random) -> None:
         self.peer = peer
-        self.latest: MemberStatus | None = None
-        self.latest_at = float("-inf")
-        self.reachable = False
+        self.known = KnownStatus()
         self._opener = opener
         self._random = randomness
         self._connection: BackendConnection | None = None
@@ -29,21 +28,6 @@
         self._task: asyncio.Task[None] | None = None
         self.on_status: Callable[[], None] = lambda: None
 
-    @property
-    def committed(self) -> Position:
-        """Last committed position known of the member."""
-        return self.latest.committed if self.latest else ORIGIN
-
-    @property
-    def is_primary(self) -> bool:
-        """Whether the member last said that it is the primary, and still answers."""
-        return self.reachable and self.latest is not None and self.latest.role is MemberRole.PRIMARY
-
-    @property
-    def is_replica(self) -> bool:
-        """Whether the member last said that it is a replica, and still answers."""
-        return self.reachable and self.latest is not None and self.latest.role is MemberRole.REPLICA
-
     def start(self) -> None:
         """Begin to answer questions, the first of them at once."""
         self._wake.set()
@@ -93,10 +77,7 @@
             raise
 
     def _note(self, status: MemberStatus | None) -> None:
-        self.reachable = status is not None
-        if status is not None:
-            self.latest = status
-            self.latest_at = asyncio.get_running_loop().time()
+        self.known.note(status, asyncio.get_running_loop().time())
         self.on_status()
 
     @staticmethod
--- a/src/rowanrail/sql_proxy/reads.py
+++ b/src/rowanrail/sql_proxy/reads.py
@@ -61,7 +61,7 @@
                     raise self._lost(lease, error) from error
                 await asyncio.sleep(READ_RETRY_SECONDS)
                 continue
-            self._statistics.count_read(lease.member.monitor.is_primary, allow_replica)
+            self._statistics.count_read(lease.member.known.is_primary, allow_replica)
             return result
 
     def _lost(self, lease: Lease, error: BackendLostError) -> CallerError:
--- a/src/rowanrail/sql_proxy/report.py
+++ b/src/rowanrail/sql_proxy/report.py
@@ -44,7 +44,7 @@
     now = asyncio.get_running_loop().time()
     reports = []
     for member in services.group.members:
-        status = member.monitor.latest
+        status = member.known.latest
         reports.append(
             GroupReport(
                 group=services.spec.name,
@@ -53,9 +53,9 @@
                 role=status.role.value if status else "unknown",
                 term=status.term if status else 0,
                 position=status.committed.index if status else 0,
-                lag_seconds=round(max(0.0, now - member.monitor.latest_at), 3) if status else -1.0,
+                lag_seconds=round(max(0.0, now - member.known.latest_at), 3) if status else -1.0,
                 leaving=member.leaving,
-                reachable=member.monitor.reachable,
+                reachable=member.known.reachable,
                 connections=member.pool.open_count,
             )
         )
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -1,9 +1,12 @@
-"""The SQL proxy's rules on plain values: who serves, what follows a failure."""
+"""The SQL side's rules on plain values: serving, outcomes, queues, changes, admission."""
 
 import unittest
 
 from rowanrail.config.model import Consistency
+from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_proxy import outcomes, queueing, serving, watching
+from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
+from rowanrail.sql_proxy.known_status import KnownStatus
 from rowanrail.sql_proxy.outcomes import LostCommit
 from rowanrail.sql_proxy.serving import FloorSource, ReadServer
 
@@ -131,3 +134,37 @@
     def test_a_group_is_unused_after_five_minutes(self):
         self.assertFalse(watching.is_unused(300.0, 0.0))
         self.assertTrue(watching.is_unused(300.1, 0.0))
+
+
+class KnownStatusTest(unittest.TestCase):
+    def setUp(self):
+        self.known = KnownStatus()
+
+    def answer(self, role=MemberRole.REPLICA, leaving=False):
+        position = Position(3, 7)
+        self.known.note(MemberStatus(role, 3, position, position, leaving, "first"), now=1.0)
+
+    def test_a_member_that_has_not_answered_serves_nothing(self):
+        self.assertFalse(self.known.is_primary or self.known.is_replica)
+        self.assertFalse(self.known.is_leaving or self.known.is_of_start(""))
+        self.assertEqual((self.known.term, self.known.committed), (0, ORIGIN))
+
+    def test_one_question_without_an_answer_makes_it_failing(self):
+        self.answer()
+        self.assertTrue(self.known.is_replica)
+        self.known.note(None, now=2.0)
+        self.assertFalse(self.known.is_replica)
+        self.assertEqual((self.known.term, self.known.latest_at), (3, 1.0))
+
+    def test_a_broken_connection_does_too_until_the_next_answer(self):
+        self.answer(MemberRole.PRIMARY)
+        self.known.suspect()
+        self.assertFalse(self.known.is_primary)
+        self.answer(MemberRole.PRIMARY)
+        self.assertTrue(self.known.is_primary)
+
+    def test_what_is_known_holds_for_one_start(self):
+        self.answer(leaving=True)
+        self.assertTrue(self.known.is_leaving)
+        self.assertTrue(self.known.is_of_start("first"))
+        self.assertFalse(self.known.is_of_start("second"))
