--- a/src/rowanrail/sql_control/census.py
+++ b/src/rowanrail/sql_control/census.py
@@ -1,5 +1,7 @@
 """How many proxies use each group, counted over all control nodes.
 
+For the configuration service, which adds the numbers to its answers to proxies; they share members'
+connections by them. Owns the other nodes' counts; relies on the watches for this node's.
 Every control node knows the proxies that ask it. The nodes tell each other their counts.
 A silent node's last count stays: its proxies may be alive behind the cut with their
 connections. Counting too many only makes shares smaller.
@@ -14,12 +16,14 @@
 from rowanrail.sql_control.messages import CensusReply, CensusRequest
 from rowanrail.sql_control.watch import WatchHub
 
-CENSUS_SECONDS = 2.0
-CALL_SECONDS = 1.0
+# Seconds between rounds of questions to the other nodes. Chosen.
+PROXY_CENSUS_SECONDS = 2.0
+# Seconds for a node's answer. Chosen.
+CENSUS_CALL_SECONDS = 1.0
 
 
 class ProxyCensus:
-    """Counts of this node and, as last told, of the others."""
+    """Counts of this node and, as last reported, of the others."""
 
     def __init__(self, node: ConsensusNode, hub: WatchHub, network: Network) -> None:
         self._node = node
@@ -63,11 +67,11 @@
             peers = self._peers()
             await asyncio.gather(*(self._ask(node, peers[node]) for node in peers))
             self._others = {node: self._others[node] for node in peers if node in self._others}
-            await asyncio.sleep(CENSUS_SECONDS)
+            await asyncio.sleep(PROXY_CENSUS_SECONDS)
 
     async def _ask(self, node: str, address: str) -> None:
         try:
-            reply = await self._network.call(address, CensusRequest(), CALL_SECONDS)
+            reply = await self._network.call(address, CensusRequest(), CENSUS_CALL_SECONDS)
         except RowanrailError:
             return  # its last count stays
         if isinstance(reply, CensusReply):
--- a/src/rowanrail/sql_control/http_api.py
+++ b/src/rowanrail/sql_control/http_api.py
@@ -1,4 +1,8 @@
-"""HTTP and JSON for operators, with health and metrics."""
+"""The operators' interface of a control node: HTTP and JSON, with health and metrics.
+
+Owns the routes, the check of operators' tokens and the gauges; relies on the configuration service
+for everything that it answers.
+"""
 
 import hashlib
 import hmac
@@ -26,8 +30,11 @@
 )
 from rowanrail.sql_control.service import ControlService
 
-MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
-RETRY_AFTER_SECONDS = 2
+# Bytes of an operator's request, which holds a whole configuration at the most. Chosen.
+MAXIMUM_REQUEST_BYTES = 16 * 1024 * 1024
+# Seconds after which an operator is told to retry whom no leader served. Chosen.
+OPERATOR_RETRY_AFTER_SECONDS = 2
+# Seconds since a proxy's report within which it is shown as live. Chosen.
 LIVE_REPORT_SECONDS = 6.0
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -71,7 +78,7 @@
     def application(self) -> web.Application:
         """Return the web application."""
         application = web.Application(
-            client_max_size=MAXIMUM_BODY_BYTES, middlewares=[self._guarded]
+            client_max_size=MAXIMUM_REQUEST_BYTES, middlewares=[self._guarded]
         )
         routes = application.router
         routes.add_get("/health", self._health)
@@ -103,7 +110,7 @@
         except msgspec.MsgspecError as error:
             return _json({"error": f"the request body is not valid: {error}"}, 400)
         except RowanrailError as error:
-            headers = {"Retry-After": str(RETRY_AFTER_SECONDS)}
+            headers = {"Retry-After": str(OPERATOR_RETRY_AFTER_SECONDS)}
             return _json({"error": str(error)}, 503, headers)
 
     def _operator(self, request: web.Request) -> str | None:
--- a/src/rowanrail/sql_control/service.py
+++ b/src/rowanrail/sql_control/service.py
@@ -1,4 +1,9 @@
-"""The configuration service of one control node."""
+"""The configuration service of one control node.
+
+Answers proxies, other control nodes and the operators' interface; passes to the leader what only
+the leader may do. Owns the watches, the admission of nodes and the count of proxies; relies on the
+replicated state and its node, and on the network for calls to other nodes.
+"""
 
 import asyncio
 import datetime
@@ -27,6 +32,12 @@
 from rowanrail.kernel.errors import InvalidRequestError, RowanrailError, TransportError
 from rowanrail.rpc.network import Network
 from rowanrail.sql_control.census import ProxyCensus
+from rowanrail.sql_control.changes import (
+    LEADER_REPLY_SECONDS,
+    LEADER_RETRY_SECONDS,
+    LEADER_WAIT_SECONDS,
+    may_ask_again,
+)
 from rowanrail.sql_control.delta import make_delta
 from rowanrail.sql_control.messages import (
     ApplyRequest,
@@ -45,11 +56,13 @@
 from rowanrail.sql_control.state import ConfigurationState
 from rowanrail.sql_control.watch import WatchHub
 
-LEADER_CALL_SECONDS = 3.0
-REQUEST_SECONDS = 8.0
-RETRY_SECONDS = 0.1
+# Seconds for a new proxy's question to be confirmed by the leader; after it the answer says that it
+# is not. Chosen.
 BARRIER_SECONDS = 1.0
+# Newest entries of the history in an answer to operators. Chosen.
 READ_HISTORY = 200
+# Seconds for another node's reply with the proxies that it knows. Chosen.
+REPORTS_CALL_SECONDS = 1.0
 
 ChangeRequest = ApplyRequest | DrainRequest | RollbackRequest
 
@@ -135,7 +148,7 @@
         leader = self.node.leader_address()
         if self.node.raft.is_leader or not leader:
             return await self._serve_as_leader(request)
-        return await self._network.call(leader, request, LEADER_CALL_SECONDS)
+        return await self._network.call(leader, request, LEADER_REPLY_SECONDS)
 
     async def request(self, request: msgspec.Struct) -> msgspec.Struct:
         """Like :meth:`on_leader`, and wait for a leader for a while if there is none.
@@ -145,7 +158,7 @@
         :raises RowanrailError: if no leader served it in time.
         """
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + REQUEST_SECONDS
+        deadline = loop.time() + LEADER_WAIT_SECONDS
         while True:
             try:
                 async with asyncio.timeout_at(deadline):
@@ -153,9 +166,9 @@
             except InvalidRequestError:
                 raise
             except (RowanrailError, TimeoutError) as error:
-                if loop.time() + RETRY_SECONDS >= deadline:
+                if not may_ask_again(loop.time(), deadline):
                     raise self._no_leader(error) from error
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(LEADER_RETRY_SECONDS)
 
     def _no_leader(self, error: Exception) -> RowanrailError:
         voters = sorted(self.node.raft.membership.voters)
@@ -253,7 +266,10 @@
             if name != self.node.identity.node
         ]
         results = await asyncio.gather(
-            *(self._network.call(address, ReportsRequest(), 1.0) for _, address in peers),
+            *(
+                self._network.call(address, ReportsRequest(), REPORTS_CALL_SECONDS)
+                for _, address in peers
+            ),
             return_exceptions=True,
         )
         for (name, _), result in zip(peers, results, strict=True):
--- a/src/rowanrail/sql_control/state.py
+++ b/src/rowanrail/sql_control/state.py
@@ -1,4 +1,9 @@
-"""The replicated state machine: the configuration, its history and the outcomes of changes."""
+"""The replicated state machine: the configuration, its history and the outcomes of changes.
+
+For the control node, whose log applies each change here. Owns what is in force and what is
+remembered of earlier versions and changes; all nodes hold the same. Relies on the rules in
+``changes`` and on nothing but the log.
+"""
 
 from collections import deque
 
@@ -7,12 +12,17 @@
 from rowanrail.config.model import Configuration, VersionedConfiguration
 from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind
+from rowanrail.sql_control.changes import change_verdict, resent_outcome
 from rowanrail.sql_control.delta import apply_delta, is_empty
 from rowanrail.sql_control.messages import ChangeCommand, Outcome, Revision, Verdict
 from rowanrail.sql_control.policies import ExpectedVersion
 
+# Changes whose outcome a resend still gets. Chosen.
 REMEMBERED_OUTCOMES = 10_000
+# Entries of the history. Chosen.
 REMEMBERED_REVISIONS = 1_000
+# Earlier configurations, to which an operator can go back and from which proxies get a delta.
+# Chosen.
 REMEMBERED_CONFIGURATIONS = 50
 
 
@@ -47,9 +57,7 @@
         known = self._outcomes.get(change_id)
         if known is None:
             return None
-        if known.digest != digest:
-            return Outcome(Verdict.REUSED_ID, known.outcome.version)
-        return known.outcome
+        return resent_outcome(known.digest, known.outcome, digest)
 
     def at_version(self, version: int) -> Configuration | None:
         """Return the configuration at a version, if it is still remembered."""
@@ -76,13 +84,15 @@
         return outcome
 
     def _decide(self, command: ChangeCommand) -> Outcome:
-        if not self._expected_version.matches(command.base_version, self.current.version):
-            if not command.explicit:
-                return Outcome(Verdict.REBASE, self.current.version)
-            winner = self._winner_after(command.base_version)
-            return Outcome(Verdict.CONFLICT, self.current.version, winner)
-        if is_empty(command.delta):
-            return Outcome(Verdict.UNCHANGED, self.current.version)
+        is_current = self._expected_version.matches(command.base_version, self.current.version)
+        verdict = change_verdict(is_current, command.explicit, is_empty(command.delta))
+        if verdict is Verdict.ACCEPTED:
+            self._accept(command)
+        is_conflict = verdict is Verdict.CONFLICT
+        winner = self._winner_after(command.base_version) if is_conflict else ""
+        return Outcome(verdict, self.current.version, winner)
+
+    def _accept(self, command: ChangeCommand) -> None:
         self.earlier.append(self.current)
         self.current = apply_delta(self.current, command.delta)
         self.history.append(
@@ -94,7 +104,6 @@
                 command.changes,
             )
         )
-        return Outcome(Verdict.ACCEPTED, self.current.version)
 
     def _winner_after(self, base_version: int) -> str:
         for revision in self.history:
--- a/src/rowanrail/sql_control/watch.py
+++ b/src/rowanrail/sql_control/watch.py
@@ -1,4 +1,8 @@
-"""Watch streams from a control node to proxies, and what the proxies report."""
+"""Long polls of proxies for a newer configuration, and what the proxies report.
+
+For the configuration service. Owns the newest report of each proxy that was heard lately, and the
+views and deltas that it has made; relies on the replicated state for versions.
+"""
 
 import asyncio
 from collections import Counter
@@ -13,9 +17,13 @@
 from rowanrail.sql_control.messages import ConfigurationDelta, WatchReply, WatchRequest
 from rowanrail.sql_control.state import ConfigurationState
 
-MAXIMUM_HOLD_SECONDS = 5.0
+# Seconds that a long poll waits at most for a change, whatever the proxy asks for. Chosen.
+LONGEST_POLL_SECONDS = 5.0
+# Seconds after which the report of a silent proxy is forgotten. Chosen.
 FORGET_REPORT_SECONDS = 60.0
+# Seconds for which a silent proxy counts as a user of its groups. Chosen.
 LIVE_SECONDS = 15.0
+# Views of zones, and as many deltas, that are kept. Chosen.
 REMEMBERED_VIEWS = 100
 
 Key = TypeVar("Key")
@@ -28,7 +36,7 @@
 
 
 class WatchHub:
-    """Answers watches as soon as a newer version is committed here."""
+    """Answers long polls as soon as a newer version is committed here."""
 
     def __init__(self, state: ConfigurationState, monotonic: VersionMonotonic) -> None:
         self._state = state
@@ -40,23 +48,23 @@
         self._views: dict[tuple[str, int], tuple[VersionedConfiguration, str]] = {}
 
     def notice_change(self) -> None:
-        """Wake the watches if the configuration changed."""
+        """Wake the polls that wait if the configuration changed."""
         if self._state.current.version != self._seen_version:
             self._seen_version = self._state.current.version
             self._changed.set()
             self._changed = asyncio.Event()
 
     async def watch(self, request: WatchRequest, confirmed: bool) -> WatchReply:
-        """Return what is newer than the proxy knows, or nothing after the hold time."""
+        """Return what is newer than the proxy knows, or nothing at the end of the wait."""
         loop = asyncio.get_running_loop()
         self._reports[request.report.proxy] = _Heard(request.report, loop.time())
         if not self._is_newer(request):
             changed = self._changed
             try:
-                async with asyncio.timeout(min(request.hold_seconds, MAXIMUM_HOLD_SECONDS)):
+                async with asyncio.timeout(min(request.hold_seconds, LONGEST_POLL_SECONDS)):
                     await changed.wait()
             except TimeoutError:
-                pass  # nothing changed within the hold time, which the reply says
+                pass  # nothing changed meanwhile, which the reply says
         return self._reply(request, confirmed)
 
     def _is_newer(self, request: WatchRequest) -> bool:
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -4,6 +4,8 @@
 
 from rowanrail.config.model import Consistency
 from rowanrail.model.position import ORIGIN, Position
+from rowanrail.sql_control import changes
+from rowanrail.sql_control.messages import Outcome, Verdict
 from rowanrail.sql_proxy import outcomes, queueing, serving, watching
 from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
 from rowanrail.sql_proxy.known_status import KnownStatus
@@ -168,3 +170,27 @@
         self.assertTrue(self.known.is_leaving)
         self.assertTrue(self.known.is_of_start("first"))
         self.assertFalse(self.known.is_of_start("second"))
+
+
+class ChangeTest(unittest.TestCase):
+    def test_a_change_against_the_version_in_force_is_accepted_if_it_changes_anything(self):
+        for is_explicit in (False, True):
+            verdicts = [changes.change_verdict(True, is_explicit, empty) for empty in (False, True)]
+            self.assertEqual(verdicts, [Verdict.ACCEPTED, Verdict.UNCHANGED])
+
+    def test_against_an_older_one_it_conflicts_only_if_its_author_named_that(self):
+        for is_empty in (False, True):
+            self.assertIs(changes.change_verdict(False, True, is_empty), Verdict.CONFLICT)
+            self.assertIs(changes.change_verdict(False, False, is_empty), Verdict.REBASE)
+
+    def test_a_resend_gets_the_first_outcome(self):
+        first = Outcome(Verdict.ACCEPTED, 7)
+        self.assertIs(changes.resent_outcome("digest", first, "digest"), first)
+
+    def test_other_work_under_a_used_id_is_refused(self):
+        outcome = changes.resent_outcome("digest", Outcome(Verdict.ACCEPTED, 7), "other")
+        self.assertEqual(outcome, Outcome(Verdict.REUSED_ID, 7))
+
+    def test_a_request_waits_for_a_leader_until_its_deadline(self):
+        self.assertTrue(changes.may_ask_again(7.8, 8.0))
+        self.assertFalse(changes.may_ask_again(7.95, 8.0))
