--- a/src/rowanrail/cluster/folder.py
+++ b/src/rowanrail/cluster/folder.py
@@ -1,6 +1,11 @@
-"""Opening a control node's data folder: first start, restart, or joining as a new node."""
+"""Opening a control node's data folder: first start, restart, or joining as a new node.
+
+For both kinds of control nodes, at their start. Owns nothing once the folder is open; relies on the
+storage for what the folder holds and on the other nodes for whether there is a system already.
+"""
 
 import asyncio
+import enum
 import random
 
 import msgspec
@@ -16,10 +21,22 @@
 from rowanrail.rpc.network import Network
 
 FIRST_IDENTITY = "1"
+# Seconds for a node's answer whether it knows a system. Chosen.
+SYSTEM_CALL_SECONDS = 1.0
+# Seconds for a node's answer to a request for admission. Chosen.
 JOIN_CALL_SECONDS = 3.0
+# Seconds between rounds of requests for admission. Chosen.
 JOIN_RETRY_SECONDS = 0.5
 
 
+class FolderStep(enum.Enum):
+    """How a node begins."""
+
+    RESTART = "restart"  # with the identity in its folder
+    BOOTSTRAP = "bootstrap"  # as one of the first nodes of a new system
+    JOIN = "join"  # as a new node without a vote
+
+
 class FolderOwner(msgspec.Struct, frozen=True):
     """Whose folder it should be, and the nodes that a new system begins with."""
 
@@ -54,22 +71,45 @@
     :raises StorageError: if the folder is damaged or belongs to another system or node.
     """
     identity = storage.identity()
-    if identity is not None:
-        _check_owner(identity, owner, storage)
-        return identity
-    if bootstrap and not await _system_exists(owner, network):
-        identity = Identity(owner.cluster, f"{owner.name}@{FIRST_IDENTITY}")
-        storage.create(identity, Snapshot(1, 1, first_membership(owner), b""))
-        return identity
-    fresh = f"{randomness.getrandbits(48):012x}"
-    node = learner_first.identity(owner.name, fresh)
-    identity = Identity(owner.cluster, node)
-    emit(NODE_JOINING, node=node)
-    storage.create(identity, None)
+    may_bootstrap = identity is None and bootstrap and not await _system_exists(owner, network)
+    match folder_step(identity is not None, may_bootstrap):
+        case FolderStep.RESTART:
+            assert identity is not None
+            check_owner(identity, owner)
+        case FolderStep.BOOTSTRAP:
+            identity = Identity(owner.cluster, f"{owner.name}@{FIRST_IDENTITY}")
+            storage.create(identity, Snapshot(1, 1, first_membership(owner), b""))
+        case FolderStep.JOIN:
+            fresh = f"{randomness.getrandbits(48):012x}"
+            identity = Identity(owner.cluster, learner_first.identity(owner.name, fresh))
+            emit(NODE_JOINING, node=identity.node)
+            storage.create(identity, None)
     return identity
 
 
-def _check_owner(identity: Identity, owner: FolderOwner, storage: Storage) -> None:
+def folder_step(has_identity: bool, may_bootstrap: bool) -> FolderStep:
+    """Return how a node begins.
+
+    A folder that was emptied gets a new identity: the votes that the node gave before are gone, so
+    that it may not vote under its old one.
+
+    Parameters
+    ----------
+    has_identity : bool
+        Whether the folder holds an identity.
+    may_bootstrap : bool
+        Whether the operator asks for a new system and no node that answers knows one.
+    """
+    if has_identity:
+        return FolderStep.RESTART
+    return FolderStep.BOOTSTRAP if may_bootstrap else FolderStep.JOIN
+
+
+def check_owner(identity: Identity, owner: FolderOwner) -> None:
+    """Check that a folder is the node's own.
+
+    :raises StorageError: if it belongs to another system or node.
+    """
     found = f"{identity.cluster}/{identity.node.split('@')[0]}"
     wanted = f"{owner.cluster}/{owner.name}"
     if found != wanted:
@@ -86,7 +126,7 @@
         if node.name == owner.name:
             continue
         try:
-            reply = await network.call(node.address, ReportsRequest(), 1.0)
+            reply = await network.call(node.address, ReportsRequest(), SYSTEM_CALL_SECONDS)
         except TransportError:
             continue  # a node that does not answer proves nothing either way
         if isinstance(reply, ReportsReply) and reply.version > 0:
--- a/src/rowanrail/cluster/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -1,15 +1,14 @@
 """Admission and removal of control nodes, one at a time, through the log.
 
-A node with an empty data folder is a new node, whatever its name. It joins as a learner,
-is brought up to date, takes the place of an older node of the same name, and only then
-gets a vote.
+For the services of both kinds of control nodes. Owns nothing but the task that gives learners their
+vote; the rules above it are pure. Relies on the node for the membership in force and its changes.
+A node with an empty data folder is a new node, whatever its name. It joins as a learner, is brought
+up to date, takes the place of an older node of the same name, and only then gets a vote.
 """
 
 import asyncio
 from collections.abc import Callable, Collection
 
-import msgspec
-
 from rowanrail.cluster.messages import JoinRequest, NodesReply, NodesRequest, NodeView
 from rowanrail.consensus.errors import NotLeaderError
 from rowanrail.consensus.messages import Membership
@@ -39,6 +38,33 @@
     return Membership(voters, learners)
 
 
+def with_learner(membership: Membership, name: str, node: str, address: str) -> Membership:
+    """Return a membership with a new learner, in the place of others of the name.
+
+    Examples
+    --------
+    >>> membership = Membership({"a@1": "a:1"}, {"b@1": "b:1"})
+    >>> sorted(with_learner(membership, "b", "b@2", "b:1").learners)
+    ['b@2']
+    """
+    others = {known: a for known, a in membership.learners.items() if name_of(known) != name}
+    return Membership(dict(membership.voters), {**others, node: address})
+
+
+def without_name(membership: Membership, name: str) -> Membership:
+    """Return a membership without the nodes of a name, whatever their identities.
+
+    Examples
+    --------
+    >>> membership = Membership({"a@1": "a:1", "b@1": "b:1"}, {"b@2": "b:1"})
+    >>> without_name(membership, "b")
+    Membership(voters={'a@1': 'a:1'}, learners={})
+    """
+    voters = {node: a for node, a in membership.voters.items() if name_of(node) != name}
+    learners = {node: a for node, a in membership.learners.items() if name_of(node) != name}
+    return Membership(voters, learners)
+
+
 def admit_one(
     membership: Membership, match_of: Callable[[str], int], last_index: int
 ) -> Membership | None:
@@ -104,13 +130,9 @@
             )
         membership = self._node.raft.membership
         if request.node not in membership.addresses():
-            learners = {
-                node: address
-                for node, address in membership.learners.items()
-                if name_of(node) != request.name
-            }
-            learners[request.node] = request.address
-            await self._change(msgspec.structs.replace(membership, learners=learners))
+            await self._change(
+                with_learner(membership, request.name, request.node, request.address)
+            )
         return self.view()
 
     async def nodes(self, request: NodesRequest) -> NodesReply:
@@ -125,13 +147,12 @@
 
     async def _remove(self, name: str) -> None:
         membership = self._node.raft.membership
-        voters = {node: a for node, a in membership.voters.items() if name_of(node) != name}
-        learners = {node: a for node, a in membership.learners.items() if name_of(node) != name}
-        if len(voters) == len(membership.voters) and len(learners) == len(membership.learners):
+        changed = without_name(membership, name)
+        if changed == membership:
             raise InvalidRequestError(f"no control node is named {name!r}", step="remove")
-        if not voters:
+        if not changed.voters:
             raise InvalidRequestError("the last control node can't be removed", step="remove")
-        await self._change(Membership(voters, learners))
+        await self._change(changed)
 
     async def _change(self, membership: Membership) -> None:
         try:
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -2,7 +2,12 @@
 
 import unittest
 
+from rowanrail.cluster.folder import FolderOwner, FolderStep, check_owner, folder_step
+from rowanrail.cluster.membership import with_learner, without_name
 from rowanrail.config.model import Consistency
+from rowanrail.consensus.messages import Membership
+from rowanrail.consensus.storage import Identity
+from rowanrail.kernel.errors import StorageError
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_control import changes
 from rowanrail.sql_control.messages import Outcome, Verdict
@@ -194,3 +199,30 @@
     def test_a_request_waits_for_a_leader_until_its_deadline(self):
         self.assertTrue(changes.may_ask_again(7.8, 8.0))
         self.assertFalse(changes.may_ask_again(7.95, 8.0))
+
+
+class AdmissionTest(unittest.TestCase):
+    MEMBERSHIP = Membership({"a@1": "a:1", "b@1": "b:1"}, {"b@2": "b:1", "c@1": "c:1"})
+
+    def test_a_learner_takes_the_place_of_another_of_its_name(self):
+        changed = with_learner(self.MEMBERSHIP, "b", "b@3", "b:2")
+        self.assertEqual(changed.learners, {"c@1": "c:1", "b@3": "b:2"})
+        self.assertEqual(changed.voters, self.MEMBERSHIP.voters)
+
+    def test_all_nodes_of_a_name_are_removed(self):
+        changed = without_name(self.MEMBERSHIP, "b")
+        self.assertEqual(changed, Membership({"a@1": "a:1"}, {"c@1": "c:1"}))
+        self.assertEqual(without_name(self.MEMBERSHIP, "d"), self.MEMBERSHIP)
+
+    def test_an_empty_folder_never_gets_an_old_identity(self):
+        self.assertIs(folder_step(False, may_bootstrap=False), FolderStep.JOIN)
+        self.assertIs(folder_step(False, may_bootstrap=True), FolderStep.BOOTSTRAP)
+        for may_bootstrap in (False, True):
+            self.assertIs(folder_step(True, may_bootstrap), FolderStep.RESTART)
+
+    def test_a_folder_of_another_node_or_system_is_refused(self):
+        owner = FolderOwner("system", "a", [])
+        check_owner(Identity("system", "a@5"), owner)
+        for identity in (Identity("other", "a@5"), Identity("system", "b@5")):
+            with self.assertRaises(StorageError):
+                check_owner(identity, owner)
