--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -1,9 +1,19 @@
-"""The SQL proxy's rules on plain values: who serves, what follows a failure."""
+"""The SQL side's rules on plain values: serving, outcomes, queues, changes, admission."""
 
 import unittest
 
+from rowanrail.cluster.folder import FolderOwner, FolderStep, check_owner, folder_step
+from rowanrail.cluster.membership import with_learner, without_name
 from rowanrail.config.model import Consistency
-from rowanrail.sql_proxy import outcomes, serving
+from rowanrail.consensus.messages import Membership
+from rowanrail.consensus.storage import Identity
+from rowanrail.kernel.errors import StorageError
+from rowanrail.model.position import ORIGIN, Position
+from rowanrail.sql_control import changes
+from rowanrail.sql_control.messages import Outcome, Verdict
+from rowanrail.sql_proxy import outcomes, queueing, serving, watching
+from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
+from rowanrail.sql_proxy.known_status import KnownStatus
 from rowanrail.sql_proxy.outcomes import LostCommit
 from rowanrail.sql_proxy.serving import FloorSource, ReadServer
 
@@ -84,3 +94,135 @@
         for _ in range(5):
             pauses.append(outcomes.next_round_pause(pauses[-1]))
         self.assertEqual(pauses, [0.005, 0.01, 0.02, 0.04, 0.05, 0.05])
+
+
+class QueueTest(unittest.TestCase):
+    def test_the_wait_counts_who_is_ahead_by_what_the_member_runs_at_once(self):
+        self.assertEqual(queueing.expected_wait_seconds(0, 4, 8, 4, 0.02), 0.0)
+        self.assertEqual(queueing.expected_wait_seconds(0, 6, 8, 4, 0.02), 0.01)
+        self.assertEqual(queueing.expected_wait_seconds(6, 4, 8, 4, 0.02), 0.03)
+
+    def test_what_would_be_late_is_refused_at_once(self):
+        self.assertFalse(queueing.would_be_late(1.0, 0.5, 1.5))
+        self.assertTrue(queueing.would_be_late(1.0, 0.6, 1.5))
+
+    def test_only_a_more_urgent_request_displaces_another(self):
+        verdicts = [queueing.displaces_last(1, priority) for priority in (0, 1, 2)]
+        self.assertEqual(verdicts, [True, False, False])
+
+    def test_the_wait_queue_is_bounded(self):
+        self.assertTrue(queueing.has_room(0, 1))
+        self.assertFalse(queueing.has_room(1, 1))
+        self.assertFalse(queueing.has_room(0, 0))
+
+    def test_retry_times_are_spread_over_once_to_twice_the_soonest(self):
+        times = [queueing.retry_after_seconds(refusal, 0.5) for refusal in range(16)]
+        self.assertEqual(len(set(times)), 16)
+        self.assertEqual((min(times), max(times)), (1.0, 1.9375))
+
+    def test_the_latest_statement_counts_a_tenth(self):
+        self.assertAlmostEqual(queueing.smoothed_latency(0.01, 0.11), 0.02)
+
+
+class WatchTest(unittest.TestCase):
+    def test_the_budget_of_questions_is_shared_by_all_members(self):
+        self.assertEqual(watching.background_interval_seconds(48), 7.875)
+        self.assertEqual(watching.background_interval_seconds(0), 0.0)
+
+    def test_a_busy_group_is_always_asked(self):
+        self.assertTrue(watching.is_due(True, 1.0, 0.9, 7.0))
+        self.assertFalse(watching.is_due(False, 7.8, 0.9, 7.0))
+        self.assertTrue(watching.is_due(False, 8.0, 1.0, 7.0))
+
+    def test_many_proxies_share_a_group_at_four_connections_each(self):
+        self.assertFalse(watching.is_shared_by_many(25, 100))
+        self.assertTrue(watching.is_shared_by_many(26, 100))
+
+    def test_a_group_is_unused_after_five_minutes(self):
+        self.assertFalse(watching.is_unused(300.0, 0.0))
+        self.assertTrue(watching.is_unused(300.1, 0.0))
+
+
+class KnownStatusTest(unittest.TestCase):
+    def setUp(self):
+        self.known = KnownStatus()
+
+    def answer(self, role=MemberRole.REPLICA, leaving=False):
+        position = Position(3, 7)
+        self.known.note(MemberStatus(role, 3, position, position, leaving, "first"), now=1.0)
+
+    def test_a_member_that_has_not_answered_serves_nothing(self):
+        self.assertFalse(self.known.is_primary or self.known.is_replica)
+        self.assertFalse(self.known.is_leaving or self.known.is_of_start(""))
+        self.assertEqual((self.known.term, self.known.committed), (0, ORIGIN))
+
+    def test_one_question_without_an_answer_makes_it_failing(self):
+        self.answer()
+        self.assertTrue(self.known.is_replica)
+        self.known.note(None, now=2.0)
+        self.assertFalse(self.known.is_replica)
+        self.assertEqual((self.known.term, self.known.latest_at), (3, 1.0))
+
+    def test_a_broken_connection_does_too_until_the_next_answer(self):
+        self.answer(MemberRole.PRIMARY)
+        self.known.suspect()
+        self.assertFalse(self.known.is_primary)
+        self.answer(MemberRole.PRIMARY)
+        self.assertTrue(self.known.is_primary)
+
+    def test_what_is_known_holds_for_one_start(self):
+        self.answer(leaving=True)
+        self.assertTrue(self.known.is_leaving)
+        self.assertTrue(self.known.is_of_start("first"))
+        self.assertFalse(self.known.is_of_start("second"))
+
+
+class ChangeTest(unittest.TestCase):
+    def test_a_change_against_the_version_in_force_is_accepted_if_it_changes_anything(self):
+        for is_explicit in (False, True):
+            verdicts = [changes.change_verdict(True, is_explicit, empty) for empty in (False, True)]
+            self.assertEqual(verdicts, [Verdict.ACCEPTED, Verdict.UNCHANGED])
+
+    def test_against_an_older_one_it_conflicts_only_if_its_author_named_that(self):
+        for is_empty in (False, True):
+            self.assertIs(changes.change_verdict(False, True, is_empty), Verdict.CONFLICT)
+            self.assertIs(changes.change_verdict(False, False, is_empty), Verdict.REBASE)
+
+    def test_a_resend_gets_the_first_outcome(self):
+        first = Outcome(Verdict.ACCEPTED, 7)
+        self.assertIs(changes.resent_outcome("digest", first, "digest"), first)
+
+    def test_other_work_under_a_used_id_is_refused(self):
+        outcome = changes.resent_outcome("digest", Outcome(Verdict.ACCEPTED, 7), "other")
+        self.assertEqual(outcome, Outcome(Verdict.REUSED_ID, 7))
+
+    def test_a_request_waits_for_a_leader_until_its_deadline(self):
+        self.assertTrue(changes.may_ask_again(7.8, 8.0))
+        self.assertFalse(changes.may_ask_again(7.95, 8.0))
+
+
+class AdmissionTest(unittest.TestCase):
+    MEMBERSHIP = Membership({"a@1": "a:1", "b@1": "b:1"}, {"b@2": "b:1", "c@1": "c:1"})
+
+    def test_a_learner_takes_the_place_of_another_of_its_name(self):
+        changed = with_learner(self.MEMBERSHIP, "b", "b@3", "b:2")
+        self.assertEqual(changed.learners, {"c@1": "c:1", "b@3": "b:2"})
+        self.assertEqual(changed.voters, self.MEMBERSHIP.voters)
+
+    def test_all_nodes_of_a_name_are_removed(self):
+        changed = without_name(self.MEMBERSHIP, "b")
+        self.assertEqual(changed, Membership({"a@1": "a:1"}, {"c@1": "c:1"}))
+        self.assertEqual(without_name(self.MEMBERSHIP, "d"), self.MEMBERSHIP)
+
+    def test_an_empty_folder_never_gets_an_old_identity(self):
+        self.assertIs(folder_step(False, may_bootstrap=False), FolderStep.JOIN)
+        self.assertIs(folder_step(False, may_bootstrap=True), FolderStep.BOOTSTRAP)
+        for may_bootstrap in (False, True):
+            self.assertIs(folder_step(True, may_bootstrap), FolderStep.RESTART)
+
+    def test_a_folder_of_another_node_or_system_is_refused(self):
+        owner = FolderOwner("system", "a", [])
+        check_owner(Identity("system", "a@5"), owner)
+        for identity in (Identity("other", "a@5"), Identity("system", "b@5")):
+            with self.assertRaises(StorageError):
+                check_owner(identity, owner)
