--- a/tests/soak/members.py
+++ b/tests/soak/members.py
@@ -25,6 +25,8 @@
         self.slowness = 1.0
         self.turned_away = 0
         self.silent = False
+        # Connections with lines that have arrived; these run, also if their sender has gone.
+        self.pending: set[SlottedConnection] = set()
         self._running = 0
         self._waiting: deque[tuple[float, Callable[[], None]]] = deque()
 
@@ -40,9 +42,20 @@
     def speak_again(self) -> None:
         """Take what has arrived while the member was silent."""
         self.silent = False
-        for connection in list(self.connections):
+        for connection in list(self.pending):
             connection.take_waiting()
 
+    def end_transactions(self) -> None:
+        super().end_transactions()
+        for connection in self.pending:
+            connection.lost_lead = True
+
+    def stop(self) -> None:
+        for connection in self.connections | self.pending:
+            connection.has_crashed = True
+        self.pending.clear()
+        super().stop()
+
     def _go_on(self) -> None:
         while self._waiting and self._running < self.usable:
             seconds, done = self._waiting.popleft()
@@ -63,12 +76,14 @@
         super().__init__(member)
         self._lines: deque[str] = deque()
         self._is_at_work = False
+        self.has_crashed = False
         self._has_counted = False  # the open transaction, against its tenant's limit
         self._number = next(_numbers)
         self._shape = ""
 
     def take(self, line: str) -> None:
         self._lines.append(line)
+        self.member.pending.add(self)
         self.take_waiting()
 
     def take_waiting(self) -> None:
@@ -83,6 +98,8 @@
             if not self.member.take_slot(seconds, lambda line=line: self._done(line)):
                 self._is_at_work = False
                 self.ready(self.fail("BUSY")) if self.started else self._turn_away()
+        if not self._lines and not self._is_at_work:
+            self.member.pending.discard(self)
 
     def _seconds(self, line: str) -> float:
         """Return for how long a line takes a slot."""
@@ -99,7 +116,7 @@
 
     def _done(self, line: str) -> None:
         self._is_at_work = False
-        if not self.transport.is_closing():
+        if not self.has_crashed:
             self._run(line)
             self.take_waiting()
 
