--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -97,9 +97,9 @@
     Parameters
     ----------
     name : str
-        For who reads the table.
+        Short name, for readers of the table.
     rule : str
-        Path of what decided, for who reads the code; empty if nothing did. It isn't printed.
+        Path of the function that decided, for readers of the code; empty if none did. Not printed.
     holds : callable
         Whether it is the cause, if none before it is.
     sentence : callable
@@ -127,7 +127,7 @@
     ),
     CauseRule(
         "no holder of the service's connections",
-        f"{_WORK}.refusals.defer_seconds",
+        "rowanrail.gateway.relay.forwarding_rules.without_holder",
         lambda known: known.stage == Stage.WAITS_FOR_HOLDER.value and not known.rejected,
         lambda known: (
             f"no gateway of its zone held connections to {known.service} in time ({known.reason})"
@@ -231,7 +231,7 @@
 
 
 def _missing_route(statement: LogLine, around: list[LogLine]) -> str:
-    """Return which version lacked the route, and on whose word it is the newest."""
+    """Return which version lacked the route, and which control node called it the newest."""
     fields = statement.fields
     cause = f"version {fields.get('version')} has no route for {fields.get('database')}"
     for line in around:
