--- a/src/rowanrail/coordination/announcements.py
+++ b/src/rowanrail/coordination/announcements.py
@@ -1,6 +1,7 @@
-"""What the leader makes of members' announcements: changes, late ones, ends, second lives.
+"""How the leader handles members' announcements: changes, late ones, ends, returns.
 
-Owns which displaced members go on to announce themselves. Relies on the state for what the log
+A member is displaced when another instance announces itself at its address. Owns which displaced
+members go on to announce themselves. Relies on the state for what the log
 holds, on :mod:`liveness` for heartbeats, and on the log to make a change durable.
 """
 
@@ -19,7 +20,7 @@
 
 @dataclass(slots=True)
 class _Claim:
-    """Moments, in seconds, since a displaced member announces itself again, and of the last one."""
+    """When a displaced member first announced itself again, and when last; seconds."""
 
     since: float
     heard_at: float
@@ -56,8 +57,8 @@
     async def take(self, record: MemberRecord) -> None:
         """Take what a member announces of itself.
 
-        The log knows the sequence of a member's last change only. Leaving counts whenever it
-        comes; anything else that is older than what was heard since is out of date.
+        The log holds the sequence of a member's last change only, so that the newest one heard
+        says whether an announcement is late. A late one counts only if the member is leaving.
         """
         is_late = self._liveness.is_late(record.instance, record.sequence) and not record.leaving
         self._liveness.heartbeat(record.instance, record.sequence)
@@ -81,7 +82,7 @@
             await self._propose(Readmit(record))
 
     def _is_place_free(self, record: MemberRecord) -> bool:
-        """Return whether a member sends heartbeats while nobody else at its address does.
+        """Return whether a displaced member sends heartbeats and the one at its address none.
 
         A heartbeat that a network cut delayed may arrive after its sender has ended and a new
         life of the member has registered at the address, and look newer than it is. Only a
--- a/src/rowanrail/coordination/change_batch.py
+++ b/src/rowanrail/coordination/change_batch.py
@@ -1,8 +1,8 @@
 """Batching of change notices: which revision of the directory gateways are told of now.
 
 At a start, members and gateways come by hundreds within seconds, and each change would wake each
-gateway's long poll. Changes whose delay harms nobody wait for others; a member that leaves or is
-gone, another primary and a new configuration are told at once, together with what waited.
+gateway's long poll. Changes that can wait are sent together; a member that leaves or is
+gone, another primary and a new configuration are sent at once, with what waited.
 
 Owns the revision that is released and the timer of a batch; relies on ``kernel.clock``.
 """
--- a/src/rowanrail/coordination/duty.py
+++ b/src/rowanrail/coordination/duty.py
@@ -176,9 +176,9 @@
         task.add_done_callback(self._tasks.discard)
 
     def _is_calm(self, service: str) -> bool:
-        """Return whether nobody has a reason to replace a primary, which is so nearly always.
+        """Return whether nothing speaks for a replacement of the primary, which is the usual case.
 
-        It spares going through what all gateways say; :func:`decide` would wait as well.
+        It saves reading all gateways' reports; :func:`decide` would say wait as well.
         """
         if self._trackers[service].failing_since or self._service.liveness.fails(service):
             return False
--- a/src/rowanrail/coordination/failover.py
+++ b/src/rowanrail/coordination/failover.py
@@ -21,7 +21,7 @@
 # The slowest promotion of the played sites takes 1 s; then it is ordered again.
 SETTLE_SECONDS = 2.5
 ANSWER_UNKNOWN_SECONDS = 1.6  # the promoter gives a call 1.5 s
-NEW_HOLDER_SECONDS = 1.0  # before it believes that nobody leads: members may be unheard yet
+NEW_HOLDER_SECONDS = 1.0  # before it believes that no member leads: some may be unheard yet
 NEW_HOLDER_REPORTS_SECONDS = 0.6  # before it acts on reports; other nodes send it theirs at once
 
 
@@ -181,7 +181,7 @@
 
 
 def _best_candidate(view: ServiceView) -> str | None:
-    """Return the member whose log goes furthest in the newest term that anybody knows of.
+    """Return the member whose log goes furthest in the newest term that any member reports.
 
     A member that knows only of an older term may hold commits that a promotion undid.
     """
--- a/src/rowanrail/coordination/forwarding.py
+++ b/src/rowanrail/coordination/forwarding.py
@@ -29,8 +29,8 @@
 class ReportForwarding:
     """Leaves out reports that tell the leader nothing new.
 
-    Most gateways most of the time have neither a proof nor a failure to tell; one that had, and
-    has no longer, is told at once.
+    Most gateways most of the time have neither a proof nor a failure to report; a report is sent
+    at once if the one before had any.
 
     Parameters
     ----------
--- a/src/rowanrail/coordination/gateway_loads.py
+++ b/src/rowanrail/coordination/gateway_loads.py
@@ -15,9 +15,9 @@
 
 __all__ = ["GatewayLoads"]
 
-# Without word a span counts no more: three of them, as long as a gateway counts as being there.
+# Without a report a gateway's load counts no more; three spans.
 FORGET_LOAD_MS = 15_000.0
-# Heard for so long, a gateway may be given something to hold: as long as demand has to last.
+# Reporting for so long, a gateway may be given shards to hold: as long as demand has to last.
 SETTLED_MS = 20_000.0
 SLOW_SPANS = 2  # in succession make a gateway slow: one pause doesn't
 QUICK_SPANS = 4  # in succession make it quick again
--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -83,7 +83,7 @@
         self._give(group, key, max(claim(key, name) for name in self._groups[group]))
 
     def _give(self, group: str, key: str, to: tuple[bytes, str] | None) -> None:
-        """Note who holds something in a group; None if nobody does any more."""
+        """Note which gateway holds something in a group; None if none does any more."""
         before = self._first[group].pop(key, None)
         if before is not None:
             self._held[before[1]] -= 1
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -34,7 +34,7 @@
 
 CLUSTER = "gateways"
 ADMISSION_CHECK_SECONDS = 0.3  # between checks whether to ask for admission
-FIRST_ELECTION_SECONDS = 0.2  # at a start there is nobody to wait for
+FIRST_ELECTION_SECONDS = 0.2  # at a start no leader's heartbeat is waited for
 REPEATED_ELECTION_SECONDS = 0.45  # above ten round trips between regions (0.4 s)
 ADMISSION_CALL_SECONDS = 1.0  # a commit at a slow disk fits in
 UNHEARD_SECONDS = 2.5  # more than five elections
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -80,7 +80,7 @@
         return propose(self.lasting, loads, layout, self._state.plan, self._resting())
 
     def note_changed(self, proposal: Proposal) -> None:
-        """Note that a proposal is in force, so that what it changed rests."""
+        """Note that a proposal is in force: what it changed is left as it is for ``REST_MS``."""
         now = self._now()
         for change in proposal.changes:
             self._changed_at[change.group, change.key] = now
@@ -93,7 +93,7 @@
         return set(self._changed_at)
 
     def _layout(self, demand: _Demand) -> Layout:
-        """Return whom the hash names for the services that are asked for, or in the plan."""
+        """Return the holders by the hash, for services that have demand or are in the plan."""
         state = self._state
         by_group: dict[str, list[str]] = {}
         for gateway in state.gateways.values():
--- a/src/rowanrail/coordination/policies.py
+++ b/src/rowanrail/coordination/policies.py
@@ -1,6 +1,6 @@
 """Guards of the control nodes for gateways, as plug-ins of kind ``coordination-guard``.
 
-Each carries one guarantee, which a test can take away to see that it is needed.
+Each carries one guarantee, which a test can remove to show that it is needed.
 """
 
 import msgspec
@@ -14,19 +14,19 @@
     """Each order to promote has a token of its own, higher than all before it."""
 
     def token(self, log_index: int) -> int:
-        """Return the token of the order whose intent stands at a place of the log."""
+        """Return the token of the order whose intent is the log entry of this index."""
         return log_index
 
 
 @register("coordination-guard", "incarnation")
 class IncarnationCheck:
-    """One life of a member is announced once, in order, and ends once."""
+    """An instance of a member is announced once, in order, and ends once."""
 
     def is_news(self, record: MemberRecord, known: MemberRecord | None, removed: bool) -> bool:
         """Return whether an announcement says something new, and did not come late.
 
-        :param known: what was announced last by the same life of the member.
-        :param removed: whether that life has ended.
+        :param known: what the same instance announced last.
+        :param removed: whether that instance has ended.
         """
         if removed:
             return False
--- a/src/rowanrail/coordination/replay.py
+++ b/src/rowanrail/coordination/replay.py
@@ -11,7 +11,7 @@
 
 
 class Replay:
-    """Replays a log, and goes on from where it was asked the last time if that still stands.
+    """Replays a log, from where the last replay ended if the log up to there is the same.
 
     At a first start each gateway asks each control node, while the log grows with each member.
 
--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -195,7 +195,7 @@
         return True
 
     def _take_address(self, record: MemberRecord) -> None:
-        """Know a member; whoever had its address before is gone, as far as is known."""
+        """Add or replace a member; another one at its address is displaced."""
         occupant = self.occupant(record)
         if occupant is not None:
             self._drop_member(occupant.instance)
@@ -229,16 +229,16 @@
         return instance in self.removed and instance not in self.displaced
 
     def may_return(self, record: MemberRecord) -> bool:
-        """Return whether a member lost its place to another life, and has said more since.
+        """Return whether a member was displaced and has announced itself since.
 
-        One that was leaving, or said that it has ended, does not come back.
+        One that was leaving, or announced its end, does not come back.
         """
         known = self.displaced.get(record.instance)
         return known is not None and record.sequence > known.sequence and not record.leaving
 
     def _demote_others(self, record: MemberRecord) -> None:
-        # A service has one primary: whoever says so last in the log replaced the one before,
-        # which may be cut off and unable to say anything.
+        # A service has one primary: the last one announced in the log replaced the one before,
+        # which may be cut off and unable to announce that it no longer leads.
         for known in list(self.members.values()):
             if known.instance == record.instance:
                 continue
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -2,7 +2,8 @@
 
 A node beyond the target stays a learner, caught up and ready. Once a voter has been silent
 for a while and such a learner stands by, the voter goes and the learner takes its place, in
-two steps that each change one voter. Whoever went wrongly comes back as a learner.
+two steps that each change one voter. A voter that was replaced though it lives
+rejoins as a learner.
 """
 
 from collections.abc import Callable
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -1,6 +1,6 @@
 """Long polls of gateways: what a control node tells them of its state, and when.
 
-Owns who waits and what was told last. Relies on :mod:`change_batch` for when a change is told, on
+Owns the polls that wait. Relies on :mod:`change_batch` for when a change is sent, on
 :mod:`parts` for its encoding, and on the log's node for whether this node is sure of its state.
 """
 
@@ -57,7 +57,7 @@
     state : CoordinationState
         What the log's committed entries lead to.
     zone : str
-        Where the node stands.
+        Of the node.
     now : callable
         Returns the steady time in seconds.
     """
@@ -90,7 +90,7 @@
         return self._node.raft.current_seconds_ago(self._now()) < CURRENT_SECONDS
 
     def notice_change(self) -> None:
-        """Wake those who wait if something changed that they are to be told."""
+        """Wake the waiting polls if something changed that gateways need to know."""
         self._batch.note(self._state.revision, self._state.urgent_revision)
         state = self._state
         seen = (state.version, self._batch.released, state.plan.number, self.is_current)
@@ -100,7 +100,7 @@
             self._changed = asyncio.Event()
 
     async def answer(self, request: DirectoryRequest) -> DirectoryReply:
-        """Tell what is newer than a gateway knows, at the latest when its hold is over."""
+        """Return what is newer than a gateway knows, at the latest when its wait is over."""
         deadline = self._now() + min(request.wait_seconds, MAXIMUM_HOLD_SECONDS)
         while not self._may_answer(request):
             changed = self._changed
@@ -132,7 +132,7 @@
         )
 
     def _may_answer(self, request: DirectoryRequest) -> bool:
-        """Return whether to answer before the request's hold is over.
+        """Return whether to answer before the request's wait is over.
 
         A gateway that follows a node which is not sure goes on to the next one; one that has
         just started asks all nodes, and each answers once it is sure.
@@ -142,7 +142,7 @@
         return request.known_version > 0 and request.known_revision >= 0
 
     def _has_news(self, request: DirectoryRequest) -> bool:
-        """Return whether there is something that a gateway is to be told now."""
+        """Return whether there is something that a gateway needs to know now."""
         return (
             self._wants_whole(request)
             or self._state.version > request.known_version
@@ -151,12 +151,12 @@
         )
 
     def _has_plan(self, request: DirectoryRequest) -> bool:
-        """Return whether there is a plan that a gateway wants to know, and does not."""
+        """Return whether there is a newer plan than a gateway has, if it takes plans."""
         known = request.known_plan
         return known is not None and self._state.plan.number > known
 
     def _wants_whole(self, request: DirectoryRequest) -> bool:
-        """Return whether a gateway needs everything, and this node is as far as it was told."""
+        """Return whether a gateway needs everything, and this node is not behind it."""
         if request.known_revision < 0:
             return True
         return request.wants_whole and self._state.revision >= request.known_revision
@@ -177,7 +177,7 @@
         return msgspec.structs.replace(reply, plan=plan)
 
     def _controls(self, known: int) -> list[str]:
-        """Return all control nodes, none if a gateway was told of them."""
+        """Return all control nodes, none if a gateway knows them."""
         membership = self._node.raft.membership
         if self._membership is not membership:
             self._membership = membership
--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -105,7 +105,7 @@
     known_controls : int
         See :func:`controls_mark`.
     known_plan : int or None
-        Number of the plan of holders, None if the gateway goes by none.
+        Number of the plan of holders that the gateway has, None if its settings say ``hashed``.
     """
 
     report: GatewayReport
@@ -130,7 +130,8 @@
     Parameters
     ----------
     current : bool
-        Whether this node hears a leader; else the gateway asks another node.
+        Whether this node held all that is committed a short while ago; else the gateway asks
+        another node.
     document : bytes
         The configuration (compressed), empty if the known one is the newest.
     members : list of MemberRecord or None
@@ -142,7 +143,7 @@
     controls : list of str
         Addresses of all control nodes; empty if the gateway knows them.
     zone : str
-        Where the answering node stands.
+        Of the answering node.
     others : list of GatewayRecord
         Gateways of other groups that hold connections there, with ``members``.
     part : bytes
--- a/src/rowanrail/directory/reports.py
+++ b/src/rowanrail/directory/reports.py
@@ -12,7 +12,7 @@
 
 # Age of a proof up to which it is reported. A proof contradicts others who have failed for longer
 # than it is old. Those who fail report within 0.3 s and are decided on within seconds; a proof of
-# half a minute ago contradicts nobody.
+# half a minute ago contradicts no report.
 REPORTED_PROOF_MS = 30_000
 
 
--- a/src/rowanrail/explain/rejections.py
+++ b/src/rowanrail/explain/rejections.py
@@ -20,7 +20,7 @@
     Parameters
     ----------
     rule : str
-        Path of the function that decided, for who reads the code; it isn't printed.
+        Path of the function that decided, for readers of the code; it isn't printed.
     sentence : callable
         Gets the forecast wait and run, the time left (milliseconds, "?" if not logged) and the
         gateway it was to be sent to.
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -87,7 +87,7 @@
 
     @property
     def control_age(self) -> float | None:
-        """Milliseconds since a control node was last sure, None before the first was."""
+        """Milliseconds since a control node last said so, None before the first one did."""
         return None if self._heard_at is None else self._clock.now - self._heard_at
 
     def refuse_database(self, database: str) -> Answer:
@@ -105,14 +105,14 @@
     # Keys
 
     def open(self, database: str, key: str) -> ClientIdentity | None:
-        """Return whose key a client names, None if it may open no session."""
+        """Return the identity of a client's key, None if it may open no session."""
         identity = self.identify(database, key_digest(key))
         if identity is None:
             self._decisions.note(KEY_UNKNOWN, database=database, version=self.version)
         return identity
 
     def identify(self, database: str, key: bytes) -> ClientIdentity | None:
-        """Return whose statements come with a key's digest, None if they may not run."""
+        """Return the identity of a key's digest, None if its statements may not run."""
         known = self._configuration
         if known is None or known.tenants is None:
             return ClientIdentity()
--- a/src/rowanrail/gateway/sessions/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -1,6 +1,6 @@
-"""What becomes of clients' statements: the log, the metrics, and who will retry.
+"""Where the answers of clients' statements are noted: log, metrics, clients that will retry.
 
-For the sessions, which tell each answer. Owns the log lines 300 and 301; relies on the trace that
+For the sessions, which report each answer. Owns the log lines 300 and 301; relies on the trace that
 the work of a statement gives, and on :class:`Access` to remember who was rejected.
 """
 
--- a/src/rowanrail/gateway/sessions/pending.py
+++ b/src/rowanrail/gateway/sessions/pending.py
@@ -1,6 +1,6 @@
-"""What waits at a gateway: starts of sessions for a configuration, other gateways for a sample.
+"""Waits at a gateway: of session starts for a configuration, of other gateways for a sample.
 
-For :class:`rowanrail.gateway.gateway.Gateway`. Owns that each goes on once. Relies on the gateway
+For :class:`rowanrail.gateway.gateway.Gateway`. Owns that each ends only once. Relies on the gateway
 to end the wait after its time.
 """
 
@@ -20,7 +20,7 @@
         self._proceed: Callable[[], None] | None = proceed
 
     def run(self) -> None:
-        """Go on, unless that was done."""
+        """Start the session, unless that was done."""
         proceed, self._proceed = self._proceed, None
         if proceed is not None:
             proceed()
@@ -47,7 +47,7 @@
         self._answer(self._tracker.sample if position is not None else None)
 
     def give_up(self) -> None:
-        """Answer that there is none, if none came so far."""
+        """Answer that there is no sample, unless one was given."""
         self._tracker.forget(self._take)
         self._answer(None)
 
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -27,7 +27,7 @@
 
 
 class SessionAccess(Protocol):
-    """What a session asks of the limits of its tenant."""
+    """Port: the limit of a session's tenant, and which clients retry after a rejection."""
 
     def refuse_over_quota(self, session: "Session") -> Answer | None:
         """Count an operation of a session's tenant, or return why it may not begin now."""
@@ -40,7 +40,7 @@
 
 
 class SessionOutcomes(Protocol):
-    """Who is told the answers of a session."""
+    """Port: gets each answer of a session, for the log and the metrics."""
 
     def note(
         self,
@@ -323,7 +323,7 @@
         self._abort_reason = reason
 
     def close(self) -> None:
-        """End the session: its transaction is rolled back, nobody waits for an answer."""
+        """End the session: its transaction is rolled back, and no answer is given any more."""
         if self.closed:
             return
         self.closed = True
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -56,7 +56,7 @@
     # What differs between kinds of work
 
     def entry(self) -> QueueEntry:
-        """Return how the statement stands among those that want a connection."""
+        """Return the statement's entry for a wait queue: its urgency, tenant and deadline."""
         raise NotImplementedError
 
     def try_next_member(self) -> None:
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -57,9 +57,9 @@
         )
 
     def doubts(self) -> dict[str, int]:
-        """Return the members of which this gateway's statements found trouble, see Reply."""
+        """Return the members that lost weight here, and how much is left, in hundredths."""
         return self._service.estimates.weights.reduced()
 
     def note_doubts(self, doubts: dict[str, int]) -> None:
-        """Take what another gateway told of the members that it doubts."""
+        """Take the members that lost weight at another gateway, and how much is left there."""
         self._service.estimates.weights.note_reported(doubts)
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -117,7 +117,7 @@
     def hand_to_holder(self, statement: TypedStatement, writes: bool, instance: str = "") -> bool:
         """Have the gateway run it that holds the connections to a member of another region.
 
-        That is the primary if none is named. Returns False if the member stands in this region, or
+        That is the primary if none is named. Returns False if the member is in this region, or
         that gateway is not known.
         """
         holder = self.others.find_remote_holder(self.tenant, instance)
@@ -167,8 +167,8 @@
     def reject_long_lost(self) -> bool:
         """Refuse at once what needs a primary that has been lost for long; return whether it was.
 
-        Waiting is worth its time while a successor may come. A gateway that stays cut off from a
-        primary had better send its clients on while another gateway can still be in time.
+        A successor would have been found by then, so that this gateway is probably cut off from
+        the primary. Its client still has time to try another gateway, and gets no Retry-After.
         """
         tracker = self.service.primary
         if not tracker.is_long_lost:
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -75,7 +75,7 @@
         Returns work at a gateway that reaches the primary, None if none is known.
     find_remote_holder : callable
         Gets a tenant and a member's instance, empty for the primary. Returns work at the gateway
-        that holds the tenant's connections to that member, None if it stands in this region.
+        that holds the tenant's connections to that member, None if the member is in this region.
     """
 
     find_detour: Callable[[], Work | None] = _no_detour
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -129,7 +129,7 @@
 
 
 def left_seconds(whole_seconds: float, waited_seconds: float) -> float:
-    """Return what is left of a time for whoever a statement is handed on to."""
+    """Return the seconds that are left to the gateway that a statement is handed to."""
     return max(SHORTEST_LEFT_SECONDS, whole_seconds - waited_seconds)
 
 
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -136,12 +136,12 @@
         base_ms: float = 0.0,
         forecast: Forecast = NO_FORECAST,
     ) -> None:
-        """Refuse, as not run, and tell the client when to retry, one after the other.
+        """Refuse, as not run, with a Retry-After that differs from those given before.
 
         Parameters
         ----------
         base_ms : float
-            Milliseconds until the first of those who were rejected is welcome.
+            Milliseconds until the first of the rejected clients should retry.
         """
         urgency = self.route.priority
         retry_after = self.service.retry_times.next(
@@ -166,4 +166,4 @@
             respond(answer)
 
     def let_go(self, answer: Answer) -> None:
-        """Give up what was asked of others: the statement has its answer."""
+        """Withdraw what pools or other gateways were asked for: the statement has its answer."""
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -99,7 +99,7 @@
 
     @property
     def _sent(self) -> Sent:
-        """What was sent last, by what may be kept of it."""
+        """What was sent last; it decides what the client is told if the answer is lost."""
         commits = self.statement.kind is StatementKind.COMMIT and self.wrote
         return Sent.COMMIT if commits else Sent.IN_TRANSACTION
 
--- a/src/rowanrail/members/channel.py
+++ b/src/rowanrail/members/channel.py
@@ -36,7 +36,7 @@
 class Channel:
     """One connection: commands under way, and what sessions have set on it.
 
-    A connection on which an answer came that nobody asked for is closed, and so is one
+    A connection on which an answer came without a command is closed, and so is one
     whose answer is late: the next answer read would not be the next command's.
     """
 
--- a/src/rowanrail/members/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -6,8 +6,8 @@
 Owns one service's samples and the reads that wait for one. It asks the rules
 (:class:`rowanrail.members.primary_belief.PrimaryBelief`,
 :mod:`rowanrail.members.sampling_rules`) and does what they say; the connections are those of
-:class:`rowanrail.members.sampler.MemberSampler`. A member that has no connection left is alive, so
-that nobody may take it for lost.
+:class:`rowanrail.members.sampler.MemberSampler`. A member that has no connection left is alive
+and never counts as lost for it.
 """
 
 from collections.abc import Callable
@@ -181,7 +181,7 @@
         self.request_sample()
 
     def forget(self, give: GiveFloor | None) -> None:
-        """Forget somebody who waits."""
+        """Withdraw a wait for a sample."""
         self._waiting.forget(give)
 
     # Asking
@@ -200,7 +200,7 @@
             self.request_sample()
 
     def request_sample(self) -> None:
-        """Ask for a new sample, as before somebody has to wait for it."""
+        """Ask for a new sample, also ahead of the reads that will need it."""
         if self._sampler.is_asking(self.believed):
             return  # the answer to a later question is asked for when this one is answered
         if self.believed:
--- a/src/rowanrail/members/primary_belief.py
+++ b/src/rowanrail/members/primary_belief.py
@@ -1,7 +1,7 @@
 """Which member is believed to be primary, and for how long it has failed.
 
-The rules of one service's primary, as a state with transitions on plain values: whoever acts
-(:class:`rowanrail.members.primary.PrimaryTracker`) tells what it saw, and does what the verdict
+The rules of one service's primary, as a state with transitions on plain values: the caller
+(:class:`rowanrail.members.primary.PrimaryTracker`) reports what it saw and does what the verdict
 says. It owns the believed member and the moments of its last proof and of its first failure; it
 relies on nothing but the times that it is given, in seconds on one steady clock.
 """
@@ -32,7 +32,7 @@
 class PrimaryBelief:
     """What is believed of one service's primary; times are steady seconds.
 
-    A primary that serves is not doubted by what members say of themselves, and a member's silence
+    While the primary serves, another member's claim to lead changes nothing; and a member's silence
     counts only against the one that is believed, or against the service while none is.
 
     Parameters
--- a/src/rowanrail/members/probe.py
+++ b/src/rowanrail/members/probe.py
@@ -19,10 +19,10 @@
     """A connection of a pool, wanted or in use for a sample."""
 
     def request(self, take: Callable[[Channel | None, Answer], None]) -> None:
-        """Ask for it, before all who wait for one to run statements."""
+        """Ask for it, ahead of all statements that wait for one."""
 
     def cancel(self) -> None:
-        """Want it no longer; nobody is called."""
+        """Withdraw the request; ``take`` is not called."""
 
     def give_back(self, channel: Channel) -> None:
         """Give it back, or drop it if it is closed."""
--- a/src/rowanrail/members/sampler.py
+++ b/src/rowanrail/members/sampler.py
@@ -28,7 +28,7 @@
 
 
 class SampleOwner(Protocol):
-    """Who learns what became of samples."""
+    """Port: gets the results of samples."""
 
     @property
     def is_awaited(self) -> bool:
@@ -55,7 +55,7 @@
     belief : PrimaryBelief
         Says which member is believed to be primary, and whether it fails.
     owner : SampleOwner
-        Learns what became of samples.
+        Gets the results of samples.
     driver : MemberDriver
         Opens connections.
     scheduler : Scheduler
--- a/src/rowanrail/members/samples.py
+++ b/src/rowanrail/members/samples.py
@@ -142,11 +142,11 @@
         self._waiting.append((asked_since, give))
 
     def forget(self, give: GiveFloor | None) -> None:
-        """Forget somebody who waits."""
+        """Withdraw a wait."""
         self._waiting = [entry for entry in self._waiting if entry[1] != give]
 
     def serve(self, sample: PositionSample | None) -> None:
-        """Give the position of a sample to all whom it is new enough for."""
+        """Give the position of a sample to all waits for which it is new enough."""
         if sample is None or not self._waiting:
             return
         ready = [entry for entry in self._waiting if entry[0] <= sample.asked_at]
@@ -156,7 +156,7 @@
                 give(sample.position)
 
     def close(self) -> None:
-        """Tell all who wait that nothing comes any more."""
+        """End all waits without a position: no sample will come."""
         waiting, self._waiting = self._waiting, []
         for _, give in waiting:
             give(None)
--- a/src/rowanrail/members/sampling_rules.py
+++ b/src/rowanrail/members/sampling_rules.py
@@ -1,7 +1,7 @@
 """When a member is sampled, on whose connection, and when a sample is given up.
 
-Functions on plain values, without state; whoever samples
-(:class:`rowanrail.members.sampler.MemberSampler`) asks them. Samples go on connections that are
+Functions on plain values, without state, for
+:class:`rowanrail.members.sampler.MemberSampler`. Samples go on connections that are
 open for statements where one is free: connections are scarce, most of all when all gateways start
 at once, and one that is borrowed is one fewer at the member.
 """
@@ -87,7 +87,7 @@
     unproved_seconds : float
         Since the last proof.
     monitor_seconds : float
-        After which one is asked for that nobody waits for.
+        After which one is asked for though no read waits.
     """
     return is_awaited or in_use and unproved_seconds > monitor_seconds
 
