--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -42,7 +42,7 @@
     "Sampled",
 ]
 
-CHECK_INTERVAL_MS = 50.0  # chosen: between checks of a link that owes answers
+LINK_CHECK_MS = 50.0  # chosen: between checks of a link that owes answers
 
 
 class LinkPort(Protocol):
@@ -216,7 +216,7 @@
         self._calls[question.call] = _Call(settle, may_be_kept)
         self._port.send(question)
         if self._timer is None:
-            self._timer = self._clock.call_in(CHECK_INTERVAL_MS, self._check)
+            self._timer = self._clock.call_in(LINK_CHECK_MS, self._check)
 
     def drop(self, call: int) -> None:
         """Forget a call, and have the neighbour forget it."""
@@ -297,7 +297,7 @@
 
     def _check_later(self) -> None:
         if self._timer is None and self._state is not LinkState.DOWN:
-            self._timer = self._clock.call_in(CHECK_INTERVAL_MS, self._check)
+            self._timer = self._clock.call_in(LINK_CHECK_MS, self._check)
 
     def _give_up_unkept(self, reason: str) -> None:
         """Settle as lost the calls of which nothing is kept, and have the neighbour forget them."""
