--- a/src/rowanrail/consensus/progress.py
+++ b/src/rowanrail/consensus/progress.py
@@ -6,7 +6,8 @@
 
 from rowanrail.consensus.messages import Membership
 
-NEVER = -1e9  # seconds on the steady clock, before any process started
+# Seconds on the steady clock, before any process started: the time of what has not happened yet.
+BEFORE_START_SECONDS = -1e9
 
 
 class Progress(msgspec.Struct):
@@ -81,11 +82,11 @@
         """
         answers = [now if peer == self._node else self._answered_at(peer) for peer in voters]
         answers.sort(reverse=True)
-        return answers[len(answers) // 2] if answers else NEVER
+        return answers[len(answers) // 2] if answers else BEFORE_START_SECONDS
 
     def _answered_at(self, peer: str) -> float:
         progress = self._progress.get(peer)
-        return progress.answered_at if progress else NEVER
+        return progress.answered_at if progress else BEFORE_START_SECONDS
 
     def answered_since(self, voters: Iterable[str], since: float) -> int:
         """Return how many voters have answered since a moment, the node itself included."""
--- a/src/rowanrail/consensus/raft.py
+++ b/src/rowanrail/consensus/raft.py
@@ -22,7 +22,7 @@
     VoteReply,
     VoteRequest,
 )
-from rowanrail.consensus.progress import NEVER, Progress
+from rowanrail.consensus.progress import BEFORE_START_SECONDS, Progress
 from rowanrail.consensus.raft_state import RaftState
 from rowanrail.consensus.raft_types import Effects, MembershipBusy, NotLeader, Role
 
@@ -111,7 +111,7 @@
         """Give up every role, and the claim to hold what is committed."""
         self.role = Role.FOLLOWER
         self.leader = ""
-        self._current_at = NEVER
+        self._current_at = BEFORE_START_SECONDS
         self._effects = Effects()
 
     def observe(self, incoming: ConsensusMessage, now: float) -> None:
--- a/src/rowanrail/consensus/raft_state.py
+++ b/src/rowanrail/consensus/raft_state.py
@@ -5,7 +5,7 @@
 from rowanrail.consensus.log import Log
 from rowanrail.consensus.messages import ConsensusMessage, Entry, HardState, Membership
 from rowanrail.consensus.policies import QuorumCheck
-from rowanrail.consensus.progress import NEVER, PendingReads, ProgressTable
+from rowanrail.consensus.progress import BEFORE_START_SECONDS, PendingReads, ProgressTable
 from rowanrail.consensus.raft_types import Effects, RaftConfig, Role
 
 FIRST_ELECTION_LEAST = 0.1  # share of the longest first wait that a node waits in any case
@@ -40,8 +40,8 @@
         self._votes: set[str] = set()
         self._progress = ProgressTable(node)
         self._reads = PendingReads()
-        self._heard_from_leader_at = NEVER
-        self._current_at = NEVER
+        self._heard_from_leader_at = BEFORE_START_SECONDS
+        self._current_at = BEFORE_START_SECONDS
         self._heartbeat_due = now
         self._quorum_due = now
         self._became_leader_at = now
--- a/src/rowanrail/coordination/service.py
+++ b/src/rowanrail/coordination/service.py
@@ -46,7 +46,7 @@
 
 LEADER_CALL_SECONDS = 0.8  # within REQUEST_SECONDS, so that another leader can be asked
 REQUEST_SECONDS = 0.9  # callers go to the next node after 1 s of silence
-RETRY_SECONDS = 0.05  # between checks for a leader; an election takes 0.1 to 0.5 s
+LEADER_CHECK_SECONDS = 0.05  # between checks for a leader; an election takes 0.1 to 0.5 s
 
 
 class CoordinationService:
@@ -126,11 +126,11 @@
                 async with asyncio.timeout_at(deadline):
                     return await self._on_leader(request)
             except (RowanrailError, TimeoutError) as error:
-                if loop.time() + RETRY_SECONDS >= deadline:
+                if loop.time() + LEADER_CHECK_SECONDS >= deadline:
                     raise TransportError(
                         f"no majority of the control nodes answers ({error})", step="find leader"
                     ) from error
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(LEADER_CHECK_SECONDS)
 
     async def _on_leader(self, request: msgspec.Struct) -> msgspec.Struct:
         if self.node.raft.is_leader:
--- a/src/rowanrail/mysql/prepared.py
+++ b/src/rowanrail/mysql/prepared.py
@@ -32,7 +32,7 @@
 
 CURSOR_FLAG = 1
 PARAMETER_COUNT_FLAG = 8
-UNSIGNED_FLAG = 0x80
+UNSIGNED_PARAMETER_FLAG = 0x80
 _TOKENS = re.compile(
     r"""'(?:[^'\\]|\\.|'')*' | "(?:[^"\\]|\\.|"")*" | `[^`]*` | /\*.*?\*/ | --\s[^\n]* |
     \#[^\n]* | (\?)""",
@@ -128,7 +128,7 @@
     statement.types = []
     for _ in range(count):
         kind = ColumnType(read_uint_1(reader))
-        statement.types.append((kind, bool(read_uint_1(reader) & UNSIGNED_FLAG)))
+        statement.types.append((kind, bool(read_uint_1(reader) & UNSIGNED_PARAMETER_FLAG)))
         names.append(read_str_len(reader).decode() if with_names else "")
     return names
 
--- a/src/rowanrail/mysql/values.py
+++ b/src/rowanrail/mysql/values.py
@@ -11,7 +11,7 @@
 
 from rowanrail.sql_proxy.backend import Column
 
-UNSIGNED_FLAG = 32
+UNSIGNED_COLUMN_FLAG = 32
 _INTEGER_FORMATS = {
     ColumnType.TINY: "b",
     ColumnType.SHORT: "h",
@@ -84,7 +84,7 @@
 ) -> Callable[[Any, Any], bytes]:
     if kind in _INTEGER_FORMATS:
         code = _INTEGER_FORMATS[kind]
-        return _binary_integer(code.upper() if flags & UNSIGNED_FLAG else code)
+        return _binary_integer(code.upper() if flags & UNSIGNED_COLUMN_FLAG else code)
     if kind in _FLOAT_FORMATS:
         return _binary_float(_FLOAT_FORMATS[kind])
     if kind in _DATE_CONVERTERS:
--- a/src/rowanrail/sql_control/events.py
+++ b/src/rowanrail/sql_control/events.py
@@ -24,14 +24,14 @@
     "{bytes} bytes of an unsynced log tail were cut",
     "Expected after a power loss or kill. Nothing that was promised is lost.",
 )
-STORAGE_FAILED = define(
+FOLDER_FAILED = define(
     122,
     Level.ERROR,
     "the data folder failed, the node takes no part: {error}",
     "Do what the error says; the other nodes go on while a majority is left. The node tries its "
     "folder again twice a second.",
 )
-STORAGE_REGAINED = define(
+FOLDER_REGAINED = define(
     124,
     Level.INFO,
     "the data folder takes writes again, the node takes part in term {term}",
--- a/src/rowanrail/sql_control/node.py
+++ b/src/rowanrail/sql_control/node.py
@@ -19,9 +19,9 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.rpc.network import Listener, Network
 from rowanrail.sql_control.events import (
+    FOLDER_FAILED,
+    FOLDER_REGAINED,
     LEADER_CHANGED,
-    STORAGE_FAILED,
-    STORAGE_REGAINED,
     TAIL_CUT,
     VERSION_ACCEPTED,
 )
@@ -129,9 +129,9 @@
             return
         self._told_failure = failure is not None
         if failure is not None:
-            emit(STORAGE_FAILED, error=failure)
+            emit(FOLDER_FAILED, error=failure)
         else:
-            emit(STORAGE_REGAINED, term=self.consensus.raft.term)
+            emit(FOLDER_REGAINED, term=self.consensus.raft.term)
 
     async def stop(self) -> None:
         """Stop serving."""
--- a/src/rowanrail/sql_proxy/config_watch.py
+++ b/src/rowanrail/sql_proxy/config_watch.py
@@ -25,10 +25,14 @@
 )
 from rowanrail.sql_proxy.events import CONTROL_UNREACHABLE, UNCONFIRMED_CONFIGURATION
 
-HOLD_SECONDS = 2.0
-CALL_SECONDS = 1.0  # for the way there and back, on top of the hold
+# Seconds that a poll may wait at the control node for a newer version. Chosen.
+WATCH_WAIT_SECONDS = 2.0
+# Seconds for the round trip of a poll, on top of its wait. Chosen.
+WATCH_ROUND_TRIP_SECONDS = 1.0
+# Seconds for another proxy's answer. Chosen.
 PEER_CALL_SECONDS = 1.0
-RETRY_SECONDS = 0.2
+# Seconds after a control node did not answer until the next is asked. Chosen.
+CONTROL_RETRY_SECONDS = 0.2
 
 
 class ConfigurationHolder(Protocol):
@@ -84,7 +88,7 @@
         await self._start_up()
         while True:
             if not await self.poll_once():
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(CONTROL_RETRY_SECONDS)
 
     async def _start_up(self) -> None:
         """Take the leader's version; without one, the highest that anybody near knows."""
@@ -100,7 +104,7 @@
                 return
             await self._take_unconfirmed(known)
             if self._core.in_force.version == 0:
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(CONTROL_RETRY_SECONDS)
 
     async def _take_unconfirmed(self, known: list[WatchReply]) -> None:
         offers: list[tuple[VersionedConfiguration, str]] = []
@@ -132,7 +136,7 @@
     async def poll_once(self) -> bool:
         """Ask one control node for what is newer; return whether it answered."""
         address = self._controls[self._next_control % len(self._controls)]
-        reply = await self._ask(address, HOLD_SECONDS)
+        reply = await self._ask(address, WATCH_WAIT_SECONDS)
         if reply is None:
             self._next_control += 1
             return False
@@ -140,12 +144,14 @@
         self._core.set_users(reply.users)
         return True
 
-    async def _ask(self, address: str, hold_seconds: float) -> WatchReply | None:
+    async def _ask(self, address: str, wait_seconds: float) -> WatchReply | None:
         request = WatchRequest(
-            self._make_report(), self._held.version, self._held_digest, hold_seconds
+            self._make_report(), self._held.version, self._held_digest, wait_seconds
         )
         try:
-            reply = await self._network.call(address, request, hold_seconds + CALL_SECONDS)
+            reply = await self._network.call(
+                address, request, wait_seconds + WATCH_ROUND_TRIP_SECONDS
+            )
         except TransportError as error:
             if not self.silent:
                 emit(CONTROL_UNREACHABLE, peer=address, error=error)
--- a/src/rowanrail/sql_proxy/directory.py
+++ b/src/rowanrail/sql_proxy/directory.py
@@ -1,4 +1,9 @@
-"""The platform's list of live and leaving machines. It lags, so it is one word among three."""
+"""The platform's list of live and leaving machines.
+
+For the proxy's core, which marks the members at the listed addresses. Owns the task that polls the
+list; relies on the platform's HTTP interface. The list lags, so that it is one of three sources: a
+member also counts as leaving when an operator drains it, and when it says so itself.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -9,8 +14,10 @@
 from rowanrail.kernel.events import emit
 from rowanrail.sql_proxy.events import DIRECTORY_UNREACHABLE
 
-POLL_SECONDS = 0.5
-TIMEOUT_SECONDS = 2.0
+# Seconds between two questions for the list. Chosen.
+MACHINE_LIST_POLL_SECONDS = 0.5
+# Seconds for an answer. Chosen.
+MACHINE_LIST_TIMEOUT_SECONDS = 2.0
 
 
 class Machine(msgspec.Struct, frozen=True):
@@ -46,7 +53,7 @@
             self._task.cancel()
 
     async def _run(self) -> None:
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=MACHINE_LIST_TIMEOUT_SECONDS)
         silent = False
         async with aiohttp.ClientSession(timeout=timeout) as client:
             while True:
@@ -61,4 +68,4 @@
                     if not silent:
                         emit(DIRECTORY_UNREACHABLE, error=error)
                     silent = True
-                await asyncio.sleep(POLL_SECONDS)
+                await asyncio.sleep(MACHINE_LIST_POLL_SECONDS)
--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -21,7 +21,7 @@
 from rowanrail.sql_proxy.policies import Freshness, LeavingCheck, TermConfirmation
 from rowanrail.sql_proxy.pool import Pool, PoolLimits
 from rowanrail.sql_proxy.serving import PRIMARY_SEARCH_SECONDS, current_primary, expected_seconds
-from rowanrail.sql_proxy.share import UNKNOWN, ConnectionShare
+from rowanrail.sql_proxy.share import UNKNOWN_PROXIES, ConnectionShare
 
 
 class GroupOptions(msgspec.Struct, frozen=True):
@@ -126,7 +126,7 @@
     def keep_share(self, older: "GroupRuntime") -> None:
         """Go on with the share of the runtime that this one takes the place of."""
         self._connection_share = older._connection_share
-        self.set_users(UNKNOWN)
+        self.set_users(UNKNOWN_PROXIES)
 
     def start(self) -> None:
         """Begin to watch the members."""
--- a/src/rowanrail/sql_proxy/groups.py
+++ b/src/rowanrail/sql_proxy/groups.py
@@ -15,7 +15,7 @@
 from rowanrail.sql_proxy.backend import BackendDriver
 from rowanrail.sql_proxy.group import GroupOptions
 from rowanrail.sql_proxy.services import GroupServices
-from rowanrail.sql_proxy.share import UNKNOWN
+from rowanrail.sql_proxy.share import UNKNOWN_PROXIES
 from rowanrail.sql_proxy.watching import (
     ALWAYS_WATCHED_GROUPS,
     WATCH_SECONDS,
@@ -143,7 +143,7 @@
         """Note how many proxies use each group."""
         self._note_shared(users)
         for name, services in self._running.items():
-            services.group.set_users(users.get(name, UNKNOWN))
+            services.group.set_users(users.get(name, UNKNOWN_PROXIES))
 
     def used(self) -> list[str]:
         """Return the names of the groups that are watched: to them, connections may be open."""
--- a/src/rowanrail/sql_proxy/share.py
+++ b/src/rowanrail/sql_proxy/share.py
@@ -1,25 +1,29 @@
-"""A proxy's share of the connections that a member can hold, pure and apart from I/O.
+"""A proxy's share of the connections that a member can hold, without I/O.
 
 The limit of a member is one budget of all proxies that use its group. Control nodes count
-those proxies (see ``control.census``). A share shrinks at once and grows late: whoever
+those proxies (see ``sql_control.census``). A share shrinks at once and grows late: whoever
 held the connections before, also a dead proxy, must have given them up first. While the
 number is unknown, or new, a proxy takes no more than a small starting share, for which
 one share is kept free.
 """
 
+# Connections to a member while the number of proxies is unknown or new. Chosen.
 STARTING_CONNECTIONS = 3
-SETTLE_SECONDS = 8.0
+# Seconds that a number counts as new: the other proxies give up connections meanwhile. Chosen.
+SHARE_SETTLE_SECONDS = 8.0
+# Seconds for which fewer proxies must have been counted before a share grows. Chosen.
 GROW_SECONDS = 20.0
-UNKNOWN = 0
+# Number of proxies that use a group, as long as it is not known.
+UNKNOWN_PROXIES = 0
 
 
 class ConnectionShare:
     """The number of proxies by which a group's limits are divided here."""
 
     def __init__(self) -> None:
-        self._divisor = UNKNOWN
+        self._divisor = UNKNOWN_PROXIES
         self._known_since = float("inf")
-        self._lower = UNKNOWN
+        self._lower = UNKNOWN_PROXIES
         self._lower_since = 0.0
 
     def observe(self, proxies: int, now: float) -> None:
@@ -27,29 +31,29 @@
 
         :param proxies: 0 if that is not known; nothing changes then.
         """
-        if proxies == UNKNOWN:
+        if proxies == UNKNOWN_PROXIES:
             return
-        if self._divisor == UNKNOWN:
+        if self._divisor == UNKNOWN_PROXIES:
             self._known_since = now
         if proxies >= self._divisor:
             self._divisor = proxies
-            self._lower = UNKNOWN
+            self._lower = UNKNOWN_PROXIES
             return
-        if self._lower == UNKNOWN or proxies > self._lower:
+        if self._lower == UNKNOWN_PROXIES or proxies > self._lower:
             self._lower = proxies
             self._lower_since = now
         if now - self._lower_since >= GROW_SECONDS:
             self._divisor = self._lower
-            self._lower = UNKNOWN
+            self._lower = UNKNOWN_PROXIES
 
     def connections(self, limit: int, now: float) -> int:
         """Return how many connections to one member this proxy may hold.
 
         :param limit: what the member can hold in all.
         """
-        if self._divisor == UNKNOWN:
+        if self._divisor == UNKNOWN_PROXIES:
             return min(STARTING_CONNECTIONS, limit)
         share = max(1, limit // (self._divisor + 1))
-        if now - self._known_since < SETTLE_SECONDS:
+        if now - self._known_since < SHARE_SETTLE_SECONDS:
             return min(STARTING_CONNECTIONS, share)
         return share
--- a/tests/unit/test_connection_share.py
+++ b/tests/unit/test_connection_share.py
@@ -7,7 +7,7 @@
 
 from rowanrail.sql_proxy.share import (
     GROW_SECONDS,
-    SETTLE_SECONDS,
+    SHARE_SETTLE_SECONDS,
     STARTING_CONNECTIONS,
     ConnectionShare,
 )
@@ -24,7 +24,7 @@
         self.assertEqual(share.connections(40, 0.0), STARTING_CONNECTIONS)
         share.observe(3, 1.0)
         self.assertEqual(share.connections(40, 1.0), STARTING_CONNECTIONS)
-        self.assertEqual(share.connections(40, 1.0 + SETTLE_SECONDS), 10)
+        self.assertEqual(share.connections(40, 1.0 + SHARE_SETTLE_SECONDS), 10)
 
     def test_shrinks_at_once_and_grows_late(self):
         share = self.settled(3)
