--- a/src/rowanrail/coordination/daemon.py
+++ b/src/rowanrail/coordination/daemon.py
@@ -18,7 +18,7 @@
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.disk import FileDisk
-from rowanrail.kernel.http import HttpRequest, HttpResponse, serve
+from rowanrail.kernel.http import HttpRequest, HttpResponse, HttpServer, serve
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.metrics import Metrics, log_gauge, serve_metrics
 from rowanrail.kernel.registry import Registry
@@ -57,12 +57,7 @@
         registry.create("status-reader", protocol),
         registry.create("promoter", protocol, settings),
     )
-    service: CoordinationService = node.service
-    api: OutsideApi = registry.create("outside-api", protocol, service, settings, decisions)
-    server = await serve(settings.listen, api.handle)
-    if settings.metrics:
-        metrics = Metrics("rowanrail_control", lambda: [*gauges(node), log_gauge(decisions)])
-        await serve_metrics(settings.host, settings.metrics, metrics)
+    server = await _serve_outside(node, settings, registry, decisions)
     decisions.note(NODE_STARTED, node=node.consensus.identity.node, term=node.consensus.raft.term)
     decisions.flush()
     asyncio.get_running_loop().add_signal_handler(
@@ -75,3 +70,18 @@
     disk.close()
     decisions.note(NODE_STOPPED, node=settings.name)
     decisions.flush()
+
+
+async def _serve_outside(
+    node: Coordinator, settings: CoordinatorSettings, registry: Registry, decisions: DecisionLog
+) -> HttpServer:
+    """Serve the interface for operators and members, and the metrics if they are asked for."""
+    service: CoordinationService = node.service
+    api: OutsideApi = registry.create(
+        "outside-api", settings.protocol, service, settings, decisions
+    )
+    server = await serve(settings.listen, api.handle)
+    if settings.metrics:
+        metrics = Metrics("rowanrail_control", lambda: [*gauges(node), log_gauge(decisions)])
+        await serve_metrics(settings.host, settings.metrics, metrics)
+    return server
--- a/src/rowanrail/sql_proxy/daemon.py
+++ b/src/rowanrail/sql_proxy/daemon.py
@@ -1,4 +1,8 @@
-"""The proxy daemon: the core as a process."""
+"""The proxy daemon: the core as a process.
+
+Makes the ports (network, back-end driver, frontend) from the registry, runs the core until a stop
+signal, and stops as planned. Owns nothing else.
+"""
 
 import random
 
@@ -9,6 +13,7 @@
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.registry import Registry
 from rowanrail.kernel.web import serve_http
+from rowanrail.rpc.network import Network
 from rowanrail.rpc.routed import RoutedNetwork
 from rowanrail.rpc.tcp import TcpNetwork
 from rowanrail.sql_proxy.config_watch import ConfigurationWatch
@@ -40,6 +45,18 @@
     return application
 
 
+def _make_watch(
+    settings: ProxySettings, core: ProxyCore, network: Network, incarnation: str
+) -> ConfigurationWatch:
+    return ConfigurationWatch(
+        core,
+        network,
+        settings.controls,
+        [*settings.zone_peers, *settings.region_peers],
+        lambda: make_report(core, settings.name, settings.zone, incarnation),
+    )
+
+
 async def run_proxy(settings: ProxySettings) -> None:
     """Run a proxy until a stop signal, then stop as planned.
 
@@ -49,16 +66,9 @@
     randomness = random.Random()
     incarnation = f"{randomness.getrandbits(48):012x}"
     network = RoutedNetwork(TcpNetwork(), settings.routes)
-    core = ProxyCore(
-        settings.zone, settings.routes, registry.create("backend", "mysql"), registry, randomness
-    )
-    watch = ConfigurationWatch(
-        core,
-        network,
-        settings.controls,
-        [*settings.zone_peers, *settings.region_peers],
-        lambda: make_report(core, settings.name, settings.zone, incarnation),
-    )
+    driver = registry.create("backend", "mysql")
+    core = ProxyCore(settings.zone, settings.routes, driver, registry, randomness)
+    watch = _make_watch(settings, core, network, incarnation)
     frontend = registry.create("frontend", "mysql", core)
     listener = await network.serve(settings.rpc_listen, watch.answer_peer)
     runner = await serve_http(admin_application(core), settings.admin_listen)
