--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.metrics import Reading
 from rowanrail.members.primary import PrimaryTracker
 
-NEVER = -1.0
+NO_AGE_SECONDS = -1.0  # shown where nothing was heard yet
 SHOWN_TENANTS = 100  # of a gateway; bounds its metrics where there are thousands
 
 
@@ -41,7 +41,7 @@
 
 def _primary_gauges(service: str, tracker: PrimaryTracker, now_seconds: float) -> list[Reading]:
     labels = {"service": service}
-    age = now_seconds - tracker.sample.asked_at if tracker.sample else NEVER
+    age = now_seconds - tracker.sample.asked_at if tracker.sample else NO_AGE_SECONDS
     failing = now_seconds - tracker.failing_since if tracker.failing_since else 0.0
     return [("sample_age_seconds", labels, age), ("primary_failing_seconds", labels, failing)]
 
@@ -54,11 +54,11 @@
         ("connections_leased", labels, len(connections.leases)),
         ("concurrency_limit", labels, pool.concurrency.value),
         ("under_way", labels, connections.under_way),
-        ("queue_longest_wait_seconds", labels, pool.queue.longest_wait_seconds(now_seconds)),
+        ("queue_longest_wait_seconds", labels, pool.queue.longest_wait(1000 * now_seconds) / 1000),
     ]
     for urgency, length in pool.queue.lengths.items():
         readings.append(("queue_length", {**labels, "urgency": str(urgency)}, length))
-    readings.append(("member_latency_seconds", labels, pool.forecasts.latency_seconds))
+    readings.append(("member_latency_seconds", labels, pool.forecasts.latency / 1000))
     readings.append(("member_suspect", labels, float(pool.is_suspect)))
     return readings
 
@@ -105,7 +105,7 @@
 
 
 def _seconds(age: float | None) -> float:
-    return NEVER if age is None else age / 1000
+    return NO_AGE_SECONDS if age is None else age / 1000
 
 
 def relay_gauges(neighbours: Neighbours, holder: Holder, detours: Detours) -> list[Reading]:
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -28,7 +28,7 @@
 from rowanrail.placement.planned import Allowance
 from rowanrail.scheduling.choice import choose
 from rowanrail.scheduling.queue import tenant_weight
-from rowanrail.scheduling.returning import ReturnTimes
+from rowanrail.scheduling.retrying import RetryTimes
 from rowanrail.tenants.model import Tenant, Tenants
 
 IN_USE_SECONDS = 10.0  # without a statement for so long a primary need not be watched; chosen
@@ -43,27 +43,28 @@
         spec: ServiceSpec,
         locality: Locality,
         driver: MemberDriver,
-        clock: Scheduler,
+        scheduler: Scheduler,
         policies: GatewayPolicies,
     ) -> None:
         self.spec = spec
         self.share = ServiceShare(spec.connections)
         self.policies = policies
-        self.primary = PrimaryTracker(spec.name, driver, clock, policies.leadership_proof)
+        self.primary = PrimaryTracker(spec.name, driver, scheduler, policies.leadership_proof)
         self.primary.on_proof = self._note_proof
         self.primary.set_lender(self)
         self.pools: dict[str, MemberPool] = {}
-        milliseconds = Clock(clock)
-        self.estimates = MemberEstimates(locality, self.primary, milliseconds)
-        self._probes = MemberProbes(self.estimates.weights, driver, milliseconds)
+        clock = Clock(scheduler)
+        self.estimates = MemberEstimates(locality, self.primary, clock)
+        self._probes = MemberProbes(self.estimates.weights, driver, clock)
         self.used_at = -IN_USE_SECONDS
         self._held_connections = False
-        self.returns = ReturnTimes(Clock(clock))
+        self.retry_times = RetryTimes(clock)
         # Holders of the zones draw differently, and a simulation can be played again.
         self._randomness = random.Random(f"{locality.zone}/{spec.name}")  # noqa: S311 - no secret
         self._locality = locality
         self._driver = driver
         self._clock = clock
+        self._scheduler = scheduler
         self._tenants = Tenants()
 
     def set_members(self, records: list[MemberRecord]) -> None:
@@ -122,7 +123,7 @@
     @property
     def in_use(self) -> bool:
         """Whether statements came a short while ago."""
-        return self._clock.time() - self.used_at < IN_USE_SECONDS
+        return self._scheduler.time() - self.used_at < IN_USE_SECONDS
 
     @property
     def is_due(self) -> bool:
@@ -133,7 +134,7 @@
         """
         return self._held_connections or self.primary.is_busy or self.in_use
 
-    def is_far(self, pool: MemberPool | None) -> bool:
+    def is_remote(self, pool: MemberPool | None) -> bool:
         """Return whether gateways of another region hold the connections to a member."""
         if pool is None or not self.share.is_regional:
             return False
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -17,7 +17,7 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import RejectionCause
-from rowanrail.scheduling.returning import GOES_FIRST_AFTER, Label, Returners, client_label
+from rowanrail.scheduling.retrying import GOES_FIRST_AFTER, Label, RetryingClients, client_label
 from rowanrail.tenants.demand import DemandBook
 from rowanrail.tenants.model import ClientIdentity, Tenants, key_digest
 from rowanrail.tenants.quota import QuotaGuard
@@ -54,7 +54,7 @@
         self._quota = QuotaGuard(clock, terms)
         self._demand = DemandBook(clock)
         self._configuration: RoutingConfiguration | None = None
-        self._returners = Returners(clock)
+        self._retrying_clients = RetryingClients(clock)
         self._over_limit = 0
         self.on_rejection: Callable[[str, int, float], None] = lambda *rejection: None
 
@@ -153,7 +153,7 @@
         if over is None:
             return None
         self._over_limit += 1
-        return_in = limit_retry_after_ms(self._over_limit, over.wait)
+        retry_after_ms = limit_retry_after_ms(self._over_limit, over.wait)
         self._decisions.note(
             OVER_QUOTA,
             session=session.label,
@@ -166,10 +166,10 @@
             heard=round(over.heard, 2),
             urgency=urgency,
             version=self.version,
-            return_in=round(return_in),
+            return_in=round(retry_after_ms),
         )
-        self._note_rejection(session, RejectionCause.TENANT_LIMIT.value, urgency, return_in)
-        return busy("the tenant is at its limit", return_in)
+        self._note_rejection(session, RejectionCause.TENANT_LIMIT.value, urgency, retry_after_ms)
+        return busy("the tenant is at its limit", retry_after_ms)
 
     def _urgency(self, session: Session) -> int:
         known = self._configuration
@@ -183,19 +183,21 @@
         if rejection is None:
             self._remember(session, 0.0)
             return
-        cause, urgency, return_in = rejection.cause, rejection.urgency, rejection.return_in
-        self._note_rejection(session, cause, urgency, return_in)
+        cause, urgency = rejection.cause, rejection.urgency
+        self._note_rejection(session, cause, urgency, rejection.return_in)
 
-    def _note_rejection(self, session: Session, cause: str, urgency: int, return_in: float) -> None:
-        self._remember(session, return_in)
-        self.on_rejection(cause, urgency, return_in)
+    def _note_rejection(
+        self, session: Session, cause: str, urgency: int, retry_after_ms: float
+    ) -> None:
+        self._remember(session, retry_after_ms)
+        self.on_rejection(cause, urgency, retry_after_ms)
 
-    def _remember(self, session: Session, return_in: float) -> None:
-        self._returners.note(_label(session), return_in, session.values.rejections + 1)
+    def _remember(self, session: Session, retry_after_ms: float) -> None:
+        self._retrying_clients.note(_label(session), retry_after_ms, session.values.rejections + 1)
 
     def note_return(self, session: Session) -> None:
         """See :meth:`rowanrail.gateway.sessions.session.SessionAccess.note_return`."""
-        times = self._returners.claim(_label(session))
+        times = self._retrying_clients.claim(_label(session))
         session.values.rejections = times
         session.values.is_retrying = times >= GOES_FIRST_AFTER
 
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -3,14 +3,14 @@
 For the kinds of work and for limits of tenants, which ask here and do what the verdict says. Owns
 nothing: pure functions on plain values, in the unit that a name ends with. Relies on
 :mod:`rowanrail.scheduling.admission` for the causes and on
-:mod:`rowanrail.scheduling.returning` for the spreading of retries.
+:mod:`rowanrail.scheduling.retrying` for the spreading of retries.
 """
 
-from rowanrail.gateway.work.attempts import RETRY_SECONDS
+from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause
-from rowanrail.scheduling.returning import SHORTEST_RETURN_MS, spread
+from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS, spread
 
 __all__ = [
     "DEFER_SHARE",
@@ -64,7 +64,7 @@
 
 def may_defer(now_seconds: float, defer_until_seconds: float) -> bool:
     """Return whether there is time for another try, a retry interval from now."""
-    return now_seconds + RETRY_SECONDS <= defer_until_seconds
+    return now_seconds + MEMBER_RETRY_SECONDS <= defer_until_seconds
 
 
 def primary_trouble(failing_since_seconds: float, is_crowded: bool) -> str:
@@ -98,7 +98,7 @@
     Examples
     --------
     >>> judge_unplaced(Refusal.BUSY, has_primary=False)
-    Reject(cause=<RejectionCause.NO_PRIMARY: 'no-primary'>, return_in=1000.0)
+    Reject(cause=<RejectionCause.NO_PRIMARY: 'no-primary'>, retry_after_ms=1000.0)
     >>> judge_unplaced(Refusal.ABORTED, has_primary=False)
     """
     if refusal is not Refusal.BUSY:
@@ -108,7 +108,7 @@
 
 def shortest_retry_after_ms(base_ms: float) -> float:
     """Return the Retry-After that a rejection starts from; 0 if nothing speaks for a time."""
-    return max(base_ms, SHORTEST_RETURN_MS)
+    return max(base_ms, SHORTEST_RETRY_AFTER_MS)
 
 
 def limit_retry_after_ms(number: int, wait_ms: float) -> float:
@@ -133,12 +133,12 @@
     return max(SHORTEST_LEFT_SECONDS, whole_seconds - waited_seconds)
 
 
-def busy(message: str, return_in: float | None = None) -> Answer:
+def busy(message: str, retry_after_ms: float | None = None) -> Answer:
     """Return the refusal of a statement that was not run for want of room.
 
     Parameters
     ----------
-    return_in : float or None
+    retry_after_ms : float or None
         Milliseconds after which the client had better retry.
 
     Examples
@@ -146,20 +146,20 @@
     >>> busy("m1 is crowded for 900 ms", 350).message
     'm1 is crowded for 900 ms; retry in 0.35 s'
     """
-    if return_in is not None:
-        message = f"{message or 'busy'}; retry in {return_in / 1000:.2f} s"
+    if retry_after_ms is not None:
+        message = f"{message or 'busy'}; retry in {retry_after_ms / 1000:.2f} s"
     return Answer(refusal=Refusal.BUSY, message=message)
 
 
 def rejection(
-    cause: RejectionCause, forecast: Forecast, left: float, urgency: int, return_in: float
+    cause: RejectionCause, forecast: Forecast, left_ms: float, urgency: int, retry_after_ms: float
 ) -> Rejection:
     """Return what is logged of a statement that is rejected; times in milliseconds."""
     return Rejection(
         cause.value,
         round(forecast.wait),
         round(forecast.run),
-        round(left),
+        round(left_ms),
         urgency,
-        round(return_in),
+        round(retry_after_ms),
     )
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -133,9 +133,8 @@
             self._excluded.clear()
             self.retry_later(self._begin, busy("no member can serve the transaction"))
             return
-        roomy = pool if self.is_prompt(pool) else self.roomier(self._excluded)
+        roomy = self.prompt_or_roomier(pool, self._excluded)
         if roomy is None:
-            self.reject_crowded(pool)
             return
         pool = roomy
         if self.move_to(self.others.find_remote_holder(self.tenant, pool.record.instance)):
@@ -190,7 +189,7 @@
     def try_roomier(self, pool: MemberPool) -> bool:
         """See :meth:`Operation.try_roomier`."""
         roomy = self.roomier(self._excluded | {pool.record.instance}) if self.read_only else None
-        if roomy is None or self.service.is_far(roomy):
+        if roomy is None or self.service.is_remote(roomy):
             return False
         self.acquire(roomy, self._with_channel)
         return True
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -6,7 +6,7 @@
 
 from rowanrail.gateway.relay.messages import Reply, Run
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
-from rowanrail.gateway.relay.terms import Order, load_session, run_of
+from rowanrail.gateway.relay.terms import Outgoing, load_session, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import Refusal
@@ -75,7 +75,7 @@
     def fill(self):
         """Have more wait at the holder than it can serve in the time of a statement."""
         for _ in range(30):
-            self.pool.connections.leases.note(0.5)
+            self.pool.connections.leases.note(500.0)
         self.zone.primary.script = [None] * 500
         for _ in range(60):
             self.zone.last.client("orders").ask("WRITE b 2")
@@ -103,7 +103,7 @@
         self.zone.primary.script = []
         self.zone.clock.advance(1.2)  # those who waited have left
         for _ in range(60):
-            self.pool.connections.leases.note(0.01)
+            self.pool.connections.leases.note(10.0)
         answers = [self.zone.last.client("orders").run("WRITE e 5", 0.2) for _ in range(3)]
         self.assertIsNone(answers[-1].refusal)
 
@@ -167,7 +167,7 @@
         session, held = SessionValues(), SessionValues()
         session.is_retrying = True
         route = Route("orders", "orders", "db", Consistency.PRIMARY, 1.0, 0.5)
-        run = run_of(Order(statement("q1", "WRITE a 1"), route, session, 800.0), 1)
+        run = run_of(Outgoing(statement("q1", "WRITE a 1"), route, session, 800.0), 1)
         load_session(held, msgspec.msgpack.decode(msgspec.msgpack.encode(run), type=Run))
         self.assertTrue(held.is_retrying)
 
