--- a/src/rowanlab/simulator/data_world.py
+++ b/src/rowanlab/simulator/data_world.py
@@ -13,7 +13,7 @@
 from rowanlab.simulator.world import World
 from rowanrail.config.model import (
     Configuration,
-    Consistency,
+    GroupConsistency,
     GroupSpec,
     LimitsSpec,
     MemberSpec,
@@ -38,7 +38,7 @@
     proxies: int = 2
     read_share: float = 0.5
     pause_seconds: float = 0.08
-    consistency: Consistency = Consistency.SESSION
+    consistency: GroupConsistency = GroupConsistency.SESSION
     statement_deadline_seconds: float = 2.0
 
 
--- a/src/rowanrail/config/model.py
+++ b/src/rowanrail/config/model.py
@@ -8,7 +8,7 @@
 import msgspec
 
 
-class Consistency(enum.Enum):
+class GroupConsistency(enum.Enum):
     """Which reads may go to a replica."""
 
     SESSION = "session"
@@ -16,7 +16,7 @@
     BOUNDED = "bounded"
 
 
-class StatementKind(enum.Enum):
+class RuleKind(enum.Enum):
     """Statement kinds that rules can name."""
 
     SELECT = "select"
@@ -50,7 +50,7 @@
     """One routing rule; empty lists match everything, the first match decides."""
 
     replica: bool
-    kinds: list[StatementKind] = []
+    kinds: list[RuleKind] = []
     schemas: list[str] = []
     tables: list[str] = []
     users: list[str] = []
@@ -70,7 +70,7 @@
     databases: list[str]
     members: list[MemberSpec]
     sites: list[str] = []
-    consistency: Consistency = Consistency.SESSION
+    consistency: GroupConsistency = GroupConsistency.SESSION
     maximum_staleness_seconds: float = 1.0
     limits: LimitsSpec = LimitsSpec()
     rules: list[RuleSpec] = []
--- a/src/rowanrail/sql_proxy/rules.py
+++ b/src/rowanrail/sql_proxy/rules.py
@@ -1,12 +1,12 @@
 """Which reads the rules allow on a replica."""
 
-from rowanrail.config.model import RuleSpec, StatementKind
+from rowanrail.config.model import RuleKind, RuleSpec
 from rowanrail.sql_proxy.classify import Kind, Statement
 
 _RULE_KINDS = {
-    Kind.READ: StatementKind.SELECT,
-    Kind.SHOW: StatementKind.SHOW,
-    Kind.BEGIN_READ_ONLY: StatementKind.READ_ONLY_TRANSACTION,
+    Kind.READ: RuleKind.SELECT,
+    Kind.SHOW: RuleKind.SHOW,
+    Kind.BEGIN_READ_ONLY: RuleKind.READ_ONLY_TRANSACTION,
 }
 
 
@@ -24,7 +24,7 @@
 
 def _matches(
     rule: RuleSpec,
-    kind: StatementKind,
+    kind: RuleKind,
     schemas: tuple[str, ...],
     tables: tuple[str, ...],
     user: str,
--- a/src/rowanrail/sql_proxy/serving.py
+++ b/src/rowanrail/sql_proxy/serving.py
@@ -8,7 +8,7 @@
 import enum
 from collections.abc import Sequence
 
-from rowanrail.config.model import Consistency
+from rowanrail.config.model import GroupConsistency
 
 __all__ = [
     "PRIMARY_SEARCH_SECONDS",
@@ -50,12 +50,12 @@
     REFUSE = "refuse"  # it did not run
 
 
-def floor_source(consistency: Consistency, has_position: bool) -> FloorSource:
+def floor_source(consistency: GroupConsistency, has_position: bool) -> FloorSource:
     """Return where the position of a read comes from.
 
     Parameters
     ----------
-    consistency : Consistency
+    consistency : GroupConsistency
         What the group promises.
     has_position : bool
         Whether the session has seen anything of the group. A session that has seen nothing asks
@@ -63,15 +63,15 @@
 
     Examples
     --------
-    >>> floor_source(Consistency.SESSION, has_position=True).value
+    >>> floor_source(GroupConsistency.SESSION, has_position=True).value
     'own'
-    >>> floor_source(Consistency.SESSION, has_position=False).value
+    >>> floor_source(GroupConsistency.SESSION, has_position=False).value
     'asked'
     """
     match consistency:
-        case Consistency.STRICT:
+        case GroupConsistency.STRICT:
             return FloorSource.ASKED
-        case Consistency.BOUNDED:
+        case GroupConsistency.BOUNDED:
             return FloorSource.RECENT
         case _:
             return FloorSource.OWN if has_position else FloorSource.ASKED
--- a/tests/simulation/test_consistency.py
+++ b/tests/simulation/test_consistency.py
@@ -7,7 +7,7 @@
 from rowanlab.simulator.permissive import registry_without
 from rowanlab.simulator.world import World
 from rowanlab.standin.member import FaultRequest
-from rowanrail.config.model import Consistency
+from rowanrail.config.model import GroupConsistency
 from rowanrail.kernel.events import silence
 
 LAG_SECONDS = 0.4
@@ -45,12 +45,12 @@
         return world.run(started())
 
     def test_strict_reads_see_what_anybody_was_told(self):
-        self.assertEqual(self.observe(Consistency.STRICT), (b"1", b"1", b"1"))
+        self.assertEqual(self.observe(GroupConsistency.STRICT), (b"1", b"1", b"1"))
 
     def test_session_reads_may_miss_what_others_wrote_meanwhile(self):
-        self.assertEqual(self.observe(Consistency.SESSION), (b"0", b"1", b"1"))
+        self.assertEqual(self.observe(GroupConsistency.SESSION), (b"0", b"1", b"1"))
 
     def test_bounded_reads_catch_up_within_their_bound(self):
-        soon, later, own = self.observe(Consistency.BOUNDED)
+        soon, later, own = self.observe(GroupConsistency.BOUNDED)
         self.assertIn(soon, (b"0", b"1"))
         self.assertEqual((later, own), (b"1", b"1"))
--- a/tests/unit/test_proxy_decisions.py
+++ b/tests/unit/test_proxy_decisions.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from returns.result import Failure
 
-from rowanrail.config.model import RuleSpec, StatementKind
+from rowanrail.config.model import RuleKind, RuleSpec
 from rowanrail.kernel.errors import InvalidRequestError, RequestConflictError
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
@@ -144,7 +144,7 @@
     def test_first_match_decides(self):
         rules = [
             RuleSpec(replica=False, tables=["approvals"]),
-            RuleSpec(replica=True, users=["farm"], kinds=[StatementKind.SELECT]),
+            RuleSpec(replica=True, users=["farm"], kinds=[RuleKind.SELECT]),
             RuleSpec(replica=False),
         ]
         read = classify("SELECT a FROM cues")
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -4,7 +4,7 @@
 
 from rowanrail.cluster.folder import FolderOwner, FolderStep, check_owner, folder_step
 from rowanrail.cluster.membership import with_learner, without_name
-from rowanrail.config.model import Consistency
+from rowanrail.config.model import GroupConsistency
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.storage import Identity
 from rowanrail.kernel.errors import StorageError
@@ -21,13 +21,15 @@
 class FloorTest(unittest.TestCase):
     def test_strict_always_asks_and_bounded_takes_a_recent_one(self):
         for has_position in (False, True):
-            self.assertIs(serving.floor_source(Consistency.STRICT, has_position), FloorSource.ASKED)
             self.assertIs(
-                serving.floor_source(Consistency.BOUNDED, has_position), FloorSource.RECENT
+                serving.floor_source(GroupConsistency.STRICT, has_position), FloorSource.ASKED
+            )
+            self.assertIs(
+                serving.floor_source(GroupConsistency.BOUNDED, has_position), FloorSource.RECENT
             )
 
     def test_a_session_asks_only_before_it_has_seen_anything(self):
-        sources = [serving.floor_source(Consistency.SESSION, seen) for seen in (False, True)]
+        sources = [serving.floor_source(GroupConsistency.SESSION, seen) for seen in (False, True)]
         self.assertEqual(sources, [FloorSource.ASKED, FloorSource.OWN])
 
     def test_a_recent_floor_is_as_old_as_the_group_allows(self):
