--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -12,10 +12,10 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.placement.hashed import METER, claim, shards_of
 
-__all__ = ["Holders"]
+__all__ = ["RankedHolders"]
 
 
-class Holders:
+class RankedHolders:
     """The first gateway of each group for each thing that is held; see ``placement.rank``.
 
     Where regions share, the gateway that sums tenants' demand for its region is one of them.
--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -22,7 +22,7 @@
     SetPlan,
 )
 from rowanrail.coordination.history import DirectoryHistory
-from rowanrail.coordination.holders import Holders
+from rowanrail.coordination.holders import RankedHolders
 from rowanrail.coordination.messages import PutReply, PutVerdict
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.directory.messages import GatewayRecord
@@ -80,7 +80,7 @@
         self.promotions = dict(saved.promotions)
         self.displaced = dict(saved.displaced)
         self.plan = saved.plan
-        self.holders = Holders(self.members.values(), self.gateways.values())
+        self.holders = RankedHolders(self.members.values(), self.gateways.values())
         self.history = DirectoryHistory(
             saved.revision, self.members.values(), self.gateways.values(), self.holders.records
         )
--- a/tests/coordination/test_holders.py
+++ b/tests/coordination/test_holders.py
@@ -11,7 +11,7 @@
 from rowanrail.consensus.messages import Entry, EntryKind, Membership, Snapshot
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep
 from rowanrail.coordination.commands import Announce, Remove, SetGateways
-from rowanrail.coordination.holders import Holders
+from rowanrail.coordination.holders import RankedHolders
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.replay import Replay
 from rowanrail.coordination.state import CoordinationState
@@ -90,13 +90,13 @@
     def test_a_change_names_the_holders_that_it_moves_and_no_others(self):
         listed = [GatewayRecord(f"g{n}", "a", f"g{n}:1") for n in range(5)]
         member = MemberRecord("m1", "db", "m1:1", "a", False, False, 3, 1)
-        holders = Holders([member], listed)
+        holders = RankedHolders([member], listed)
         (first,) = holders.records
         others = [gateway for gateway in listed if gateway is not first]
         gone = DirectoryChange(2, gateways=[GatewayStep(others[0], None)])
         self.assertEqual(holders.apply(gone), [])
         gone = DirectoryChange(3, gateways=[GatewayStep(first, None)])
-        (second,) = Holders([member], others[1:]).records
+        (second,) = RankedHolders([member], others[1:]).records
         self.assertCountEqual(
             holders.apply(gone), [GatewayStep(first, None), GatewayStep(None, second)]
         )
