--- a/src/rowanlab/simulator/proxies.py
+++ b/src/rowanlab/simulator/proxies.py
@@ -19,7 +19,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.sql_proxy.config_watch import ConfigurationWatch
 from rowanrail.sql_proxy.core import ProxyCore
-from rowanrail.sql_proxy.session import Session
+from rowanrail.sql_proxy.session import SqlSession
 
 CALLER_TIMEOUT_SECONDS = 8.0
 PROXIES = 3
@@ -53,7 +53,7 @@
     def __init__(self, proxy: "SimulatedProxy") -> None:
         self._proxy = proxy
         self.reply: Callable[..., None] | None = None
-        self.session: Session | None = None
+        self.session: SqlSession | None = None
         self._ended = False
 
     def announce_stop(self) -> None:
@@ -148,7 +148,7 @@
         self._channels.append(channel)
         return channel
 
-    def _end_session(self, session: Session) -> None:
+    def _end_session(self, session: SqlSession) -> None:
         for channel in self._channels:
             if channel.session is session and not session.busy:
                 channel.announce_stop()
--- a/src/rowanrail/cli/client.py
+++ b/src/rowanrail/cli/client.py
@@ -11,7 +11,7 @@
 TIMEOUT_SECONDS = 12.0
 
 
-class Answer(msgspec.Struct):
+class ControlAnswer(msgspec.Struct):
     """A control node's answer."""
 
     status: int
@@ -29,7 +29,7 @@
         self._controls = controls
         self._token = token
 
-    def request(self, method: str, path: str, body: Any = None) -> Answer:
+    def request(self, method: str, path: str, body: Any = None) -> ControlAnswer:
         """Send a request and return the answer.
 
         A change may be sent to several nodes: its change id makes that safe.
@@ -38,7 +38,7 @@
         """
         return asyncio.run(self._request(method, path, body))
 
-    async def _request(self, method: str, path: str, body: Any) -> Answer:
+    async def _request(self, method: str, path: str, body: Any) -> ControlAnswer:
         problems: list[str] = []
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS, connect=3.0)
         headers = {"Authorization": f"Bearer {self._token}"}
@@ -48,7 +48,9 @@
                 try:
                     url = f"http://{control}{path}"
                     async with session.request(method, url, data=data) as response:
-                        answer = Answer(response.status, msgspec.json.decode(await response.read()))
+                        answer = ControlAnswer(
+                            response.status, msgspec.json.decode(await response.read())
+                        )
                 except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError) as error:
                     problems.append(f"{control}: {error or 'no answer in time'}")
                     continue
--- a/src/rowanrail/cli/operator.py
+++ b/src/rowanrail/cli/operator.py
@@ -11,7 +11,7 @@
 import msgspec
 from returns.result import Failure
 
-from rowanrail.cli.client import Answer, ControlClient, ControlUnavailableError
+from rowanrail.cli.client import ControlAnswer, ControlClient, ControlUnavailableError
 from rowanrail.cli.output import ExitCode, OutputFormat, fail, format_table, show
 from rowanrail.config.load import load_configuration
 
@@ -25,7 +25,7 @@
     client: ControlClient
     output: OutputFormat
 
-    def request(self, method: str, path: str, body: Any = None) -> Answer:
+    def request(self, method: str, path: str, body: Any = None) -> ControlAnswer:
         """Send a request; a failure ends the command with a message."""
         try:
             answer = self.client.request(method, path, body)
--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -19,7 +19,7 @@
 from rowanrail.rpc.tcp import split_address
 from rowanrail.sql_proxy.commands import TOKEN_VARIABLE
 from rowanrail.sql_proxy.core import ProxyCore
-from rowanrail.sql_proxy.session import Session
+from rowanrail.sql_proxy.session import SqlSession
 
 LISTEN_BACKLOG = 1024
 NO_PASSWORD_HASH = "0" * 40
@@ -51,8 +51,8 @@
         super().__init__()
         self._core = core
         self._on_close = on_close
-        self.session: Session | None = None
-        self._replaced: Session | None = None
+        self.session: SqlSession | None = None
+        self._replaced: SqlSession | None = None
 
     def login_error(self, connection: ServedConnection) -> MysqlError | None:
         """Open the session, with a token from the connection attributes if there is one."""
@@ -85,7 +85,7 @@
         connection.set_ok(result.affected_rows, result.insert_id, result.warnings)
         return None
 
-    def _joined(self) -> tuple[Session, ServedConnection]:
+    def _joined(self) -> tuple[SqlSession, ServedConnection]:
         if self.session is None or self.connection is None:
             raise ConnectionClosed
         return self.session, self.connection
@@ -156,7 +156,7 @@
         """
         await asyncio.gather(*self._announcements)
 
-    def _end_session(self, session: Session) -> None:
+    def _end_session(self, session: SqlSession) -> None:
         """Tell a caller between statements that the proxy stops, and close after that.
 
         The packet has the sequence number of an answer: a caller whose next request is on
--- a/src/rowanrail/sql_proxy/classify.py
+++ b/src/rowanrail/sql_proxy/classify.py
@@ -41,7 +41,7 @@
     MULTIPLE = "multiple"
 
 
-class Statement(msgspec.Struct, frozen=True):
+class ClassifiedStatement(msgspec.Struct, frozen=True):
     """The classification of a statement.
 
     :param locking: a read that takes locks or may have side effects; runs on the primary.
@@ -75,61 +75,61 @@
 _DEFINITION_WORDS = {"CREATE", "ALTER", "DROP", "TRUNCATE", "RENAME"}
 
 
-def classify(sql: str) -> Statement:
+def classify(sql: str) -> ClassifiedStatement:
     """Return the classification of ``sql``."""
     if "/*!" in sql:
-        return Statement(Kind.WRITE)  # executable comments: only the member knows
+        return ClassifiedStatement(Kind.WRITE)  # executable comments: only the member knows
     return _classify_shape(_LITERALS.sub("1", sql) if len(sql) < MAXIMUM_PARSED_CHARACTERS else sql)
 
 
 @lru_cache(maxsize=CACHE_ENTRIES)
-def _classify_shape(sql: str) -> Statement:
+def _classify_shape(sql: str) -> ClassifiedStatement:
     text = _LEADING_COMMENTS.sub("", sql).strip().rstrip(";").strip()
     match = _FIRST_WORDS.match(text)
     first = match.group(1).upper() if match else ""
     second = match.group(2).upper() if match else ""
     if not text:
-        return Statement(Kind.EMPTY)
+        return ClassifiedStatement(Kind.EMPTY)
     by_words = _classify_words(first, second, text.upper())
     if by_words is not None:
         return by_words
     if len(text) > MAXIMUM_PARSED_CHARACTERS:
-        return Statement(Kind.WRITE)
+        return ClassifiedStatement(Kind.WRITE)
     try:
         parsed = [tree for tree in sqlglot.parse(text, dialect="mysql") if tree is not None]
     except (SqlglotError, RecursionError, ValueError):
-        return Statement(Kind.WRITE)
+        return ClassifiedStatement(Kind.WRITE)
     if len(parsed) > 1:
-        return Statement(Kind.MULTIPLE)
-    return _classify_tree(parsed[0]) if parsed else Statement(Kind.EMPTY)
+        return ClassifiedStatement(Kind.MULTIPLE)
+    return _classify_tree(parsed[0]) if parsed else ClassifiedStatement(Kind.EMPTY)
 
 
-def _classify_words(first: str, second: str, upper: str) -> Statement | None:
+def _classify_words(first: str, second: str, upper: str) -> ClassifiedStatement | None:
     if first == "BEGIN":
-        return Statement(Kind.BEGIN)
+        return ClassifiedStatement(Kind.BEGIN)
     if first == "START" and second == "TRANSACTION":
         read_only = "READ ONLY" in upper
-        return Statement(Kind.BEGIN_READ_ONLY if read_only else Kind.BEGIN)
+        return ClassifiedStatement(Kind.BEGIN_READ_ONLY if read_only else Kind.BEGIN)
     if first == "COMMIT":
-        return Statement(Kind.COMMIT)
+        return ClassifiedStatement(Kind.COMMIT)
     if first == "ROLLBACK":
-        return Statement(Kind.SAVEPOINT if " TO " in f"{upper} " else Kind.ROLLBACK)
+        return ClassifiedStatement(Kind.SAVEPOINT if " TO " in f"{upper} " else Kind.ROLLBACK)
     if first in ("SAVEPOINT", "RELEASE"):
-        return Statement(Kind.SAVEPOINT)
+        return ClassifiedStatement(Kind.SAVEPOINT)
     if first == "SET":
-        return Statement(Kind.SET)
+        return ClassifiedStatement(Kind.SET)
     if first == "USE":
-        return Statement(Kind.USE)
+        return ClassifiedStatement(Kind.USE)
     if first in ("LOCK", "UNLOCK", "HANDLER", "PREPARE", "EXECUTE", "DEALLOCATE", "XA"):
-        return Statement(Kind.PINNING)
+        return ClassifiedStatement(Kind.PINNING)
     if first == "CREATE" and second == "TEMPORARY":
-        return Statement(Kind.PINNING)
+        return ClassifiedStatement(Kind.PINNING)
     if first in ("SHOW", "DESCRIBE", "DESC") and "WARNINGS" not in upper:
-        return Statement(Kind.SHOW)
+        return ClassifiedStatement(Kind.SHOW)
     return None
 
 
-def _classify_tree(tree: Any) -> Statement:
+def _classify_tree(tree: Any) -> ClassifiedStatement:
     tables = [table for table in tree.find_all(exp.Table) if table.name]
     common = {cte.alias for cte in tree.find_all(exp.CTE)}
     names = tuple(sorted({table.name.lower() for table in tables if table.name not in common}))
@@ -137,18 +137,20 @@
     if isinstance(tree, exp.Select | exp.SetOperation | exp.Subquery | exp.Values):
         return _classify_query(tree, names, schemas)
     if isinstance(tree, exp.Describe):
-        return Statement(Kind.SHOW, names, schemas)
+        return ClassifiedStatement(Kind.SHOW, names, schemas)
     first = type(tree).__name__.upper()
     if first in _DEFINITION_WORDS or isinstance(tree, exp.Create | exp.Drop | exp.Alter):
-        return Statement(Kind.DEFINITION, names, schemas)
-    return Statement(Kind.WRITE, names, schemas)
+        return ClassifiedStatement(Kind.DEFINITION, names, schemas)
+    return ClassifiedStatement(Kind.WRITE, names, schemas)
 
 
-def _classify_query(tree: Any, names: tuple[str, ...], schemas: tuple[str, ...]) -> Statement:
+def _classify_query(
+    tree: Any, names: tuple[str, ...], schemas: tuple[str, ...]
+) -> ClassifiedStatement:
     functions = {node.name.upper() for node in tree.find_all(exp.Anonymous)}
     if functions & _PINNING_FUNCTIONS or tree.find(exp.PropertyEQ):
-        return Statement(Kind.PINNING, names, schemas)
+        return ClassifiedStatement(Kind.PINNING, names, schemas)
     if functions & _SESSION_FUNCTIONS and not names:
-        return Statement(Kind.SESSION_FUNCTION)
+        return ClassifiedStatement(Kind.SESSION_FUNCTION)
     locking = bool(tree.find(exp.Lock) or tree.find(exp.Into) or functions - _PURE_FUNCTIONS)
-    return Statement(Kind.READ, names, schemas, locking)
+    return ClassifiedStatement(Kind.READ, names, schemas, locking)
--- a/src/rowanrail/sql_proxy/core.py
+++ b/src/rowanrail/sql_proxy/core.py
@@ -18,15 +18,15 @@
 from rowanrail.sql_proxy.events import CONFIGURATION_IN_FORCE, OLDER_CONFIGURATION
 from rowanrail.sql_proxy.groups import GroupTable
 from rowanrail.sql_proxy.policies import DrainWait
-from rowanrail.sql_proxy.services import GroupServices, SessionHost
-from rowanrail.sql_proxy.session import Session
+from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
+from rowanrail.sql_proxy.session import SqlSession
 
 REAPER_SECONDS = 0.5
 STOP_RETRY_AFTER_SECONDS = 0.5
 STOP_POLL_SECONDS = 0.05
 
 
-class ProxyCore(SessionHost):
+class ProxyCore(SqlSessionHost):
     """Sessions and groups of one proxy."""
 
     def __init__(
@@ -40,9 +40,9 @@
     ) -> None:
         self.registry = registry
         self.in_force = VersionedConfiguration()
-        self.sessions: dict[Session, None] = {}  # in the order of their opening
+        self.sessions: dict[SqlSession, None] = {}  # in the order of their opening
         self.stopping = False
-        self.on_session_ended_by_stop: Callable[[Session], None] = lambda session: None
+        self.on_session_ended_by_stop: Callable[[SqlSession], None] = lambda session: None
         self.groups = GroupTable(zone, routes, driver, registry, randomness, wall_clock)
         self._wall_clock = wall_clock
         self._monotonic: VersionMonotonic = registry.create("control-guard", "version-monotonic")
@@ -88,7 +88,7 @@
                 return spec.password_hash.lstrip("*").lower()
         return None
 
-    def open_session(self, user: str, database: str) -> Session:
+    def open_session(self, user: str, database: str) -> SqlSession:
         """Open a session for an authenticated user.
 
         :raises CallerError: if the proxy stops, or the database can't be used.
@@ -97,12 +97,12 @@
             raise self._stopping_error()
         if database:
             self.group_spec(user, database)
-        session = Session(self, user, database)
+        session = SqlSession(self, user, database)
         self.sessions[session] = None
         return session
 
     def group_spec(self, user: str, database: str) -> GroupSpec:
-        """See :meth:`SessionHost.group_spec`."""
+        """See :meth:`SqlSessionHost.group_spec`."""
         spec = next(
             (known for known in self.in_force.configuration.users if known.name == user), None
         )
@@ -121,15 +121,15 @@
         return group
 
     def database_group(self, database: str) -> str:
-        """See :meth:`SessionHost.database_group`."""
+        """See :meth:`SqlSessionHost.database_group`."""
         return self.groups.group_name(database)
 
     def find_group(self, database: str) -> GroupServices | None:
-        """See :meth:`SessionHost.find_group`."""
+        """See :meth:`SqlSessionHost.find_group`."""
         return self.groups.find(database)
 
     def wall_clock(self) -> float:
-        """See :meth:`SessionHost.wall_clock`."""
+        """See :meth:`SqlSessionHost.wall_clock`."""
         return self._wall_clock()
 
     async def _reap(self) -> None:
@@ -142,8 +142,8 @@
     # The planned stop
 
     def check_accepting(self, session: object) -> None:
-        """See :meth:`SessionHost.check_accepting`. Open transactions may go on."""
-        assert isinstance(session, Session)
+        """See :meth:`SqlSessionHost.check_accepting`. Open transactions may go on."""
+        assert isinstance(session, SqlSession)
         if self.stopping and not session.in_transaction:
             raise self._stopping_error()
 
@@ -156,11 +156,11 @@
         )
 
     def session_idle(self, session: object) -> None:
-        """See :meth:`SessionHost.session_idle`."""
+        """See :meth:`SqlSessionHost.session_idle`."""
 
     def session_closed(self, session: object) -> None:
-        """See :meth:`SessionHost.session_closed`."""
-        assert isinstance(session, Session)
+        """See :meth:`SqlSessionHost.session_closed`."""
+        assert isinstance(session, SqlSession)
         self.sessions.pop(session, None)
 
     async def stop(self, limit_seconds: float) -> None:
--- a/src/rowanrail/sql_proxy/rules.py
+++ b/src/rowanrail/sql_proxy/rules.py
@@ -1,7 +1,7 @@
 """Which reads the rules allow on a replica."""
 
 from rowanrail.config.model import RuleKind, RuleSpec
-from rowanrail.sql_proxy.classify import Kind, Statement
+from rowanrail.sql_proxy.classify import ClassifiedStatement, Kind
 
 _RULE_KINDS = {
     Kind.READ: RuleKind.SELECT,
@@ -10,7 +10,9 @@
 }
 
 
-def allows_replica(rules: list[RuleSpec], statement: Statement, database: str, user: str) -> bool:
+def allows_replica(
+    rules: list[RuleSpec], statement: ClassifiedStatement, database: str, user: str
+) -> bool:
     """Return whether a statement may run on a replica: the first matching rule decides."""
     kind = _RULE_KINDS.get(statement.kind)
     if kind is None or statement.locking:
--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -92,7 +92,7 @@
             )
 
 
-class SessionHost(ABC):
+class SqlSessionHost(ABC):
     """The proxy as its sessions see it."""
 
     registry: Registry
--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -13,7 +13,7 @@
 )
 from rowanrail.model.position import ORIGIN
 from rowanrail.sql_proxy.backend import Column, StatementResult
-from rowanrail.sql_proxy.classify import Kind, Statement, classify
+from rowanrail.sql_proxy.classify import ClassifiedStatement, Kind, classify
 from rowanrail.sql_proxy.commands import (
     REQUEST_VARIABLE,
     TOKEN_VARIABLE,
@@ -30,8 +30,8 @@
 from rowanrail.sql_proxy.positions import SessionPositions
 from rowanrail.sql_proxy.requests import check_request_id
 from rowanrail.sql_proxy.rules import allows_replica
-from rowanrail.sql_proxy.services import GroupServices, SessionHost
-from rowanrail.sql_proxy.transaction import Transaction, TransactionState
+from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
+from rowanrail.sql_proxy.transaction import SqlTransaction, TransactionState
 
 VAR_STRING_TYPE = 253
 REQUEST_ATTRIBUTE = "request_id"
@@ -40,15 +40,15 @@
 _READS = (Kind.READ, Kind.SHOW)
 
 
-class Session:
+class SqlSession:
     """One caller's session. Statements of a session run one after the other."""
 
-    def __init__(self, host: SessionHost, user: str, database: str) -> None:
+    def __init__(self, host: SqlSessionHost, user: str, database: str) -> None:
         self.user = user
         self.database = database
         self.busy = False
         self.closed = False
-        self.transaction: Transaction | None = None
+        self.transaction: SqlTransaction | None = None
         self._host = host
         self._pinning: Pinning = host.registry.create("proxy-guard", "pinning")
         self._positions = SessionPositions()
@@ -138,12 +138,14 @@
             seconds = min(seconds, int(given) / 1000)
         return now + seconds
 
-    def _remember(self, statement: Statement, result: StatementResult) -> None:
+    def _remember(self, statement: ClassifiedStatement, result: StatementResult) -> None:
         if result.insert_id:
             self._last_insert_id = result.insert_id
         self._row_count = -1 if result.columns else result.affected_rows
 
-    async def _dispatch(self, sql: str, statement: Statement, deadline: float) -> StatementResult:
+    async def _dispatch(
+        self, sql: str, statement: ClassifiedStatement, deadline: float
+    ) -> StatementResult:
         kind = statement.kind
         if kind is Kind.EMPTY:
             raise BackendRefusedError(1065, "Query was empty", sqlstate="42000")
@@ -165,13 +167,15 @@
             return await self._roll_back(deadline)
         return await self._run(sql, statement, deadline)
 
-    async def _run(self, sql: str, statement: Statement, deadline: float) -> StatementResult:
+    async def _run(
+        self, sql: str, statement: ClassifiedStatement, deadline: float
+    ) -> StatementResult:
         if statement.kind is Kind.DEFINITION and self.transaction is not None:
             await self._commit(deadline)  # definitions end a transaction in MySQL, too
         if statement.kind is Kind.PINNING and self._pinned is None and not self.transaction:
             await self._pin(deadline)
         if not self._autocommit and not self.transaction and statement.tables:
-            await self._begin("BEGIN", Statement(Kind.BEGIN), deadline)
+            await self._begin("BEGIN", ClassifiedStatement(Kind.BEGIN), deadline)
         if self._pinned is None:
             sql = fill_session_functions(sql, self._last_insert_id, self._row_count)
         if self.transaction is not None:
@@ -183,7 +187,9 @@
             return await self._read(sql, statement, deadline)
         return await self._write(sql, deadline, statement.locking)
 
-    async def _read(self, sql: str, statement: Statement, deadline: float) -> StatementResult:
+    async def _read(
+        self, sql: str, statement: ClassifiedStatement, deadline: float
+    ) -> StatementResult:
         services = self._services()
         spec = services.group.spec
         allow = allows_replica(spec.rules, statement, self.database, self.user)
@@ -230,7 +236,7 @@
         elif command.kind is SetKind.NEXT_TRANSACTION:
             self._before_next_transaction.append(command.value)
         elif command.kind is SetKind.COMPUTED:
-            return await self._run(sql, Statement(Kind.PINNING), deadline)
+            return await self._run(sql, ClassifiedStatement(Kind.PINNING), deadline)
         elif command.kind is SetKind.CARRIED:
             return await self._carry(command.value, deadline)
         return StatementResult()
@@ -266,7 +272,7 @@
         )
 
     async def _run_pinned(
-        self, lease: Lease, sql: str, statement: Statement, deadline: float
+        self, lease: Lease, sql: str, statement: ClassifiedStatement, deadline: float
     ) -> StatementResult:
         services = self._services()
         try:
@@ -290,7 +296,9 @@
 
     # Transactions
 
-    async def _begin(self, sql: str, statement: Statement, deadline: float) -> StatementResult:
+    async def _begin(
+        self, sql: str, statement: ClassifiedStatement, deadline: float
+    ) -> StatementResult:
         if self.transaction is not None:
             await self._commit(deadline)
         services = self._services()
@@ -309,7 +317,7 @@
                 deadline, Priority.TRANSACTION, self._settings, floor
             )
         before, self._before_next_transaction = self._before_next_transaction, []
-        transaction = Transaction(lease, services, self._pinning, may_write=not on_replica)
+        transaction = SqlTransaction(lease, services, self._pinning, may_write=not on_replica)
         result = await transaction.begin(sql, before, deadline)
         self.transaction = transaction
         services.transactions += 1
@@ -320,7 +328,7 @@
         if transaction is None:
             if self._pinned is not None:
                 return await self._run_pinned(
-                    self._pinned, "COMMIT", Statement(Kind.WRITE), deadline
+                    self._pinned, "COMMIT", ClassifiedStatement(Kind.WRITE), deadline
                 )
             return StatementResult()
         spec = transaction.services.spec
--- a/src/rowanrail/sql_proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -27,7 +27,7 @@
     ENDED = "ended"
 
 
-class Transaction:
+class SqlTransaction:
     """One transaction, from BEGIN to its end. Lost connections roll it back.
 
     :param services: what serves its group, also when the group's settings change meanwhile.
--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -66,7 +66,7 @@
             "record": Record,
             "membership": Membership,
             "state of the gateways' control nodes": gateways_state.SavedState,
-            "state of the SQL control nodes": sql_state.SavedState,
+            "state of the SQL control nodes": sql_state.SavedConfigurations,
             "backup": sql_backup.Backup,
         }
         self.assertEqual(sorted(kinds), sorted(GOLDEN["files"]))
