--- a/src/rowanrail/cli/backup.py
+++ b/src/rowanrail/cli/backup.py
@@ -1,4 +1,8 @@
-"""``rowanrail backup`` and ``rowanrail restore``."""
+"""``rowanrail backup`` and ``rowanrail restore``.
+
+For operators at a control node's machine. Owns nothing; relies on
+``sql_control.backup`` for the contents and on the folder's storage.
+"""
 
 from pathlib import Path
 
--- a/src/rowanrail/cli/client.py
+++ b/src/rowanrail/cli/client.py
@@ -1,4 +1,8 @@
-"""HTTP client of the operators' commands. Tries the control nodes one after the other."""
+"""HTTP client of the operators' commands.
+
+Tries the control nodes one after the other, since any of them answers. Owns nothing between
+requests; relies on the operators' interface in ``sql_control.http_api``.
+"""
 
 import asyncio
 from typing import Any
--- a/src/rowanrail/cli/main.py
+++ b/src/rowanrail/cli/main.py
@@ -1,4 +1,8 @@
-"""The ``rowanrail`` command."""
+"""The ``rowanrail`` command.
+
+Reads settings and starts the daemons, checks files and hashes secrets. Owns nothing; the
+operators' commands are added by the modules beside it.
+"""
 
 import asyncio
 import hashlib
--- a/src/rowanrail/cli/operator.py
+++ b/src/rowanrail/cli/operator.py
@@ -1,4 +1,8 @@
-"""Operators' commands. All talk HTTP and JSON to any control node."""
+"""Operators' commands.
+
+All talk HTTP and JSON to any control node. Own nothing; rely on the client for the request and on
+``output`` for what is shown.
+"""
 
 import os
 import sys
@@ -140,19 +144,19 @@
 
 def _wait_in_force(context: OperatorContext, version: int, seconds: float) -> None:
     began = time.monotonic()
-    told: set[str] = set()
+    reported: set[str] = set()
     status: Any = {"zones": {}}
     while time.monotonic() - began < seconds:
         status = context.request("GET", "/v1/status").body
         for zone, in_force in sorted(status["zones"].items()):
-            if in_force >= version and zone not in told:
-                told.add(zone)
+            if in_force >= version and zone not in reported:
+                reported.add(zone)
                 elapsed = time.monotonic() - began
                 click.echo(f"zone {zone}: version {in_force} in force after {elapsed:.2f} s")
-        if told and told >= set(status["zones"]):
+        if reported and reported >= set(status["zones"]):
             return
         time.sleep(WAIT_POLL_SECONDS)
-    late = sorted(set(status["zones"]) - told) or ["no zone has a proxy that reports"]
+    late = sorted(set(status["zones"]) - reported) or ["no zone has a proxy that reports"]
     fail([f"version {version} is not in force everywhere yet: {', '.join(late)}"])
 
 
--- a/src/rowanrail/cli/output.py
+++ b/src/rowanrail/cli/output.py
@@ -1,4 +1,7 @@
-"""Output of the operators' commands: tables, JSON or YAML, and errors without traces."""
+"""Output of the operators' commands: tables, JSON or YAML, and errors without traces.
+
+For all commands. Owns the exit codes, which scripts rely on.
+"""
 
 import enum
 import sys
--- a/src/rowanrail/cluster/events.py
+++ b/src/rowanrail/cluster/events.py
@@ -1,4 +1,7 @@
-"""Log events of a control node that joins a cluster (numbers 120 and 123)."""
+"""Log events of a control node that joins a cluster (numbers 120 and 123).
+
+For both kinds of control nodes. Owns the numbers and fields, which operators' tools know.
+"""
 
 from rowanrail.kernel.events import Level, define
 
--- a/src/rowanrail/cluster/messages.py
+++ b/src/rowanrail/cluster/messages.py
@@ -1,4 +1,8 @@
-"""Messages between nodes of a replicated log: admission, removal, barriers, reports."""
+"""Messages between nodes of a replicated log: admission, removal, barriers, reports.
+
+For both kinds of control nodes, and for the proxies' reports in them. Owns the messages' names and
+fields, which nodes of other versions know; relies on ``rpc.codec``.
+"""
 
 import msgspec
 
--- a/src/rowanrail/cluster/policies.py
+++ b/src/rowanrail/cluster/policies.py
@@ -1,4 +1,8 @@
-"""Guard of versions, a plug-in of kind ``control-guard``."""
+"""Guard of versions, a plug-in of kind ``control-guard``.
+
+For proxies, gateways and control nodes. Owns nothing: pure, so that the lab can take the guard
+away and find its guarantee broken.
+"""
 
 from rowanrail.kernel.registry import register
 
--- a/src/rowanrail/config/addresses.py
+++ b/src/rowanrail/config/addresses.py
@@ -1,4 +1,7 @@
-"""Check of the addresses in settings and configurations."""
+"""Check of the addresses in settings and configurations.
+
+For the modules that read either. Owns nothing: pure functions that return the problem as a text.
+"""
 
 import socket
 
--- a/src/rowanrail/config/checks.py
+++ b/src/rowanrail/config/checks.py
@@ -1,4 +1,8 @@
-"""Checks across the fields of a configuration. Each problem names a path and a mend."""
+"""Checks across the fields of a configuration.
+
+For the loader and for control nodes. Each problem names a path and a mend. Owns nothing: pure
+functions on the model.
+"""
 
 import re
 from collections.abc import Iterable
--- a/src/rowanrail/config/diff.py
+++ b/src/rowanrail/config/diff.py
@@ -1,4 +1,8 @@
-"""Differences between two configurations, and hiding of secrets."""
+"""Differences between two configurations, and hiding of secrets.
+
+For the history of changes and what operators are shown. Owns nothing: pure functions on the model;
+no secret leaves them in the clear.
+"""
 
 from typing import Any
 
--- a/src/rowanrail/config/load.py
+++ b/src/rowanrail/config/load.py
@@ -1,4 +1,8 @@
-"""Loading a configuration from a file, or from a folder of files, as a whole."""
+"""Loading a configuration from a file, or from a folder of files, as a whole.
+
+For the commands and the operators' interface. Owns nothing; relies on ``reader`` for a file's form
+and on ``checks`` for what holds across fields. All problems are returned at once.
+"""
 
 from pathlib import Path
 from typing import Any
--- a/src/rowanrail/config/settings.py
+++ b/src/rowanrail/config/settings.py
@@ -1,4 +1,8 @@
-"""Settings files of the daemons."""
+"""Settings files of the daemons.
+
+For each program's start. Owns the fields, their defaults and their checks, which files in use rely
+on; relies on ``reader`` and ``addresses``. All problems are returned at once.
+"""
 
 import enum
 from pathlib import Path
--- a/src/rowanrail/consensus/errors.py
+++ b/src/rowanrail/consensus/errors.py
@@ -1,4 +1,7 @@
-"""Why a request to the replicated log has no clear outcome."""
+"""Why a request to the replicated log has no clear outcome.
+
+For the node that raises these, and the services that answer callers by them.
+"""
 
 from rowanrail.kernel.errors import RowanrailError
 
--- a/src/rowanrail/consensus/log.py
+++ b/src/rowanrail/consensus/log.py
@@ -1,4 +1,8 @@
-"""The log in memory: the entries after the last snapshot."""
+"""The log in memory: the entries after the last snapshot.
+
+For Raft's state. Owns the entries and the memberships that they hold; the storage keeps the same
+on disk.
+"""
 
 import msgspec
 
--- a/src/rowanrail/consensus/machine.py
+++ b/src/rowanrail/consensus/machine.py
@@ -1,4 +1,8 @@
-"""What the replicated log acts on."""
+"""What the replicated log acts on.
+
+A port: the states of both kinds of control nodes, and of the lab's members, take its place. They
+may depend on nothing but the entries, so that all nodes hold the same.
+"""
 
 from abc import ABC, abstractmethod
 
--- a/src/rowanrail/consensus/node.py
+++ b/src/rowanrail/consensus/node.py
@@ -1,4 +1,9 @@
-"""The shell around the replicated log: drives :class:`Raft` with I/O and time."""
+"""A Raft node at work: its timers, its storage, its messages and its requests.
+
+Takes inputs to :class:`Raft` and carries out the effects in their order: what is promised is
+durable before it is sent. Owns who waits for an entry, a read or an index, and the failure of the
+storage; relies on the state machine for what entries mean.
+"""
 
 import asyncio
 import random
--- a/src/rowanrail/consensus/policies.py
+++ b/src/rowanrail/consensus/policies.py
@@ -1,4 +1,8 @@
-"""Guards of the replicated log, as plug-ins of kind ``consensus-guard``."""
+"""Guards of the replicated log, as plug-ins of kind ``consensus-guard``.
+
+For Raft and for the start of a node. Own nothing: pure, so that the lab can take one away and find
+its guarantee broken.
+"""
 
 from rowanrail.kernel.registry import register
 
--- a/src/rowanrail/consensus/progress.py
+++ b/src/rowanrail/consensus/progress.py
@@ -1,4 +1,7 @@
-"""What a leader knows of the other nodes, and the reads that wait for their answers."""
+"""What a leader knows of the other nodes, and the reads that wait for their answers.
+
+For Raft. Owns the indexes and times of answers by node; no clock of its own.
+"""
 
 from collections.abc import Callable, ItemsView, Iterable
 
--- a/src/rowanrail/consensus/raft_state.py
+++ b/src/rowanrail/consensus/raft_state.py
@@ -1,4 +1,8 @@
-"""State of a node of the replicated log, and the transitions that all its inputs share."""
+"""State of a node of the replicated log, and the transitions that all its inputs share.
+
+For :class:`Raft`, which adds what each message does. Owns term, vote, role and the effects that
+wait to be carried out; no I/O and no clock of its own.
+"""
 
 import random
 
--- a/src/rowanrail/consensus/raft_types.py
+++ b/src/rowanrail/consensus/raft_types.py
@@ -1,4 +1,7 @@
-"""Types that the replicated log's state machine takes and gives."""
+"""Types that the replicated log's state machine takes and gives.
+
+For Raft and the node that carries its effects out. Own nothing but their fields.
+"""
 
 import enum
 
--- a/src/rowanrail/kernel/errors.py
+++ b/src/rowanrail/kernel/errors.py
@@ -1,4 +1,8 @@
-"""The error hierarchy. Every error carries the step and the peer at which it arose."""
+"""The error hierarchy.
+
+For the whole product. Every error carries the step and the peer at which it arose; the class says
+what a caller may rely on: not run, unknown, or its own mistake.
+"""
 
 
 class RowanrailError(Exception):
--- a/src/rowanrail/kernel/events.py
+++ b/src/rowanrail/kernel/events.py
@@ -1,4 +1,8 @@
-"""Log events of the daemons with operators' logs, written through ``logbook``."""
+"""Log events of the daemons with operators' logs, written through ``logbook``.
+
+For the SQL side and the shell of control nodes. Owns the set-up of logging and who observes
+events; the catalogue owns their numbers.
+"""
 
 import sys
 from collections.abc import Callable
--- a/src/rowanrail/kernel/lifecycle.py
+++ b/src/rowanrail/kernel/lifecycle.py
@@ -1,4 +1,7 @@
-"""Start and stop of daemons."""
+"""Start and stop of daemons.
+
+For each program. Owns nothing; relies on the event loop for signals.
+"""
 
 import asyncio
 import os
--- a/src/rowanrail/kernel/metrics.py
+++ b/src/rowanrail/kernel/metrics.py
@@ -60,7 +60,7 @@
         )
 
     def note_rejection(self, cause: str, urgency: int, return_in: float) -> None:
-        """Count a statement that was turned away; its client was told ``return_in`` ms."""
+        """Count a rejected statement; its client was told to retry after ``return_in`` ms."""
         self._rejections.labels(cause, str(min(max(urgency, 0), LEAST_URGENT))).inc()
         self._returns.labels(cause).observe(return_in / 1000)
 
--- a/src/rowanrail/kernel/sockets.py
+++ b/src/rowanrail/kernel/sockets.py
@@ -1,4 +1,7 @@
-"""Connections whose far end is gone without a word: how soon the kernel closes them."""
+"""How soon the kernel closes connections whose far end is gone without closing them.
+
+For everything that opens or accepts connections. Owns the limits; relies on TCP's options.
+"""
 
 import asyncio
 import socket
@@ -15,7 +18,7 @@
 
 
 def limit_silence(transport: asyncio.BaseTransport) -> None:
-    """Have the kernel close a connection whose far end is gone without a word.
+    """Have the kernel close a connection whose far end is gone without closing it.
 
     Parameters
     ----------
--- a/src/rowanrail/kernel/web.py
+++ b/src/rowanrail/kernel/web.py
@@ -1,4 +1,7 @@
-"""Serving ``aiohttp`` applications, for daemons with many routes."""
+"""Serving ``aiohttp`` applications, for daemons with many routes.
+
+For the daemons of the SQL side; the others serve with ``kernel.http``. Owns nothing.
+"""
 
 from aiohttp import web
 
--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -1,4 +1,8 @@
-"""The MySQL server towards callers."""
+"""The MySQL server towards callers.
+
+A plug-in of kind ``frontend``. Owns the callers' connections and their identities; relies on the
+proxy's core for sessions, and on ``wire`` for the protocol.
+"""
 
 import asyncio
 import contextlib
--- a/src/rowanrail/mysql/values.py
+++ b/src/rowanrail/mysql/values.py
@@ -1,4 +1,7 @@
-"""Result columns and values between a member's text encoding and a caller's protocol."""
+"""Result columns and values between a member's text encoding and a caller's protocol.
+
+For the frontend. Owns nothing: pure functions on columns and values.
+"""
 
 import struct
 from collections.abc import Callable
--- a/src/rowanrail/sql_control/backup.py
+++ b/src/rowanrail/sql_control/backup.py
@@ -39,7 +39,7 @@
     """Return a backup of a folder.
 
     It holds all entries of the folder's log, also those of which no majority is known: a
-    change whose outcome nobody was told may be in it.
+    change whose outcome nobody has learned may be in it.
 
     :raises StorageError: if the folder is empty or damaged.
     """
--- a/src/rowanrail/sql_control/daemon.py
+++ b/src/rowanrail/sql_control/daemon.py
@@ -1,4 +1,8 @@
-"""The control daemon: a control node as a process."""
+"""The control daemon: a control node as a process.
+
+Makes the ports (network, disk, operators' interface), runs the node until a stop signal. Owns
+nothing else.
+"""
 
 import random
 from pathlib import Path
--- a/src/rowanrail/sql_control/delta.py
+++ b/src/rowanrail/sql_control/delta.py
@@ -1,4 +1,8 @@
-"""Deltas between configurations, and views of a configuration for one zone."""
+"""Deltas between configurations, and views of a configuration for one zone.
+
+For the replicated state, the watches and the proxies, which apply what they are sent. Owns
+nothing: pure functions on the model.
+"""
 
 from collections.abc import Sequence
 from typing import TypeVar
--- a/src/rowanrail/sql_control/events.py
+++ b/src/rowanrail/sql_control/events.py
@@ -1,4 +1,7 @@
-"""Log events of the control node (numbers 100 to 199)."""
+"""Log events of the control node (numbers 100 to 199).
+
+Owns the numbers and fields, which operators' tools know.
+"""
 
 from rowanrail.kernel.events import Level, define
 
--- a/src/rowanrail/sql_control/messages.py
+++ b/src/rowanrail/sql_control/messages.py
@@ -1,4 +1,8 @@
-"""Messages of the control plane, and the commands in its log."""
+"""Messages of the control plane, and the commands in its log.
+
+For control nodes, proxies and the operators' interface. Owns the messages' names and fields, which
+are stored and which processes of other versions know; relies on ``rpc.codec``.
+"""
 
 import enum
 
--- a/src/rowanrail/sql_control/node.py
+++ b/src/rowanrail/sql_control/node.py
@@ -52,7 +52,7 @@
         self._admitted = asyncio.Event()
         self._seen_leader = ("", 0)
         self._seen_version = 0
-        self._told_failure = False
+        self._reported_failure = False
 
     async def start(self, bootstrap: bool) -> None:
         """Open the folder and begin to serve.
@@ -125,9 +125,9 @@
 
     def _emit_storage(self) -> None:
         failure = self.consensus.failure
-        if (failure is not None) == self._told_failure:
+        if (failure is not None) == self._reported_failure:
             return
-        self._told_failure = failure is not None
+        self._reported_failure = failure is not None
         if failure is not None:
             emit(FOLDER_FAILED, error=failure)
         else:
--- a/src/rowanrail/sql_control/policies.py
+++ b/src/rowanrail/sql_control/policies.py
@@ -1,4 +1,8 @@
-"""Guards of the configuration service, as plug-ins of kind ``control-guard``."""
+"""Guards of the configuration service, as plug-ins of kind ``control-guard``.
+
+For the replicated state. Own nothing: pure, so that the lab can take one away and find its
+guarantee broken.
+"""
 
 from rowanrail.kernel.registry import register
 
--- a/src/rowanrail/sql_proxy/commands.py
+++ b/src/rowanrail/sql_proxy/commands.py
@@ -1,4 +1,8 @@
-"""Parsing of the few statements that the proxy answers itself."""
+"""Parsing of the few statements that the proxy answers itself.
+
+For sessions. Owns the names of the proxy's variables, which callers use; pure functions on a
+statement's text.
+"""
 
 import enum
 import re
--- a/src/rowanrail/sql_proxy/events.py
+++ b/src/rowanrail/sql_proxy/events.py
@@ -1,4 +1,7 @@
-"""Log events of the proxy (numbers 200 to 299)."""
+"""Log events of the proxy (numbers 200 to 299).
+
+Owns the numbers and fields, which operators' tools know.
+"""
 
 from rowanrail.kernel.events import Level, define
 
@@ -21,7 +24,7 @@
 UNCONFIRMED_CONFIGURATION = define(
     212,
     Level.WARNING,
-    "version {version} was taken from {source} without the leader's word",
+    "version {version} was taken from {source}; the leader has not confirmed it",
     "No majority of the control nodes answered at the start. A newer version may exist.",
 )
 CONTROL_UNREACHABLE = define(
@@ -34,5 +37,5 @@
     220,
     Level.WARNING,
     "the platform's list can't be read: {error}",
-    "Leaving members are still noticed by drains and by their own word.",
+    "Leaving members are still noticed by drains and by what they report themselves.",
 )
--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -1,4 +1,9 @@
-"""A database group as one proxy sees it: its members, and rounds over all of them."""
+"""A database group as one proxy sees it: its members, and rounds over all of them.
+
+For whatever runs statements of the group. Owns the members with their pools and monitors, the
+highest term in which a primary was seen, and the share of connections; relies on the rules in
+``serving`` and ``outcomes`` and on the guards.
+"""
 
 import asyncio
 import random
@@ -207,7 +212,7 @@
     def _has_applied(self, primary: Member, floor: Position) -> bool:
         """Return whether reads at a primary see all up to ``floor``.
 
-        Only its own word counts. It may hold a write of an earlier term and not have applied
+        Only what it reports counts. It may hold a write of an earlier term and not have applied
         it yet; and a write of its own term may be undone at it, if it is demoted before it
         learns that a majority holds the write.
         """
--- a/src/rowanrail/sql_proxy/lease.py
+++ b/src/rowanrail/sql_proxy/lease.py
@@ -1,4 +1,8 @@
-"""A leased back-end connection, ready for a session."""
+"""A leased back-end connection, ready for a session.
+
+For reads, writes and transactions, which give it back or close it. Owns when it began; relies on
+the member's pool.
+"""
 
 import asyncio
 
--- a/src/rowanrail/sql_proxy/positions.py
+++ b/src/rowanrail/sql_proxy/positions.py
@@ -1,4 +1,8 @@
-"""What a session has seen of each group, and the token that carries it."""
+"""What a session has seen of each group, and the token that carries it.
+
+For sessions. Owns their positions by group, which only grow; relies on the group's services for
+what a read must see.
+"""
 
 from rowanrail.kernel.errors import InvalidRequestError
 from rowanrail.model.position import ORIGIN, Position
--- a/src/rowanrail/sql_proxy/reads.py
+++ b/src/rowanrail/sql_proxy/reads.py
@@ -1,4 +1,8 @@
-"""Reads outside of transactions: the freshest-enough, least loaded member."""
+"""Reads outside of transactions: at the freshest-enough, least loaded member.
+
+For sessions. Owns nothing between reads; relies on the rules in ``serving`` for who serves and
+whether to try again, and on the group for what is known of members.
+"""
 
 import asyncio
 
--- a/src/rowanrail/sql_proxy/report.py
+++ b/src/rowanrail/sql_proxy/report.py
@@ -1,4 +1,8 @@
-"""What a proxy reports of itself: to the control nodes, and as metrics."""
+"""What a proxy reports of itself: to the control nodes, and as metrics.
+
+For the watch of the configuration and the administration's interface. Owns the metrics' names;
+relies on the core for all that it reports.
+"""
 
 import asyncio
 
--- a/src/rowanrail/sql_proxy/rules.py
+++ b/src/rowanrail/sql_proxy/rules.py
@@ -1,4 +1,8 @@
-"""Which reads the rules allow on a replica."""
+"""Which reads a group's configured rules allow on a replica.
+
+For sessions. Owns nothing: pure functions on a statement and the rules. What the rules do not name
+may go to a replica; what locks may not.
+"""
 
 from rowanrail.config.model import RuleKind, RuleSpec
 from rowanrail.sql_proxy.classify import ClassifiedStatement, Kind
--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -1,4 +1,9 @@
-"""What a session needs of its proxy."""
+"""What serves one group at a proxy, and what a session needs of its proxy.
+
+For sessions and the table of groups. Owns the group with its runners of reads and writes, the
+number of open transactions and the last floor of a majority; relies on ``serving`` for how far a
+read must see.
+"""
 
 import asyncio
 import random
--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -1,4 +1,8 @@
-"""A caller's session: what it must see, what it set, and its transaction."""
+"""A caller's session: what it must see, what it set, and its transaction.
+
+For the frontend, one for each connection of a caller. Owns the settings, the positions, the pinned
+connection and the open transaction; relies on the group's services to run statements.
+"""
 
 import asyncio
 
--- a/src/rowanrail/sql_proxy/statistics.py
+++ b/src/rowanrail/sql_proxy/statistics.py
@@ -1,4 +1,8 @@
-"""Counters of a group at one proxy."""
+"""Counters of a group at one proxy.
+
+For the runners of statements, which count, and the report, which reads. The fields are names of
+metrics.
+"""
 
 import msgspec
 
--- a/src/rowanrail/sql_proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -1,4 +1,9 @@
-"""A caller's transaction on its pinned back-end connection."""
+"""A caller's transaction on its pinned back-end connection.
+
+For sessions. Owns the connection from BEGIN to the end, the work that was done and the state;
+relies on the runner of writes for confirmation and records, and on ``outcomes`` for what a lost
+commit means.
+"""
 
 import asyncio
 import enum
--- a/src/rowanrail/sql_proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -1,4 +1,9 @@
-"""Writes outside of transactions, and what needs the primary in general."""
+"""Writes outside of transactions, and what needs the primary in general.
+
+For sessions and transactions. Owns nothing between writes but a count for the removal of old
+records; relies on the rules in ``outcomes`` for what follows a failure and on ``requests`` for the
+records.
+"""
 
 import asyncio
 from collections.abc import Callable
