--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -1,4 +1,8 @@
-"""The MySQL server towards callers."""
+"""The MySQL server towards callers.
+
+A plug-in of kind ``frontend``. Owns the callers' connections and their identities; relies on the
+proxy's core for sessions, and on ``wire`` for the protocol.
+"""
 
 import asyncio
 import contextlib
@@ -19,7 +23,7 @@
 from rowanrail.rpc.tcp import split_address
 from rowanrail.sql_proxy.commands import TOKEN_VARIABLE
 from rowanrail.sql_proxy.core import ProxyCore
-from rowanrail.sql_proxy.session import Session
+from rowanrail.sql_proxy.session import SqlSession
 
 LISTEN_BACKLOG = 1024
 NO_PASSWORD_HASH = "0" * 40
@@ -51,8 +55,8 @@
         super().__init__()
         self._core = core
         self._on_close = on_close
-        self.session: Session | None = None
-        self._replaced: Session | None = None
+        self.session: SqlSession | None = None
+        self._replaced: SqlSession | None = None
 
     def login_error(self, connection: ServedConnection) -> MysqlError | None:
         """Open the session, with a token from the connection attributes if there is one."""
@@ -85,7 +89,7 @@
         connection.set_ok(result.affected_rows, result.insert_id, result.warnings)
         return None
 
-    def _joined(self) -> tuple[Session, ServedConnection]:
+    def _joined(self) -> tuple[SqlSession, ServedConnection]:
         if self.session is None or self.connection is None:
             raise ConnectionClosed
         return self.session, self.connection
@@ -156,7 +160,7 @@
         """
         await asyncio.gather(*self._announcements)
 
-    def _end_session(self, session: Session) -> None:
+    def _end_session(self, session: SqlSession) -> None:
         """Tell a caller between statements that the proxy stops, and close after that.
 
         The packet has the sequence number of an answer: a caller whose next request is on
--- a/src/rowanrail/sql_control/node.py
+++ b/src/rowanrail/sql_control/node.py
@@ -19,9 +19,9 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.rpc.network import Listener, Network
 from rowanrail.sql_control.events import (
+    FOLDER_FAILED,
+    FOLDER_REGAINED,
     LEADER_CHANGED,
-    STORAGE_FAILED,
-    STORAGE_REGAINED,
     TAIL_CUT,
     VERSION_ACCEPTED,
 )
@@ -52,7 +52,7 @@
         self._admitted = asyncio.Event()
         self._seen_leader = ("", 0)
         self._seen_version = 0
-        self._told_failure = False
+        self._reported_failure = False
 
     async def start(self, bootstrap: bool) -> None:
         """Open the folder and begin to serve.
@@ -125,13 +125,13 @@
 
     def _emit_storage(self) -> None:
         failure = self.consensus.failure
-        if (failure is not None) == self._told_failure:
+        if (failure is not None) == self._reported_failure:
             return
-        self._told_failure = failure is not None
+        self._reported_failure = failure is not None
         if failure is not None:
-            emit(STORAGE_FAILED, error=failure)
+            emit(FOLDER_FAILED, error=failure)
         else:
-            emit(STORAGE_REGAINED, term=self.consensus.raft.term)
+            emit(FOLDER_REGAINED, term=self.consensus.raft.term)
 
     async def stop(self) -> None:
         """Stop serving."""
--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -1,4 +1,9 @@
-"""A database group as one proxy sees it: its members, and rounds over all of them."""
+"""A database group as one proxy sees it: its members, and rounds over all of them.
+
+For whatever runs statements of the group. Owns the members with their pools and monitors, the
+highest term in which a primary was seen, and the share of connections; relies on the rules in
+``serving`` and ``outcomes`` and on the guards.
+"""
 
 import asyncio
 import random
@@ -21,7 +26,7 @@
 from rowanrail.sql_proxy.policies import Freshness, LeavingCheck, TermConfirmation
 from rowanrail.sql_proxy.pool import Pool, PoolLimits
 from rowanrail.sql_proxy.serving import PRIMARY_SEARCH_SECONDS, current_primary, expected_seconds
-from rowanrail.sql_proxy.share import UNKNOWN, ConnectionShare
+from rowanrail.sql_proxy.share import UNKNOWN_PROXIES, ConnectionShare
 
 
 class GroupOptions(msgspec.Struct, frozen=True):
@@ -126,7 +131,7 @@
     def keep_share(self, older: "GroupRuntime") -> None:
         """Go on with the share of the runtime that this one takes the place of."""
         self._connection_share = older._connection_share
-        self.set_users(UNKNOWN)
+        self.set_users(UNKNOWN_PROXIES)
 
     def start(self) -> None:
         """Begin to watch the members."""
@@ -207,7 +212,7 @@
     def _has_applied(self, primary: Member, floor: Position) -> bool:
         """Return whether reads at a primary see all up to ``floor``.
 
-        Only its own word counts. It may hold a write of an earlier term and not have applied
+        Only what it reports counts. It may hold a write of an earlier term and not have applied
         it yet; and a write of its own term may be undone at it, if it is demoted before it
         learns that a majority holds the write.
         """
