--- a/src/rowanrail/sql_proxy/rules.py
+++ b/src/rowanrail/sql_proxy/rules.py
@@ -1,16 +1,22 @@
-"""Which reads the rules allow on a replica."""
+"""Which reads a group's configured rules allow on a replica.
 
-from rowanrail.config.model import RuleSpec, StatementKind
-from rowanrail.sql_proxy.classify import Kind, Statement
+For sessions. Owns nothing: pure functions on a statement and the rules. What the rules do not name
+may go to a replica; what locks may not.
+"""
+
+from rowanrail.config.model import RuleKind, RuleSpec
+from rowanrail.sql_proxy.classify import ClassifiedStatement, Kind
 
 _RULE_KINDS = {
-    Kind.READ: StatementKind.SELECT,
-    Kind.SHOW: StatementKind.SHOW,
-    Kind.BEGIN_READ_ONLY: StatementKind.READ_ONLY_TRANSACTION,
+    Kind.READ: RuleKind.SELECT,
+    Kind.SHOW: RuleKind.SHOW,
+    Kind.BEGIN_READ_ONLY: RuleKind.READ_ONLY_TRANSACTION,
 }
 
 
-def allows_replica(rules: list[RuleSpec], statement: Statement, database: str, user: str) -> bool:
+def allows_replica(
+    rules: list[RuleSpec], statement: ClassifiedStatement, database: str, user: str
+) -> bool:
     """Return whether a statement may run on a replica: the first matching rule decides."""
     kind = _RULE_KINDS.get(statement.kind)
     if kind is None or statement.locking:
@@ -24,7 +30,7 @@
 
 def _matches(
     rule: RuleSpec,
-    kind: StatementKind,
+    kind: RuleKind,
     schemas: tuple[str, ...],
     tables: tuple[str, ...],
     user: str,
