--- a/src/rowanrail/coordination/commands.py
+++ b/src/rowanrail/coordination/commands.py
@@ -27,7 +27,7 @@
 
 
 class Readmit(msgspec.Struct, frozen=True, tag="readmit"):
-    """A member whose address another life had taken is the one that runs after all."""
+    """A displaced member gets its address back: the one that displaced it is silent."""
 
     record: MemberRecord
 
@@ -42,7 +42,7 @@
 class IntendPromotion(msgspec.Struct, frozen=True, tag="promotion"):
     """The holder of the failover duty is about to promote a member.
 
-    The entry's place in the log is the call's fencing token: it only grows, whoever leads.
+    The entry's place in the log is the order's fencing token: it only grows, whichever node leads.
     """
 
     service: str
--- a/src/rowanrail/coordination/forwarding.py
+++ b/src/rowanrail/coordination/forwarding.py
@@ -22,7 +22,7 @@
 
     at: float
     leader: str
-    says_something: bool
+    had_content: bool
     place: tuple[str, str, str]
 
 
@@ -49,16 +49,16 @@
         sent = self._sent.get(report.gateway)
         if (
             sent is not None
-            and not _tells_something(report)
-            and not sent.says_something
+            and not _has_content(report)
+            and not sent.had_content
             and (sent.leader, sent.place) == (leader, place)
             and now - sent.at < CENSUS_SECONDS
         ):
             return False
-        self._sent[report.gateway] = _Sent(now, leader, _tells_something(report), place)
+        self._sent[report.gateway] = _Sent(now, leader, _has_content(report), place)
         return True
 
 
-def _tells_something(report: GatewayReport) -> bool:
-    """Return whether a report tells of primaries, or of the demand by which holders are planned."""
+def _has_content(report: GatewayReport) -> bool:
+    """Return whether a report has views of primaries, or the load by which holders are planned."""
     return bool(report.services) or report.load is not None
--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -63,12 +63,12 @@
     # What is held
 
     def _keys(self, service: str) -> list[str]:
-        if self._regional:
+        if self._regional_gateways:
             return [shard.key for shard in shards_of(service)]
         return [service]
 
     def _rank_all(self) -> None:
-        self._regional = sum(bool(gateway.group) for gateway in self._gateways.values())
+        self._regional_gateways = sum(bool(gateway.group) for gateway in self._gateways.values())
         self._groups: dict[str, set[str]] = {}
         for gateway in self._gateways.values():
             self._groups.setdefault(gateway.sharing_group, set()).add(gateway.name)
@@ -76,14 +76,14 @@
         self._held: Counter[str] = Counter()
         keys = [key for service in self._services for key in self._keys(service)]
         for group in self._groups:
-            for key in [*keys, METER] if self._regional else keys:
+            for key in [*keys, METER] if self._regional_gateways else keys:
                 self._rank(group, key)
 
     def _rank(self, group: str, key: str) -> None:
-        self._give(group, key, max(claim(key, name) for name in self._groups[group]))
+        self._set_first(group, key, max(claim(key, name) for name in self._groups[group]))
 
-    def _give(self, group: str, key: str, to: tuple[bytes, str] | None) -> None:
-        """Note which gateway holds something in a group; None if none does any more."""
+    def _set_first(self, group: str, key: str, to: tuple[bytes, str] | None) -> None:
+        """Note which gateway is first for something in a group; None if there is none any more."""
         before = self._first[group].pop(key, None)
         if before is not None:
             self._held[before[1]] -= 1
@@ -108,15 +108,15 @@
                 del self._services[step.before.service]
                 for key in self._keys(step.before.service):
                     for group in self._groups:
-                        self._give(group, key, None)
+                        self._set_first(group, key, None)
 
     def _move(self, step: GatewayStep) -> None:
-        regional = self._regional + _is_regional(step.after) - _is_regional(step.before)
-        if bool(regional) != bool(self._regional):
+        regional = self._regional_gateways + _is_regional(step.after) - _is_regional(step.before)
+        if bool(regional) != bool(self._regional_gateways):
             self._replace(step)
             self._rank_all()
             return
-        self._regional = regional
+        self._regional_gateways = regional
         if step.before is not None:
             self._remove(step.before)
         self._replace(step)
@@ -137,7 +137,7 @@
             if self._groups[group]:
                 self._rank(group, key)
             else:
-                self._give(group, key, None)
+                self._set_first(group, key, None)
         if not self._groups[group]:
             del self._groups[group], self._first[group]
 
@@ -148,11 +148,11 @@
             self._first[group] = {}
         self._groups[group].add(gateway.name)
         keys = [key for service in self._services for key in self._keys(service)]
-        for key in [*keys, METER] if self._regional else keys:
+        for key in [*keys, METER] if self._regional_gateways else keys:
             mine = claim(key, gateway.name)
             known = self._first[group].get(key)
             if known is None or mine > known:
-                self._give(group, key, mine)
+                self._set_first(group, key, mine)
 
 
 def _is_regional(gateway: GatewayRecord | None) -> int:
--- a/src/rowanrail/coordination/member_questions.py
+++ b/src/rowanrail/coordination/member_questions.py
@@ -37,8 +37,8 @@
 class _Round:
     """One question to several members at once.
 
-    It ends when all have answered. A primary is asked since it may be dead, so it is waited for
-    only a little longer than for the replicas.
+    It ends when all have answered. The primary may well be dead, so that it is waited for only a
+    little longer than the replicas.
     """
 
     def __init__(self, reader: StatusReader, records: list[MemberRecord]) -> None:
--- a/src/rowanrail/coordination/messages.py
+++ b/src/rowanrail/coordination/messages.py
@@ -1,4 +1,8 @@
-"""Commands of the replicated log, and messages between gateways and control nodes."""
+"""Messages between control nodes: requests to the leader, their replies, and heartbeats.
+
+Owns the forms; those between gateways and control nodes are in
+:mod:`rowanrail.directory.messages`, the commands of the log in :mod:`commands`.
+"""
 
 import enum
 
@@ -7,8 +11,6 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.rpc.codec import message
 
-# Commands. Each is applied by every node in the order of the log.
-
 
 class PutVerdict(enum.Enum):
     """What became of a configuration."""
@@ -74,6 +76,3 @@
 
     instance: str
     sequence: int
-
-
-# Watches
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -77,7 +77,7 @@
         self.lasting = self._window.lasting()
         layout = self._layout(self.lasting)
         loads = self._loads.loads(gateways)
-        return propose(self.lasting, loads, layout, self._state.plan, self._resting())
+        return propose(self.lasting, loads, layout, self._state.plan, self._recently_changed())
 
     def note_changed(self, proposal: Proposal) -> None:
         """Note that a proposal is in force: what it changed is left as it is for ``REST_MS``."""
@@ -87,7 +87,7 @@
         for shares in proposal.shares:
             self._changed_at["", shares.service] = now
 
-    def _resting(self) -> set[tuple[str, str]]:
+    def _recently_changed(self) -> set[tuple[str, str]]:
         limit = self._now() - REST_MS
         self._changed_at = {shard: at for shard, at in self._changed_at.items() if at > limit}
         return set(self._changed_at)
--- a/src/rowanrail/members/monitor_interval.py
+++ b/src/rowanrail/members/monitor_interval.py
@@ -10,7 +10,7 @@
 # Samples that all gateways together ask a primary for when they have no other reason to. With 194
 # gateways, 1.0 in place of 0.3 s saved 6 of 24 MB between regions on a calm day, one run.
 MONITOR_SAMPLES_PER_SECOND = 320.0
-LONGEST_MONITOR_SECONDS = 0.6  # so that a silent primary is noticed about as soon as before
+LONGEST_MONITOR_SECONDS = 0.6  # so that many gateways still notice a silent primary soon
 
 
 def monitor_seconds(gateways: int) -> float:
