--- a/tests/unit/test_architecture.py
+++ b/tests/unit/test_architecture.py
@@ -7,6 +7,7 @@
 
 from rowanlab import documents  # noqa: F401 - fills the catalogue of events
 from rowanrail.kernel.events import CATALOGUE
+from tests.unit.test_decisions import source_words
 
 ROOT = Path(__file__).resolve().parents[2]
 TEXT = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
@@ -29,6 +30,15 @@
             with self.subTest(number):
                 self.assertIn(int(number), CATALOGUE)
 
+    def test_its_metrics_and_fields_exist(self):
+        words = source_words()
+        failures = TEXT.split("## When a dependency fails")[1].split("## Three questions")[0]
+        cells = [line.split(" | ")[-2] for line in failures.splitlines() if "| `tests." in line]
+        self.assertGreater(len(cells), 10)
+        for name in re.findall(r"`(\w+)`", " ".join(cells)):
+            with self.subTest(name):
+                self.assertIn(name, words)
+
     def test_its_files_and_links_exist(self):
         paths = [*named(r"`(platform/[\w/]+\.py)"), *(f"docs/{p}" for p in named(r"\]\((\w+\.md)"))]
         for path in paths:
--- a/tests/unit/test_decisions.py
+++ b/tests/unit/test_decisions.py
@@ -1,5 +1,6 @@
 """The page of the rules in force names only what exists."""
 
+import ast
 import importlib
 import re
 import unittest
@@ -7,6 +8,7 @@
 
 from rowanlab import documents  # noqa: F401 - fills the catalogue of events
 from rowanrail.kernel.events import CATALOGUE
+from rowanrail.model.trace import Rejection, Trace
 
 ROOT = Path(__file__).resolve().parents[2]
 COLUMNS = 8
@@ -77,6 +79,17 @@
                     else:
                         self.assertIn(name, fields)
 
+    def test_each_field_is_one_of_an_event_of_its_row(self):
+        known = event_fields()
+        for cells in rows():
+            names = named(cells[LOG])
+            numbers = [int(name[2:]) for name in names if re.fullmatch(r"RR\d{4}", name)]
+            numbers += [int(number) for number in re.findall(r"(?<!`)RR(\d{4})", cells[LOG])]
+            fields = {field for number in numbers for field in known.get(number, ())}
+            for name in names:
+                with self.subTest(cells[0], field=name):
+                    self.assertTrue(re.fullmatch(r"RR\d{4}", name) or name in fields)
+
     def test_each_metric_exists(self):
         words = source_words()
         for cells in rows():
@@ -106,7 +119,29 @@
     return False
 
 
+def event_fields():
+    """Return the fields that the product's code writes with each event, by its number."""
+    sources = [path.read_text() for path in source_files()]
+    defined = re.findall(r"^(\w+) = define\(\s*(\d+)", "\n".join(sources), re.MULTILINE)
+    numbers = {name: int(number) for name, number in defined}
+    statement = {*Trace.__struct_fields__, *Rejection.__struct_fields__}
+    fields = {numbers["ANSWERED"]: set(statement), numbers["REFUSED"]: set(statement)}
+    calls = [node for text in sources for node in ast.walk(ast.parse(text))]
+    for call in calls:
+        if not isinstance(call, ast.Call) or not call.args:
+            continue
+        # The event may be one of two, by a condition.
+        events = [node.id for node in ast.walk(call.args[0]) if isinstance(node, ast.Name)]
+        for name in numbers.keys() & set(events):
+            fields.setdefault(numbers[name], set()).update(word.arg for word in call.keywords)
+    return fields
+
+
+def source_files():
+    """Return the paths of the product's sources."""
+    return [*(ROOT / "src/rowanrail").rglob("*.py"), *(ROOT / "platform").rglob("*.py")]
+
+
 def source_words():
     """Return all words of the product's sources."""
-    files = [*(ROOT / "src/rowanrail").rglob("*.py"), *(ROOT / "platform").rglob("*.py")]
-    return {word for path in files for word in re.findall(r"\w+", path.read_text())}
+    return {word for path in source_files() for word in re.findall(r"\w+", path.read_text())}
