--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -80,7 +80,7 @@
         self.assertEqual(self.assumed(1, peer="new"), 900)
 
 
-class LoadTellerTest(unittest.TestCase):
+class LoadReporterTest(unittest.TestCase):
     def setUp(self):
         self.manual = ManualClock()
         self.measured = 0
