--- a/src/rowanrail/consensus/node.py
+++ b/src/rowanrail/consensus/node.py
@@ -1,8 +1,8 @@
 """A Raft node at work: its timers, its storage, its messages and its requests.
 
 Takes inputs to :class:`Raft` and carries out the effects in their order: what is promised is
-durable before it is sent. Owns who waits for an entry, a read or an index, and the failure of the
-storage; relies on the state machine for what entries mean.
+durable before it is sent. Owns the failure of the storage; relies on ``pending`` for who waits, and
+on the state machine for what entries mean.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from rowanrail.consensus.errors import LeadershipLostError, NotLeaderError, SupersededError
+from rowanrail.consensus.errors import LeadershipLostError, NotLeaderError
 from rowanrail.consensus.log import Log
 from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import (
@@ -27,10 +27,11 @@
     VoteReply,
     VoteRequest,
 )
+from rowanrail.consensus.pending import PendingRequests
 from rowanrail.consensus.raft import Raft
 from rowanrail.consensus.raft_types import Effects, NotLeader, RaftConfig, Role
 from rowanrail.consensus.storage import Identity, Storage
-from rowanrail.kernel.errors import RowanrailError, StorageError
+from rowanrail.kernel.errors import StorageError
 from rowanrail.kernel.registry import Registry
 from rowanrail.rpc.network import Network
 
@@ -77,10 +78,7 @@
         self._network = network
         self._options = options
         self._fallback_address = fallback_address
-        self._proposals: dict[int, tuple[int, asyncio.Future[object]]] = {}
-        self._reads: dict[int, asyncio.Future[int]] = {}
-        self._next_read = 0
-        self._applied_waiters: list[tuple[int, asyncio.Future[None]]] = []
+        self._pending = PendingRequests()
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         hard_state, log = storage.load()
@@ -116,7 +114,7 @@
         """Stop taking part; pending requests fail."""
         if self._task is not None:
             self._task.cancel()
-        self._fail_pending(LeadershipLostError("the node stops", step="propose"))
+        self._pending.fail_all(LeadershipLostError("the node stops", step="propose"))
 
     # Requests
 
@@ -145,7 +143,7 @@
         :raises LeadershipLostError: if the outcome is unknown.
         """
         entry = self.append(data)
-        return await self._await_entry(entry)
+        return await self._pending.wait_entry(entry)
 
     async def change_membership(self, membership: Membership) -> None:
         """Commit a new membership.
@@ -158,12 +156,7 @@
         except NotLeader as error:
             raise NotLeaderError(self.leader_address(), "change membership") from error
         self._wake.set()
-        await self._await_entry(entry)
-
-    async def _await_entry(self, entry: Entry) -> object:
-        future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
-        self._proposals[entry.index] = (entry.term, future)
-        return await future
+        await self._pending.wait_entry(entry)
 
     async def read_barrier(self) -> None:
         """Return once the state machine holds all that was committed before the call.
@@ -171,28 +164,23 @@
         :raises NotLeaderError: if the node does not lead, or can't confirm that it does.
         """
         self.check_failure("read")
-        self._next_read += 1
-        token = self._next_read
-        future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self._reads[token] = future
+        token, future = self._pending.wait_read()
         try:
             self.raft.read(token, self._now())
         except NotLeader as error:
-            del self._reads[token]
+            self._pending.forget_read(token)
             raise NotLeaderError(self.leader_address(), "read") from error
         self._wake.set()
         try:
             await self.wait_applied(await future)
         finally:
-            self._reads.pop(token, None)
+            self._pending.forget_read(token)
 
     async def wait_applied(self, index: int) -> None:
         """Return once the entry at ``index`` has been applied here."""
         if self.applied >= index:
             return
-        future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._applied_waiters.append((index, future))
-        await future
+        await self._pending.wait_applied(index)
 
     def receive(self, incoming: ConsensusMessage) -> None:
         """Handle a message from another node."""
@@ -245,7 +233,7 @@
         self.failure = error
         self.role_at_failure = self.raft.role
         self.raft.withdraw()
-        self._fail_pending(error)
+        self._pending.fail_all(error)
 
     def _reopen(self) -> None:
         """Take part again with what is durable, as after a restart, if the disk allows it."""
@@ -311,58 +299,17 @@
         for entry in effects.committed:
             result = self.machine.apply(entry)
             self.applied = entry.index
-            self._settle(entry, result)
+            self._pending.settle_entry(entry, result)
         if effects.committed or effects.install:
-            self._wake_applied_waiters()
-
-    def _settle(self, entry: Entry, result: object) -> None:
-        pending = self._proposals.pop(entry.index, None)
-        if pending is None or pending[1].done():
-            return
-        term, future = pending
-        if term == entry.term:
-            future.set_result(result)
-        else:
-            future.set_exception(SupersededError("another leader's entry won", step="propose"))
-
-    def _wake_applied_waiters(self) -> None:
-        waiting = []
-        for index, future in self._applied_waiters:
-            if self.applied < index:
-                waiting.append((index, future))
-            elif not future.done():
-                future.set_result(None)
-        self._applied_waiters = waiting
+            self._pending.settle_applied(self.applied)
 
     def _answer_reads(self, effects: Effects) -> None:
         for token, index in effects.ready_reads:
-            future = self._reads.get(token)
-            if future is not None and not future.done():
-                future.set_result(index)
+            self._pending.settle_read(token, index)
         for token in effects.failed_reads:
-            future = self._reads.get(token)
-            if future is not None and not future.done():
-                future.set_exception(NotLeaderError(self.leader_address(), "read"))
-        if not self.raft.is_leader and self._proposals:
-            error = LeadershipLostError("the leader changed", step="propose")
-            for _, pending in self._proposals.values():
-                if not pending.done():
-                    pending.set_exception(error)
-            self._proposals = {}
-
-    def _fail_pending(self, error: RowanrailError) -> None:
-        futures: list[asyncio.Future[object]] = [future for _, future in self._proposals.values()]
-        for future in futures:
-            if not future.done():
-                future.set_exception(error)
-        for read in self._reads.values():
-            if not read.done():
-                read.set_exception(error)
-        for _, waiter in self._applied_waiters:
-            if not waiter.done():
-                waiter.set_exception(error)
-        self._proposals = {}
-        self._applied_waiters = []
+            self._pending.fail_read(token, NotLeaderError(self.leader_address(), "read"))
+        if not self.raft.is_leader and self._pending.has_proposals:
+            self._pending.fail_proposals(LeadershipLostError("the leader changed", step="propose"))
 
     def _compact(self) -> None:
         if self.raft.log.size < self._options.snapshot_entries or self.applied <= 0:
--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -1,4 +1,4 @@
-"""A database group as one proxy sees it: its members, and rounds over all of them.
+"""A database group as one proxy sees it: its members, the primary among them, fresh replicas.
 
 For whatever runs statements of the group. Owns the members with their pools and monitors, the
 highest term in which a primary was seen, and the share of connections; relies on the rules in
@@ -15,16 +15,12 @@
 from rowanrail.kernel.errors import NotRunError
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.position import ORIGIN, Position
-from rowanrail.sql_proxy.backend import BackendConnection, BackendDriver, MemberStatus
+from rowanrail.sql_proxy.backend import BackendConnection, BackendDriver
 from rowanrail.sql_proxy.monitor import MemberMonitor
-from rowanrail.sql_proxy.outcomes import (
-    GROUP_RETRY_AFTER_SECONDS,
-    ROUND_RETRY_MAXIMUM_SECONDS,
-    ROUND_RETRY_SECONDS,
-    next_round_pause,
-)
-from rowanrail.sql_proxy.policies import Freshness, LeavingCheck, TermConfirmation
+from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
+from rowanrail.sql_proxy.policies import Freshness, LeavingCheck
 from rowanrail.sql_proxy.pool import Pool, PoolLimits
+from rowanrail.sql_proxy.rounds import MajorityRounds
 from rowanrail.sql_proxy.serving import PRIMARY_SEARCH_SECONDS, current_primary, expected_seconds
 from rowanrail.sql_proxy.share import UNKNOWN_PROXIES, ConnectionShare
 
@@ -55,7 +51,7 @@
 
 
 class GroupRuntime:
-    """Members of a group, the primary among them, and majority rounds."""
+    """Members of a group, and the primary among them."""
 
     def __init__(
         self,
@@ -67,7 +63,7 @@
     ) -> None:
         self.spec = spec
         self.freshness: Freshness = registry.create("proxy-guard", "freshness")
-        self.confirmation: TermConfirmation = registry.create("proxy-guard", "term-confirmation")
+        confirmation = registry.create("proxy-guard", "term-confirmation")
         self.leaving_check: LeavingCheck = registry.create("proxy-guard", "leaving-check")
         self._options = options
         self._driver = driver
@@ -80,6 +76,8 @@
             self._create_member(spec, position, registry, randomness)
             for position in range(len(spec.members))
         ]
+        monitors = [member.monitor for member in self.members]
+        self.rounds = MajorityRounds(spec.name, monitors, self.freshness, confirmation)
 
     def _create_member(
         self, spec: GroupSpec, position: int, registry: Registry, randomness: random.Random
@@ -231,74 +229,6 @@
         member.known.suspect()
         self.kick()
 
-    # Rounds
-
-    async def round(self, enough: Callable[[list[MemberStatus]], bool]) -> list[MemberStatus]:
-        """Ask all members and return the answers as soon as ``enough`` holds for them.
-
-        All answers were sent after this call. Rounds that begin together share questions.
-        """
-        pending = {asyncio.ensure_future(member.monitor.refresh()) for member in self.members}
-        statuses: list[MemberStatus] = []
-        while pending and not enough(statuses):
-            done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-            statuses.extend(status for task in done if (status := task.result()) is not None)
-        return statuses
-
-    async def confirm(self, position: Position, deadline: float) -> bool:
-        """Return whether a majority, in the position's own term, holds ``position``.
-
-        :returns: False as soon as a majority has moved on, or at ``deadline``.
-        """
-        loop = asyncio.get_running_loop()
-        members = len(self.members)
-        pause_seconds = ROUND_RETRY_SECONDS
-
-        def decided(statuses: list[MemberStatus]) -> bool:
-            return self.confirmation.is_confirmed(
-                position, statuses, members
-            ) or self.confirmation.is_replaced(position, statuses, members)
-
-        while loop.time() < deadline:
-            try:
-                async with asyncio.timeout_at(deadline):
-                    statuses = await self.round(decided)
-            except TimeoutError:
-                return False
-            if self.confirmation.is_confirmed(position, statuses, members):
-                return True
-            if self.confirmation.is_replaced(position, statuses, members):
-                return False
-            await asyncio.sleep(pause_seconds)
-            pause_seconds = next_round_pause(pause_seconds)
-        return False
-
-    async def acknowledged_floor(self, deadline: float) -> Position:
-        """Return a position that covers every write acknowledged before this call.
-
-        :raises NotRunError: if no majority answers in time.
-        """
-        loop = asyncio.get_running_loop()
-        members = len(self.members)
-        majority = members // 2 + 1
-        while True:
-            try:
-                async with asyncio.timeout_at(deadline):
-                    statuses = await self.round(lambda answers: len(answers) >= majority)
-                    floor = self.freshness.acknowledged_floor(statuses, members)
-                    if floor is not None:
-                        return floor
-                    await asyncio.sleep(ROUND_RETRY_MAXIMUM_SECONDS)
-            except TimeoutError:
-                pass  # ends below with the reason
-            if loop.time() >= deadline:
-                raise NotRunError(
-                    "no majority of the group's members answers",
-                    retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
-                    step="find position",
-                    peer=self.spec.name,
-                )
-
     # Replicas
 
     def fresh_replicas(self, floor: Position) -> list[Member]:
--- /dev/null
+++ b/src/rowanrail/sql_proxy/rounds.py
@@ -0,0 +1,111 @@
+"""Rounds of questions to all members of a group, and what a majority's answers say.
+
+For writes, which are confirmed here, and for reads that ask how far they must see. Owns nothing
+between rounds; relies on the members' monitors for answers, on the guards for what they mean, and
+on ``outcomes`` for the pauses.
+"""
+
+import asyncio
+from collections.abc import Callable, Sequence
+
+from rowanrail.kernel.errors import NotRunError
+from rowanrail.model.position import Position
+from rowanrail.sql_proxy.backend import MemberStatus
+from rowanrail.sql_proxy.monitor import MemberMonitor
+from rowanrail.sql_proxy.outcomes import (
+    GROUP_RETRY_AFTER_SECONDS,
+    ROUND_RETRY_MAXIMUM_SECONDS,
+    ROUND_RETRY_SECONDS,
+    next_round_pause,
+)
+from rowanrail.sql_proxy.policies import Freshness, TermConfirmation
+
+__all__ = ["MajorityRounds"]
+
+
+class MajorityRounds:
+    """Asks a group's members together.
+
+    :param name: the group's name, for errors.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        monitors: Sequence[MemberMonitor],
+        freshness: Freshness,
+        confirmation: TermConfirmation,
+    ) -> None:
+        self._name = name
+        self._monitors = monitors
+        self._freshness = freshness
+        self._confirmation = confirmation
+
+    async def confirm(self, position: Position, deadline: float) -> bool:
+        """Return whether a majority, in the position's own term, holds ``position``.
+
+        :returns: False as soon as a majority has moved on, or at ``deadline``.
+        """
+        loop = asyncio.get_running_loop()
+        pause_seconds = ROUND_RETRY_SECONDS
+        while loop.time() < deadline:
+            try:
+                async with asyncio.timeout_at(deadline):
+                    statuses = await self._ask(
+                        lambda answers: self._confirms(position, answers) is not None
+                    )
+            except TimeoutError:
+                return False
+            confirmed = self._confirms(position, statuses)
+            if confirmed is not None:
+                return confirmed
+            await asyncio.sleep(pause_seconds)
+            pause_seconds = next_round_pause(pause_seconds)
+        return False
+
+    def _confirms(self, position: Position, statuses: list[MemberStatus]) -> bool | None:
+        """Return what answers say of a position; None if they leave it open."""
+        members = len(self._monitors)
+        if self._confirmation.is_confirmed(position, statuses, members):
+            return True
+        if self._confirmation.is_replaced(position, statuses, members):
+            return False
+        return None
+
+    async def acknowledged_floor(self, deadline: float) -> Position:
+        """Return a position that covers every write acknowledged before this call.
+
+        :raises NotRunError: if no majority answers in time.
+        """
+        loop = asyncio.get_running_loop()
+        members = len(self._monitors)
+        majority = members // 2 + 1
+        while True:
+            try:
+                async with asyncio.timeout_at(deadline):
+                    statuses = await self._ask(lambda answers: len(answers) >= majority)
+                    floor = self._freshness.acknowledged_floor(statuses, members)
+                    if floor is not None:
+                        return floor
+                    await asyncio.sleep(ROUND_RETRY_MAXIMUM_SECONDS)
+            except TimeoutError:
+                pass  # ends below with the reason
+            if loop.time() >= deadline:
+                raise NotRunError(
+                    "no majority of the group's members answers",
+                    retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
+                    step="find position",
+                    peer=self._name,
+                )
+
+    async def _ask(self, is_enough: Callable[[list[MemberStatus]], bool]) -> list[MemberStatus]:
+        """Ask all members and return the answers as soon as they are enough.
+
+        All answers were sent after this call. Rounds that begin together share questions.
+        """
+        pending = {asyncio.ensure_future(monitor.refresh()) for monitor in self._monitors}
+        statuses: list[MemberStatus] = []
+        while pending and not is_enough(statuses):
+            done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+            statuses.extend(status for task in done if (status := task.result()) is not None)
+        return statuses
--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -70,7 +70,7 @@
             case FloorSource.RECENT:
                 return max(await self._recent_or_asked(deadline), own)
             case FloorSource.ASKED:
-                return max(await self.group.acknowledged_floor(deadline), own)
+                return max(await self.group.rounds.acknowledged_floor(deadline), own)
 
     async def _recent_or_asked(self, deadline: float) -> Position:
         loop = asyncio.get_running_loop()
@@ -78,7 +78,7 @@
         if is_recent_floor(loop.time() - taken_at, self.spec.maximum_staleness_seconds):
             return floor
         asked_at = loop.time()
-        floor = await self.group.acknowledged_floor(deadline)
+        floor = await self.group.rounds.acknowledged_floor(deadline)
         self._recent_floor = (asked_at, floor)
         return floor
 
--- a/src/rowanrail/sql_proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -118,7 +118,7 @@
         :raises OutcomeUnknownError: if that can't be confirmed in time.
         """
         position: Position | None = result.position
-        if position is None or not await self._group.confirm(position, deadline):
+        if position is None or not await self._group.rounds.confirm(position, deadline):
             raise OutcomeUnknownError(
                 "the write was not confirmed by a majority; it may be lost or may last",
                 step="confirm",
