--- a/src/rowanrail/sql_proxy/config_watch.py
+++ b/src/rowanrail/sql_proxy/config_watch.py
@@ -95,12 +95,9 @@
         while self._core.in_force.version == 0:
             replies = await asyncio.gather(*(self._ask(address, 0.0) for address in self._controls))
             known = [reply for reply in replies if reply is not None]
-            confirmed = [reply for reply in known if reply.confirmed]
-            if confirmed:
-                newest = max(confirmed, key=lambda reply: reply.version)
-                if newest.version == 0:
-                    return  # nothing was ever accepted: wait for the first version by watching
-                self._take(newest)
+            newest = newest_confirmed(known)
+            if newest is not None:
+                self._take(newest)  # nothing, if nothing was ever accepted: polls wait for it
                 return
             await self._take_unconfirmed(known)
             if self._core.in_force.version == 0:
@@ -172,6 +169,16 @@
             self.hold(offered)
 
 
+def newest_confirmed(replies: list[WatchReply]) -> WatchReply | None:
+    """Return the reply with which a proxy starts, None if none is confirmed.
+
+    A confirmed reply covers every version that was accepted before the question; of several the
+    newest is taken. Without one, an older version than the one in force may come back.
+    """
+    confirmed = [reply for reply in replies if reply.confirmed]
+    return max(confirmed, key=lambda reply: reply.version, default=None)
+
+
 def _from_whole(reply: WatchReply) -> VersionedConfiguration:
     assert reply.delta is not None
     configuration = Configuration(reply.delta.sites, reply.delta.groups, reply.delta.users)
--- a/src/rowanrail/sql_proxy/core.py
+++ b/src/rowanrail/sql_proxy/core.py
@@ -17,12 +17,14 @@
 from rowanrail.sql_proxy.backend import BackendDriver
 from rowanrail.sql_proxy.events import CONFIGURATION_IN_FORCE, OLDER_CONFIGURATION
 from rowanrail.sql_proxy.groups import GroupTable
+from rowanrail.sql_proxy.limits import REAPER_SECONDS
 from rowanrail.sql_proxy.policies import DrainWait
 from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
 from rowanrail.sql_proxy.session import SqlSession
 
-REAPER_SECONDS = 0.5
+# Seconds after which a caller is told to retry whom a stopping proxy refused. Chosen.
 STOP_RETRY_AFTER_SECONDS = 0.5
+# Seconds between checks whether what runs at a stopping proxy has ended. Chosen.
 STOP_POLL_SECONDS = 0.05
 
 
--- a/src/rowanrail/sql_proxy/requests.py
+++ b/src/rowanrail/sql_proxy/requests.py
@@ -23,7 +23,10 @@
 from rowanrail.sql_proxy.pool import PooledConnection
 
 TABLE = "rowanrail_requests"
+# Of a request id, which stands in the record's key. Chosen.
 MAXIMUM_ID_CHARACTERS = 100
+# Seconds by which a caller's clock may be ahead of ours, and that records are kept for longer.
+# Chosen.
 CLOCK_SLACK_SECONDS = 300.0
 _ID = re.compile(r"^(\d{9,11})-[A-Za-z0-9._:-]+$")
 
--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -16,6 +16,7 @@
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.backend import BackendDriver
 from rowanrail.sql_proxy.group import GroupOptions, GroupRuntime
+from rowanrail.sql_proxy.limits import may_begin
 from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
 from rowanrail.sql_proxy.policies import OutcomeClassification
 from rowanrail.sql_proxy.reads import ReadRunner
@@ -88,7 +89,7 @@
         :raises NotRunError: if the limit is reached.
         """
         limit = self.spec.limits.open_transactions
-        if self.transactions >= limit:
+        if not may_begin(self.transactions, limit):
             raise NotRunError(
                 f"{limit} transactions are open at this proxy",
                 retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -29,6 +29,12 @@
     setting_key,
 )
 from rowanrail.sql_proxy.lease import Lease
+from rowanrail.sql_proxy.limits import (
+    DEFAULT_DEADLINE_SECONDS,
+    MAXIMUM_CARRIED_SETTINGS,
+    overdue_reason,
+    statement_seconds,
+)
 from rowanrail.sql_proxy.policies import Pinning
 from rowanrail.sql_proxy.pool import Priority
 from rowanrail.sql_proxy.positions import SessionPositions
@@ -37,10 +43,11 @@
 from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
 from rowanrail.sql_proxy.transaction import SqlTransaction, TransactionState
 
-VAR_STRING_TYPE = 253
+VAR_STRING_TYPE = 253  # of MySQL's protocol
 REQUEST_ATTRIBUTE = "request_id"
 DEADLINE_ATTRIBUTE = "deadline_ms"
-MAXIMUM_CARRIED_SETTINGS = 50
+# Seconds for the rollback of a transaction whose caller is gone. Chosen.
+ABANDON_SECONDS = 1.0
 _READS = (Kind.READ, Kind.SHOW)
 
 
@@ -132,15 +139,14 @@
     def _deadline(self, attributes: dict[str, str]) -> float:
         now = asyncio.get_running_loop().time()
         group = self._host.find_group(self.database)
-        seconds = group.spec.limits.statement_deadline_seconds if group else 5.0
+        limits = group.spec.limits if group else None
+        allowed = limits.statement_deadline_seconds if limits else DEFAULT_DEADLINE_SECONDS
         given = attributes.get(DEADLINE_ATTRIBUTE, "")
-        if given:
-            if not given.isdigit():
-                raise InvalidRequestError(
-                    f"{DEADLINE_ATTRIBUTE} {given!r} is not a number", step="deadline"
-                )
-            seconds = min(seconds, int(given) / 1000)
-        return now + seconds
+        if given and not given.isdigit():
+            raise InvalidRequestError(
+                f"{DEADLINE_ATTRIBUTE} {given!r} is not a number", step="deadline"
+            )
+        return now + statement_seconds(allowed, int(given) if given else None)
 
     def _remember(self, statement: ClassifiedStatement, result: StatementResult) -> None:
         if result.insert_id:
@@ -369,10 +375,14 @@
         limits = transaction.services.spec.limits
         if transaction.state is not TransactionState.OPEN:
             return
-        if now - transaction.used_at > limits.transaction_idle_seconds:
-            transaction.fail(f"idle for more than {limits.transaction_idle_seconds:g} s")
-        elif now - transaction.began_at > limits.transaction_seconds:
-            transaction.fail(f"open for more than {limits.transaction_seconds:g} s")
+        reason = overdue_reason(
+            now - transaction.used_at,
+            limits.transaction_idle_seconds,
+            now - transaction.began_at,
+            limits.transaction_seconds,
+        )
+        if reason:
+            transaction.fail(reason)
 
     # End
 
@@ -394,7 +404,7 @@
         self._unpin()
         if self.transaction is not None:
             try:
-                await self._roll_back(asyncio.get_running_loop().time() + 1.0)
+                await self._roll_back(asyncio.get_running_loop().time() + ABANDON_SECONDS)
             except CallerError:
                 return  # the member rolls back once the connection is closed
 
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -10,9 +10,10 @@
 from rowanrail.kernel.errors import StorageError
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_control import changes
-from rowanrail.sql_control.messages import Outcome, Verdict
-from rowanrail.sql_proxy import outcomes, queueing, serving, watching
+from rowanrail.sql_control.messages import Outcome, Verdict, WatchReply
+from rowanrail.sql_proxy import limits, outcomes, queueing, serving, watching
 from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
+from rowanrail.sql_proxy.config_watch import newest_confirmed
 from rowanrail.sql_proxy.known_status import KnownStatus
 from rowanrail.sql_proxy.outcomes import LostCommit
 from rowanrail.sql_proxy.serving import FloorSource, ReadServer
@@ -228,3 +229,34 @@
         for identity in (Identity("other", "a@5"), Identity("system", "b@5")):
             with self.assertRaises(StorageError):
                 check_owner(identity, owner)
+
+
+class LimitTest(unittest.TestCase):
+    def test_a_caller_can_only_shorten_its_deadline(self):
+        self.assertEqual(limits.statement_seconds(5.0, None), 5.0)
+        self.assertEqual(limits.statement_seconds(5.0, 250), 0.25)
+        self.assertEqual(limits.statement_seconds(5.0, 60_000), 5.0)
+        self.assertEqual(limits.statement_seconds(5.0, 0), 0.0)
+
+    def test_transactions_are_limited(self):
+        self.assertTrue(limits.may_begin(9, 10))
+        self.assertFalse(limits.may_begin(10, 10))
+
+    def test_an_idle_or_long_transaction_is_overdue(self):
+        self.assertEqual(limits.overdue_reason(10.0, 10.0, 60.0, 60.0), "")
+        self.assertEqual(limits.overdue_reason(10.1, 10.0, 61.0, 60.0), "idle for more than 10 s")
+        self.assertEqual(limits.overdue_reason(0.0, 10.0, 61.0, 60.0), "open for more than 60 s")
+
+
+class StartTest(unittest.TestCase):
+    @staticmethod
+    def reply(version, confirmed):
+        return WatchReply(version, "digest", confirmed, True, None)
+
+    def test_a_proxy_starts_with_the_newest_confirmed_version(self):
+        replies = [self.reply(3, True), self.reply(4, True), self.reply(9, False)]
+        self.assertIs(newest_confirmed(replies), replies[1])
+
+    def test_without_a_confirmed_one_it_has_to_ask_others(self):
+        self.assertIsNone(newest_confirmed([self.reply(9, False)]))
+        self.assertIsNone(newest_confirmed([]))
