--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -1,6 +1,6 @@
 """A caller's session: what it must see, what it set, and its transaction.
 
-For the frontend, one for each connection of a caller. Owns the settings, the positions, the pinned
+For the frontend, one for each connection of a caller. Owns the variables, the positions, the pinned
 connection and the open transaction; relies on the group's services to run statements.
 """
 
@@ -8,11 +8,9 @@
 
 from rowanrail.config.model import GroupSpec
 from rowanrail.kernel.errors import (
-    BackendLostError,
     BackendRefusedError,
     CallerError,
     InvalidRequestError,
-    OutcomeUnknownError,
     UnknownDatabaseError,
 )
 from rowanrail.model.position import ORIGIN
@@ -22,25 +20,22 @@
     REQUEST_VARIABLE,
     TOKEN_VARIABLE,
     SetKind,
-    fill_session_functions,
     is_token_query,
     parse_set,
     parse_use,
-    setting_key,
 )
-from rowanrail.sql_proxy.lease import Lease
 from rowanrail.sql_proxy.limits import (
     DEFAULT_DEADLINE_SECONDS,
-    MAXIMUM_CARRIED_SETTINGS,
     overdue_reason,
     statement_seconds,
 )
+from rowanrail.sql_proxy.pinned import PinnedConnection
 from rowanrail.sql_proxy.policies import Pinning
 from rowanrail.sql_proxy.pool import Priority
 from rowanrail.sql_proxy.positions import SessionPositions
-from rowanrail.sql_proxy.requests import check_request_id
 from rowanrail.sql_proxy.rules import allows_replica
 from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
+from rowanrail.sql_proxy.session_variables import SessionVariables
 from rowanrail.sql_proxy.transaction import SqlTransaction, TransactionState
 
 VAR_STRING_TYPE = 253  # of MySQL's protocol
@@ -63,13 +58,8 @@
         self._host = host
         self._pinning: Pinning = host.registry.create("proxy-guard", "pinning")
         self._positions = SessionPositions()
-        self._autocommit = True
-        self._settings: tuple[str, ...] = ()
-        self._before_next_transaction: list[str] = []
-        self._request_id = ""
-        self._last_insert_id = 0
-        self._row_count = 0
-        self._pinned: Lease | None = None
+        self._variables = SessionVariables()
+        self._pinned = PinnedConnection()
 
     # State that callers see
 
@@ -81,7 +71,7 @@
     @property
     def autocommit(self) -> bool:
         """Whether each statement commits by itself."""
-        return self._autocommit
+        return self._variables.autocommit
 
     def token(self) -> str:
         """Return the session's token."""
@@ -102,7 +92,7 @@
         """
         group = self._host.group_spec(self.user, database)
         current = self._host.database_group(self.database)
-        if (self.transaction or self._pinned) and group.name != current:
+        if (self.transaction or self._pinned.is_held) and group.name != current:
             raise InvalidRequestError("end the transaction first", step="use", peer=database)
         self.database = database
 
@@ -122,7 +112,7 @@
             statement = classify(sql)
             deadline = self._deadline(attributes)
             result = await self._dispatch(sql, statement, deadline)
-            self._remember(statement, result)
+            self._variables.remember(result)
             return result
         finally:
             self.busy = False
@@ -134,7 +124,7 @@
             self.take_token(token)
         request_id = attributes.get(REQUEST_ATTRIBUTE) or attributes.get(REQUEST_VARIABLE)
         if request_id:
-            self._request_id = request_id
+            self._variables.request_id = request_id
 
     def _deadline(self, attributes: dict[str, str]) -> float:
         now = asyncio.get_running_loop().time()
@@ -148,11 +138,6 @@
             )
         return now + statement_seconds(allowed, int(given) if given else None)
 
-    def _remember(self, statement: ClassifiedStatement, result: StatementResult) -> None:
-        if result.insert_id:
-            self._last_insert_id = result.insert_id
-        self._row_count = -1 if result.columns else result.affected_rows
-
     async def _dispatch(
         self, sql: str, statement: ClassifiedStatement, deadline: float
     ) -> StatementResult:
@@ -182,17 +167,17 @@
     ) -> StatementResult:
         if statement.kind is Kind.DEFINITION and self.transaction is not None:
             await self._commit(deadline)  # definitions end a transaction in MySQL, too
-        if statement.kind is Kind.PINNING and self._pinned is None and not self.transaction:
+        if statement.kind is Kind.PINNING and not self._pinned.is_held and not self.transaction:
             await self._pin(deadline)
-        if not self._autocommit and not self.transaction and statement.tables:
+        if not self._variables.autocommit and not self.transaction and statement.tables:
             await self._begin("BEGIN", ClassifiedStatement(Kind.BEGIN), deadline)
-        if self._pinned is None:
-            sql = fill_session_functions(sql, self._last_insert_id, self._row_count)
+        if not self._pinned.is_held:
+            sql = self._variables.fill_functions(sql)
         if self.transaction is not None:
             is_write = statement.kind not in _READS
             return await self.transaction.execute(sql, is_write, deadline)
-        if self._pinned is not None:
-            return await self._run_pinned(self._pinned, sql, statement, deadline)
+        if self._pinned.is_held:
+            return await self._run_pinned(sql, statement, deadline)
         if statement.kind in (*_READS, Kind.SESSION_FUNCTION) and not statement.locking:
             return await self._read(sql, statement, deadline)
         return await self._write(sql, deadline, statement.locking)
@@ -207,22 +192,21 @@
             floor, allow = ORIGIN, statement.kind is not Kind.SHOW or allow
         else:
             floor = await self._positions.floor(services, deadline)
-        return await services.reader.run(sql, floor, allow, self._settings, deadline)
+        return await services.reader.run(sql, floor, allow, self._variables.settings, deadline)
 
     async def _write(self, sql: str, deadline: float, is_read: bool) -> StatementResult:
         services = self._services()
         request_id = self._take_request_id(services.group.spec)
         floor = await self._positions.floor(services, deadline) if is_read else ORIGIN
-        result = await services.writer.run(sql, request_id, self._settings, deadline, floor)
+        result = await services.writer.run(
+            sql, request_id, self._variables.settings, deadline, floor
+        )
         self._positions.note(services.spec.name, result)
         return result
 
     def _take_request_id(self, spec: GroupSpec) -> str:
-        request_id, self._request_id = self._request_id, ""
-        if request_id:
-            horizon_seconds = spec.limits.request_horizon_seconds
-            check_request_id(request_id, self._host.wall_clock(), horizon_seconds)
-        return request_id
+        horizon_seconds = spec.limits.request_horizon_seconds
+        return self._variables.take_request_id(self._host.wall_clock, horizon_seconds)
 
     def _services(self) -> GroupServices:
         if not self.database:
@@ -240,11 +224,11 @@
         if command.kind is SetKind.TOKEN:
             self.take_token(command.value)
         elif command.kind is SetKind.REQUEST_ID:
-            self._request_id = command.value
+            self._variables.request_id = command.value
         elif command.kind is SetKind.AUTOCOMMIT:
             await self._set_autocommit(command.value == "1", deadline)
         elif command.kind is SetKind.NEXT_TRANSACTION:
-            self._before_next_transaction.append(command.value)
+            self._variables.before_next_transaction.append(command.value)
         elif command.kind is SetKind.COMPUTED:
             return await self._run(sql, ClassifiedStatement(Kind.PINNING), deadline)
         elif command.kind is SetKind.CARRIED:
@@ -254,56 +238,37 @@
     async def _set_autocommit(self, on: bool, deadline: float) -> None:
         if on and self.transaction is not None:
             await self._commit(deadline)
-        self._autocommit = on
+        self._variables.autocommit = on
 
     async def _carry(self, setting: str, deadline: float) -> StatementResult:
-        key = setting_key(setting)
-        kept = [known for known in self._settings if setting_key(known) != key]
-        if len(kept) >= MAXIMUM_CARRIED_SETTINGS:
-            raise InvalidRequestError("too many session variables are set", step="set")
-        settings = (*kept, setting)
+        settings = self._variables.with_setting(setting)
         if self.transaction is not None:
             await self.transaction.execute(setting, False, deadline)
-        elif self._pinned is not None:
+        elif self._pinned.is_held:
             await self._pinned.execute(setting, deadline)
         else:
             # Tried at once, so that a wrong one is refused here and not at a later statement.
             reader = self._services().reader
             lease = await reader.lease(ORIGIN, True, settings, deadline)
             lease.release()
-        self._settings = settings
+        self._variables.settings = settings
         return StatementResult()
 
     async def _pin(self, deadline: float) -> None:
         services = self._services()
         floor = await self._positions.floor(services, deadline)
-        self._pinned = await services.writer.lease_primary(
-            deadline, Priority.TRANSACTION, self._settings, floor
-        )
+        await self._pinned.pin(services, self._variables.settings, floor, deadline)
 
     async def _run_pinned(
-        self, lease: Lease, sql: str, statement: ClassifiedStatement, deadline: float
+        self, sql: str, statement: ClassifiedStatement, deadline: float
     ) -> StatementResult:
         services = self._services()
-        try:
-            result = await lease.execute(sql, deadline)
-        except BackendLostError as error:
-            self._unpin()
-            raise OutcomeUnknownError(
-                f"{error}; locks and temporary tables of the session are gone",
-                step="execute",
-                peer=lease.member.name,
-            ) from error
-        if statement.kind is Kind.WRITE or statement.kind is Kind.DEFINITION:
-            await services.writer.confirm(result, deadline, lease.member.name)
+        is_write = statement.kind in (Kind.WRITE, Kind.DEFINITION)
+        result = await self._pinned.run(services, sql, is_write, deadline)
+        if is_write:
             self._positions.note(services.spec.name, result)
         return result
 
-    def _unpin(self) -> None:
-        if self._pinned is not None:
-            self._pinned.discard()
-            self._pinned = None
-
     # Transactions
 
     async def _begin(
@@ -317,16 +282,16 @@
         on_replica = statement.kind is Kind.BEGIN_READ_ONLY and allows_replica(
             spec.rules, statement, self.database, self.user
         )
-        if self._pinned is not None:
+        if self._pinned.is_held:
             return await self._pinned.execute(sql, deadline)
         floor = await self._positions.floor(services, deadline)
         if on_replica:
-            lease = await services.reader.lease(floor, True, self._settings, deadline)
+            lease = await services.reader.lease(floor, True, self._variables.settings, deadline)
         else:
             lease = await services.writer.lease_primary(
-                deadline, Priority.TRANSACTION, self._settings, floor
+                deadline, Priority.TRANSACTION, self._variables.settings, floor
             )
-        before, self._before_next_transaction = self._before_next_transaction, []
+        before = self._variables.take_before_transaction()
         transaction = SqlTransaction(lease, services, self._pinning, may_write=not on_replica)
         result = await transaction.begin(sql, before, deadline)
         self.transaction = transaction
@@ -336,25 +301,23 @@
     async def _commit(self, deadline: float) -> StatementResult:
         transaction = self.transaction
         if transaction is None:
-            if self._pinned is not None:
-                return await self._run_pinned(
-                    self._pinned, "COMMIT", ClassifiedStatement(Kind.WRITE), deadline
-                )
+            if self._pinned.is_held:
+                return await self._run_pinned("COMMIT", ClassifiedStatement(Kind.WRITE), deadline)
             return StatementResult()
         spec = transaction.services.spec
         request_id = self._take_request_id(spec)
         try:
-            result = await transaction.commit(request_id, self._settings, deadline)
+            result = await transaction.commit(request_id, self._variables.settings, deadline)
         finally:
             self._end_transaction()
         self._positions.note(spec.name, result)
         return result
 
     async def _roll_back(self, deadline: float) -> StatementResult:
-        self._request_id = ""
+        self._variables.request_id = ""
         transaction = self.transaction
         if transaction is None:
-            if self._pinned is not None:
+            if self._pinned.is_held:
                 return await self._pinned.execute("ROLLBACK", deadline)
             return StatementResult()
         try:
@@ -389,10 +352,7 @@
     async def reset(self) -> None:
         """Forget what the session set and roll back its transaction (COM_RESET_CONNECTION)."""
         await self._abandon()
-        self._settings = ()
-        self._before_next_transaction = []
-        self._request_id = ""
-        self._autocommit = True
+        self._variables.reset()
 
     async def close(self) -> None:
         """End the session; an open transaction is rolled back."""
@@ -401,7 +361,7 @@
         self._host.session_closed(self)
 
     async def _abandon(self) -> None:
-        self._unpin()
+        self._pinned.drop()
         if self.transaction is not None:
             try:
                 await self._roll_back(asyncio.get_running_loop().time() + ABANDON_SECONDS)
--- a/src/rowanrail/sql_proxy/session_variables.py
+++ b/src/rowanrail/sql_proxy/session_variables.py
@@ -1,9 +1,11 @@
 """What a caller set in its session, and what its last statement left there.
 
-For sessions. Owns the settings that go along to each connection, the request id of the next write and
-the values of LAST_INSERT_ID() and ROW_COUNT(); no I/O.
+For sessions. Owns the settings that go along to each connection, the request id of the next write
+and the values of LAST_INSERT_ID() and ROW_COUNT(); no I/O.
 """
 
+from collections.abc import Callable
+
 from rowanrail.kernel.errors import InvalidRequestError
 from rowanrail.sql_proxy.backend import StatementResult
 from rowanrail.sql_proxy.commands import fill_session_functions, setting_key
@@ -35,16 +37,16 @@
             raise InvalidRequestError("too many session variables are set", step="set")
         return (*kept, setting)
 
-    def take_request_id(self, now: float, horizon_seconds: float) -> str:
+    def take_request_id(self, wall_clock: Callable[[], float], horizon_seconds: float) -> str:
         """Return the id of the request that begins, an empty string if it has none.
 
-        :param now: wall-clock time in seconds.
+        :param wall_clock: returns the time of day in seconds; read only if there is an id.
         :raises InvalidRequestError: if its form is wrong.
         :raises RequestConflictError: if it is past the horizon.
         """
         request_id, self.request_id = self.request_id, ""
         if request_id:
-            check_request_id(request_id, now, horizon_seconds)
+            check_request_id(request_id, wall_clock(), horizon_seconds)
         return request_id
 
     def take_before_transaction(self) -> list[str]:
