--- a/src/rowanrail/cli/client.py
+++ b/src/rowanrail/cli/client.py
@@ -12,7 +12,9 @@
 
 from rowanrail.kernel.errors import RowanrailError
 
+# Seconds for a control node's answer, and for a connection to it, before the next is asked. Chosen.
 TIMEOUT_SECONDS = 12.0
+CONNECT_SECONDS = 3.0
 
 
 class ControlAnswer(msgspec.Struct):
@@ -44,7 +46,7 @@
 
     async def _request(self, method: str, path: str, body: Any) -> ControlAnswer:
         problems: list[str] = []
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS, connect=3.0)
+        timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS, connect=CONNECT_SECONDS)
         headers = {"Authorization": f"Bearer {self._token}"}
         data = msgspec.json.encode(body) if body is not None else None
         async with aiohttp.ClientSession(timeout=timeout, headers=headers) as session:
--- a/src/rowanrail/cli/operator.py
+++ b/src/rowanrail/cli/operator.py
@@ -20,7 +20,8 @@
 from rowanrail.config.load import load_configuration
 
 DEFAULT_CONTROL = "127.0.0.1:7080"
-WAIT_POLL_SECONDS = 0.1
+WAIT_POLL_SECONDS = 0.1  # between questions whether what is waited for has happened; chosen
+VOTE_POLLS = 300  # questions whether a new control node has its vote; chosen
 
 
 class OperatorContext(msgspec.Struct):
@@ -316,7 +317,7 @@
 @operator_options
 def member_add(context: OperatorContext, name: str) -> None:
     """Wait until the new control node NAME, started with an empty folder, has its vote."""
-    for _ in range(300):
+    for _ in range(VOTE_POLLS):
         body = context.request("GET", "/v1/nodes").body
         if any(node["name"] == name and node["voter"] for node in body["nodes"]):
             _show_nodes(context, body)
--- a/src/rowanrail/config/reader.py
+++ b/src/rowanrail/config/reader.py
@@ -18,7 +18,7 @@
 
 StructType = TypeVar("StructType", bound=msgspec.Struct)
 
-MAXIMUM_FILE_BYTES = 8 * 1024 * 1024
+MAXIMUM_FILE_BYTES = 8 * 1024 * 1024  # a larger file is refused; chosen
 
 
 def read_yaml(path: Path) -> Result[Any, list[str]]:
--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -22,11 +22,12 @@
 from rowanrail.mysql.wire import ServedConnection, ServedSession, Server
 from rowanrail.rpc.tcp import split_address
 from rowanrail.sql_proxy.commands import TOKEN_VARIABLE
-from rowanrail.sql_proxy.core import ProxyCore
+from rowanrail.sql_proxy.core import STOP_RETRY_AFTER_SECONDS, ProxyCore
 from rowanrail.sql_proxy.session import SqlSession
 
-LISTEN_BACKLOG = 1024
+LISTEN_BACKLOG = 1024  # connections that the kernel accepts ahead; chosen
 NO_PASSWORD_HASH = "0" * 40
+# Seconds for callers to read that the proxy stops, before their connections close. Chosen.
 CLOSE_GRACE_SECONDS = 1.0
 
 
@@ -174,7 +175,10 @@
 
 
 async def _announce_stop(connection: ServedConnection) -> None:
-    error = MysqlError("not run: this proxy is stopping; retry after 0.500 s", CallerCode.NOT_RUN)
+    error = MysqlError(
+        f"not run: this proxy is stopping; retry after {STOP_RETRY_AFTER_SECONDS:.3f} s",
+        CallerCode.NOT_RUN,
+    )
     with contextlib.suppress(ConnectionError, RuntimeError):
         next(connection.stream.seq)
         await connection.stream.write(connection.error(msg=error.msg, code=error.code))
--- a/src/rowanrail/mysql/prepared.py
+++ b/src/rowanrail/mysql/prepared.py
@@ -30,6 +30,7 @@
     read_uint_len,
 )
 
+# Flags of the protocol: of an execution, and in the second byte of a parameter's type.
 CURSOR_FLAG = 1
 PARAMETER_COUNT_FLAG = 8
 UNSIGNED_PARAMETER_FLAG = 0x80
--- a/src/rowanrail/mysql/values.py
+++ b/src/rowanrail/mysql/values.py
@@ -14,7 +14,7 @@
 
 from rowanrail.sql_proxy.backend import Column
 
-UNSIGNED_COLUMN_FLAG = 32
+UNSIGNED_COLUMN_FLAG = 32  # of the protocol, in a column's definition
 _INTEGER_FORMATS = {
     ColumnType.TINY: "b",
     ColumnType.SHORT: "h",
--- a/src/rowanrail/mysql/wire.py
+++ b/src/rowanrail/mysql/wire.py
@@ -33,7 +33,7 @@
 
 from rowanrail.mysql.prepared import CURSOR_FLAG, BoundStatement, read_execution
 
-ROWS_BETWEEN_PAUSES = 1000
+ROWS_BETWEEN_PAUSES = 1000  # of a long result, after which other callers get a turn; chosen
 SERVER_VERSION = "8.0.36-rowanrail"
 logging.getLogger("mysql_mimic").setLevel(logging.CRITICAL)
 
--- a/src/rowanrail/sql_control/backup.py
+++ b/src/rowanrail/sql_control/backup.py
@@ -16,8 +16,8 @@
 from rowanrail.sql_control.policies import ExpectedVersion
 from rowanrail.sql_control.state import ConfigurationState
 
-BACKUP_FORMAT = 1
-IDENTITY_BYTES = 6
+BACKUP_FORMAT = 1  # of the file; another one is refused
+IDENTITY_BYTES = 6  # random ones in the id of a restored node; chosen
 
 
 class Backup(msgspec.Struct, frozen=True):
--- a/src/rowanrail/sql_proxy/classify.py
+++ b/src/rowanrail/sql_proxy/classify.py
@@ -17,8 +17,8 @@
 
 logging.getLogger("sqlglot").setLevel(logging.ERROR)
 
-CACHE_ENTRIES = 20_000
-MAXIMUM_PARSED_CHARACTERS = 100_000
+CACHE_ENTRIES = 20_000  # texts whose classification is kept; chosen
+MAXIMUM_PARSED_CHARACTERS = 100_000  # a longer text counts as a write, unparsed; chosen
 
 
 class Kind(enum.Enum):
--- a/src/rowanrail/sql_proxy/token.py
+++ b/src/rowanrail/sql_proxy/token.py
@@ -15,8 +15,8 @@
 
 from rowanrail.model.position import Position
 
-TOKEN_VERSION = 1
-MAXIMUM_TOKEN_BYTES = 8192
+TOKEN_VERSION = 1  # of the encoding; another one is refused
+MAXIMUM_TOKEN_BYTES = 8192  # a longer token is refused undecoded; chosen
 _CHECKSUM = struct.Struct("<I")
 
 
