--- a/src/rowanrail/consensus/raft.py
+++ b/src/rowanrail/consensus/raft.py
@@ -28,7 +28,9 @@
 
 # Of entries in a message, so that heartbeats behind it are not late.
 MAXIMUM_APPEND_BYTES = 256 * 1024
-MAXIMUM_IN_FLIGHT = 32  # messages to a follower that are not answered yet
+MAXIMUM_IN_FLIGHT = 32  # messages to a follower that are not answered yet; chosen
+# Seconds after which a snapshot that was not answered is sent again. Chosen.
+SNAPSHOT_RETRY_SECONDS = 1.0
 
 
 class Raft(RaftState):
@@ -232,7 +234,7 @@
     def _replicate(self, peer: str, progress: Progress, now: float, heartbeat: bool) -> None:
         behind = progress.next_index <= self.log.last_index
         if progress.next_index <= self.log.snapshot_index:
-            if progress.in_flight == 0 or now - progress.sent_at > 1.0:
+            if progress.in_flight == 0 or now - progress.sent_at > SNAPSHOT_RETRY_SECONDS:
                 self._send_snapshot(peer, progress, now)
             return
         if not heartbeat and (not behind or progress.in_flight >= MAXIMUM_IN_FLIGHT):
