--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -16,6 +16,7 @@
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.backend import BackendDriver
 from rowanrail.sql_proxy.group import GroupOptions, GroupRuntime
+from rowanrail.sql_proxy.limits import may_begin
 from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
 from rowanrail.sql_proxy.policies import OutcomeClassification
 from rowanrail.sql_proxy.reads import ReadRunner
@@ -70,7 +71,7 @@
             case FloorSource.RECENT:
                 return max(await self._recent_or_asked(deadline), own)
             case FloorSource.ASKED:
-                return max(await self.group.acknowledged_floor(deadline), own)
+                return max(await self.group.rounds.acknowledged_floor(deadline), own)
 
     async def _recent_or_asked(self, deadline: float) -> Position:
         loop = asyncio.get_running_loop()
@@ -78,7 +79,7 @@
         if is_recent_floor(loop.time() - taken_at, self.spec.maximum_staleness_seconds):
             return floor
         asked_at = loop.time()
-        floor = await self.group.acknowledged_floor(deadline)
+        floor = await self.group.rounds.acknowledged_floor(deadline)
         self._recent_floor = (asked_at, floor)
         return floor
 
@@ -88,7 +89,7 @@
         :raises NotRunError: if the limit is reached.
         """
         limit = self.spec.limits.open_transactions
-        if self.transactions >= limit:
+        if not may_begin(self.transactions, limit):
             raise NotRunError(
                 f"{limit} transactions are open at this proxy",
                 retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
