--- a/src/rowanrail/members/channel.py
+++ b/src/rowanrail/members/channel.py
@@ -43,7 +43,6 @@
     __slots__ = (
         "_expected",
         "_on_open",
-        "_own",
         "address",
         "closed",
         "in_transaction",
@@ -79,7 +78,6 @@
         self.on_closed: Callable[[Channel], None] = lambda channel: None
         self._on_open = on_open
         self._expected: deque[tuple[Respond, bool]] = deque()
-        self._own = False
 
     @property
     def busy(self) -> bool:
