--- a/src/rowanrail/sql_proxy/lease.py
+++ b/src/rowanrail/sql_proxy/lease.py
@@ -6,8 +6,11 @@
 
 import asyncio
 
+from rowanrail.kernel.errors import BackendLostError, CallerError
 from rowanrail.sql_proxy.backend import StatementResult
 from rowanrail.sql_proxy.group import Member
+from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
+from rowanrail.sql_proxy.policies import OutcomeClassification
 from rowanrail.sql_proxy.pool import PooledConnection, Priority
 
 
@@ -45,6 +48,18 @@
         """Return whether what is known of the member holds for this connection."""
         return self.member.known.is_of_start(self.connection.incarnation)
 
+    def lost_error(
+        self, outcomes: OutcomeClassification, error: BackendLostError, step: str
+    ) -> CallerError:
+        """Return the caller's error for a statement that was sent and whose answer did not come."""
+        return outcomes.after_loss(
+            str(error),
+            sent=True,
+            retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
+            step=step,
+            peer=self.member.name,
+        )
+
     async def execute(self, sql: str, deadline: float) -> StatementResult:
         """Run a statement on the connection."""
         return await self.connection.execute(sql, deadline)
--- a/src/rowanrail/sql_proxy/reads.py
+++ b/src/rowanrail/sql_proxy/reads.py
@@ -9,7 +9,6 @@
 from rowanrail.kernel.errors import (
     BackendConnectError,
     BackendLostError,
-    CallerError,
     NotRunError,
 )
 from rowanrail.model.position import ORIGIN, Position
@@ -62,21 +61,12 @@
             except BackendLostError as error:
                 self._group.suspect(lease.member)
                 if not may_retry_read(loop.time(), deadline):
-                    raise self._lost(lease, error) from error
+                    raise lease.lost_error(self._outcomes, error, "read") from error
                 await asyncio.sleep(READ_RETRY_SECONDS)
                 continue
             self._statistics.count_read(lease.member.known.is_primary, allow_replica)
             return result
 
-    def _lost(self, lease: Lease, error: BackendLostError) -> CallerError:
-        return self._outcomes.after_loss(
-            str(error),
-            sent=True,
-            retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
-            step="read",
-            peer=lease.member.name,
-        )
-
     async def lease(
         self, floor: Position, allow_replica: bool, settings: tuple[str, ...], deadline: float
     ) -> Lease:
--- a/src/rowanrail/sql_proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -11,7 +11,6 @@
 from rowanrail.kernel.errors import (
     BackendLostError,
     BackendRefusedError,
-    CallerError,
     NotRunError,
     OutcomeUnknownError,
 )
@@ -135,7 +134,7 @@
                 case LostCommit.ROLLED_BACK:
                     raise self._rolled_back() from error
                 case LostCommit.UNKNOWN:
-                    raise self._commit_unknown(error) from error
+                    raise self._lease.lost_error(self._outcomes, error, "commit") from error
         except BaseException:
             self._lease.discard()
             raise
@@ -144,15 +143,6 @@
             await self._confirm(result, request_id if recorded else "", digest, settings, deadline)
         return result
 
-    def _commit_unknown(self, error: BackendLostError) -> CallerError:
-        return self._outcomes.after_loss(
-            str(error),
-            sent=True,
-            retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
-            step="commit",
-            peer=self._lease.member.name,
-        )
-
     async def _record(
         self, request_id: str, digest: str, deadline: float
     ) -> StatementResult | None:
--- a/src/rowanrail/sql_proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -146,13 +146,7 @@
                 self._group.suspect(lease.member)
                 if repeat and asyncio.get_running_loop().time() < deadline:
                     continue
-                raise self._outcomes.after_loss(
-                    str(error),
-                    sent=True,
-                    retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
-                    step="write",
-                    peer=lease.member.name,
-                ) from error
+                raise lease.lost_error(self._outcomes, error, "write") from error
             except BaseException:
                 lease.release()
                 raise
@@ -215,9 +209,6 @@
         except NotRunError:
             lease.release()
             raise
-        except BackendRefusedError:
-            lease.discard()
-            raise
         except BaseException:
             lease.discard()
             raise
