--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -77,23 +77,23 @@
         self.lasting = self._window.lasting()
         layout = self._layout(self.lasting)
         loads = self._loads.loads(gateways)
-        return propose(self.lasting, loads, layout, self._state.plan, self._resting())
+        return propose(self.lasting, loads, layout, self._state.plan, self._recently_changed())
 
     def note_changed(self, proposal: Proposal) -> None:
-        """Note that a proposal is in force, so that what it changed rests."""
+        """Note that a proposal is in force: what it changed is left as it is for ``REST_MS``."""
         now = self._now()
         for change in proposal.changes:
             self._changed_at[change.group, change.key] = now
         for shares in proposal.shares:
             self._changed_at["", shares.service] = now
 
-    def _resting(self) -> set[tuple[str, str]]:
+    def _recently_changed(self) -> set[tuple[str, str]]:
         limit = self._now() - REST_MS
         self._changed_at = {shard: at for shard, at in self._changed_at.items() if at > limit}
         return set(self._changed_at)
 
     def _layout(self, demand: _Demand) -> Layout:
-        """Return whom the hash names for the services that are asked for, or in the plan."""
+        """Return the holders by the hash, for services that have demand or are in the plan."""
         state = self._state
         by_group: dict[str, list[str]] = {}
         for gateway in state.gateways.values():
