--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -34,6 +34,7 @@
         """Begin."""
         self.statement = statement
         self.excluded: set[str] = set()
+        self._left: set[str] = set()  # members that it left since it would have been late there
         self.begin_statement(respond)
         self._errors = 0
         self._asked_since = oldest_sample(self.route, self.arrived_at)
@@ -123,8 +124,13 @@
         self._choose()
 
     def try_roomier(self, pool: MemberPool) -> bool:
-        """See :meth:`Operation.try_roomier`."""
-        roomy = self.roomier(self.excluded | {pool.record.instance})
+        """See :meth:`Operation.try_roomier`; it leaves each member once at the most.
+
+        Two members can both have room and no connection for it. A read that is late at each of
+        them would go from one to the other without end, and the gateway would do nothing else.
+        """
+        self._left.add(pool.record.instance)
+        roomy = self.roomier(self.excluded | self._left)
         if roomy is None:
             return False
         if not (self.service.is_remote(roomy) and self._go_to_remote(roomy.record.instance)):
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -257,6 +257,11 @@
         self.answers: list[Answer] = []
         self._number = 0
 
+    @property
+    def asked(self) -> int:
+        """Number of statements that were asked for."""
+        return self._number
+
     def ask(self, text: str) -> None:
         self._number += 1
         self.session.execute(statement(f"q{self._number}", text), self.answers.append)
