--- /dev/null
+++ b/tests/forms/test_texts.py
@@ -0,0 +1,36 @@
+"""Texts that leave the programs may not change: refusals, errors to clients, outputs of commands.
+
+``data/texts.json`` was written by ``texts.gather_texts`` in a checkout of f5ba2eb.
+"""
+
+import unittest
+
+from tests.forms.golden import load
+from tests.forms.texts import gather_texts, texts_of
+
+GOLDEN: dict[str, int] = load("texts.json")
+
+
+class TextTest(unittest.TestCase):
+    def test_no_text_is_gone(self) -> None:
+        now = gather_texts()
+        gone = [text for text, count in GOLDEN.items() if now.get(text, 0) < count]
+        self.assertEqual(gone, [])
+
+    def test_a_changed_word_or_format_is_seen(self) -> None:
+        before = list(texts_of('Answer(message=f"no route for {name:.1f}")'))
+        self.assertEqual(before, ["no route for {:.1f}"])
+        self.assertEqual(
+            list(texts_of('Answer(message=f"no route for {name}")')), ["no route for {}"]
+        )
+        self.assertEqual(list(texts_of('Answer(message="denied")')), ["denied"])
+
+    def test_a_renamed_variable_is_not_a_change(self) -> None:
+        before = list(texts_of('raise NotRunError(f"no route for {name}")'))
+        self.assertEqual(list(texts_of('raise NotRunError(f"no route for {host}")')), before)
+
+    def test_doc_comments_and_assertions_are_left_out(self) -> None:
+        source = (
+            '"""A module."""\nassert x, "never seen"\ndef f() -> "dict[str, int]":\n    "Do it."\n'
+        )
+        self.assertEqual(list(texts_of(source)), [])
