--- a/src/rowanrail/coordination/history.py
+++ b/src/rowanrail/coordination/history.py
@@ -58,7 +58,7 @@
         for gateway in gateways:
             self._count(RecordKind.NEIGHBOUR, GatewayStep(None, gateway))
         for holder in holders:
-            self._count(RecordKind.OTHER, GatewayStep(None, holder))
+            self._count(RecordKind.REMOTE_HOLDER, GatewayStep(None, holder))
 
     def note(self, change: DirectoryChange, holders: list[GatewayStep]) -> None:
         """Remember a change, and what it changed among the holders."""
@@ -70,7 +70,7 @@
         for gateway in change.gateways:
             self._count(RecordKind.NEIGHBOUR, gateway)
         for holder in holders:
-            self._count(RecordKind.OTHER, holder)
+            self._count(RecordKind.REMOTE_HOLDER, holder)
 
     def digest(self, group: str) -> bytes:
         """Return the digest of the directory as the gateways of a group know it."""
--- a/src/rowanrail/coordination/parts.py
+++ b/src/rowanrail/coordination/parts.py
@@ -1,14 +1,14 @@
 """The directory as it is sent to a group's gateways: whole, or what changed since a revision.
 
 Owns the packed parts of the present revision, made once for all gateways that need the same. Relies
-on the state's history and on :mod:`rowanrail.directory.packing`.
+on the state's history and on :mod:`rowanrail.directory.update_encoding`.
 """
 
 from dataclasses import dataclass
 
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.directory.messages import WHOLE, DirectoryPart, GatewayRecord
-from rowanrail.directory.packing import pack
+from rowanrail.directory.messages import NO_REVISION, DirectoryUpdate, GatewayRecord
+from rowanrail.directory.update_encoding import encode_update
 
 __all__ = ["DirectoryParts", "PartCounts", "difference_since", "whole_for"]
 
@@ -66,7 +66,7 @@
         group : str
             The zone or region whose gateways share connections.
         since : int
-            What the gateway holds; ``WHOLE`` if it needs everything.
+            What the gateway holds; ``NO_REVISION`` if it needs everything.
         """
         if self._state.revision != self._revision:
             self._revision = self._state.revision
@@ -78,43 +78,45 @@
         return made.packed
 
     def _make(self, group: str, since: int) -> _MadePart:
-        part = None if since == WHOLE else difference_since(self._state, group, since)
+        part = None if since == NO_REVISION else difference_since(self._state, group, since)
         if part is None:
-            return _MadePart(pack(whole_for(self._state, group)), is_whole=True)
-        return _MadePart(pack(part), is_whole=False)
+            return _MadePart(encode_update(whole_for(self._state, group)), is_whole=True)
+        return _MadePart(encode_update(part), is_whole=False)
 
 
-def whole_for(state: CoordinationState, group: str) -> DirectoryPart:
+def whole_for(state: CoordinationState, group: str) -> DirectoryUpdate:
     """Return the whole directory as a group's gateways know it."""
-    return DirectoryPart(
-        WHOLE,
+    return DirectoryUpdate(
+        NO_REVISION,
         state.history.digest(group),
         list(state.members.values()),
         neighbours=[g for g in state.gateways.values() if g.sharing_group == group],
-        others=[holder for holder in state.holders.records if holder.sharing_group != group],
+        remote_holders=[
+            holder for holder in state.holders.records if holder.sharing_group != group
+        ],
     )
 
 
-def difference_since(state: CoordinationState, group: str, since: int) -> DirectoryPart | None:
+def difference_since(state: CoordinationState, group: str, since: int) -> DirectoryUpdate | None:
     """Return what changed for a group's gateways since a revision, None if not remembered."""
     touched = state.history.since(since, group)
     if touched is None:
         return None
-    part = DirectoryPart(since, state.history.digest(group), [])
+    part = DirectoryUpdate(since, state.history.digest(group), [])
     for instance in touched.members:
         member = state.members.get(instance)
         if member is None:
-            part.gone_members.append(instance)
+            part.removed_members.append(instance)
         else:
             part.members.append(member)
     for name in touched.neighbours:
         neighbour = state.gateways.get(name)
         is_known = neighbour is not None and neighbour.sharing_group == group
-        _sort(name, neighbour if is_known else None, part.neighbours, part.gone_neighbours)
+        _sort(name, neighbour if is_known else None, part.neighbours, part.removed_neighbours)
     for name in touched.others:
         holder = state.holders.get(name)
         is_known = holder is not None and holder.sharing_group != group
-        _sort(name, holder if is_known else None, part.others, part.gone_others)
+        _sort(name, holder if is_known else None, part.remote_holders, part.removed_remote_holders)
     return part
 
 
--- a/src/rowanrail/coordination/reports.py
+++ b/src/rowanrail/coordination/reports.py
@@ -4,8 +4,8 @@
 """
 
 from rowanrail.coordination.failover import ReportView, report_view
+from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.directory.reports import worth_reporting
 from rowanrail.model.members import PrimaryHealth
 
 __all__ = ["ReportIndex"]
@@ -35,7 +35,7 @@
         """Take a report, which replaces the gateway's earlier one."""
         self.drop(report.gateway)
         self._reports[report.gateway] = (report, at)
-        for health in worth_reporting(report.services):
+        for health in reportable_health(report.services):
             self._by_service.setdefault(health.service, {})[report.gateway] = health
             if health.failing_for_ms:
                 self._failing.setdefault(health.service, set()).add(report.gateway)
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -16,12 +16,12 @@
 from rowanrail.coordination.replay import Replay
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.directory.messages import (
-    WHOLE,
+    NO_REVISION,
     DirectoryReply,
     DirectoryRequest,
     LoggedDirectoryReply,
     LoggedDirectoryRequest,
-    controls_mark,
+    controls_checksum,
 )
 from rowanrail.kernel.clock import Clock, Timer
 
@@ -119,8 +119,10 @@
         state = self._replay.state_of(log)
         if self._held_parts.state is not state:
             self._held_parts = DirectoryParts(state)
-        if request.takes_parts:
-            directory = self._plain(state, True, self._held_parts.packed(request.group, WHOLE))
+        if request.accepts_updates:
+            directory = self._plain(
+                state, True, self._held_parts.packed(request.group, NO_REVISION)
+            )
         else:
             directory = self._with_all(self._plain(state, True), state, request.group, True)
         return LoggedDirectoryReply(
@@ -159,18 +161,18 @@
         """Return whether a gateway needs everything, and this node is not behind it."""
         if request.known_revision < 0:
             return True
-        return request.wants_whole and self._state.revision >= request.known_revision
+        return request.wants_full and self._state.revision >= request.known_revision
 
     def _directory(self, request: DirectoryRequest) -> DirectoryReply:
         state = self._state
         group = request.report.sharing_group
-        wants_whole = self._wants_whole(request)
+        wants_full = self._wants_whole(request)
         is_newer = state.version > request.known_version
-        is_changed = wants_whole or state.revision > request.known_revision
-        if request.takes_parts:
-            since = WHOLE if wants_whole else request.known_revision
+        is_changed = wants_full or state.revision > request.known_revision
+        if request.accepts_updates:
+            since = NO_REVISION if wants_full else request.known_revision
             part = self._parts.packed(group, since) if is_changed else b""
-            reply = self._plain(state, is_newer, part, request.known_controls)
+            reply = self._plain(state, is_newer, part, request.known_controls_checksum)
         else:
             reply = self._with_all(self._plain(state, is_newer), state, group, is_changed)
         plan = state.plan if self._has_plan(request) else None
@@ -182,7 +184,7 @@
         if self._membership is not membership:
             self._membership = membership
             self._addresses = sorted(membership.addresses().values())
-            self._mark = controls_mark(self._addresses)
+            self._mark = controls_checksum(self._addresses)
         return [] if known == self._mark else self._addresses
 
     def _plain(
@@ -190,7 +192,7 @@
         state: CoordinationState,
         is_newer: bool,
         part: bytes = b"",
-        known_controls: int = 0,
+        known_controls_checksum: int = 0,
     ) -> DirectoryReply:
         return DirectoryReply(
             current=self.is_current,
@@ -201,9 +203,9 @@
             gateways=len(state.gateways),
             zones=state.groups,
             neighbours=[],
-            controls=self._controls(known_controls),
+            controls=self._controls(known_controls_checksum),
             zone=self._zone,
-            part=part,
+            update=part,
         )
 
     @staticmethod
@@ -215,5 +217,8 @@
             return reply
         whole = whole_for(state, group)
         return msgspec.structs.replace(
-            reply, members=whole.members, neighbours=whole.neighbours, others=whole.others
+            reply,
+            members=whole.members,
+            neighbours=whole.neighbours,
+            remote_holders=whole.remote_holders,
         )
--- a/src/rowanrail/directory/digests.py
+++ b/src/rowanrail/directory/digests.py
@@ -28,7 +28,7 @@
 
     MEMBER = b"member"
     NEIGHBOUR = b"neighbour"
-    OTHER = b"other"
+    REMOTE_HOLDER = b"other"
 
 
 def record_hash(kind: RecordKind, record: MemberRecord | GatewayRecord) -> int:
--- a/src/rowanrail/directory/reports.py
+++ b/src/rowanrail/directory/health_filter.py
@@ -8,7 +8,7 @@
 
 from rowanrail.model.members import PrimaryHealth
 
-__all__ = ["worth_reporting"]
+__all__ = ["reportable_health"]
 
 # Age of a proof up to which it is reported. A proof contradicts others who have failed for longer
 # than it is old. Those who fail report within 0.3 s and are decided on within seconds; a proof of
@@ -16,7 +16,7 @@
 REPORTED_PROOF_MS = 30_000
 
 
-def worth_reporting(health: Iterable[PrimaryHealth]) -> list[PrimaryHealth]:
+def reportable_health(health: Iterable[PrimaryHealth]) -> list[PrimaryHealth]:
     """Return what has weight in a decision about a primary.
 
     Most gateways use few services, and where connections are shared most have none of their own:
@@ -31,7 +31,7 @@
     --------
     >>> seen = [PrimaryHealth("db1", "m1", 900, 0), PrimaryHealth("db2", "m2", -1, 0)]
     >>> seen += [PrimaryHealth("db3", "", -1, 250), PrimaryHealth("db4", "m4", 90_000, 0)]
-    >>> [one.service for one in worth_reporting(seen)]
+    >>> [one.service for one in reportable_health(seen)]
     ['db1', 'db3']
     """
     return [
--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -66,30 +66,32 @@
         return self.group or self.zone
 
 
-WHOLE = -1  # a revision below any that the log gives: of a gateway that knows no directory yet
+NO_REVISION = (
+    -1
+)  # a revision below any that the log gives: of a gateway that knows no directory yet
 
 
-class DirectoryPart(msgspec.Struct, frozen=True, array_like=True):
+class DirectoryUpdate(msgspec.Struct, frozen=True, array_like=True):
     """The directory as one group's gateways know it, or what changed of it.
 
     Parameters
     ----------
-    since : int
-        The revision from which it leads on; ``WHOLE`` if it holds everything.
+    base_revision : int
+        The revision from which it leads on; ``NO_REVISION`` if it holds everything.
     digest : bytes
         Of the whole directory to which it leads, see :mod:`digests`.
-    gone_members : list of str
+    removed_members : list of str
         Instances that are known no more; likewise for the other two.
     """
 
-    since: int
+    base_revision: int
     digest: bytes
     members: list[MemberRecord]
-    gone_members: list[str] = []
+    removed_members: list[str] = []
     neighbours: list[GatewayRecord] = []
-    gone_neighbours: list[str] = []
-    others: list[GatewayRecord] = []
-    gone_others: list[str] = []
+    removed_neighbours: list[str] = []
+    remote_holders: list[GatewayRecord] = []
+    removed_remote_holders: list[str] = []
 
 
 @message("DirectoryRequest")
@@ -98,12 +100,12 @@
 
     Parameters
     ----------
-    takes_parts : bool
-        Whether the gateway understands ``part`` of the reply.
-    wants_whole : bool
+    accepts_updates : bool
+        Whether the gateway understands ``update`` of the reply.
+    wants_full : bool
         Whether it needs the whole directory, of its revision or a later one.
-    known_controls : int
-        See :func:`controls_mark`.
+    known_controls_checksum : int
+        See :func:`controls_checksum`.
     known_plan : int or None
         Number of the plan of holders that the gateway has, None if its settings say ``hashed``.
     """
@@ -112,13 +114,13 @@
     known_version: int
     known_revision: int
     wait_seconds: float
-    takes_parts: bool = False
-    wants_whole: bool = False
-    known_controls: int = 0
+    accepts_updates: bool = False
+    wants_full: bool = False
+    known_controls_checksum: int = 0
     known_plan: int | None = None
 
 
-def controls_mark(controls: list[str]) -> int:
+def controls_checksum(controls: list[str]) -> int:
     """Return a number by which a gateway says which control nodes it knows; 0 for none."""
     return zlib.crc32(" ".join(controls).encode())
 
@@ -135,7 +137,7 @@
     document : bytes
         The configuration (compressed), empty if the known one is the newest.
     members : list of MemberRecord or None
-        All members, None if the known revision is the newest, or with ``part``.
+        All members, None if the known revision is the newest, or with ``update``.
     gateways : int
         How many gateways there are, in ``zones`` zones (or regions that share).
     neighbours : list of GatewayRecord
@@ -144,10 +146,10 @@
         Addresses of all control nodes; empty if the gateway knows them.
     zone : str
         Of the answering node.
-    others : list of GatewayRecord
+    remote_holders : list of GatewayRecord
         Gateways of other groups that hold connections there, with ``members``.
-    part : bytes
-        A packed :class:`DirectoryPart` for gateways that take one; empty if there is nothing new.
+    update : bytes
+        A packed :class:`DirectoryUpdate` for gateways that take one; empty if there is nothing new.
     plan : Plan or None
         Of holders, None if the known one is the newest.
     """
@@ -162,8 +164,8 @@
     neighbours: list[GatewayRecord]
     controls: list[str]
     zone: str = ""
-    others: list[GatewayRecord] = []
-    part: bytes = b""
+    remote_holders: list[GatewayRecord] = []
+    update: bytes = b""
     plan: Plan | None = None
 
 
@@ -175,12 +177,12 @@
     ----------
     group : str
         The zone or region with whose gateways it shares connections.
-    takes_parts : bool
-        Whether the gateway understands ``part`` of the directory.
+    accepts_updates : bool
+        Whether the gateway understands ``update`` of the directory.
     """
 
     group: str
-    takes_parts: bool = False
+    accepts_updates: bool = False
 
 
 @message("HeldReply")
--- a/src/rowanrail/directory/packing.py
+++ b/src/rowanrail/directory/update_encoding.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from rowanrail.directory.messages import DirectoryPart
+from rowanrail.directory.messages import DirectoryUpdate
 from rowanrail.kernel.errors import TransportError
 
-__all__ = ["pack", "unpack"]
+__all__ = ["encode_update", "decode_update"]
 
 
 # Of zlib. A directory of 300 machines (25 KB) becomes 2.9 KB in 0.10 ms, at level 1 3.6 KB in
@@ -18,12 +18,12 @@
 PACK_LEVEL = 6
 
 
-def pack(part: DirectoryPart) -> bytes:
+def encode_update(part: DirectoryUpdate) -> bytes:
     """Return the bytes of a part as they are sent."""
     return zlib.compress(msgspec.msgpack.encode(part), PACK_LEVEL)
 
 
-def unpack(packed: bytes) -> DirectoryPart:
+def decode_update(packed: bytes) -> DirectoryUpdate:
     """Return the part that was packed.
 
     Raises
@@ -32,6 +32,6 @@
         If the bytes are not whole, or hold no part.
     """
     try:
-        return msgspec.msgpack.decode(zlib.decompress(packed), type=DirectoryPart)
+        return msgspec.msgpack.decode(zlib.decompress(packed), type=DirectoryUpdate)
     except (zlib.error, msgspec.MsgspecError) as error:
         raise TransportError(f"invalid part of a directory: {error}", step="unpack") from error
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -13,8 +13,8 @@
 from functools import partial
 
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
+from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.directory.reports import worth_reporting
 from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
@@ -216,7 +216,7 @@
     return GatewayReport(
         settings.name,
         settings.zone,
-        worth_reporting(gateway.health()),
+        reportable_health(gateway.health()),
         relay_address=_relay_address(settings),
         group=settings.sharing_group,
         load=meter.latest,
--- a/src/rowanrail/gateway/discovery/control_choice.py
+++ b/src/rowanrail/gateway/discovery/control_choice.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from rowanrail.directory.messages import controls_mark
+from rowanrail.directory.messages import controls_checksum
 from rowanrail.gateway.services.locality import Locality
 
 __all__ = ["ControlChoice"]
@@ -69,7 +69,7 @@
         """Know the control nodes of the log's membership; an empty list says nothing."""
         if not reported:
             return
-        self._known_mark = controls_mark(list(reported))
+        self._known_mark = controls_checksum(list(reported))
         wanted = dict.fromkeys([*reported, *self._seeds])
         kept = [address for address in self._addresses if address in wanted]
         self._addresses = kept + [address for address in wanted if address not in kept]
--- a/src/rowanrail/gateway/discovery/control_follower.py
+++ b/src/rowanrail/gateway/discovery/control_follower.py
@@ -200,7 +200,7 @@
         while not self._is_informed:
             try:
                 request = LoggedDirectoryRequest(
-                    self._make_report().sharing_group, takes_parts=True
+                    self._make_report().sharing_group, accepts_updates=True
                 )
                 reply = await self._network.call(address, request, ROUND_TRIP_SECONDS)
                 if isinstance(reply, LoggedDirectoryReply) and not self._is_informed:
@@ -269,9 +269,9 @@
             self._version,
             self._copy.revision,
             wait_seconds,
-            takes_parts=True,
-            wants_whole=self._copy.is_broken,
-            known_controls=self._controls.known_mark,
+            accepts_updates=True,
+            wants_full=self._copy.is_broken,
+            known_controls_checksum=self._controls.known_mark,
             known_plan=self._plan,
         )
         reply = await self._network.call(address, request, wait_seconds + ROUND_TRIP_SECONDS)
--- a/src/rowanrail/gateway/discovery/directory_copy.py
+++ b/src/rowanrail/gateway/discovery/directory_copy.py
@@ -10,8 +10,8 @@
 from typing import TypeVar
 
 from rowanrail.directory.digests import Digest, RecordKind, digest_bytes
-from rowanrail.directory.messages import WHOLE, DirectoryPart, DirectoryReply, GatewayRecord
-from rowanrail.directory.packing import unpack
+from rowanrail.directory.messages import NO_REVISION, DirectoryReply, DirectoryUpdate, GatewayRecord
+from rowanrail.directory.update_encoding import decode_update
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.relay.neighbours import Neighbour
 from rowanrail.model.members import MemberRecord
@@ -99,19 +99,19 @@
         self._differences = 0
         self._mismatches = 0
         self._is_broken = False
-        self._revision = WHOLE
+        self._revision = NO_REVISION
         self._clear()
 
     def _clear(self) -> None:
         self._members: _Records[MemberRecord] = _Records(RecordKind.MEMBER)
         self._neighbours: _Records[GatewayRecord] = _Records(RecordKind.NEIGHBOUR)
-        self._others: _Records[GatewayRecord] = _Records(RecordKind.OTHER)
+        self._others: _Records[GatewayRecord] = _Records(RecordKind.REMOTE_HOLDER)
         self._own_group = _Groups()
         self._other_groups = _Groups()
 
     @property
     def revision(self) -> int:
-        """Place in the control nodes' log of the last change; ``WHOLE`` before the first."""
+        """Place in the control nodes' log of the last change; ``NO_REVISION`` before the first."""
         return self._revision
 
     @property
@@ -143,7 +143,7 @@
         if reply.revision < self._revision + (not self._is_broken):
             return None
         part = _part_of(reply)
-        is_whole = part is not None and part.since == WHOLE
+        is_whole = part is not None and part.base_revision == NO_REVISION
         if part is None or (self._is_broken and not is_whole):
             return None
         if is_whole:
@@ -159,13 +159,13 @@
         self._revision = reply.revision
         return self._directory(reply)
 
-    def _change(self, part: DirectoryPart) -> None:
+    def _change(self, part: DirectoryUpdate) -> None:
         members = ((record.instance, record) for record in part.members)
-        self._members.change(members, part.gone_members)
+        self._members.change(members, part.removed_members)
         neighbours = ((record.name, record) for record in part.neighbours)
-        self._own_group.change(self._neighbours.change(neighbours, part.gone_neighbours))
-        others = ((record.name, record) for record in part.others)
-        self._other_groups.change(self._others.change(others, part.gone_others))
+        self._own_group.change(self._neighbours.change(neighbours, part.removed_neighbours))
+        others = ((record.name, record) for record in part.remote_holders)
+        self._other_groups.change(self._others.change(others, part.removed_remote_holders))
 
     @property
     def _digest(self) -> bytes:
@@ -179,7 +179,7 @@
         return Directory(reply.revision, members, population, own_group, others)
 
 
-def _part_of(reply: DirectoryReply) -> DirectoryPart | None:
+def _part_of(reply: DirectoryReply) -> DirectoryUpdate | None:
     """Return what a reply tells of the directory, None if nothing.
 
     A control node of an earlier version sends all members beside no part.
@@ -189,10 +189,14 @@
     TransportError
         If the part can't be read.
     """
-    if reply.part:
-        return unpack(reply.part)
+    if reply.update:
+        return decode_update(reply.update)
     if reply.members is None:
         return None
-    return DirectoryPart(
-        WHOLE, b"", reply.members, neighbours=reply.neighbours, others=reply.others
+    return DirectoryUpdate(
+        NO_REVISION,
+        b"",
+        reply.members,
+        neighbours=reply.neighbours,
+        remote_holders=reply.remote_holders,
     )
--- a/tests/coordination/test_differences.py
+++ b/tests/coordination/test_differences.py
@@ -13,14 +13,14 @@
 from rowanrail.coordination.parts import difference_since, whole_for
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.directory.messages import (
-    WHOLE,
+    NO_REVISION,
     DirectoryReply,
     DirectoryRequest,
     GatewayRecord,
     GatewayReport,
     LoggedDirectoryRequest,
 )
-from rowanrail.directory.packing import pack, unpack
+from rowanrail.directory.update_encoding import decode_update, encode_update
 from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.discovery.directory_copy import DirectoryCopy
 from rowanrail.gateway.services.locality import Locality
@@ -79,21 +79,21 @@
             0,
             self.copy.revision,
             0.0,
-            takes_parts=True,
-            wants_whole=self.copy.is_broken,
+            accepts_updates=True,
+            wants_full=self.copy.is_broken,
         )
         reply = await node.service.handle(request)
         directory = self.copy.take(reply)
         if directory is not None:
             self.directory = directory
-        return unpack(reply.part) if reply.part else None
+        return decode_update(reply.update) if reply.update else None
 
 
 def seen(state, group):
     """Return what a group is to know of a state, in an order of its own."""
     whole = whole_for(state, group)
     others = {}
-    for gateway in whole.others:
+    for gateway in whole.remote_holders:
         if gateway.relay_address:
             others.setdefault(gateway.sharing_group, []).append(gateway.name)
     return (
@@ -183,20 +183,22 @@
         self.follower.copy._members.change([], [instance])
 
     async def test_a_gateway_that_holds_a_revision_gets_what_changed_since(self):
-        self.assertEqual((await self.follower.ask(self.node)).since, WHOLE)
+        self.assertEqual((await self.follower.ask(self.node)).base_revision, NO_REVISION)
         self.log += [Announce(member("m2", 2, leaving=True)), Remove("m3")]
         self.node.apply(self.log, len(self.log))
         part = await self.follower.ask(self.node)
-        self.assertEqual(part.since, 9)
+        self.assertEqual(part.base_revision, 9)
         self.assertEqual([known.instance for known in part.members], ["m2"])
-        self.assertEqual((part.gone_members, part.neighbours, part.others), (["m3"], [], []))
+        self.assertEqual(
+            (part.removed_members, part.neighbours, part.remote_holders), (["m3"], [], [])
+        )
 
     async def test_a_gap_that_is_not_remembered_gets_the_whole(self):
         await self.follower.ask(self.node)
         for sequence in range(2, history.REMEMBERED_CHANGES + 3):
             self.log.append(Announce(member("m1", sequence, slots=sequence)))
         self.node.apply(self.log, len(self.log))
-        self.assertEqual((await self.follower.ask(self.node)).since, WHOLE)
+        self.assertEqual((await self.follower.ask(self.node)).base_revision, NO_REVISION)
 
     async def test_a_node_that_is_behind_takes_nothing_back(self):
         await self.follower.ask(self.node)
@@ -211,7 +213,7 @@
         self.log += [Remove("m3"), Remove("m4")]
         ahead = ControlledNode().apply(self.log, len(self.log))
         self.node.install(ahead)
-        self.assertEqual((await self.follower.ask(self.node)).since, WHOLE)
+        self.assertEqual((await self.follower.ask(self.node)).base_revision, NO_REVISION)
         self.assertEqual(len(self.follower.directory.members), 6)
 
     async def test_a_copy_that_differs_is_left_aside_and_the_whole_taken(self):
@@ -223,7 +225,7 @@
         await self.follower.ask(self.node)
         self.assertTrue(self.follower.copy.is_broken)
         self.assertIs(self.follower.directory, before)
-        self.assertEqual((await self.follower.ask(self.node)).since, WHOLE)
+        self.assertEqual((await self.follower.ask(self.node)).base_revision, NO_REVISION)
         self.assertEqual(known(self.follower.directory), seen(self.node.state, "a"))
         self.assertEqual(self.follower.copy.counts, {"whole": 2, "difference": 1, "mismatch": 1})
 
@@ -251,20 +253,20 @@
 
     async def test_a_gateway_of_an_earlier_version_gets_all_in_plain(self):
         reply = await self.node.service.handle(DirectoryRequest(GATEWAY, 0, 3, 0.0))
-        self.assertEqual((len(reply.members), reply.part), (8, b""))
+        self.assertEqual((len(reply.members), reply.update), (8, b""))
         self.assertEqual([gateway.name for gateway in reply.neighbours], ["g1"])
 
     async def test_what_a_log_holds_comes_packed_to_who_takes_it(self):
         service = CoordinationService(PlayedNode(self.log, leads=False), new_state(), None, "a")
-        held = await service.handle(LoggedDirectoryRequest("a", takes_parts=True))
+        held = await service.handle(LoggedDirectoryRequest("a", accepts_updates=True))
         self.assertIsNone(held.directory.members)
-        self.assertEqual(len(unpack(held.directory.part).members), 8)
+        self.assertEqual(len(decode_update(held.directory.update).members), 8)
 
     def test_a_part_that_is_damaged_is_a_fault_of_the_transport(self):
-        packed = pack(whole_for(self.node.state, "a"))
-        for damaged in (packed[:-9], b"no part", pack(b"other")):
+        packed = encode_update(whole_for(self.node.state, "a"))
+        for damaged in (packed[:-9], b"no part", encode_update(b"other")):
             with self.assertRaises(TransportError):
-                unpack(damaged)
+                decode_update(damaged)
 
     def test_a_difference_from_before_the_history_is_none(self):
         self.node.install(ControlledNode().apply(self.log, len(self.log)))
@@ -304,7 +306,7 @@
 
     async def handle(self, request):
         reply = await self.node.handle(request)
-        return msgspec.structs.replace(reply, part=b"damaged" if reply.part else b"")
+        return msgspec.structs.replace(reply, update=b"damaged" if reply.update else b"")
 
 
 class FollowingTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/coordination/test_directory.py
+++ b/tests/coordination/test_directory.py
@@ -76,7 +76,7 @@
         service = CoordinationService(PlayedNode(), self.state, None, "a")
         reply = await self.ask(service, "a")
         first = [rank("db", [f"{zone}{n}" for n in range(4)])[0] for zone in "bc"]
-        self.assertEqual([gateway.name for gateway in reply.others], sorted(first))
+        self.assertEqual([gateway.name for gateway in reply.remote_holders], sorted(first))
         self.assertEqual([gateway.zone for gateway in reply.neighbours], ["a"] * 4)
         self.assertEqual(reply.zone, "a")
 
@@ -84,9 +84,9 @@
         self.apply(Announce(MEMBER))
         self.apply(SetGateways([*gateways("a", 2), *gateways("b", 2)], []))
         service = CoordinationService(PlayedNode(), self.state, None, "a")
-        (before,) = (await self.ask(service, "a")).others
+        (before,) = (await self.ask(service, "a")).remote_holders
         self.apply(SetGateways([], [before.name]))
-        (after,) = (await self.ask(service, "a")).others
+        (after,) = (await self.ask(service, "a")).remote_holders
         self.assertNotEqual(before.name, after.name)
 
     async def test_a_node_tells_what_its_log_holds_though_it_knows_no_leader(self):
@@ -97,5 +97,5 @@
         self.assertEqual(held.voters, ["v1", "v2", "v3"])
         self.assertEqual((held.directory.version, held.directory.document), (9, b"nine"))
         self.assertEqual([member.instance for member in held.directory.members], ["m1"])
-        self.assertEqual([gateway.name for gateway in held.directory.others], ["b0"])
+        self.assertEqual([gateway.name for gateway in held.directory.remote_holders], ["b0"])
         self.assertEqual(self.state.version, 0, "what is not committed is not applied")
--- a/tests/coordination/test_messages.py
+++ b/tests/coordination/test_messages.py
@@ -48,14 +48,16 @@
         report = GatewayReport("g1", "a", [])
         request = self.received(DirectoryRequest(report, 7, 9, 1.0, True, True, 5), 4)
         self.assertEqual(request, DirectoryRequest(report, 7, 9, 1.0))
-        self.assertFalse(request.takes_parts or request.wants_whole or request.known_controls)
-        self.assertFalse(self.received(LoggedDirectoryRequest("a", True), 1).takes_parts)
+        self.assertFalse(
+            request.accepts_updates or request.wants_full or request.known_controls_checksum
+        )
+        self.assertFalse(self.received(LoggedDirectoryRequest("a", True), 1).accepts_updates)
 
     def test_a_reply_of_the_release_before_has_no_part(self):
-        reply = DirectoryReply(True, 7, b"", 9, [], 1, 1, [], ["c1:1"], "a", [], part=b"part")
+        reply = DirectoryReply(True, 7, b"", 9, [], 1, 1, [], ["c1:1"], "a", [], update=b"part")
         names = reply.__struct_fields__
-        received = self.received(reply, names.index("part"))
-        self.assertEqual((received.part, received.members), (b"", []))
+        received = self.received(reply, names.index("update"))
+        self.assertEqual((received.update, received.members), (b"", []))
 
     def test_the_release_before_leaves_aside_what_it_does_not_know(self):
         class EarlierRequest(msgspec.Struct, array_like=True):
--- a/tests/coordination/test_reports.py
+++ b/tests/coordination/test_reports.py
@@ -16,8 +16,8 @@
 )
 from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS, Liveness
 from rowanrail.coordination.reports import ReportIndex
+from rowanrail.directory.health_filter import REPORTED_PROOF_MS, reportable_health
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.directory.reports import REPORTED_PROOF_MS, worth_reporting
 from rowanrail.model.members import MemberRecord, PrimaryHealth
 from rowanrail.model.position import Position
 
@@ -85,7 +85,7 @@
 
     def test_a_report_of_many_services_that_are_not_used_is_empty(self):
         seen = [PrimaryHealth(f"db{n}", "m1", -1, 0) for n in range(40)]
-        self.assertEqual(worth_reporting(seen), [])
+        self.assertEqual(reportable_health(seen), [])
 
     def test_a_report_replaces_the_earlier_one(self):
         index = ReportIndex()
--- a/tests/forms/test_derived.py
+++ b/tests/forms/test_derived.py
@@ -7,8 +7,8 @@
 
 from rowanrail.config.model import Configuration, SiteSpec, UserSpec, VersionedConfiguration
 from rowanrail.directory.digests import RecordKind, digest_bytes, record_hash
-from rowanrail.directory.messages import DirectoryPart, GatewayRecord, controls_mark
-from rowanrail.directory.packing import unpack
+from rowanrail.directory.messages import DirectoryUpdate, GatewayRecord, controls_checksum
+from rowanrail.directory.update_encoding import decode_update
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
 from rowanrail.placement.hashed import Shard, rank
@@ -31,17 +31,17 @@
 class DerivedTest(unittest.TestCase):
     def test_digests_of_directories(self):
         member = digest_bytes(record_hash(RecordKind.MEMBER, MEMBER))
-        kinds = (RecordKind.NEIGHBOUR, RecordKind.OTHER)
+        kinds = (RecordKind.NEIGHBOUR, RecordKind.REMOTE_HOLDER)
         gateways = digest_bytes(*(record_hash(kind, GATEWAY) for kind in kinds))
         self.assertEqual(member.hex(), "f66dc7a53c0091e7f8b37fe67d1ddf7a")
         self.assertEqual(gateways.hex(), "b17b2c34428bd2ccfac1d6c15397016d")
 
     def test_mark_of_known_control_nodes(self):
-        self.assertEqual(controls_mark(["a:1", "b:2"]), 2400326235)
+        self.assertEqual(controls_checksum(["a:1", "b:2"]), 2400326235)
 
     def test_a_packed_part_of_a_directory(self):
-        part = DirectoryPart(7, b"\1" * 16, [MEMBER], ["i-9"], [GATEWAY])
-        self.assertEqual(unpack(bytes.fromhex(PACKED)), part)
+        part = DirectoryUpdate(7, b"\1" * 16, [MEMBER], ["i-9"], [GATEWAY])
+        self.assertEqual(decode_update(bytes.fromhex(PACKED)), part)
 
     def test_digest_of_a_configuration(self):
         site, user = SiteSpec("s", "r", ["a"]), UserSpec("u", "*00")
--- a/tests/forms/test_messages.py
+++ b/tests/forms/test_messages.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from rowanrail.directory.messages import DirectoryPart
-from rowanrail.directory.packing import pack, unpack
+from rowanrail.directory.messages import DirectoryUpdate
+from rowanrail.directory.update_encoding import decode_update, encode_update
 from rowanrail.gateway.relay import transport
 from rowanrail.gateway.relay.messages import FromGateway, FromHolder
 from rowanrail.rpc import codec, tcp
@@ -108,12 +108,12 @@
 class PackedTest(GoldenCase):
     def test_part_of_a_directory(self):
         golden = GOLDEN["inside others"]["part of a directory"]
-        self.hold(DirectoryPart, golden, decoder(DirectoryPart), msgspec.msgpack.encode)
+        self.hold(DirectoryUpdate, golden, decoder(DirectoryUpdate), msgspec.msgpack.encode)
 
     def test_a_part_is_packed_as_a_whole(self):
         for sample in GOLDEN["inside others"]["part of a directory"]["samples"]:
-            part = decoder(DirectoryPart)(bytes.fromhex(sample["bytes"]))
-            self.assertEqual(unpack(pack(part)), part)
+            part = decoder(DirectoryUpdate)(bytes.fromhex(sample["bytes"]))
+            self.assertEqual(decode_update(encode_update(part)), part)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_control_choice.py
+++ b/tests/gateway/test_control_choice.py
@@ -3,7 +3,7 @@
 import unittest
 import zlib
 
-from rowanrail.directory.messages import DirectoryReply, LoggedDirectoryReply, controls_mark
+from rowanrail.directory.messages import DirectoryReply, LoggedDirectoryReply, controls_checksum
 from rowanrail.gateway.discovery.control_choice import ControlChoice
 from rowanrail.gateway.discovery.provisional import (
     UNSURE_START_SECONDS,
@@ -39,12 +39,12 @@
         self.assertEqual(self.choice.addresses, ["n1", "n2", "n3", "n4"])
         self.choice.take_reported(["n5"])
         self.assertEqual(self.choice.addresses, ["n1", "n2", "n3", "n5"])
-        self.assertEqual(self.choice.known_mark, controls_mark(["n5"]))
+        self.assertEqual(self.choice.known_mark, controls_checksum(["n5"]))
 
     def test_an_empty_report_changes_nothing(self):
         self.choice.take_reported(["n1", "n4"])
         self.choice.take_reported([])
-        self.assertEqual(self.choice.known_mark, controls_mark(["n1", "n4"]))
+        self.assertEqual(self.choice.known_mark, controls_checksum(["n1", "n4"]))
         self.assertIn("n4", self.choice.addresses)
 
     def test_another_list_in_the_settings_has_the_reported_one_sent_again(self):
--- a/tests/gateway/test_control_follower.py
+++ b/tests/gateway/test_control_follower.py
@@ -11,7 +11,7 @@
     GatewayReport,
     LoggedDirectoryReply,
     LoggedDirectoryRequest,
-    controls_mark,
+    controls_checksum,
 )
 from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.discovery.provisional import longest_of_majority
@@ -165,8 +165,8 @@
         self.known = []
 
         async def answer(request):
-            self.known.append(request.known_controls)
-            controls = [] if request.known_controls == controls_mark(told) else told
+            self.known.append(request.known_controls_checksum)
+            controls = [] if request.known_controls_checksum == controls_checksum(told) else told
             return DirectoryReply(True, 7, b"", 3, None, 1, 1, [], controls, "a1")
 
         self.network.nodes = {"n1": answer, "n2": answer, "n3": answer}
@@ -179,7 +179,7 @@
         self.follow(["n1", "n2", "n3"])
         self.assertEqual(await self.poll(), ["n1", "n2", "n3"])
         self.assertEqual(await self.poll(), ["n1", "n2", "n3"])
-        self.assertEqual(self.known, [0, controls_mark(["n1", "n2", "n3"])])
+        self.assertEqual(self.known, [0, controls_checksum(["n1", "n2", "n3"])])
 
     async def test_another_list_is_told_again(self):
         self.follow(["n1", "n2"])
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -17,8 +17,8 @@
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
+from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayRecord, GatewayReport
-from rowanrail.directory.reports import worth_reporting
 from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
@@ -170,7 +170,7 @@
             ["c1:1"],
             PlainFormat(),
             lambda: GatewayReport(
-                record.name, record.zone, worth_reporting(health), 0, record.relay_address
+                record.name, record.zone, reportable_health(health), 0, record.relay_address
             ),
             QuietLog(),
             Locality(record.zone),
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -8,7 +8,7 @@
     "rowanrail.cluster.membership",
     "rowanrail.coordination.gateway_census",
     "rowanrail.directory.digests",
-    "rowanrail.directory.reports",
+    "rowanrail.directory.health_filter",
     "rowanrail.cli.load_view",
     "rowanrail.explain.rejections",
     "rowanrail.gateway.discovery.control_choice",
