--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from rowanlab.standin.engine import Engine
-from rowanrail.cluster.folder import FolderOwner, join_until_admitted, open_folder
-from rowanrail.cluster.membership import MembershipManager, name_of
+from rowanrail.cluster.data_folder import NodeConfig, join_until_admitted, open_data_folder
+from rowanrail.cluster.membership import MembershipManager, node_name
 from rowanrail.cluster.messages import JoinRequest, NodesRequest, ReportsReply, ReportsRequest
 from rowanrail.config.settings import NodeAddress
 from rowanrail.consensus.errors import NotLeaderError
@@ -208,8 +208,8 @@
     async def start(self, bootstrap: bool) -> None:
         """Open the folder and take part in the group."""
         settings = self.settings
-        owner = FolderOwner(settings.group, settings.name, settings.nodes, settings.data_folder)
-        identity = await open_folder(
+        owner = NodeConfig(settings.group, settings.name, settings.nodes, settings.data_folder)
+        identity = await open_data_folder(
             owner, self._storage, self._network, self._random, LearnerFirst(), bootstrap
         )
         self.node = self._create_node(identity)
@@ -238,7 +238,7 @@
             NodeOptions(raft, NEVER_COMPACT),
             self._random,
             self._registry,
-            fallback_address=lambda node: addresses.get(name_of(node), ""),
+            fallback_address=lambda node: addresses.get(node_name(node), ""),
         )
 
     async def stop(self) -> None:
--- a/src/rowanrail/cluster/folder.py
+++ b/src/rowanrail/cluster/data_folder.py
@@ -29,7 +29,7 @@
 JOIN_RETRY_SECONDS = 0.5
 
 
-class FolderStep(enum.Enum):
+class StartupMode(enum.Enum):
     """How a node begins."""
 
     RESTART = "restart"  # with the identity in its folder
@@ -37,7 +37,7 @@
     JOIN = "join"  # as a new node without a vote
 
 
-class FolderOwner(msgspec.Struct, frozen=True):
+class NodeConfig(msgspec.Struct, frozen=True):
     """Whose folder it should be, and the nodes that a new system begins with."""
 
     cluster: str
@@ -50,15 +50,15 @@
         return next((node.address for node in self.nodes if node.name == self.name), "")
 
 
-def first_membership(owner: FolderOwner) -> Membership:
+def first_membership(owner: NodeConfig) -> Membership:
     """Return the membership of a new system."""
     return Membership(
         voters={f"{node.name}@{FIRST_IDENTITY}": node.address for node in owner.nodes}
     )
 
 
-async def open_folder(
-    owner: FolderOwner,
+async def open_data_folder(
+    owner: NodeConfig,
     storage: Storage,
     network: Network,
     randomness: random.Random,
@@ -72,14 +72,14 @@
     """
     identity = storage.identity()
     may_bootstrap = identity is None and bootstrap and not await _system_exists(owner, network)
-    match folder_step(identity is not None, may_bootstrap):
-        case FolderStep.RESTART:
+    match startup_mode(identity is not None, may_bootstrap):
+        case StartupMode.RESTART:
             assert identity is not None
             check_owner(identity, owner)
-        case FolderStep.BOOTSTRAP:
+        case StartupMode.BOOTSTRAP:
             identity = Identity(owner.cluster, f"{owner.name}@{FIRST_IDENTITY}")
             storage.create(identity, Snapshot(1, 1, first_membership(owner), b""))
-        case FolderStep.JOIN:
+        case StartupMode.JOIN:
             fresh = f"{randomness.getrandbits(48):012x}"
             identity = Identity(owner.cluster, learner_first.identity(owner.name, fresh))
             emit(NODE_JOINING, node=identity.node)
@@ -87,7 +87,7 @@
     return identity
 
 
-def folder_step(has_identity: bool, may_bootstrap: bool) -> FolderStep:
+def startup_mode(has_identity: bool, may_bootstrap: bool) -> StartupMode:
     """Return how a node begins.
 
     A folder that was emptied gets a new identity: the votes that the node gave before are gone, so
@@ -101,11 +101,11 @@
         Whether the operator asks for a new system and no node that answers knows one.
     """
     if has_identity:
-        return FolderStep.RESTART
-    return FolderStep.BOOTSTRAP if may_bootstrap else FolderStep.JOIN
+        return StartupMode.RESTART
+    return StartupMode.BOOTSTRAP if may_bootstrap else StartupMode.JOIN
 
 
-def check_owner(identity: Identity, owner: FolderOwner) -> None:
+def check_owner(identity: Identity, owner: NodeConfig) -> None:
     """Check that a folder is the node's own.
 
     :raises StorageError: if it belongs to another system or node.
@@ -120,7 +120,7 @@
         )
 
 
-async def _system_exists(owner: FolderOwner, network: Network) -> bool:
+async def _system_exists(owner: NodeConfig, network: Network) -> bool:
     """Ask the other nodes whether any of them has accepted a configuration."""
     for node in owner.nodes:
         if node.name == owner.name:
@@ -135,7 +135,7 @@
 
 
 async def join_until_admitted(
-    owner: FolderOwner, identity: Identity, network: Network, is_member: asyncio.Event
+    owner: NodeConfig, identity: Identity, network: Network, is_member: asyncio.Event
 ) -> None:
     """Ask the other nodes, one after the other, to be admitted, until it happens."""
     request = JoinRequest(
--- a/src/rowanrail/cluster/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -20,7 +20,7 @@
 LEARNER_CHECK_SECONDS = 0.2  # between checks for such a learner; chosen
 
 
-def name_of(node: str) -> str:
+def node_name(node: str) -> str:
     """Return the name in a node id (``name@identity``)."""
     return node.split("@")[0]
 
@@ -47,7 +47,7 @@
     >>> sorted(with_learner(membership, "b", "b@2", "b:1").learners)
     ['b@2']
     """
-    others = {known: a for known, a in membership.learners.items() if name_of(known) != name}
+    others = {known: a for known, a in membership.learners.items() if node_name(known) != name}
     return Membership(dict(membership.voters), {**others, node: address})
 
 
@@ -60,8 +60,8 @@
     >>> without_name(membership, "b")
     Membership(voters={'a@1': 'a:1'}, learners={})
     """
-    voters = {node: a for node, a in membership.voters.items() if name_of(node) != name}
-    learners = {node: a for node, a in membership.learners.items() if name_of(node) != name}
+    voters = {node: a for node, a in membership.voters.items() if node_name(node) != name}
+    learners = {node: a for node, a in membership.learners.items() if node_name(node) != name}
     return Membership(voters, learners)
 
 
@@ -95,7 +95,7 @@
         match = match_of(learner)
         if match == 0 or last_index - match > LEARNER_BEHIND_ENTRIES:
             continue
-        older = [node for node in membership.voters if name_of(node) == name_of(learner)]
+        older = [node for node in membership.voters if node_name(node) == node_name(learner)]
         return without_voters(membership, older) if older else with_voter(membership, learner)
     return None
 
@@ -170,7 +170,7 @@
             match = raft.log.last_index if is_self else raft.match_of(node)
             views.append(
                 NodeView(
-                    name=name_of(node),
+                    name=node_name(node),
                     node=node,
                     address=address,
                     voter=node in raft.membership.voters,
--- a/src/rowanrail/coordination/daemon.py
+++ b/src/rowanrail/coordination/daemon.py
@@ -25,7 +25,7 @@
 from rowanrail.rpc.network import Network
 
 
-class OutsideApi(ABC):
+class ExternalApi(ABC):
     """Port: the interface for operators and members, a plug-in of kind ``outside-api``.
 
     Made with the service, the settings and the decision log as its arguments.
@@ -77,7 +77,7 @@
 ) -> HttpServer:
     """Serve the interface for operators and members, and the metrics if they are asked for."""
     service: CoordinationService = node.service
-    api: OutsideApi = registry.create(
+    api: ExternalApi = registry.create(
         "outside-api", settings.protocol, service, settings, decisions
     )
     server = await serve(settings.listen, api.handle)
--- a/src/rowanrail/coordination/failover.py
+++ b/src/rowanrail/coordination/failover.py
@@ -1,6 +1,6 @@
 """The decision to replace a primary, apart from any I/O.
 
-A view of one service goes in, a decision comes out; the shell in ``duty.py`` carries it out.
+A view of one service goes in, a decision comes out; ``failover_controller.py`` carries it out.
 A primary counts as lost only when every vantage point that can tell agrees: the gateways
 that used it, the holder's own samples, and its heartbeats. One frozen gateway, a cut zone or
 a deaf replica is no lost primary.
--- a/src/rowanrail/coordination/duty.py
+++ b/src/rowanrail/coordination/failover_controller.py
@@ -22,9 +22,9 @@
     decide,
     report_view,
 )
-from rowanrail.coordination.gateway_census import GatewayCensus
-from rowanrail.coordination.member_questions import MemberQuestions, StatusReader, StatusReply
+from rowanrail.coordination.gateway_reconciler import GatewayReconciler
 from rowanrail.coordination.service import CoordinationService
+from rowanrail.coordination.status_queries import StatusQueries, StatusReader, StatusReply
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.members.channel import MemberDriver
@@ -54,14 +54,14 @@
         """Send one order; without an answer it may still be carried out."""
 
 
-class _Attempt:
+class _PromotionAttempt:
     def __init__(self, instance: str, started_at: float) -> None:
         self.instance = instance
         self.started_at = started_at
         self.accepted: bool | None = None
 
 
-class FailoverDuty:
+class FailoverController:
     """Watches the primaries while its node leads."""
 
     def __init__(
@@ -78,13 +78,13 @@
         self._node = node
         self._service = service
         self._driver = driver
-        self._questions = MemberQuestions(driver, reader)
+        self._queries = StatusQueries(driver, reader)
         self._promoter = promoter
         self._decisions = decisions
         self._proof = proof
         self._acknowledging_replicas = acknowledging_replicas
         self._trackers: dict[str, PrimaryTracker] = {}
-        self._attempts: dict[str, _Attempt] = {}
+        self._attempts: dict[str, _PromotionAttempt] = {}
         self._waiting_reasons: dict[str, str] = {}
         self._busy: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -92,7 +92,9 @@
         self._known_revision = -1
         self._indexed_revision = -1
         self._by_service: dict[str, list[MemberRecord]] = {}
-        self._census = GatewayCensus(service.state, service.liveness, service.propose, self._now)
+        self._reconciler = GatewayReconciler(
+            service.state, service.liveness, service.propose, self._now
+        )
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -104,7 +106,7 @@
         for task in (self._task, *self._tasks):
             if task is not None:
                 task.cancel()
-        self._census.stop()
+        self._reconciler.stop()
         self._release()
 
     async def _run(self) -> None:
@@ -120,7 +122,7 @@
             for name, tracker in self._trackers.items():
                 tracker.tick(in_use=True)
                 self._consider(name)
-            self._census.tick()
+            self._reconciler.tick()
 
     @staticmethod
     def _now() -> float:
@@ -197,13 +199,13 @@
             self._busy.discard(service)
 
     async def _decide_with_statuses(self, service: str) -> Decision:
-        statuses = await self._questions.ask(self._members(service), Command(CommandKind.STATUS))
+        statuses = await self._queries.query(self._members(service), Command(CommandKind.STATUS))
         must_pause = self._acknowledging_replicas(service) > 0
         if must_pause:
             statuses = await self._pause_replicas(service, statuses)
         decision = decide(self._view(service, statuses, statuses_fresh=True))
         if must_pause and decision.action is not Action.PROMOTE:
-            await self._questions.ask(self._replicas(service), Command(CommandKind.RESUME))
+            await self._queries.query(self._replicas(service), Command(CommandKind.RESUME))
         return decision
 
     def _note_waiting(self, service: str, cause: str, reason: str) -> None:
@@ -260,7 +262,7 @@
         """
         newest = max((status.term for status in statuses.values()), default=0)
         command = Command(CommandKind.PAUSE, str(newest + 1))
-        paused = await self._questions.ask(self._replicas(service), command)
+        paused = await self._queries.query(self._replicas(service), command)
         others = {
             instance: status
             for instance, status in statuses.items()
@@ -276,7 +278,7 @@
         assert isinstance(promotion, Promotion)
         if not self._node.raft.is_established_leader:
             return
-        attempt = _Attempt(decision.instance, self._now())
+        attempt = _PromotionAttempt(decision.instance, self._now())
         self._attempts[service] = attempt
         self._decisions.note(
             PROMOTION_DECIDED,
--- a/src/rowanrail/coordination/gateway_census.py
+++ b/src/rowanrail/coordination/gateway_reconciler.py
@@ -14,15 +14,15 @@
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.kernel.errors import RowanrailError
 
-__all__ = ["GONE_SECONDS", "GatewayCensus", "census_change"]
+__all__ = ["GATEWAY_TIMEOUT_SECONDS", "GatewayReconciler", "gateway_changes"]
 
 COMPARE_SECONDS = 1.0  # between comparisons; reports of gateways come each second
 # Missing for so long a gateway leaves the log. One that is silent for less may be alive with its
 # connections, and would be counted twice while it hands them over; chosen.
-GONE_SECONDS = 8.0
+GATEWAY_TIMEOUT_SECONDS = 8.0
 
 
-def census_change(
+def gateway_changes(
     heard: Mapping[str, GatewayRecord],
     known: Mapping[str, GatewayRecord],
     missing_seconds: Mapping[str, float],
@@ -45,21 +45,23 @@
     Examples
     --------
     >>> here = GatewayRecord("g1", "a", "g1:1")
-    >>> census_change({"g1": here}, {}, {}).present == [here]
+    >>> gateway_changes({"g1": here}, {}, {}).present == [here]
     True
-    >>> census_change({"g1": here}, {"g1": here, "g2": here}, {"g2": 8.5}).absent
+    >>> gateway_changes({"g1": here}, {"g1": here, "g2": here}, {"g2": 8.5}).absent
     ['g2']
-    >>> census_change({}, {"g2": here}, {"g2": 8.5}) is None
+    >>> gateway_changes({}, {"g2": here}, {"g2": 8.5}) is None
     True
     """
     present = [record for name, record in heard.items() if known.get(name) != record]
-    absent = [name for name, seconds in missing_seconds.items() if seconds > GONE_SECONDS]
+    absent = [
+        name for name, seconds in missing_seconds.items() if seconds > GATEWAY_TIMEOUT_SECONDS
+    ]
     if present or (absent and heard):
         return SetGateways(present, absent)
     return None
 
 
-class GatewayCensus:
+class GatewayReconciler:
     """Keeps the gateways of the log in step with those that are heard.
 
     Parameters
@@ -99,7 +101,7 @@
         missing = [name for name in self._state.gateways if name not in heard]
         self._missing_since = {name: self._missing_since.get(name, now) for name in missing}
         seconds = {name: now - since for name, since in self._missing_since.items()}
-        change = census_change(heard, self._state.gateways, seconds)
+        change = gateway_changes(heard, self._state.gateways, seconds)
         if change is not None:
             self._task = asyncio.ensure_future(self._log(change))
 
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -11,18 +11,18 @@
 
 from returns.result import Success
 
-from rowanrail.cluster.folder import FolderOwner, open_folder
+from rowanrail.cluster.data_folder import NodeConfig, open_data_folder
 from rowanrail.cluster.messages import JoinRequest
 from rowanrail.config.settings import CoordinatorSettings, Holders, NodeAddress
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.storage import Identity, Storage
 from rowanrail.coordination.change_notes import ChangeNotes
-from rowanrail.coordination.duty import FailoverDuty, Promoter
-from rowanrail.coordination.member_questions import StatusReader
-from rowanrail.coordination.planner import PlanDuty
+from rowanrail.coordination.failover_controller import FailoverController, Promoter
+from rowanrail.coordination.planner import PlanController
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
+from rowanrail.coordination.status_queries import StatusReader
 from rowanrail.coordination.voters import VoterManager
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.disk import Disk
@@ -75,7 +75,7 @@
         settings = self._settings
         self._listener = await self._network.serve(settings.rpc_listen, self.service.handle)
         self.consensus.start()
-        self.service.members.start()
+        self.service.membership.start()
         self._start_duties(driver, reader, promoter)
         self._joining = asyncio.ensure_future(self._join_when_unheard(identity))
 
@@ -86,9 +86,11 @@
         is_first = settings.bootstrap and settings.rpc_listen in settings.peers
         if settings.rpc_listen not in settings.peers:
             nodes.append(NodeAddress(settings.rpc_listen, settings.rpc_listen))
-        owner = FolderOwner(CLUSTER, settings.rpc_listen, nodes, settings.data_folder)
+        owner = NodeConfig(CLUSTER, settings.rpc_listen, nodes, settings.data_folder)
         guard = self._registry.create("consensus-guard", "learner-first")
-        return await open_folder(owner, self._storage, self._network, self._random, guard, is_first)
+        return await open_data_folder(
+            owner, self._storage, self._network, self._random, guard, is_first
+        )
 
     def _make_log(self, identity: Identity) -> None:
         """Make the replicated state, the node of its log, and the service before both."""
@@ -99,7 +101,7 @@
         self.state = CoordinationState(monotonic, incarnation, fence)
         self.consensus = self._create_consensus(identity)
         self.service = CoordinationService(self.consensus, self.state, self._network, settings.zone)
-        self.service.members = VoterManager(
+        self.service.membership = VoterManager(
             self.consensus, CLUSTER, settings.voters, self.service.now
         )
         self._notes = ChangeNotes(
@@ -109,7 +111,7 @@
 
     def _start_duties(self, driver: MemberDriver, reader: StatusReader, promoter: Promoter) -> None:
         """Begin what a node does while it leads: failover, and the plan of holders."""
-        self.duty = FailoverDuty(
+        self.failover = FailoverController(
             self.consensus,
             self.service,
             driver,
@@ -119,9 +121,9 @@
             self._registry.create("gateway-guard", "leadership-proof"),
             self._acknowledging_replicas,
         )
-        self.duty.start()
+        self.failover.start()
         is_planned = self._settings.holders is Holders.PLANNED
-        self.planning = PlanDuty(
+        self.planning = PlanController(
             self.consensus, self.service, self._decisions, is_planned, self._connections
         )
         self.planning.start()
@@ -199,10 +201,10 @@
         """Stop serving."""
         if self._joining is not None:
             self._joining.cancel()
-        self.duty.stop()
+        self.failover.stop()
         self.planning.stop()
         if self._listener is not None:
             await self._listener.close()
-        await self.service.members.stop()
+        await self.service.membership.stop()
         await self.consensus.stop()
         self._decisions.flush()
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -24,7 +24,7 @@
 from rowanrail.scheduling.demand import DemandWindow, PartDemand
 from rowanrail.scheduling.planner import Layout, Proposal, propose
 
-__all__ = ["PlanDuty", "Planner"]
+__all__ = ["PlanController", "Planner"]
 
 ROUND_MS = 5000.0  # between checks; a gateway's span
 REST_MS = 20_000.0  # between changes of a shard, ten handovers; the lost are replaced at once
@@ -113,7 +113,7 @@
         return Layout(defaults, is_regional, {s: count for s, count in known.items() if count})
 
 
-class PlanDuty:
+class PlanController:
     """Plans while its node leads, and has the log hold what is planned.
 
     Parameters
--- a/src/rowanrail/coordination/service.py
+++ b/src/rowanrail/coordination/service.py
@@ -57,7 +57,7 @@
     ) -> None:
         self.node = node
         self.state = state
-        self.members = MembershipManager(node, "")
+        self.membership = MembershipManager(node, "")
         self.liveness = Liveness(self.now)
         self.loads = GatewayLoads(lambda: self.now() * 1000)
         self._announcements = Announcements(state, self.liveness, self.propose, self.now)
@@ -194,7 +194,7 @@
 
     async def _join(self, request: msgspec.Struct) -> msgspec.Struct:
         assert isinstance(request, JoinRequest)
-        return await self.members.join(request)
+        return await self.membership.join(request)
 
     # What the outside asks of any node
 
--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -34,7 +34,7 @@
 REMEMBERED_DISPLACED = 200  # records; a member that still runs announces itself within seconds
 
 
-class SavedState(msgspec.Struct, frozen=True):
+class StateSnapshot(msgspec.Struct, frozen=True):
     """The whole state, as it stands in a snapshot."""
 
     version: int
@@ -48,7 +48,7 @@
     plan: Plan = NO_PLAN
 
 
-EMPTY_STATE = SavedState(0, b"", 0, {}, [], {}, {})
+EMPTY_STATE = StateSnapshot(0, b"", 0, {}, [], {}, {})
 
 
 class CoordinationState(StateMachine):
@@ -68,7 +68,7 @@
         self._fence = fence
         self._restore(EMPTY_STATE)
 
-    def _restore(self, saved: SavedState) -> None:
+    def _restore(self, saved: StateSnapshot) -> None:
         self.version = saved.version
         self.document = saved.document
         self.revision = saved.revision
@@ -96,7 +96,7 @@
 
     def snapshot(self) -> bytes:
         """See :meth:`StateMachine.snapshot`."""
-        saved = SavedState(
+        saved = StateSnapshot(
             self.version,
             self.document,
             self.revision,
@@ -112,7 +112,7 @@
     def restore(self, data: bytes) -> None:
         """See :meth:`StateMachine.restore`."""
         if data:  # the snapshot that a new system begins with is empty
-            self._restore(msgspec.msgpack.decode(data, type=SavedState))
+            self._restore(msgspec.msgpack.decode(data, type=StateSnapshot))
         else:
             self._restore(EMPTY_STATE)
 
--- a/src/rowanrail/coordination/member_questions.py
+++ b/src/rowanrail/coordination/status_queries.py
@@ -78,14 +78,14 @@
             self.done.set_result(None)
 
 
-class MemberQuestions:
+class StatusQueries:
     """Asks members, and leaves out those that do not answer in time."""
 
     def __init__(self, driver: MemberDriver, reader: StatusReader) -> None:
         self._driver = driver
         self._reader = reader
 
-    async def ask(self, records: list[MemberRecord], command: Command) -> dict[str, StatusReply]:
+    async def query(self, records: list[MemberRecord], command: Command) -> dict[str, StatusReply]:
         """Return the statuses of the members that answered the command."""
         asked = _Round(self._reader, records)
         channels = []
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from rowanrail.cluster.membership import MembershipManager, name_of, with_voter, without_voters
+from rowanrail.cluster.membership import MembershipManager, node_name, with_voter, without_voters
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
 
@@ -41,7 +41,7 @@
     if not ready:
         return None
     learner = ready[0]
-    replaced = [node for node in membership.voters if name_of(node) == name_of(learner)]
+    replaced = [node for node in membership.voters if node_name(node) == node_name(learner)]
     if replaced:
         return without_voters(membership, replaced[:1])
     if len(membership.voters) < target:
--- a/src/rowanrail/sql_control/node.py
+++ b/src/rowanrail/sql_control/node.py
@@ -8,8 +8,8 @@
 import time
 from collections.abc import Callable
 
-from rowanrail.cluster.folder import FolderOwner, join_until_admitted, open_folder
-from rowanrail.cluster.membership import name_of
+from rowanrail.cluster.data_folder import NodeConfig, join_until_admitted, open_data_folder
+from rowanrail.cluster.membership import node_name
 from rowanrail.config.settings import ControlSettings
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
@@ -60,8 +60,8 @@
         :raises StorageError: if the folder can't be used.
         """
         settings = self._settings
-        owner = FolderOwner(settings.cluster, settings.name, settings.nodes, settings.data_folder)
-        identity = await open_folder(
+        owner = NodeConfig(settings.cluster, settings.name, settings.nodes, settings.data_folder)
+        identity = await open_data_folder(
             owner,
             self._storage,
             self._network,
@@ -106,7 +106,7 @@
             options,
             self._random,
             self._registry,
-            fallback_address=lambda node: addresses.get(name_of(node), ""),
+            fallback_address=lambda node: addresses.get(node_name(node), ""),
         )
 
     def _on_change(self) -> None:
--- a/tests/coordination/test_duty.py
+++ b/tests/coordination/test_failover_controller.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from rowanlab.simulator.world import World
-from rowanrail.coordination.duty import Promoter, PromotionOutcome
-from rowanrail.coordination.member_questions import StatusReader, StatusReply
+from rowanrail.coordination.failover_controller import Promoter, PromotionOutcome
+from rowanrail.coordination.status_queries import StatusReader, StatusReply
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.members.channel import MemberDriver, Wire
 from rowanrail.model.members import MemberRecord
--- a/tests/coordination/test_gateway_census.py
+++ b/tests/coordination/test_gateway_reconciler.py
@@ -4,9 +4,13 @@
 import doctest
 import unittest
 
-from rowanrail.coordination import gateway_census
+from rowanrail.coordination import gateway_reconciler
 from rowanrail.coordination.commands import SetGateways
-from rowanrail.coordination.gateway_census import COMPARE_SECONDS, GONE_SECONDS, GatewayCensus
+from rowanrail.coordination.gateway_reconciler import (
+    COMPARE_SECONDS,
+    GATEWAY_TIMEOUT_SECONDS,
+    GatewayReconciler,
+)
 from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS, Liveness
 from rowanrail.directory.messages import GatewayRecord, GatewayReport
 from rowanrail.kernel.errors import TransportError
@@ -26,7 +30,9 @@
         self.logged = []
         self.fails = False
         self.liveness = Liveness(lambda: self.seconds)
-        self.census = GatewayCensus(self.state, self.liveness, self._propose, lambda: self.seconds)
+        self.reconciler = GatewayReconciler(
+            self.state, self.liveness, self._propose, lambda: self.seconds
+        )
 
     async def _propose(self, command):
         if self.fails:
@@ -44,12 +50,12 @@
 
     async def compare(self, seconds=COMPARE_SECONDS):
         self.seconds += seconds
-        self.census.tick()
+        self.reconciler.tick()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
 
     def test_the_examples_hold(self):
-        self.assertEqual(doctest.testmod(gateway_census).failed, 0)
+        self.assertEqual(doctest.testmod(gateway_reconciler).failed, 0)
 
     async def test_gateways_that_come_are_logged_together_and_once(self):
         self.hear(FIRST, SECOND)
@@ -68,7 +74,7 @@
     async def test_a_gateway_leaves_the_log_when_it_has_been_missing_for_long(self):
         self.hear(FIRST, SECOND)
         await self.compare()
-        while self.seconds < 100.0 + FORGET_GATEWAY_SECONDS + GONE_SECONDS:
+        while self.seconds < 100.0 + FORGET_GATEWAY_SECONDS + GATEWAY_TIMEOUT_SECONDS:
             self.hear(FIRST)
             await self.compare()
         self.assertNotIn("g2", [name for change in self.logged for name in change.absent])
--- a/tests/coordination/test_planner.py
+++ b/tests/coordination/test_planner.py
@@ -8,7 +8,7 @@
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.coordination.commands import Announce, SetGateways, SetPlan
 from rowanrail.coordination.gateway_loads import FORGET_LOAD_MS, GatewayLoads
-from rowanrail.coordination.planner import ROUND_MS, PlanDuty, Planner
+from rowanrail.coordination.planner import ROUND_MS, PlanController, Planner
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
@@ -263,7 +263,7 @@
         self.decisions = RecordingLog("control")
 
     def duty(self, is_planned=True):
-        return PlanDuty(self.node, self.service, self.decisions, is_planned)
+        return PlanController(self.node, self.service, self.decisions, is_planned)
 
     async def report(self):
         for zone, rate in zip(ZONES, (200, 20, 20), strict=True):
--- a/tests/coordination/test_reports.py
+++ b/tests/coordination/test_reports.py
@@ -5,7 +5,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rowanrail.coordination.duty import FailoverDuty
 from rowanrail.coordination.failover import (
     REPORT_LIVE_SECONDS,
     Action,
@@ -14,6 +13,7 @@
     decide,
     report_view,
 )
+from rowanrail.coordination.failover_controller import FailoverController
 from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS, Liveness
 from rowanrail.coordination.reports import ReportIndex
 from rowanrail.directory.health_filter import REPORTED_PROOF_MS, reportable_health
@@ -131,7 +131,7 @@
     """The look that is spared would have led to waiting."""
 
     def duty(self, members, liveness):
-        return FailoverDuty(
+        return FailoverController(
             LeadingNode(), PlayedService(members, liveness), None, None, None, None, None
         )
 
--- a/tests/coordination/test_member_questions.py
+++ b/tests/coordination/test_status_queries.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from rowanrail.coordination.member_questions import MemberQuestions, StatusReader, StatusReply
+from rowanrail.coordination.status_queries import StatusQueries, StatusReader, StatusReply
 from rowanrail.members.channel import MemberDriver, Wire
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
@@ -48,8 +48,8 @@
     async def ask(self, **after):
         loop = asyncio.get_running_loop()
         began = loop.time()
-        questions = MemberQuestions(PartlySilentDriver(**after), PlainReader())
-        statuses = await questions.ask(members(), Command(CommandKind.STATUS))
+        queries = StatusQueries(PartlySilentDriver(**after), PlainReader())
+        statuses = await queries.query(members(), Command(CommandKind.STATUS))
         return set(statuses), loop.time() - began
 
     async def test_a_dead_primary_does_not_delay_its_replacement(self):
--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from rowanrail.cluster.folder import FolderOwner, open_folder
+from rowanrail.cluster.data_folder import NodeConfig, open_data_folder
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.config.settings import NodeAddress
 from rowanrail.consensus import policies
@@ -65,7 +65,7 @@
             "snapshot": Snapshot,
             "record": Record,
             "membership": Membership,
-            "state of the gateways' control nodes": gateways_state.SavedState,
+            "state of the gateways' control nodes": gateways_state.StateSnapshot,
             "state of the SQL control nodes": sql_state.SavedConfigurations,
             "backup": sql_backup.Backup,
         }
@@ -92,7 +92,7 @@
         self.folder = folder
         self.machine = machine
         name = story["node"]
-        self.owner = FolderOwner(story["cluster"], name, [NodeAddress(name, name)])
+        self.owner = NodeConfig(story["cluster"], name, [NodeAddress(name, name)])
 
     async def live(self, commands: list[bytes]) -> tuple[Any, list[Any], Any]:
         """Return the state that was found, the results of commands, and the state after them."""
@@ -100,7 +100,7 @@
         storage = Storage(disk)
         network = mock.Mock()
         learner_first = policies.LearnerFirst()
-        identity = await open_folder(
+        identity = await open_data_folder(
             self.owner, storage, network, random.Random(0), learner_first, bootstrap=False
         )
         node = ConsensusNode(
--- a/tests/support/simulated_controls.py
+++ b/tests/support/simulated_controls.py
@@ -10,9 +10,9 @@
 from rowanlab.simulator.network import Served, SimulatedNetwork
 from rowanlab.simulator.world import World
 from rowanrail.config.settings import CoordinatorSettings
-from rowanrail.coordination.duty import Promoter, PromotionOutcome
-from rowanrail.coordination.member_questions import StatusReader, StatusReply
+from rowanrail.coordination.failover_controller import Promoter, PromotionOutcome
 from rowanrail.coordination.node import Coordinator
+from rowanrail.coordination.status_queries import StatusReader, StatusReply
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
 from rowanrail.members.channel import Channel, MemberDriver
@@ -103,5 +103,5 @@
         """Start all, and wait until each has opened its folder."""
         for control in self.nodes:
             control.start(bootstrap=True)
-        while not all(hasattr(c, "node") and hasattr(c.node, "duty") for c in self.nodes):
+        while not all(hasattr(c, "node") and hasattr(c.node, "failover") for c in self.nodes):
             await asyncio.sleep(WATCH_SECONDS)
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -6,7 +6,7 @@
 
 MODULES = (
     "rowanrail.cluster.membership",
-    "rowanrail.coordination.gateway_census",
+    "rowanrail.coordination.gateway_reconciler",
     "rowanrail.directory.digests",
     "rowanrail.directory.health_filter",
     "rowanrail.cli.load_view",
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rowanrail.cluster.folder import FolderOwner, FolderStep, check_owner, folder_step
+from rowanrail.cluster.data_folder import NodeConfig, StartupMode, check_owner, startup_mode
 from rowanrail.cluster.membership import with_learner, without_name
 from rowanrail.config.model import GroupConsistency
 from rowanrail.consensus.messages import Membership
@@ -218,13 +218,13 @@
         self.assertEqual(without_name(self.MEMBERSHIP, "d"), self.MEMBERSHIP)
 
     def test_an_empty_folder_never_gets_an_old_identity(self):
-        self.assertIs(folder_step(False, may_bootstrap=False), FolderStep.JOIN)
-        self.assertIs(folder_step(False, may_bootstrap=True), FolderStep.BOOTSTRAP)
+        self.assertIs(startup_mode(False, may_bootstrap=False), StartupMode.JOIN)
+        self.assertIs(startup_mode(False, may_bootstrap=True), StartupMode.BOOTSTRAP)
         for may_bootstrap in (False, True):
-            self.assertIs(folder_step(True, may_bootstrap), FolderStep.RESTART)
+            self.assertIs(startup_mode(True, may_bootstrap), StartupMode.RESTART)
 
     def test_a_folder_of_another_node_or_system_is_refused(self):
-        owner = FolderOwner("system", "a", [])
+        owner = NodeConfig("system", "a", [])
         check_owner(Identity("system", "a@5"), owner)
         for identity in (Identity("other", "a@5"), Identity("system", "b@5")):
             with self.assertRaises(StorageError):
