--- a/src/rowanrail/coordination/history.py
+++ b/src/rowanrail/coordination/history.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep
-from rowanrail.directory.digests import Digest, RecordKind, digest_bytes
+from rowanrail.directory.digests import Digest, RecordKind, combined_digest
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
@@ -77,7 +77,7 @@
         neighbours = self._neighbours.get(group)
         others = (digest.value for known, digest in self._holders.items() if known != group)
         own = neighbours.value if neighbours is not None else 0
-        return digest_bytes(self._members.value, own, *others)
+        return combined_digest(self._members.value, own, *others)
 
     def since(self, revision: int, group: str) -> Touched | None:
         """Return what a group's gateways don't know as of a revision; None if not remembered."""
--- a/src/rowanrail/directory/digests.py
+++ b/src/rowanrail/directory/digests.py
@@ -15,7 +15,7 @@
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
-__all__ = ["DIRECTORY_DIGEST_BYTES", "Digest", "RecordKind", "digest_bytes", "record_hash"]
+__all__ = ["DIRECTORY_DIGEST_BYTES", "Digest", "RecordKind", "combined_digest", "record_hash"]
 
 DIRECTORY_DIGEST_BYTES = 16  # two different directories agree by chance once in 2**128
 _MODULUS = 1 << (8 * DIRECTORY_DIGEST_BYTES)
@@ -83,6 +83,6 @@
         self._sum %= _MODULUS
 
 
-def digest_bytes(*sums: int) -> bytes:
+def combined_digest(*sums: int) -> bytes:
     """Return the digest of several sums together, as it is sent."""
     return (sum(sums) % _MODULUS).to_bytes(DIRECTORY_DIGEST_BYTES, "big")
--- a/src/rowanrail/gateway/discovery/directory_copy.py
+++ b/src/rowanrail/gateway/discovery/directory_copy.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-from rowanrail.directory.digests import Digest, RecordKind, digest_bytes
+from rowanrail.directory.digests import Digest, RecordKind, combined_digest
 from rowanrail.directory.messages import NO_REVISION, DirectoryReply, DirectoryUpdate, GatewayRecord
 from rowanrail.directory.update_encoding import decode_update
 from rowanrail.gateway.discovery.directory import Directory
@@ -169,7 +169,7 @@
 
     @property
     def _digest(self) -> bytes:
-        return digest_bytes(self._members.digest, self._neighbours.digest, self._others.digest)
+        return combined_digest(self._members.digest, self._neighbours.digest, self._others.digest)
 
     def _directory(self, reply: DirectoryReply) -> Directory:
         population = Population(reply.gateways, reply.zones, self._is_regional)
--- a/tests/forms/test_derived.py
+++ b/tests/forms/test_derived.py
@@ -6,7 +6,7 @@
 import unittest
 
 from rowanrail.config.model import Configuration, SiteSpec, UserSpec, VersionedConfiguration
-from rowanrail.directory.digests import RecordKind, digest_bytes, record_hash
+from rowanrail.directory.digests import RecordKind, combined_digest, record_hash
 from rowanrail.directory.messages import DirectoryUpdate, GatewayRecord, controls_checksum
 from rowanrail.directory.update_encoding import decode_update
 from rowanrail.model.members import MemberRecord
@@ -30,9 +30,9 @@
 
 class DerivedTest(unittest.TestCase):
     def test_digests_of_directories(self):
-        member = digest_bytes(record_hash(RecordKind.MEMBER, MEMBER))
+        member = combined_digest(record_hash(RecordKind.MEMBER, MEMBER))
         kinds = (RecordKind.NEIGHBOUR, RecordKind.REMOTE_HOLDER)
-        gateways = digest_bytes(*(record_hash(kind, GATEWAY) for kind in kinds))
+        gateways = combined_digest(*(record_hash(kind, GATEWAY) for kind in kinds))
         self.assertEqual(member.hex(), "f66dc7a53c0091e7f8b37fe67d1ddf7a")
         self.assertEqual(gateways.hex(), "b17b2c34428bd2ccfac1d6c15397016d")
 
