--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -180,13 +180,13 @@
     ),
     CauseRule(
         "no connection free, with a primary that is well",
-        "rowanrail.scheduling.admission.judge_waiting",
+        "rowanrail.scheduling.admission.decide_while_waiting",
         lambda known: known.stage == Stage.WAITS_FOR_CONNECTION.value and not known.lost,
         _connection_sentence,
     ),
     CauseRule(
         "rejected by admission; explain.rejections names the rule of each cause",
-        "rowanrail.scheduling.admission.judge_arriving",
+        "rowanrail.scheduling.admission.decide_on_arrival",
         lambda known: bool(known.rejected),
         lambda known: f"{known.reason}: {known.rejected}{known.lost}",
     ),
--- a/src/rowanrail/explain/rejections.py
+++ b/src/rowanrail/explain/rejections.py
@@ -32,26 +32,26 @@
 
 _ADMISSION = "rowanrail.scheduling.admission"
 REJECTIONS: dict[str, RejectionRule] = {
-    RejectionCause.CROWDED.value: RejectionRule(
-        f"{_ADMISSION}.judge_arriving",
+    RejectionCause.OVERLOADED.value: RejectionRule(
+        f"{_ADMISSION}.decide_on_arrival",
         lambda wait, run, left, peer: (
             f"when it came about {wait} ms of waiting lay before it and {left} ms were left"
         ),
     ),
     RejectionCause.PAST_DEADLINE.value: RejectionRule(
-        f"{_ADMISSION}.judge_waiting",
+        f"{_ADMISSION}.decide_while_waiting",
         lambda wait, run, left, peer: (
             f"while it waited about {wait} ms still lay before it and {left} ms were left"
         ),
     ),
-    RejectionCause.HOLDER_CROWDED.value: RejectionRule(
-        f"{_ADMISSION}.judge_sending",
+    RejectionCause.HOLDER_OVERLOADED.value: RejectionRule(
+        f"{_ADMISSION}.decide_forwarding",
         lambda wait, run, left, peer: (
             f"{peer} had told of a line of {wait} ms or more, so that it was not sent there"
         ),
     ),
-    RejectionCause.WAY_TOO_LONG.value: RejectionRule(
-        f"{_ADMISSION}.judge_sending",
+    RejectionCause.ROUND_TRIP_TOO_LONG.value: RejectionRule(
+        f"{_ADMISSION}.decide_forwarding",
         lambda wait, run, left, peer: (
             f"{left} ms were left and the way to {peer} and back takes up to {run} ms"
         ),
--- a/src/rowanrail/gateway/pools/forecasts.py
+++ b/src/rowanrail/gateway/pools/forecasts.py
@@ -65,7 +65,7 @@
             wait + opening,
             self.latency,
             has_room=wait == 0 and not ahead,
-            interval=connections.leases.average / places,
+            drain_interval=connections.leases.average / places,
             opening=opening,
         )
 
--- a/src/rowanrail/gateway/pools/queued_request.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -1,7 +1,8 @@
 """A statement in the wait queue for a connection to one member, until it has one or leaves.
 
-Owns the timer that judges it again and again; :class:`rowanrail.scheduling.admission.Watch` says
-when, and whether it waits on. Relies on the pool for the queue and for forecasts.
+Owns the timer that judges it again and again;
+:class:`rowanrail.scheduling.admission.WaitingMonitor` says when, and whether it waits on.
+Relies on the pool for the queue and for forecasts.
 """
 
 from collections.abc import Callable
@@ -11,7 +12,7 @@
 from rowanrail.kernel.clock import Timer
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer
-from rowanrail.scheduling.admission import Admit, Forecast, Watch
+from rowanrail.scheduling.admission import Admit, Forecast, WaitingMonitor
 from rowanrail.scheduling.queue import QueueEntry
 
 __all__ = ["QueuedRequest"]
@@ -48,7 +49,7 @@
         self._take = take
         self._give_up = give_up
         self._given = entry.deadline - entry.arrived
-        self._watch = Watch(self._given)
+        self._watch = WaitingMonitor(self._given)
         self._error = pool.forecasts.errors.of(entry.urgency)
         self._expected = 0.0  # ms, forecast when it began to wait
         self._timer: Timer | None = None
@@ -88,7 +89,7 @@
 
     def _check(self) -> None:
         forecast = self._pool.forecasts.of(self._waiter.entry)
-        if isinstance(self._watch.judge(forecast, self._left, self._error.certain_share), Admit):
+        if isinstance(self._watch.check(forecast, self._left, self._error.reliable_share), Admit):
             self._check_later(forecast)
         else:
             self._lose()
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
-from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause, judge_sending
+from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause, decide_forwarding
 from rowanrail.scheduling.load import Assumed, LoadBook, ServiceLoad, Subject
 from rowanrail.scheduling.retrying import RetryTimes
 
@@ -100,12 +100,12 @@
         assumed = Assumed()
         if not request.is_retry:
             assumed = self._book.assume(subject, request.urgency, request.writes)
-        verdict = judge_sending(
+        verdict = decide_forwarding(
             assumed.wait, request.round_trip, request.time_left, request.time_given
         )
         if not isinstance(verdict, Reject):
             return None
-        is_crowded = verdict.cause is RejectionCause.HOLDER_CROWDED
+        is_crowded = verdict.cause is RejectionCause.HOLDER_OVERLOADED
         if is_crowded and self._book.may_probe(subject):
             return None
         return self._reject(request, verdict, assumed)
@@ -118,7 +118,7 @@
             verdict.retry_after_ms, interval, (request.peer, request.urgency)
         )
         forecast = Forecast(assumed.wait, request.round_trip)
-        if verdict.cause is RejectionCause.WAY_TOO_LONG:
+        if verdict.cause is RejectionCause.ROUND_TRIP_TOO_LONG:
             reason = f"{request.time_left:.0f} ms are too short for the way to {request.peer}"
         else:
             reason = f"{request.peer} is crowded for {assumed.wait:.0f} ms"
--- a/src/rowanrail/gateway/services/load_measure.py
+++ b/src/rowanrail/gateway/services/load_measure.py
@@ -47,9 +47,11 @@
     forecast = pool.forecasts.of(entry)
     if forecast.has_room:
         return 0.0
-    return forecast.wait * pool.forecasts.errors.of(entry.urgency).certain_share + forecast.run
+    return (
+        forecast.wait * pool.forecasts.errors.of(entry.urgency).reliable_share + forecast.run_time
+    )
 
 
 def _pace(pool: MemberPool, entry: QueueEntry) -> int:
-    interval = pool.forecasts.of(entry).interval
+    interval = pool.forecasts.of(entry).drain_interval
     return round(1000 / interval) if interval else 0
--- a/src/rowanrail/gateway/work/attempts.py
+++ b/src/rowanrail/gateway/work/attempts.py
@@ -125,9 +125,9 @@
 
     Examples
     --------
-    >>> is_prompt(Forecast(wait=150, run=10), objective_seconds=0.4, waited_ms=50)
+    >>> is_prompt(Forecast(wait=150, run_time=10), objective_seconds=0.4, waited_ms=50)
     True
-    >>> is_prompt(Forecast(wait=160, run=10), objective_seconds=0.4, waited_ms=50)
+    >>> is_prompt(Forecast(wait=160, run_time=10), objective_seconds=0.4, waited_ms=50)
     False
     """
     return forecast.has_room or forecast.wait <= PROMPT_SHARE * objective_seconds * 1000 - waited_ms
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -28,7 +28,7 @@
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
-from rowanrail.scheduling.admission import Admit, RejectionCause, judge_arriving
+from rowanrail.scheduling.admission import Admit, RejectionCause, decide_on_arrival
 from rowanrail.scheduling.entry import QueueEntry
 from rowanrail.scheduling.retrying import retry_after_base
 
@@ -199,8 +199,8 @@
     def may_wait_at(self, pool: MemberPool) -> bool:
         """Return whether the statement can still be served at a member."""
         forecast = pool.forecasts.of(self.entry())
-        certain = pool.forecasts.errors.of(self.route.priority).certain_share
-        verdict = judge_arriving(forecast, self.time_left_ms, self.time_given_ms, certain)
+        certain = pool.forecasts.errors.of(self.route.priority).reliable_share
+        verdict = decide_on_arrival(forecast, self.time_left_ms, self.time_given_ms, certain)
         return isinstance(verdict, Admit)
 
     def is_prompt(self, pool: MemberPool) -> bool:
@@ -243,7 +243,7 @@
         return found
 
     def reject_crowded(
-        self, pool: MemberPool, cause: RejectionCause = RejectionCause.CROWDED
+        self, pool: MemberPool, cause: RejectionCause = RejectionCause.OVERLOADED
     ) -> None:
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -158,7 +158,7 @@
     return Rejection(
         cause.value,
         round(forecast.wait),
-        round(forecast.run),
+        round(forecast.run_time),
         round(left_ms),
         urgency,
         round(retry_after_ms),
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -145,7 +145,7 @@
         """
         urgency = self.route.priority
         retry_after = self.service.retry_times.next(
-            shortest_retry_after_ms(base_ms), forecast.interval, (cause, urgency)
+            shortest_retry_after_ms(base_ms), forecast.drain_interval, (cause, urgency)
         )
         self.rejection = rejection(cause, forecast, self.time_left_ms, urgency, retry_after)
         self.finish(busy(reason, retry_after))
--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -17,10 +17,10 @@
     "Forecast",
     "Reject",
     "Verdict",
-    "Watch",
-    "judge_arriving",
-    "judge_sending",
-    "judge_waiting",
+    "WaitingMonitor",
+    "decide_on_arrival",
+    "decide_forwarding",
+    "decide_while_waiting",
     "next_check",
 ]
 
@@ -45,10 +45,10 @@
 class RejectionCause(enum.Enum):
     """Why a statement was rejected; a bounded set, for logs and metrics."""
 
-    CROWDED = "crowded"
+    OVERLOADED = "crowded"
     PAST_DEADLINE = "hopeless"  # the name that logs and metrics have for it
-    HOLDER_CROWDED = "holder-crowded"
-    WAY_TOO_LONG = "way-too-long"
+    HOLDER_OVERLOADED = "holder-crowded"
+    ROUND_TRIP_TOO_LONG = "way-too-long"
     NO_PRIMARY = "no-primary"
     NO_PLACE = "no-place"
     TENANT_LIMIT = "tenant-limit"
@@ -62,20 +62,20 @@
     ----------
     wait : float
         Milliseconds until it may be sent: those ahead of it, an opening if it needs one.
-    run : float
+    run_time : float
         Milliseconds from then to its answer.
     has_room : bool
         Whether it could be sent at once; nothing is refused while that is so.
-    interval : float
+    drain_interval : float
         Milliseconds after which the line of those who wait goes on by one; 0 if nobody knows.
     opening : float
         The part of ``wait`` that is the opening of a connection.
     """
 
     wait: float
-    run: float
+    run_time: float
     has_room: bool = False
-    interval: float = 0.0
+    drain_interval: float = 0.0
     opening: float = 0.0
 
 
@@ -103,7 +103,7 @@
 Verdict = Admit | Reject
 
 
-def judge_arriving(
+def decide_on_arrival(
     forecast: Forecast, left: float, whole: float, certain: float = CERTAIN_SHARE
 ) -> Verdict:
     """Judge a statement that comes.
@@ -117,7 +117,7 @@
     whole : float
         Milliseconds that it was given, and would be given again.
     certain : float
-        See :attr:`ForecastError.certain_share`.
+        See :attr:`ForecastError.reliable_share`.
 
     Returns
     -------
@@ -125,22 +125,22 @@
 
     Examples
     --------
-    >>> judge_arriving(Forecast(wait=900, run=10), left=800, whole=800)
+    >>> decide_on_arrival(Forecast(wait=900, run_time=10), left=800, whole=800)
     Admit()
-    >>> judge_arriving(Forecast(wait=1400, run=10), left=800, whole=800)
-    Reject(cause=<RejectionCause.CROWDED: 'crowded'>, retry_after_ms=1000.0)
+    >>> decide_on_arrival(Forecast(wait=1400, run_time=10), left=800, whole=800)
+    Reject(cause=<RejectionCause.OVERLOADED: 'crowded'>, retry_after_ms=1000.0)
 
     Nothing is refused while room is free:
 
-    >>> judge_arriving(Forecast(wait=0, run=1000, has_room=True), left=800, whole=800)
+    >>> decide_on_arrival(Forecast(wait=0, run_time=1000, has_room=True), left=800, whole=800)
     Admit()
     """
     if forecast.has_room or _may_be_in_time(forecast, left, certain):
         return Admit()
-    return Reject(RejectionCause.CROWDED, retry_after_base(forecast.wait, whole))
+    return Reject(RejectionCause.OVERLOADED, retry_after_base(forecast.wait, whole))
 
 
-def judge_waiting(
+def decide_while_waiting(
     forecast: Forecast, left: float, whole: float, certain: float = CERTAIN_SHARE
 ) -> Verdict:
     """Judge a statement that waits for room since a while.
@@ -150,20 +150,20 @@
 
     Examples
     --------
-    >>> judge_waiting(Forecast(wait=300, run=10), left=200, whole=800)
+    >>> decide_while_waiting(Forecast(wait=300, run_time=10), left=200, whole=800)
     Admit()
-    >>> judge_waiting(Forecast(wait=400, run=10), left=200, whole=800)
+    >>> decide_while_waiting(Forecast(wait=400, run_time=10), left=200, whole=800)
     Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, retry_after_ms=100.0)
-    >>> judge_waiting(Forecast(wait=0, run=20, has_room=True), left=50, whole=800)
+    >>> decide_while_waiting(Forecast(wait=0, run_time=20, has_room=True), left=50, whole=800)
     Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, retry_after_ms=100.0)
     """
-    is_nearly_over = left <= _last_moment(forecast.run, whole)
+    is_nearly_over = left <= _last_moment(forecast.run_time, whole)
     if not is_nearly_over and (forecast.has_room or _may_be_in_time(forecast, left, certain)):
         return Admit()
     return Reject(RejectionCause.PAST_DEADLINE, retry_after_base(forecast.wait, whole))
 
 
-def judge_sending(reported_wait: float, way: float, left: float, whole: float) -> Verdict:
+def decide_forwarding(reported_wait: float, way: float, left: float, whole: float) -> Verdict:
     """Judge a statement that would be sent to another gateway.
 
     Parameters
@@ -174,25 +174,25 @@
     way : float
         Milliseconds there and back.
     left, whole : float
-        See :func:`judge_arriving`.
+        See :func:`decide_on_arrival`.
 
     Examples
     --------
-    >>> judge_sending(reported_wait=0, way=80, left=60, whole=800).cause
-    <RejectionCause.WAY_TOO_LONG: 'way-too-long'>
-    >>> judge_sending(reported_wait=800, way=80, left=800, whole=800).cause
-    <RejectionCause.HOLDER_CROWDED: 'holder-crowded'>
-    >>> judge_sending(reported_wait=0, way=80, left=800, whole=800)
+    >>> decide_forwarding(reported_wait=0, way=80, left=60, whole=800).cause
+    <RejectionCause.ROUND_TRIP_TOO_LONG: 'way-too-long'>
+    >>> decide_forwarding(reported_wait=800, way=80, left=800, whole=800).cause
+    <RejectionCause.HOLDER_OVERLOADED: 'holder-crowded'>
+    >>> decide_forwarding(reported_wait=0, way=80, left=800, whole=800)
     Admit()
     """
     if left <= way:
-        return Reject(RejectionCause.WAY_TOO_LONG, retry_after_base(reported_wait, whole))
+        return Reject(RejectionCause.ROUND_TRIP_TOO_LONG, retry_after_base(reported_wait, whole))
     if reported_wait + way <= left:
         return Admit()
-    return Reject(RejectionCause.HOLDER_CROWDED, retry_after_base(reported_wait, whole))
+    return Reject(RejectionCause.HOLDER_OVERLOADED, retry_after_base(reported_wait, whole))
 
 
-class Watch:
+class WaitingMonitor:
     """Judges one waiting statement again and again.
 
     A forecast jumps for a moment when a member answers slowly or urgent statements come, so that
@@ -205,8 +205,8 @@
 
     Examples
     --------
-    >>> watch = Watch(whole=800)
-    >>> [type(watch.judge(Forecast(wait, 10), 300, 1.0)).__name__ for wait in (400, 200, 400, 400)]
+    >>> watch = WaitingMonitor(whole=800)
+    >>> [type(watch.check(Forecast(wait, 10), 300, 1.0)).__name__ for wait in (400, 200, 400, 400)]
     ['Admit', 'Admit', 'Admit', 'Reject']
     """
 
@@ -216,19 +216,19 @@
         self._whole = whole
         self._late_checks = 0
 
-    def judge(self, forecast: Forecast, left: float, certain: float) -> Verdict:
-        """Judge the statement again; see :func:`judge_waiting`."""
-        verdict = judge_waiting(forecast, left, self._whole, certain)
+    def check(self, forecast: Forecast, left: float, certain: float) -> Verdict:
+        """Judge the statement again; see :func:`decide_while_waiting`."""
+        verdict = decide_while_waiting(forecast, left, self._whole, certain)
         if isinstance(verdict, Admit):
             self._late_checks = 0
             return verdict
         self._late_checks += 1
-        is_last = left <= _last_moment(forecast.run, self._whole)
+        is_last = left <= _last_moment(forecast.run_time, self._whole)
         return verdict if is_last or self._late_checks >= LATE_CHECKS else Admit()
 
     def next_check(self, forecast: Forecast, left: float) -> float:
         """Return after how many milliseconds it is judged again; see :func:`next_check`."""
-        return next_check(left, forecast.run, self._whole)
+        return next_check(left, forecast.run_time, self._whole)
 
 
 def next_check(left: float, run: float, whole: float) -> float:
@@ -253,4 +253,4 @@
 
 
 def _may_be_in_time(forecast: Forecast, left: float, certain: float) -> bool:
-    return certain * forecast.wait + forecast.run <= left
+    return certain * forecast.wait + forecast.run_time <= left
--- a/src/rowanrail/scheduling/choice.py
+++ b/src/rowanrail/scheduling/choice.py
@@ -117,7 +117,7 @@
 
     Examples
     --------
-    >>> forecast = Forecast(wait=50.0, run=20.0, opening=30.0)
+    >>> forecast = Forecast(wait=50.0, run_time=20.0, opening=30.0)
     >>> counted_wait(forecast, is_of_tenant=False), counted_wait(forecast, is_of_tenant=True)
     (20.0, 35.0)
     """
--- a/src/rowanrail/scheduling/forecast_error.py
+++ b/src/rowanrail/scheduling/forecast_error.py
@@ -32,15 +32,15 @@
     Examples
     --------
     >>> error = ForecastError()
-    >>> error.certain_share
+    >>> error.reliable_share
     0.3
     >>> for _ in range(30):
     ...     error.note(forecast=500, waited=500, whole=800)
-    >>> round(error.certain_share, 2)
+    >>> round(error.reliable_share, 2)
     0.98
     >>> for _ in range(30):
     ...     error.note(forecast=0, waited=0, whole=800)
-    >>> error.certain_share
+    >>> error.reliable_share
     0.3
     """
 
@@ -52,7 +52,7 @@
         self._waited_share = 0.0
 
     @property
-    def certain_share(self) -> float:
+    def reliable_share(self) -> float:
         """Of a forecast wait is at least waited."""
         queue_stands = min(1.0, self._waited_share / LONG_WAIT_SHARE)
         share = (self._mean - self._deviation) * queue_stands
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -303,7 +303,7 @@
             self.busy[-1].ask("WRITE a 1")
 
     def test_a_write_that_would_wait_too_long_is_refused_at_once(self):
-        interval = self.pool.forecasts.of(QueueEntry(1, "", 0.0)).interval
+        interval = self.pool.forecasts.of(QueueEntry(1, "", 0.0)).drain_interval
         served_in_time = int(1000 / interval)  # of the route's time-out of 1 s
         later = [self.played.client("orders") for _ in range(4 * served_in_time + 40)]
         for client in later:
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -9,7 +9,7 @@
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer, Command, CommandKind
-from rowanrail.scheduling.admission import Admit, judge_arriving
+from rowanrail.scheduling.admission import Admit, decide_on_arrival
 from rowanrail.scheduling.queue import QueueEntry
 from rowanrail.scheduling.retrying import GOES_FIRST_AFTER, RetryTimes, retry_after_base
 from tests.support.gateway import ManualClock
@@ -65,8 +65,10 @@
         entry = QueueEntry(crowd.urgency, crowd.tenant, now, now + whole, is_retrying=is_retrying)
         self.tries += 1
         self.is_sent = self.is_over = False
-        certain = pool.forecasts.errors.of(crowd.urgency).certain_share
-        if not isinstance(judge_arriving(pool.forecasts.of(entry), whole, whole, certain), Admit):
+        certain = pool.forecasts.errors.of(crowd.urgency).reliable_share
+        if not isinstance(
+            decide_on_arrival(pool.forecasts.of(entry), whole, whole, certain), Admit
+        ):
             self.come_back(entry, "arriving")
             return
         self.entry = entry
@@ -92,7 +94,7 @@
             return
         forecast = self.holder.pool.forecasts.of(entry)
         base = retry_after_base(forecast.wait, TIMEOUT * 1000)
-        told = self.holder.retry_times.next(base, forecast.interval, entry.urgency) / 1000
+        told = self.holder.retry_times.next(base, forecast.drain_interval, entry.urgency) / 1000
         self.crowd.told.append(self.clock.time() + told)
         self.clock.call_later(told, self.attempt)
 
--- a/tests/scheduling/line.py
+++ b/tests/scheduling/line.py
@@ -4,7 +4,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rowanrail.scheduling.admission import Forecast, Reject, Watch, judge_arriving, next_check
+from rowanrail.scheduling.admission import (
+    Forecast,
+    Reject,
+    WaitingMonitor,
+    decide_on_arrival,
+    next_check,
+)
 from rowanrail.scheduling.forecast_error import ForecastError
 from rowanrail.scheduling.queue import QueueEntry
 
@@ -16,7 +22,7 @@
     entry: QueueEntry
     whole: float
     check_at: float
-    watch: Watch
+    watch: WaitingMonitor
     forecast: float = 0.0
 
     @property
@@ -49,16 +55,18 @@
         if not ahead and busy < len(self._ends):
             return Forecast(0.0, self._mean, has_room=True)
         interval = self._mean / len(self._ends)
-        return Forecast((ahead + 1) * interval, self._mean, interval=interval)
+        return Forecast((ahead + 1) * interval, self._mean, drain_interval=interval)
 
     def arrive(self, entry: QueueEntry, now: float) -> Reject | None:
         """Judge a statement that comes; return its refusal."""
         whole = entry.deadline - entry.arrived
-        waiting = Waiting(entry, whole, now + next_check(whole, self._mean, whole), Watch(whole))
+        waiting = Waiting(
+            entry, whole, now + next_check(whole, self._mean, whole), WaitingMonitor(whole)
+        )
         forecast = self.forecast(waiting.order, now)
         waiting.forecast = forecast.wait
-        certain = self._error.certain_share
-        verdict = judge_arriving(forecast, entry.deadline - now, whole, certain)
+        certain = self._error.reliable_share
+        verdict = decide_on_arrival(forecast, entry.deadline - now, whole, certain)
         if isinstance(verdict, Reject):
             self._note("refused-arriving", entry)
             self.refused.append((now, verdict))
@@ -88,7 +96,7 @@
             self._note("expired", waiting.entry)
         elif now >= waiting.check_at:
             forecast = self.forecast(waiting.order, now)
-            verdict = waiting.watch.judge(forecast, left, self._error.certain_share)
+            verdict = waiting.watch.check(forecast, left, self._error.reliable_share)
             if isinstance(verdict, Reject):
                 self._line.remove(waiting)
                 waited = now - waiting.entry.arrived
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -13,9 +13,9 @@
     Forecast,
     Reject,
     RejectionCause,
-    judge_arriving,
-    judge_sending,
-    judge_waiting,
+    decide_forwarding,
+    decide_on_arrival,
+    decide_while_waiting,
     next_check,
 )
 from rowanrail.scheduling.queue import QueueEntry
@@ -93,27 +93,27 @@
     def test_nothing_is_refused_while_room_is_free(self):
         for left, run in itertools.product((1.0, 50.0, 800.0), (1.0, 900.0, 60_000.0)):
             forecast = Forecast(0.0, run, has_room=True)
-            self.assertEqual(judge_arriving(forecast, left, WHOLE), Admit())
+            self.assertEqual(decide_on_arrival(forecast, left, WHOLE), Admit())
 
     def test_a_late_answer_alone_is_no_reason(self):
         # An objective of 500 ms is missed, the time of 800 ms is not.
-        self.assertEqual(judge_arriving(Forecast(780.0, 10.0), WHOLE, WHOLE), Admit())
+        self.assertEqual(decide_on_arrival(Forecast(780.0, 10.0), WHOLE, WHOLE), Admit())
 
     def test_what_was_too_late_at_a_moment_of_waiting_is_told_then(self):
         forecast = Forecast(900.0, RUN)
-        self.assertEqual(judge_waiting(forecast, 600.0, WHOLE), Admit())
-        verdict = judge_waiting(forecast, 500.0, WHOLE)
+        self.assertEqual(decide_while_waiting(forecast, 600.0, WHOLE), Admit())
+        verdict = decide_while_waiting(forecast, 500.0, WHOLE)
         self.assertIsInstance(verdict, Reject)
         self.assertIs(verdict.cause, RejectionCause.PAST_DEADLINE)
 
     def test_a_slow_member_is_no_reason_while_much_time_is_left(self):
         slow = Forecast(0.0, 900.0, has_room=True)
-        self.assertEqual(judge_waiting(slow, 700.0, WHOLE), Admit())
-        self.assertIsInstance(judge_waiting(slow, 75.0, WHOLE), Reject)
+        self.assertEqual(decide_while_waiting(slow, 700.0, WHOLE), Admit())
+        self.assertIsInstance(decide_while_waiting(slow, 75.0, WHOLE), Reject)
 
     def test_checks_come_before_the_time_is_over_and_never_without_time_between(self):
         left, looks = WHOLE, 0
-        while isinstance(judge_waiting(Forecast(0.0, 20.0), left, WHOLE), Admit):
+        while isinstance(decide_while_waiting(Forecast(0.0, 20.0), left, WHOLE), Admit):
             step = next_check(left, 20.0, WHOLE)
             self.assertGreaterEqual(step, 1.0)
             left -= step
@@ -122,6 +122,6 @@
         self.assertLess(looks, 12)
 
     def test_what_has_no_time_for_the_way_is_not_sent(self):
-        verdict = judge_sending(reported_wait=0.0, way=80.0, left=79.0, whole=WHOLE)
+        verdict = decide_forwarding(reported_wait=0.0, way=80.0, left=79.0, whole=WHOLE)
         self.assertIsInstance(verdict, Reject)
-        self.assertIs(verdict.cause, RejectionCause.WAY_TOO_LONG)
+        self.assertIs(verdict.cause, RejectionCause.ROUND_TRIP_TOO_LONG)
--- a/tests/scheduling/test_choice.py
+++ b/tests/scheduling/test_choice.py
@@ -162,11 +162,11 @@
 
 class CandidateFiguresTest(unittest.TestCase):
     def test_an_opening_counts_by_half_where_its_connection_is_a_tenants(self):
-        forecast = Forecast(wait=50.0, run=20.0, opening=30.0)
+        forecast = Forecast(wait=50.0, run_time=20.0, opening=30.0)
         self.assertEqual(counted_wait(forecast, is_of_tenant=True), 20.0 + OPENING_SHARE * 30.0)
 
     def test_an_opening_of_nobodys_connection_keeps_nobody_from_a_member(self):
-        forecast = Forecast(wait=50.0, run=20.0, opening=30.0)
+        forecast = Forecast(wait=50.0, run_time=20.0, opening=30.0)
         self.assertEqual(counted_wait(forecast, is_of_tenant=False), 20.0)
 
     def test_what_a_member_was_seen_to_take_counts_wherever_it_is(self):
