--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -1,8 +1,8 @@
 """What answers tell about the members of a service, and the candidates for a read made of it.
 
 Owns the run times, lags, warmth and weights of one service's members as this gateway sees them;
-decides nothing: :func:`rowanrail.scheduling.choice.choose` takes the candidates. Relies on the
-primary's samples for the age of what a read must see.
+decides nothing: :func:`rowanrail.scheduling.choice.choose_member` takes the candidates. Relies on
+the primary's samples for the age of what a read must see.
 """
 
 from collections import Counter
@@ -17,11 +17,11 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, Refusal
-from rowanrail.scheduling.choice import Candidate, counted_wait, expected_run
+from rowanrail.scheduling.choice import Candidate, effective_wait, expected_run_time
 from rowanrail.scheduling.lag import LagEstimate
 from rowanrail.scheduling.queue import QueueEntry
 from rowanrail.scheduling.run_times import RunTimes
-from rowanrail.scheduling.warming import Warming
+from rowanrail.scheduling.warming import WarmUp
 
 __all__ = ["MemberEstimates", "Wanted"]
 
@@ -66,7 +66,7 @@
         self._clock = clock
         self._times = RunTimes()
         self._lags: dict[str, LagEstimate] = {}
-        self._warming: dict[str, Warming] = {}
+        self._warming: dict[str, WarmUp] = {}
         self._sent_remote: Counter[str] = Counter()  # under way at holders of other regions
         self.weights = MemberWeights(clock)
 
@@ -77,7 +77,7 @@
         lags, self._lags = self._lags, {}
         for record in records:
             name = record.instance
-            self._warming[name] = warming.get(name) or Warming(record.cold_ms, now)
+            self._warming[name] = warming.get(name) or WarmUp(record.cold_ms, now)
             self._lags[name] = lags.get(name) or LagEstimate()
         instances = set(self._lags)
         self._times.keep(instances)
@@ -98,9 +98,9 @@
                 self.weights.note_served(instance)
                 self._times.note(instance, kind, now - sent_at * 1000, now)
                 if floor is not None:
-                    lag.note_holds(self._age(floor), now)
+                    lag.note_present(self._age(floor), now)
             case Refusal.BEHIND if floor is not None:
-                lag.note_lacks(self._age(floor), now)
+                lag.note_missing(self._age(floor), now)
             case Refusal.BUSY:
                 self._times.note_busy(instance, kind, now)
                 self.weights.note_busy(instance)
@@ -126,7 +126,7 @@
 
     def queue_seconds(self, instance: str) -> float:
         """Return by how many seconds a member's latest answers took longer than usual."""
-        return self._times.queue(instance, self._clock.now) / 1000
+        return self._times.queue_delay(instance, self._clock.now) / 1000
 
     def _age(self, floor: Position) -> float:
         """Return for how long the primary's log is known to have held a position."""
@@ -144,28 +144,28 @@
     ) -> Candidate:
         record = pool.record
         name = record.instance
-        work = self._times.work(wanted.kind)
+        work = self._times.service_time(wanted.kind)
         is_primary = name == self._tracker.believed
         behind = 0.0
         if age is not None and not is_primary and name in self._lags:
-            behind = self._lags[name].expected_behind(age, now)
+            behind = self._lags[name].expected_catch_up(age, now)
         distance = self._locality.distance(record.zone)
         is_remote = distance == 2 and bool(self._locality.regions)
-        usual = self._times.usual(name, wanted.kind)
+        usual = self._times.baseline(name, wanted.kind)
         forecast = pool.forecasts.of(wanted.entry)
         return Candidate(
             instance=name,
-            wait=counted_wait(forecast, bool(wanted.entry.tenant)),
-            run=expected_run(usual, work, is_remote),
-            queue=self._times.queue(name, now),
-            work=work,
-            under_way=pool.connections.under_way + self._sent_remote[name],
+            wait=effective_wait(forecast, bool(wanted.entry.tenant)),
+            run_time=expected_run_time(usual, work, is_remote),
+            queue_delay=self._times.queue_delay(name, now),
+            service_time=work,
+            in_flight=pool.connections.under_way + self._sent_remote[name],
             slots=record.slots,
             is_primary=is_primary,
             error_share=pool.error_share,
             is_suspect=pool.is_suspect,
-            slowness=self._warming[name].slowness(now) if name in self._warming else 1.0,
+            slowdown=self._warming[name].slowdown(now) if name in self._warming else 1.0,
             weight=self.weights.effective(name),
             distance=distance,
-            behind=behind,
+            catch_up_time=behind,
         )
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -2,7 +2,7 @@
 
 Owns the pools, the primary's tracker, what is known of the members and the share of their
 connections that belongs to this gateway; brings them together and lets time pass. The rules are
-:func:`rowanrail.scheduling.choice.choose` (which member serves a read),
+:func:`rowanrail.scheduling.choice.choose_member` (which member serves a read),
 :class:`.service_share.ServiceShare` (how many connections may be opened) and those of the
 pools and of the primary.
 """
@@ -26,7 +26,7 @@
 from rowanrail.model.routing import ServiceSpec
 from rowanrail.placement.hashed import Population, Shard
 from rowanrail.placement.planned import Allowance
-from rowanrail.scheduling.choice import choose
+from rowanrail.scheduling.choice import choose_member
 from rowanrail.scheduling.queue import tenant_weight
 from rowanrail.scheduling.retrying import RetryTimes
 from rowanrail.tenants.model import Tenant, Tenants
@@ -160,7 +160,7 @@
             for instance, pool in self.pools.items()
             if instance not in excluded and not pool.record.leaving
         }
-        best = choose(self.estimates.candidates(pools, wanted), self._randomness)
+        best = choose_member(self.estimates.candidates(pools, wanted), self._randomness)
         return None if best is None else pools[best]
 
     def can_lend(self, instance: str) -> bool:
--- a/src/rowanrail/scheduling/choice.py
+++ b/src/rowanrail/scheduling/choice.py
@@ -16,7 +16,7 @@
 
 from rowanrail.scheduling.admission import Forecast
 
-__all__ = ["Candidate", "choose", "completion", "counted_wait", "expected_run"]
+__all__ = ["Candidate", "choose_member", "completion", "effective_wait", "expected_run_time"]
 
 # Of the best completion: members within it are drawn from. Answers of members that are equally
 # loaded differ by about as much.
@@ -57,13 +57,13 @@
         Identity of one life of the member.
     wait : float
         Until a statement may be sent there.
-    run : float
+    run_time : float
         From then to its answer if nothing is in its way, the way there and back included.
-    queue : float
+    queue_delay : float
         By how much the latest answers took longer than that.
-    work : float
+    service_time : float
         What a slot takes for such a statement.
-    under_way : int
+    in_flight : int
         Own statements that were given to the member and not answered yet.
     slots : int
         Statements that the member runs at once.
@@ -73,39 +73,39 @@
         Share of its latest answers that were errors of its own, 0 to 1.
     is_suspect : bool
         Whether it failed a moment ago, so that it is tried by one request at a time.
-    slowness : float
-        Factor on ``work`` while it is cold after its start; 1 for a warm one.
+    slowdown : float
+        Factor on ``service_time`` while it is cold after its start; 1 for a warm one.
     weight : float
         What is left of its part of the work after failures, above 0 to 1.
     distance : int
         0 in the holder's own zone, 1 in its region, 2 elsewhere.
-    behind : float
+    catch_up_time : float
         For how long the member's log is still expected to lack what the read must see.
     """
 
     instance: str
     wait: float
-    run: float
-    queue: float = 0.0
-    work: float = 20.0
-    under_way: int = 0
+    run_time: float
+    queue_delay: float = 0.0
+    service_time: float = 20.0
+    in_flight: int = 0
     slots: int = 1
     is_primary: bool = False
     error_share: float = 0.0
     is_suspect: bool = False
-    slowness: float = 1.0
+    slowdown: float = 1.0
     weight: float = 1.0
     distance: int = 0
-    behind: float = 0.0
+    catch_up_time: float = 0.0
 
     @property
     def fullness(self) -> float:
         """How full the member is, 0 to 1: by own statements, or by how long its answers take."""
-        by_answers = self.queue / max(self.queue + self.work, 1.0)
-        return min(1.0, max(self.under_way / max(1, self.slots), by_answers))
+        by_answers = self.queue_delay / max(self.queue_delay + self.service_time, 1.0)
+        return min(1.0, max(self.in_flight / max(1, self.slots), by_answers))
 
 
-def counted_wait(forecast: Forecast, is_of_tenant: bool) -> float:
+def effective_wait(forecast: Forecast, is_of_tenant: bool) -> float:
     """Return the milliseconds until a statement may be sent, as far as they count for a choice.
 
     Parameters
@@ -118,33 +118,33 @@
     Examples
     --------
     >>> forecast = Forecast(wait=50.0, run_time=20.0, opening=30.0)
-    >>> counted_wait(forecast, is_of_tenant=False), counted_wait(forecast, is_of_tenant=True)
+    >>> effective_wait(forecast, is_of_tenant=False), effective_wait(forecast, is_of_tenant=True)
     (20.0, 35.0)
     """
     share = OPENING_SHARE if is_of_tenant else 0.0
     return forecast.wait - (1 - share) * forecast.opening
 
 
-def expected_run(usual: float | None, work: float, is_remote: bool) -> float:
+def expected_run_time(baseline: float | None, service_time: float, is_remote: bool) -> float:
     """Return the milliseconds that a read takes at a member with nothing in its way.
 
     Parameters
     ----------
-    usual : float or None
+    baseline : float or None
         What such reads took there; None if it isn't known.
-    work : float
+    service_time : float
         What a slot takes for such a read where it is quickest.
     is_remote : bool
         Whether the member is known to be in another region.
 
     Examples
     --------
-    >>> expected_run(25.0, 20.0, is_remote=True), expected_run(None, 20.0, is_remote=True)
+    >>> expected_run_time(25.0, 20.0, is_remote=True), expected_run_time(None, 20.0, is_remote=True)
     (25.0, 60.0)
     """
-    if usual is not None:
-        return usual
-    return work + (REMOTE_ROUND_TRIP_MS if is_remote else 0.0)
+    if baseline is not None:
+        return baseline
+    return service_time + (REMOTE_ROUND_TRIP_MS if is_remote else 0.0)
 
 
 def completion(candidate: Candidate) -> float:
@@ -155,21 +155,23 @@
     >>> near, far = Candidate("m1", 0, 20), Candidate("m2", 0, 60, distance=2)
     >>> completion(near) < completion(far)
     True
-    >>> full = Candidate("m1", 0, 20, queue=80, under_way=2)
+    >>> full = Candidate("m1", 0, 20, queue_delay=80, in_flight=2)
     >>> completion(full) > completion(far)
     True
     """
-    cold = (candidate.slowness - 1) * candidate.work
+    cold = (candidate.slowdown - 1) * candidate.service_time
     # A cold member's slowness shows in its answers, too: once is enough.
-    queue = max(candidate.queue, cold)
-    queue += candidate.work * candidate.under_way / max(1, candidate.slots)
-    served = (candidate.run + queue) * (1 + ERROR_FACTOR * candidate.error_share)
+    queue = max(candidate.queue_delay, cold)
+    queue += candidate.service_time * candidate.in_flight / max(1, candidate.slots)
+    served = (candidate.run_time + queue) * (1 + ERROR_FACTOR * candidate.error_share)
     served += ERROR_COST_MS * candidate.error_share
     cost = candidate.wait + served / candidate.weight + _preference(candidate)
     if candidate.is_primary:
-        cost += candidate.work * (IDLE_RESERVE + FULL_RESERVE * candidate.fullness)
-    if candidate.behind > 0:
-        cost += BEHIND_COST_MS + candidate.run + min(candidate.behind, LONGEST_BEHIND_MS)
+        cost += candidate.service_time * (IDLE_RESERVE + FULL_RESERVE * candidate.fullness)
+    if candidate.catch_up_time > 0:
+        cost += (
+            BEHIND_COST_MS + candidate.run_time + min(candidate.catch_up_time, LONGEST_BEHIND_MS)
+        )
     if candidate.is_suspect:
         cost += SUSPECT_COST_MS
     return cost
@@ -179,11 +181,11 @@
     if candidate.distance == 0:
         return 0.0
     if candidate.distance == 1:
-        return ZONE_PREFERENCE_MS + ZONE_PREFERENCE_SHARE * candidate.work
-    return REGION_PREFERENCE_MS + REGION_PREFERENCE_SHARE * candidate.work
+        return ZONE_PREFERENCE_MS + ZONE_PREFERENCE_SHARE * candidate.service_time
+    return REGION_PREFERENCE_MS + REGION_PREFERENCE_SHARE * candidate.service_time
 
 
-def choose(candidates: Iterable[Candidate], randomness: random.Random) -> str | None:
+def choose_member(candidates: Iterable[Candidate], randomness: random.Random) -> str | None:
     """Return the member for a read, None if there is no candidate.
 
     Parameters
@@ -196,10 +198,10 @@
     Examples
     --------
     >>> draw = random.Random(1)
-    >>> choose([Candidate("m1", 0, 20), Candidate("m2", 0, 60)], draw)
+    >>> choose_member([Candidate("m1", 0, 20), Candidate("m2", 0, 60)], draw)
     'm1'
     >>> equal = [Candidate("m1", 0, 20), Candidate("m2", 0, 20)]
-    >>> sorted({choose(equal, draw) for _ in range(20)})
+    >>> sorted({choose_member(equal, draw) for _ in range(20)})
     ['m1', 'm2']
     """
     costs = {candidate.instance: completion(candidate) for candidate in candidates}
--- a/src/rowanrail/scheduling/lag.py
+++ b/src/rowanrail/scheduling/lag.py
@@ -23,11 +23,11 @@
     Examples
     --------
     >>> lag = LagEstimate()
-    >>> lag.note_lacks(200.0, now=0.0)
-    >>> lag.expected_behind(100.0, now=0.0), lag.expected_behind(500.0, now=0.0)
+    >>> lag.note_missing(200.0, now=0.0)
+    >>> lag.expected_catch_up(100.0, now=0.0), lag.expected_catch_up(500.0, now=0.0)
     (300.0, 0.0)
-    >>> lag.note_holds(50.0, now=10.0)
-    >>> lag.expected_behind(100.0, now=10.0)
+    >>> lag.note_present(50.0, now=10.0)
+    >>> lag.expected_catch_up(100.0, now=10.0)
     0.0
     """
 
@@ -41,16 +41,16 @@
         """Return the lag that is assumed now."""
         return self._lag * math.exp((self._noted_at - now) / LAG_DECAY_MS)
 
-    def note_lacks(self, age: float, now: float) -> None:
+    def note_missing(self, age: float, now: float) -> None:
         """Note that its log lacks what the primary's log has held for ``age``."""
         self._lag = max(self.at(now), LAG_GROWTH * age, SHORTEST_LAG_MS)
         self._noted_at = now
 
-    def note_holds(self, age: float, now: float) -> None:
+    def note_present(self, age: float, now: float) -> None:
         """Note that its log holds what the primary's log has held for ``age``."""
         self._lag = min(self.at(now), age)
         self._noted_at = now
 
-    def expected_behind(self, age: float, now: float) -> float:
+    def expected_catch_up(self, age: float, now: float) -> float:
         """Return for how long it is expected to lack what the primary has held for ``age``."""
         return max(0.0, self.at(now) - age)
--- a/src/rowanrail/scheduling/run_times.py
+++ b/src/rowanrail/scheduling/run_times.py
@@ -52,10 +52,10 @@
     --------
     >>> times = RunTimes()
     >>> times.note("m1", "orders", 30.0, now=0.0)
-    >>> times.usual("m1", "orders"), times.queue("m1", now=0.0)
+    >>> times.baseline("m1", "orders"), times.queue_delay("m1", now=0.0)
     (30.0, 0.0)
     >>> times.note("m1", "orders", 90.0, now=10.0)
-    >>> 29 < times.queue("m1", now=10.0) < 31, times.queue("m1", now=9000.0) < 0.1
+    >>> 29 < times.queue_delay("m1", now=10.0) < 31, times.queue_delay("m1", now=9000.0) < 0.1
     (True, True)
     """
 
@@ -79,20 +79,20 @@
 
     def note_busy(self, instance: str, kind: str, now: float) -> None:
         """Note that a member's queue was full."""
-        full = max(BUSY_RUNS * self.work(kind), SHORTEST_BUSY_QUEUE_MS)
+        full = max(BUSY_RUNS * self.service_time(kind), SHORTEST_BUSY_QUEUE_MS)
         excess = self._excess.setdefault(instance, _Excess())
         if full > excess.at(now):
             excess.value, excess.noted_at = full, now
 
-    def usual(self, instance: str, kind: str) -> float | None:
+    def baseline(self, instance: str, kind: str) -> float | None:
         """Return what a kind of work takes at a member with nothing in its way, if known."""
         return self._usual.get(instance, {}).get(kind)
 
-    def work(self, kind: str) -> float:
+    def service_time(self, kind: str) -> float:
         """Return what a slot takes for a kind of work: where the quickest member is at hand."""
         return min(self._known(kind), default=INITIAL_RUN_MS)
 
-    def queue(self, instance: str, now: float) -> float:
+    def queue_delay(self, instance: str, now: float) -> float:
         """Return by how much a member's latest answers took longer than usual."""
         excess = self._excess.get(instance)
         return 0.0 if excess is None else excess.at(now)
--- a/tests/scheduling/holders.py
+++ b/tests/scheduling/holders.py
@@ -7,7 +7,7 @@
 
 from rowanrail.gateway.pools.error_share import ErrorShare
 from rowanrail.kernel.clock import Clock
-from rowanrail.scheduling.choice import Candidate, choose
+from rowanrail.scheduling.choice import Candidate, choose_member
 from rowanrail.scheduling.member_weight import MemberWeight, Trouble
 from rowanrail.scheduling.run_times import RunTimes
 from tests.support.gateway import ManualClock
@@ -89,16 +89,18 @@
         return 1 if self.regions[zone] == self.regions[self.zone] else 2
 
     def candidate(self, member, now):
-        work = self.times.work(KIND)
-        usual = self.times.usual(member.name, KIND)
+        work = self.times.service_time(KIND)
+        usual = self.times.baseline(member.name, KIND)
         distance = self.distance(member.zone)
         return Candidate(
             member.name,
             wait=0.0,
-            run=usual if usual is not None else work + (2 * REGION_WAY if distance == 2 else 0),
-            queue=self.times.queue(member.name, now),
-            work=work,
-            under_way=self.under_way[member.name],
+            run_time=usual
+            if usual is not None
+            else work + (2 * REGION_WAY if distance == 2 else 0),
+            queue_delay=self.times.queue_delay(member.name, now),
+            service_time=work,
+            in_flight=self.under_way[member.name],
             slots=member.slots,
             is_primary=member.name == self.primary,
             error_share=self.errors[member.name].at(now),
@@ -170,7 +172,9 @@
         allowed = [member for member in self.members if member.name not in excluded]
         if not allowed:
             return
-        name = choose([holder.candidate(m, self.clock.now) for m in allowed], holder.randomness)
+        name = choose_member(
+            [holder.candidate(m, self.clock.now) for m in allowed], holder.randomness
+        )
         member = next(m for m in self.members if m.name == name)
         holder.under_way[name] += 1
         self.attempts += 1
