--- a/src/rowanrail/coordination/gateway_loads.py
+++ b/src/rowanrail/coordination/gateway_loads.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from rowanrail.directory.messages import GatewayRecord
-from rowanrail.scheduling.demand import SPANS, PartDemand
+from rowanrail.scheduling.demand import WINDOW_SPANS, ShardDemand
 from rowanrail.scheduling.group_draft import GatewayLoad
 from rowanrail.scheduling.load_report import LoadReport
 
@@ -30,13 +30,13 @@
     heard_since: float
     heard_at: float
     report: LoadReport
-    own: deque[float] = field(default_factory=lambda: deque(maxlen=SPANS))
+    own: deque[float] = field(default_factory=lambda: deque(maxlen=WINDOW_SPANS))
     slow: deque[bool] = field(default_factory=lambda: deque(maxlen=QUICK_SPANS))
     is_slow: bool = False
 
     def take(self, report: LoadReport) -> None:
         self.report = report
-        self.own.append(1000 * report.own / max(1, report.span))
+        self.own.append(1000 * report.own_count / max(1, report.span_ms))
         self.slow.append(report.is_slow)
         if all(list(self.slow)[-SLOW_SPANS:]) and len(self.slow) >= SLOW_SPANS:
             self.is_slow = True
@@ -68,7 +68,7 @@
         if reported is None:
             reported = self._reported[gateway] = _Reported(now, now, report)
             reported.take(report)
-        elif report != reported.report or now - reported.heard_at > report.span / 2:
+        elif report != reported.report or now - reported.heard_at > report.span_ms / 2:
             reported.take(report)
             reported.heard_at = now
 
@@ -78,7 +78,7 @@
         self._reported = fresh
         return fresh
 
-    def demand(self, gateways: Iterable[GatewayRecord]) -> dict[str, dict[str, PartDemand]]:
+    def demand(self, gateways: Iterable[GatewayRecord]) -> dict[str, dict[str, ShardDemand]]:
         """Return the sum of what gateways reported last, by group and shard."""
         reported = self._fresh()
         sums: dict[str, _GroupSum] = defaultdict(_GroupSum)
@@ -113,12 +113,14 @@
 
     def add(self, report: LoadReport) -> None:
         for shard in report.shards:
-            self._rates[shard.key] += 1000 * shard.count / max(1, report.span)
+            self._rates[shard.key] += 1000 * shard.count / max(1, report.span_ms)
             if shard.tenant:
-                self._tenants[shard.key][shard.tenant] += 1000 * shard.largest / max(1, report.span)
+                self._tenants[shard.key][shard.tenant] += (
+                    1000 * shard.largest_tenant_count / max(1, report.span_ms)
+                )
 
-    def demand(self) -> dict[str, PartDemand]:
+    def demand(self) -> dict[str, ShardDemand]:
         return {
-            key: PartDemand(rate, max(self._tenants[key].values(), default=0.0) / rate)
+            key: ShardDemand(rate, max(self._tenants[key].values(), default=0.0) / rate)
             for key, rate in self._rates.items()
         }
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -21,15 +21,15 @@
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.placement.hashed import Shard, rank, shards_of
-from rowanrail.scheduling.demand import DemandWindow, PartDemand
-from rowanrail.scheduling.planner import Layout, Proposal, propose
+from rowanrail.scheduling.demand import DemandWindow, ShardDemand
+from rowanrail.scheduling.planner import Layout, Proposal, propose_plan
 
 __all__ = ["PlanDuty", "Planner"]
 
 ROUND_MS = 5000.0  # between checks; a gateway's span
 REST_MS = 20_000.0  # between changes of a shard, ten handovers; the lost are replaced at once
 
-_Demand = dict[str, dict[str, PartDemand]]
+_Demand = dict[str, dict[str, ShardDemand]]
 
 
 class Planner:
@@ -74,10 +74,10 @@
         self._window.add(self._loads.demand(gateways))
         if not self._window.is_full:
             return Proposal()
-        self.lasting = self._window.lasting()
+        self.lasting = self._window.median()
         layout = self._layout(self.lasting)
         loads = self._loads.loads(gateways)
-        return propose(self.lasting, loads, layout, self._state.plan, self._recently_changed())
+        return propose_plan(self.lasting, loads, layout, self._state.plan, self._recently_changed())
 
     def note_changed(self, proposal: Proposal) -> None:
         """Note that a proposal is in force: what it changed is left as it is for ``REST_MS``."""
@@ -223,7 +223,7 @@
                 service=shares.service,
                 group=shares.group,
                 part=shares.key,
-                factor=round(shares.short, 2),
+                factor=round(shares.growth, 2),
                 shares=self._shares_of(shares.service),
             )
 
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -16,7 +16,7 @@
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause, decide_forwarding
-from rowanrail.scheduling.load import Assumed, LoadBook, ServiceLoad, Subject
+from rowanrail.scheduling.load import LoadEstimate, LoadSubject, PeerLoads, ServiceLoad
 from rowanrail.scheduling.retrying import RetryTimes
 
 __all__ = ["RejectedBySender", "RemoteAdmission", "RemoteRequest"]
@@ -78,12 +78,12 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        self._book = LoadBook(clock)
+        self._book = PeerLoads(clock)
         self._returns = RetryTimes(clock)
 
     def note(self, peer: str, service: str, tenant: str, load: ServiceLoad | None) -> None:
         """Take what a holder reported with an answer to a tenant's statement."""
-        self._book.note(Subject(peer, service, tenant), load)
+        self._book.note(LoadSubject(peer, service, tenant), load)
 
     def forget(self, peer: str) -> None:
         """Assume nothing of a holder whose link is lost."""
@@ -96,24 +96,24 @@
         is shorter than the round trip is never sent; one that the holder has no room for is, if
         no other was for a while.
         """
-        subject = Subject(request.peer, request.service, request.tenant)
-        assumed = Assumed()
+        subject = LoadSubject(request.peer, request.service, request.tenant)
+        assumed = LoadEstimate()
         if not request.is_retry:
-            assumed = self._book.assume(subject, request.urgency, request.writes)
+            assumed = self._book.estimate(subject, request.urgency, request.writes)
         verdict = decide_forwarding(
             assumed.wait, request.round_trip, request.time_left, request.time_given
         )
         if not isinstance(verdict, Reject):
             return None
         is_crowded = verdict.cause is RejectionCause.HOLDER_OVERLOADED
-        if is_crowded and self._book.may_probe(subject):
+        if is_crowded and self._book.try_probe(subject):
             return None
         return self._reject(request, verdict, assumed)
 
     def _reject(
-        self, request: RemoteRequest, verdict: Reject, assumed: Assumed
+        self, request: RemoteRequest, verdict: Reject, assumed: LoadEstimate
     ) -> RejectedBySender:
-        interval = 1000 / (SENDER_SHARE * assumed.pace) if assumed.pace else 0.0
+        interval = 1000 / (SENDER_SHARE * assumed.drain_rate) if assumed.drain_rate else 0.0
         retry_after = self._returns.next(
             verdict.retry_after_ms, interval, (request.peer, request.urgency)
         )
--- a/src/rowanrail/gateway/services/load_measure.py
+++ b/src/rowanrail/gateway/services/load_measure.py
@@ -6,7 +6,7 @@
 
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.service import Service
-from rowanrail.scheduling.load import URGENCIES, ServiceLoad, rounded
+from rowanrail.scheduling.load import URGENCY_LEVELS, ServiceLoad, round_waits
 from rowanrail.scheduling.queue import QueueEntry
 
 __all__ = ["measure"]
@@ -26,12 +26,12 @@
     if not any(pool.forecasts.expected_wait for pool in near):
         return None
     weight = service.weight(tenant)
-    entries = [QueueEntry(urgency, tenant, now, weight=weight) for urgency in range(URGENCIES)]
+    entries = [QueueEntry(urgency, tenant, now, weight=weight) for urgency in range(URGENCY_LEVELS)]
     primary = service.primary_pool()
     writes = [] if primary is None or primary not in near else _waits(primary, entries)
     reads = [min(waits) for waits in zip(*(_waits(pool, entries) for pool in near), strict=True)]
     pace = 0 if primary is None else _pace(primary, entries[0])
-    return ServiceLoad(rounded(writes), rounded(reads), pace)
+    return ServiceLoad(round_waits(writes), round_waits(reads), pace)
 
 
 def _serves(service: Service, pool: MemberPool) -> bool:
--- a/src/rowanrail/scheduling/group_draft.py
+++ b/src/rowanrail/scheduling/group_draft.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from rowanrail.scheduling.demand import GroupDemand, PartDemand
+from rowanrail.scheduling.demand import GroupDemand, ShardDemand
 from rowanrail.scheduling.plan import PlanCause, ShardPlan
 
 __all__ = ["HolderChange", "GatewayLoad", "GroupDraft"]
@@ -23,7 +23,7 @@
 WORTHWHILE = 0.75
 SLOW_FACTOR = 4.0  # a slow gateway bears a quarter; chosen, so that what it holds moves
 MOVES_AT_ONCE = 4  # in a group, each round; every move opens connections anew
-_NO_DEMAND = PartDemand(0.0)
+_NO_DEMAND = ShardDemand(0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
         The zone or region whose gateways share connections.
     address : str
         Where it takes statements of others.
-    own : float
+    own_rate : float
         Statements a second of its own clients; they pass its link as those that it holds do.
     is_slow : bool
         Whether its loop lags, or its links choke.
@@ -49,7 +49,7 @@
     name: str
     group: str
     address: str = ""
-    own: float = 0.0
+    own_rate: float = 0.0
     is_slow: bool = False
     is_settled: bool = True
 
@@ -105,7 +105,7 @@
         Name of the group.
     gateways : dict of str to GatewayLoad
         Those of the group that were heard a short while ago.
-    demand : mapping of str to PartDemand
+    demand : mapping of str to ShardDemand
         By the key of a shard.
     defaults : mapping of str to str
         Whom the hash names for each shard.
@@ -142,14 +142,14 @@
     def is_split(self, key: str) -> bool:
         """Return whether one tenant alone is more than an even share of a divided shard."""
         count = len(self._holders[key])
-        return count > 1 and self.demand.get(key, _NO_DEMAND).largest > 1 / count
+        return count > 1 and self.demand.get(key, _NO_DEMAND).largest_tenant_share > 1 / count
 
     def load(self, name: str) -> float:
         """Return what a gateway carries, a slow one several times; infinite if it is lost."""
         gateway = self.gateways.get(name)
         if gateway is None:
             return math.inf
-        return (gateway.own + self._held.get(name, 0.0)) * gateway.factor
+        return (gateway.own_rate + self._held.get(name, 0.0)) * gateway.factor
 
     def improve(self, resting: Collection[tuple[str, str]]) -> None:
         """Replace who is lost, divide and join, and move what is worth it.
--- a/src/rowanrail/scheduling/load.py
+++ b/src/rowanrail/scheduling/load.py
@@ -14,17 +14,17 @@
 from rowanrail.kernel.clock import Clock
 
 __all__ = [
-    "URGENCIES",
-    "Assumed",
-    "LoadBook",
+    "URGENCY_LEVELS",
+    "LoadEstimate",
+    "PeerLoads",
     "LoadReporter",
     "ServiceLoad",
-    "Subject",
-    "rounded",
+    "LoadSubject",
+    "round_waits",
     "worth_reporting",
 ]
 
-URGENCIES = 3  # reported one by one; routes of callers name no more so far
+URGENCY_LEVELS = 3  # reported one by one; routes of callers name no more so far
 # Milliseconds for which a report of a holder is assumed to hold: about the time of a try, after
 # which its backlog is another one.
 ASSUMED_MS = 1000.0
@@ -41,7 +41,7 @@
 MOST_BOOKED = 1024
 
 
-class Subject(NamedTuple):
+class LoadSubject(NamedTuple):
     """What a report is of: a tenant's statements of one service.
 
     A tenant's burst waits behind its own share, so that each tenant's wait is another one.
@@ -63,13 +63,13 @@
         are less urgent.
     reads : list of int
         The same at the member where a read takes least.
-    pace : int
+    drain_rate : int
         Statements a second by which the wait queue of the primary goes on; 0 if it is not known.
     """
 
     waits: list[int] = []
     reads: list[int] = []
-    pace: int = 0
+    drain_rate: int = 0
 
     def wait(self, urgency: int, writes: bool) -> int:
         """Return the time of a statement in milliseconds.
@@ -125,19 +125,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Assumed:
+class LoadEstimate:
     """What a sender may assume of a holder.
 
     Parameters
     ----------
     wait : float
         Milliseconds that an answer takes there, at the least; 0 if nothing is known.
-    pace : float
+    drain_rate : float
         Statements a second by which its wait queue goes on; 0 if it is not known.
     """
 
     wait: float = 0.0
-    pace: float = 0.0
+    drain_rate: float = 0.0
 
 
 @dataclass(slots=True)
@@ -149,7 +149,7 @@
     probed_at: float
 
 
-class LoadBook:
+class PeerLoads:
     """The last reports of the holders that a gateway sends to.
 
     Parameters
@@ -160,12 +160,12 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._reports: dict[Subject, _LastReport] = {}
+        self._reports: dict[LoadSubject, _LastReport] = {}
 
     def __len__(self) -> int:
         return len(self._reports)
 
-    def note(self, subject: Subject, load: ServiceLoad | None) -> None:
+    def note(self, subject: LoadSubject, load: ServiceLoad | None) -> None:
         """Take a report of a holder; None says that there is room, or comes from an older one."""
         before = self._reports.pop(subject, None)
         if load is None:
@@ -181,7 +181,7 @@
         for subject in [subject for subject in self._reports if subject.peer == peer]:
             del self._reports[subject]
 
-    def assume(self, subject: Subject, urgency: int, writes: bool) -> Assumed:
+    def estimate(self, subject: LoadSubject, urgency: int, writes: bool) -> LoadEstimate:
         """Return what may be assumed of a holder for a statement now.
 
         If no probe has renewed its report, the queue may have gone on without being refilled: the
@@ -189,14 +189,14 @@
         """
         last = self._reports.get(subject)
         if last is None:
-            return Assumed()
+            return LoadEstimate()
         age = self._clock.now - last.heard_at
         if age > ASSUMED_MS:
-            return Assumed()
+            return LoadEstimate()
         time = last.load.wait(urgency, writes) - max(0.0, age - FRESH_MS)
-        return Assumed(max(0.0, time), last.load.pace)
+        return LoadEstimate(max(0.0, time), last.load.drain_rate)
 
-    def may_probe(self, subject: Subject) -> bool:
+    def try_probe(self, subject: LoadSubject) -> bool:
         """Return whether a statement is sent in spite of the last report; notes that it is."""
         last = self._reports.get(subject)
         if last is None:
@@ -212,12 +212,12 @@
             del self._reports[subject]
 
 
-def rounded(waits: Sequence[float]) -> list[int]:
+def round_waits(waits: Sequence[float]) -> list[int]:
     """Return waits as they are reported: whole milliseconds, none that changes no decision.
 
     Examples
     --------
-    >>> rounded([3.2, 480.6])
+    >>> round_waits([3.2, 480.6])
     [0, 481]
     """
     return [round(wait) if wait >= LEAST_REPORTED_MS else 0 for wait in waits]
--- a/src/rowanrail/scheduling/load_report.py
+++ b/src/rowanrail/scheduling/load_report.py
@@ -19,24 +19,24 @@
         Statements in the span.
     tenant : str
         Whose most of them were; empty without tenants.
-    largest : int
+    largest_tenant_count : int
         How many were that tenant's.
     """
 
     key: str
     count: int
     tenant: str = ""
-    largest: int = 0
+    largest_tenant_count: int = 0
 
 
 class LoadReport(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """The load of a gateway in a span.
+    """The load of a gateway in a span of time.
 
     Parameters
     ----------
-    span : int
+    span_ms : int
         Milliseconds that it took.
-    own : int
+    own_count : int
         Statements of its own clients.
     is_slow : bool
         Whether its loop lagged, or its links choked, for most of it.
@@ -44,7 +44,7 @@
         The largest shards.
     """
 
-    span: int
-    own: int
+    span_ms: int
+    own_count: int
     is_slow: bool
     shards: list[ShardLoad]
--- a/src/rowanrail/scheduling/planner.py
+++ b/src/rowanrail/scheduling/planner.py
@@ -11,7 +11,7 @@
 from rowanrail.scheduling.group_draft import GatewayLoad, GroupDraft, HolderChange
 from rowanrail.scheduling.plan import Holding, Plan, PlanCause, ShardPlan
 
-__all__ = ["Layout", "Proposal", "SharesChange", "propose", "shares_by_demand"]
+__all__ = ["Layout", "Proposal", "SharesChange", "propose_plan", "shares_by_demand"]
 
 # Of a member's connections that are divided evenly, whatever the demand: clients that come to a
 # group all at once have to be served there until the plan follows them.
@@ -71,14 +71,14 @@
 
     Parameters
     ----------
-    short : float
+    growth : float
         By which factor the share that was shortest has grown.
     group, key : str
         Where that was.
     """
 
     service: str
-    short: float
+    growth: float
     group: str
     key: str
 
@@ -136,7 +136,7 @@
     return {shard: 0.0 if known is None else known.rate for shard, known in asked.items()}
 
 
-def propose(
+def propose_plan(
     demand: Mapping[str, GroupDemand],
     gateways: Iterable[GatewayLoad],
     layout: Layout,
@@ -147,7 +147,7 @@
 
     Parameters
     ----------
-    demand : mapping of str to mapping of str to PartDemand
+    demand : mapping of str to mapping of str to ShardDemand
         What is asked for, by group and by the key of a shard.
     gateways : iterable of GatewayLoad
         Those that were heard a short while ago.
@@ -263,7 +263,7 @@
         for together in self._layout.divided_together(service):
             for shard, share in self._wanted(together).items():
                 short = share / self._share_now(shard, len(together))
-                if short >= SHORT_FACTOR and (worst is None or short > worst.short):
+                if short >= SHORT_FACTOR and (worst is None or short > worst.growth):
                     worst = SharesChange(service, short, *shard)
         return worst
 
--- a/tests/coordination/test_planner.py
+++ b/tests/coordination/test_planner.py
@@ -16,7 +16,7 @@
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.model.members import MemberRecord
 from rowanrail.placement.hashed import rank
-from rowanrail.scheduling.demand import SPANS
+from rowanrail.scheduling.demand import WINDOW_SPANS
 from rowanrail.scheduling.load_report import LoadReport, ShardLoad
 from rowanrail.scheduling.plan import Holding, PlanCause, ShardPlan
 from tests.support.gateway import RecordingLog
@@ -142,18 +142,18 @@
 
     def test_nothing_changes_in_the_first_half_minute(self):
         self.fleet.rates["a", "db"] = 200.0
-        self.assertEqual(self.fleet.play(SPANS - 1), [])
+        self.assertEqual(self.fleet.play(WINDOW_SPANS - 1), [])
         self.assertEqual(len(self.fleet.play(1)), 1)
 
     def test_the_first_plan_divides_and_shares_at_once(self):
         self.fleet.rates["a", "db"] = 200.0
-        self.assertEqual(len(self.fleet.play(SPANS + 6)), 1)
+        self.assertEqual(len(self.fleet.play(WINDOW_SPANS + 6)), 1)
         plan = self.fleet.log.states[0].plan
         self.assertGreater(len(plan.shard("a", "db").gateways), 1)
         self.assertGreater(plan.shard("a", "db").share, 0.5)
 
     def test_a_gateway_that_has_just_come_is_given_nothing(self):
-        self.fleet.play(SPANS)
+        self.fleet.play(WINDOW_SPANS)
         new = GatewayRecord("a9", "a", "a9:1")
         self.fleet.log.append(SetGateways([new], []))
         self.fleet.slow = set(names("a"))
@@ -163,7 +163,7 @@
             self.assertEqual(self.fleet.play(1), [], "nobody else bears it, and it is new")
 
     def test_clients_that_move_are_followed_once(self):
-        self.fleet.play(SPANS)
+        self.fleet.play(WINDOW_SPANS)
         self.fleet.rates = {("a", "db"): 4.0, ("b", "db"): 36.0, ("c", "db"): 20.0}
         proposals = self.fleet.play(12)
         self.assertEqual(len(proposals), 1)
@@ -172,7 +172,7 @@
         self.assertAlmostEqual(sum(plan.shard(zone, "db").share for zone in ZONES), 1.0, places=2)
 
     def test_a_slow_holder_is_relieved_within_half_a_minute(self):
-        self.fleet.play(SPANS)
+        self.fleet.play(WINDOW_SPANS)
         slow = self.fleet.holder("a")
         self.fleet.slow.add(slow)
         (proposal,) = self.fleet.play(6)
@@ -180,7 +180,7 @@
         self.assertNotEqual(self.fleet.holder("a"), slow)
 
     def test_one_slow_span_moves_nothing(self):
-        self.fleet.play(SPANS)
+        self.fleet.play(WINDOW_SPANS)
         self.fleet.slow.add(self.fleet.holder("a"))
         self.assertEqual(self.fleet.play(1), [])
         self.fleet.slow.clear()
@@ -188,7 +188,7 @@
 
     def test_a_lost_holder_is_replaced_and_does_not_get_it_back(self):
         self.fleet.slow.add(self.fleet.holder("a"))
-        self.fleet.play(SPANS + 2)
+        self.fleet.play(WINDOW_SPANS + 2)
         lost = self.fleet.holder("a")
         self.fleet.silent.add(lost)
         self.fleet.play(1 + int(FORGET_LOAD_MS / ROUND_MS) + 1)
@@ -200,7 +200,7 @@
 
     def test_all_gateways_lost_and_back_change_nothing_at_once(self):
         self.fleet.rates["a", "db"] = 200.0
-        self.fleet.play(SPANS)
+        self.fleet.play(WINDOW_SPANS)
         plan = self.fleet.log.states[0].plan
         self.fleet.silent = {name for zone in ZONES for name in names(zone)}
         self.fleet.play(5)
@@ -210,7 +210,7 @@
 
     def test_a_restart_of_all_keeps_the_plan_and_changes_nothing_at_first(self):
         self.fleet.rates["a", "db"] = 200.0
-        self.fleet.play(SPANS)
+        self.fleet.play(WINDOW_SPANS)
         saved = self.fleet.log.states[0].snapshot()
         state = new_state()
         state.restore(saved)
@@ -219,7 +219,7 @@
         self.fleet.books[0] = GatewayLoads(lambda: self.fleet.now)
         self.fleet.planners[0] = Planner(state, self.fleet.books[0], lambda: self.fleet.now)
         self.fleet.rates = {("a", "db"): 5.0, ("b", "db"): 100.0, ("c", "db"): 5.0}
-        self.assertEqual(self.fleet.play(SPANS - 1), [])
+        self.assertEqual(self.fleet.play(WINDOW_SPANS - 1), [])
 
 
 class DeciderLostTest(unittest.TestCase):
@@ -228,7 +228,7 @@
         self.fleet.rates = {("a", "db"): 200.0, ("b", "db"): 20.0, ("c", "db"): 20.0}
 
     def test_the_next_leader_goes_on_from_the_plan_of_the_last(self):
-        self.fleet.play(SPANS)
+        self.fleet.play(WINDOW_SPANS)
         plan = self.fleet.log.states[1].plan
         self.assertGreater(plan.number, 0)
         self.fleet.planners[1].release()
@@ -236,11 +236,11 @@
         self.assertEqual(self.fleet.log.states[1].plan, plan)
 
     def test_of_two_leaders_with_different_plans_the_first_in_the_log_wins(self):
-        self.fleet.play(SPANS - 1)
+        self.fleet.play(WINDOW_SPANS - 1)
         self.fleet.now += ROUND_MS
         self.fleet.report()
         other = Planner(self.fleet.log.states[1], self.fleet.books[1], lambda: self.fleet.now)
-        for _ in range(SPANS):
+        for _ in range(WINDOW_SPANS):
             late = other.check().plan
         first = self.fleet.planners[0].check().plan
         taken = [
@@ -275,7 +275,7 @@
 
     async def plan(self, duty):
         await self.report()
-        for _ in range(SPANS):
+        for _ in range(WINDOW_SPANS):
             await duty.step()
 
     async def ask(self, known_plan):
@@ -360,4 +360,6 @@
         for name in ("g1", "g2"):
             shard = ShardLoad("db/1", 100, "large", 60)
             self.book.note(name, LoadReport(5000, 0, False, [shard]))
-        self.assertAlmostEqual(self.book.demand(self.gateways)["a"]["db/1"].largest, 0.6)
+        self.assertAlmostEqual(
+            self.book.demand(self.gateways)["a"]["db/1"].largest_tenant_share, 0.6
+        )
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -321,7 +321,7 @@
             self.meter.note_own()
         report = self.span()
         self.assertEqual(
-            (report.own, [(p.key, p.count) for p in report.shards]), (10, [("db", 10)])
+            (report.own_count, [(p.key, p.count) for p in report.shards]), (10, [("db", 10)])
         )
         self.clock.advance(2.0)
         self.assertIsNone(self.meter.latest)
--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -9,26 +9,26 @@
     ASSUMED_MS,
     FRESH_MS,
     MOST_BOOKED,
-    Assumed,
-    LoadBook,
+    LoadEstimate,
     LoadReporter,
+    LoadSubject,
+    PeerLoads,
     ServiceLoad,
-    Subject,
 )
 from tests.support.gateway import ManualClock
 
-HELD = Subject("g1", "db", "anna")
+HELD = LoadSubject("g1", "db", "anna")
 FULL = ServiceLoad([0, 900, 2000], [0, 0, 700], 444)
 
 
 class LoadBookTest(unittest.TestCase):
     def setUp(self):
         self.manual = ManualClock()
-        self.book = LoadBook(Clock(self.manual))
+        self.book = PeerLoads(Clock(self.manual))
         self.book.note(HELD, FULL)
 
     def assumed(self, urgency=1, writes=True, **changes):
-        return self.book.assume(HELD._replace(**changes), urgency, writes).wait
+        return self.book.estimate(HELD._replace(**changes), urgency, writes).wait
 
     def test_it_is_told_by_urgency_and_by_what_needs_the_primary(self):
         self.assertEqual(
@@ -46,14 +46,14 @@
 
     def test_of_a_holder_whose_last_word_is_old_nothing_is_assumed(self):
         self.manual.advance(ASSUMED_MS / 1000 + 0.01)
-        self.assertEqual(self.book.assume(HELD, 2, True), Assumed())
+        self.assertEqual(self.book.estimate(HELD, 2, True), LoadEstimate())
 
     def test_of_a_holder_whose_link_is_lost_nothing_is_assumed(self):
         other = HELD._replace(peer="g2")
         self.book.note(other, FULL)
         self.book.forget("g1")
         self.assertEqual(self.assumed(2), 0)
-        self.assertEqual(self.book.assume(other, 2, True).wait, 2000)
+        self.assertEqual(self.book.estimate(other, 2, True).wait, 2000)
 
     def test_no_word_says_that_there_is_room(self):
         self.book.note(HELD, None)
@@ -68,12 +68,12 @@
         for _ in range(100):
             self.manual.advance(0.01)
             self.book.note(HELD, FULL)
-            passed += self.book.may_probe(HELD)
+            passed += self.book.try_probe(HELD)
         self.assertIn(passed, (9, 10))
 
     def test_memory_is_bounded(self):
         for number in range(2 * MOST_BOOKED):
-            self.book.note(Subject(f"g{number}", "db"), FULL)
+            self.book.note(LoadSubject(f"g{number}", "db"), FULL)
         self.assertLessEqual(len(self.book), MOST_BOOKED)
         self.manual.advance(2.0)
         self.book.note(HELD._replace(peer="new"), FULL)
--- a/tests/scheduling/test_planner.py
+++ b/tests/scheduling/test_planner.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from rowanrail.scheduling.demand import SPANS, DemandWindow, PartDemand
+from rowanrail.scheduling.demand import WINDOW_SPANS, DemandWindow, ShardDemand
 from rowanrail.scheduling.group_draft import DIVIDE_AT, GatewayLoad
 from rowanrail.scheduling.plan import NO_PLAN, Plan, PlanCause
-from rowanrail.scheduling.planner import Layout, propose
+from rowanrail.scheduling.planner import Layout, propose_plan
 
 ZONES = ("z1", "z2", "z3", "z4")
 PER_ZONE = 6
@@ -36,7 +36,8 @@
 def rates(**zones):
     """Return the demand of both services in each zone."""
     return {
-        zone: {"db1": PartDemand(one), "db2": PartDemand(two)} for zone, (one, two) in zones.items()
+        zone: {"db1": ShardDemand(one), "db2": ShardDemand(two)}
+        for zone, (one, two) in zones.items()
     }
 
 
@@ -47,7 +48,7 @@
 def settle(demand, loads, layout, current=NO_PLAN, rounds=6):
     """Plan until nothing changes; return the plan and how many times it changed."""
     for changes in range(rounds):
-        proposal = propose(demand, loads, layout, current)
+        proposal = propose_plan(demand, loads, layout, current)
         if proposal.plan is None:
             return current, changes
         current = numbered(proposal.plan, current.number + 1)
@@ -82,16 +83,16 @@
 
     def test_small_services_stay_where_the_hash_put_them(self):
         demand = rates(z1=(3, 3), z2=(3, 3), z3=(3, 3), z4=(3, 3))
-        self.assertIsNone(propose(demand, gateways(), zone_layout(), NO_PLAN).plan)
+        self.assertIsNone(propose_plan(demand, gateways(), zone_layout(), NO_PLAN).plan)
 
     def test_a_move_that_takes_less_than_a_quarter_off_is_not_made(self):
         demand = rates(z1=(35, 5), z2=(35, 5), z3=(35, 5), z4=(35, 5))
-        self.assertEqual(propose(demand, gateways(), zone_layout(), NO_PLAN).changes, [])
+        self.assertEqual(propose_plan(demand, gateways(), zone_layout(), NO_PLAN).changes, [])
 
     def test_a_slow_holder_gives_up_what_it_holds_and_gets_nothing(self):
-        demand = {zone: {"db1": PartDemand(20.0)} for zone in ZONES}
+        demand = {zone: {"db1": ShardDemand(20.0)} for zone in ZONES}
         layout = zone_layout(services=("db1",))
-        proposal = propose(demand, gateways(slow=("z1-g0", "z1-g1")), layout, NO_PLAN)
+        proposal = propose_plan(demand, gateways(slow=("z1-g0", "z1-g1")), layout, NO_PLAN)
         (change,) = proposal.changes
         self.assertEqual(
             (change.group, change.before, change.cause), ("z1", ("z1-g0",), PlanCause.SLOW)
@@ -102,18 +103,19 @@
     def test_what_was_changed_a_moment_ago_rests(self):
         demand = rates(z1=(30, 30), z2=(3, 3), z3=(3, 3), z4=(3, 3))
         resting = {("z1", "db1"), ("z1", "db2"), ("", "db1"), ("", "db2")}
-        self.assertIsNone(propose(demand, gateways(), zone_layout(), NO_PLAN, resting).plan)
+        self.assertIsNone(propose_plan(demand, gateways(), zone_layout(), NO_PLAN, resting).plan)
 
     def test_a_gateway_that_has_just_come_is_given_nothing(self):
         demand = rates(z1=(30, 30), z2=(0, 0), z3=(0, 0), z4=(0, 0))
         loads = [
-            GatewayLoad(g.name, g.group, g.address, g.own, is_settled=False) for g in gateways()
+            GatewayLoad(g.name, g.group, g.address, g.own_rate, is_settled=False)
+            for g in gateways()
         ]
-        self.assertEqual(propose(demand, loads, zone_layout(), NO_PLAN).changes, [])
+        self.assertEqual(propose_plan(demand, loads, zone_layout(), NO_PLAN).changes, [])
 
     def test_addresses_of_all_holders_go_with_the_plan(self):
         demand = rates(z1=(30, 30), z2=(30, 30), z3=(30, 30), z4=(30, 30))
-        plan = propose(demand, gateways(), zone_layout(), NO_PLAN).plan
+        plan = propose_plan(demand, gateways(), zone_layout(), NO_PLAN).plan
         named = {
             name for shards in plan.groups.values() for p in shards.values() for name in p.gateways
         }
@@ -133,11 +135,11 @@
         # 240 statements a second, a third of them one tenant's, in the region of the primary.
         demand = {
             "east": {
-                "db/0": PartDemand(133.0, largest=0.6),
-                "db/1": PartDemand(53.0, largest=0.1),
-                "db/2": PartDemand(40.0, largest=0.1),
+                "db/0": ShardDemand(133.0, largest_tenant_share=0.6),
+                "db/1": ShardDemand(53.0, largest_tenant_share=0.1),
+                "db/2": ShardDemand(40.0, largest_tenant_share=0.1),
             },
-            "west": {f"db/{n}": PartDemand(4.0, largest=0.2) for n in range(3)},
+            "west": {f"db/{n}": ShardDemand(4.0, largest_tenant_share=0.2) for n in range(3)},
         }
         loads = gateways(("east", "west"))
         plan, _ = settle(demand, loads, region_layout())
@@ -189,12 +191,12 @@
 
     def test_a_little_less_even_changes_nothing(self):
         demand = rates(z1=(20, 0), z2=(24, 0), z3=(17, 0), z4=(19, 0))
-        self.assertIsNone(propose(demand, gateways(), zone_layout(), NO_PLAN).plan)
+        self.assertIsNone(propose_plan(demand, gateways(), zone_layout(), NO_PLAN).plan)
 
     def test_a_region_divides_its_members_connections_among_its_parts_only(self):
         demand = {
-            "east": {"db/0": PartDemand(40.0), "db/1": PartDemand(4.0), "db/2": PartDemand(4.0)},
-            "west": {f"db/{n}": PartDemand(9.0) for n in range(3)},
+            "east": {"db/0": ShardDemand(40.0), "db/1": ShardDemand(4.0), "db/2": ShardDemand(4.0)},
+            "west": {f"db/{n}": ShardDemand(9.0) for n in range(3)},
         }
         plan, _ = settle(demand, gateways(("east", "west")), region_layout())
         for region in ("east", "west"):
@@ -219,7 +221,7 @@
         lost = self.holder_beside_the_hash()
         resting = {("z1", "db1"), ("z1", "db2"), ("", "db1"), ("", "db2")}
         loads = gateways(lost=(lost,))
-        proposal = propose(self.demand, loads, self.layout, self.plan, resting)
+        proposal = propose_plan(self.demand, loads, self.layout, self.plan, resting)
         (change,) = proposal.changes
         self.assertEqual((change.before, change.cause), ((lost,), PlanCause.LOST))
         self.assertEqual(change.after, ("z1-g0",), "the hash has it stand in already")
@@ -253,7 +255,7 @@
             window.add(rates(z1=(rate, 4), z2=(20, 4), z3=(20, 4), z4=(20, 4)))
             if not window.is_full:
                 continue
-            proposal = propose(window.lasting(), gateways(), zone_layout(), current)
+            proposal = propose_plan(window.median(), gateways(), zone_layout(), current)
             if proposal.plan is not None:
                 current = numbered(proposal.plan, current.number + 1)
                 changed.append(step * SPAN_SECONDS)
@@ -275,7 +277,7 @@
 
     def test_nothing_is_planned_in_the_first_half_minute(self):
         changed = self.play(lambda t: 200)
-        self.assertGreaterEqual(changed[0], (SPANS - 1) * SPAN_SECONDS)
+        self.assertGreaterEqual(changed[0], (WINDOW_SPANS - 1) * SPAN_SECONDS)
 
 
 if __name__ == "__main__":
