--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -32,8 +32,8 @@
 from rowanrail.gateway.sessions.outcomes import Outcomes
 from rowanrail.gateway.sessions.pending import PendingProof, PendingStart
 from rowanrail.gateway.sessions.session import Session
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import Work
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.ports import StatementExecutor
 from rowanrail.kernel.clock import Clock, Scheduler, Timer
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
@@ -267,7 +267,7 @@
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.demand`."""
         return self.access.demand
 
-    def route(self, database: str, tenant: str) -> tuple[Route, Work] | Answer:
+    def route(self, database: str, tenant: str) -> tuple[Route, StatementExecutor] | Answer:
         """See :meth:`SessionHost.route`."""
         if self.configuration is None:
             return self.access.refuse_database(database)
@@ -277,7 +277,7 @@
             return self.access.refuse_database(database)
         return route, self._router.work_for(self.services[route.service], tenant, local)
 
-    def local_work(self, service: str, is_detour: bool = False) -> LocalWork | None:
+    def local_work(self, service: str, is_detour: bool = False) -> LocalExecutor | None:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.local_work`."""
         known = self.services.get(service)
         return None if known is None else self._router.local_work(known, is_detour)
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -31,7 +31,7 @@
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.attempts import Sent
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.local import LocalWork
+from rowanrail.gateway.work.local import LocalExecutor
 from rowanrail.gateway.work.refusals import busy, rejection
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Respond
@@ -63,7 +63,7 @@
     ----------
     placement : Placement
         Says at which gateway they run.
-    local : LocalWork
+    local : LocalExecutor
         For the case that it is this gateway in the end.
     clock : Clock
         Time and timers.
@@ -78,7 +78,7 @@
     """
 
     placement: Placement
-    local: LocalWork
+    local: LocalExecutor
     clock: Clock
     link_outcome: LinkOutcome
     remote_admission: RemoteAdmission
@@ -108,7 +108,7 @@
         self._rejection: Rejection | None = None
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.trace`."""
+        """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.trace`."""
         if self._holder_trace is not None:
             return msgspec.structs.replace(self._holder_trace, via=self._peer)
         stage = Stage.SENT if self._sent else Stage.WAITS_FOR_HOLDER
@@ -215,7 +215,7 @@
         floor = self._session.floors.get(service)
         if reply.floor is not None and (floor is None or reply.floor > floor):
             self._session.floors[service] = reply.floor
-        self._work.local.note_doubts(reply.doubts)
+        self._work.local.note_reported_weights(reply.doubts)
         self._holder_trace = reply.trace
         self._work.remote_admission.note(
             self._peer, service, self._session.identity.tenant, reply.load
@@ -260,7 +260,7 @@
         self._finish(busy(reason, retry_after))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.finish`."""
+        """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.finish`."""
         self._finish(answer)
 
     def _finish(self, answer: Answer) -> None:
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -19,7 +19,7 @@
 from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
 from rowanrail.gateway.work.attempts import Sent
-from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
+from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
 from rowanrail.gateway.work.refusals import LATE
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
@@ -34,14 +34,14 @@
 
     __slots__ = ()
 
-    def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
-        """See :meth:`rowanrail.gateway.work.ports.Work.single`."""
+    def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
+        """See :meth:`rowanrail.gateway.work.ports.StatementExecutor.autocommit`."""
         return ForwardedStatement(self, route, session, writes)
 
     def transaction(
         self, route: Route, session: SessionValues, read_only: bool
-    ) -> WorkInTransaction:
-        """See :meth:`rowanrail.gateway.work.ports.Work.transaction`."""
+    ) -> TransactionExecution:
+        """See :meth:`rowanrail.gateway.work.ports.StatementExecutor.transaction`."""
         return ForwardedTransaction(self, route, session, read_only)
 
 
@@ -53,15 +53,15 @@
     ) -> None:
         super().__init__(work, route, session)
         self._writes = writes
-        self._here: SingleStatement | None = None
+        self._here: AutocommitExecution | None = None
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.start`."""
+        """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.start`."""
         self._begin(statement, respond)
         self._place()
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.trace`."""
+        """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.trace`."""
         return super().trace() if self._here is None else self._here.trace()
 
     @property
@@ -77,7 +77,7 @@
         if self._timer is not None:
             self._timer.cancel()
         left = msgspec.structs.replace(self._route, timeout_seconds=max(self._left, 1.0) / 1000)
-        self._here = self._work.local.single(left, self._session, self._writes)
+        self._here = self._work.local.autocommit(left, self._session, self._writes)
         self._here.start(self._statement, self._finish)
 
     def _settled(self, outcome: Outcome) -> None:
@@ -98,7 +98,7 @@
         self._follow(after_timeout(self._kind, is_owed=self._call > 0), LATE)
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.finish`."""
+        """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.finish`."""
         if self._here is not None:
             self._here.finish(answer)
         self._finish(answer)
@@ -114,10 +114,10 @@
         self._read_only = read_only
         self._wrote = False
         self._number = 0  # 0 until its first statement was sent, and after its end
-        self._here: WorkInTransaction | None = None
+        self._here: TransactionExecution | None = None
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.run`."""
+        """See :meth:`rowanrail.gateway.work.ports.TransactionExecution.run`."""
         if self._here is not None:
             self._here.run(statement, respond)
             return
@@ -130,7 +130,7 @@
             self._place()
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.trace`."""
+        """See :meth:`rowanrail.gateway.work.ports.TransactionExecution.trace`."""
         return super().trace() if self._here is None else self._here.trace()
 
     def _run_at(self, link: Link) -> None:
@@ -180,7 +180,7 @@
         self.end()
 
     def end(self) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.end`."""
+        """See :meth:`rowanrail.gateway.work.ports.TransactionExecution.end`."""
         if self._here is not None:
             self._here.end()
         self._end_there()
@@ -192,7 +192,7 @@
             self._link.notify(End(number))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.finish`."""
+        """See :meth:`rowanrail.gateway.work.ports.TransactionExecution.finish`."""
         if self._here is not None:
             self._here.finish(answer)
         self._finish(answer)
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -32,8 +32,8 @@
 from rowanrail.gateway.relay.terms import load_session, reply_to, route_of, statement_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.samples import PositionSample
 from rowanrail.model.statements import Answer, Refusal
@@ -58,7 +58,7 @@
     def stopping(self) -> bool:
         """Whether a planned stop has begun."""
 
-    def local_work(self, service: str, is_detour: bool = False) -> LocalWork | None:
+    def local_work(self, service: str, is_detour: bool = False) -> LocalExecutor | None:
         """Return the work on own connections, None if the service isn't known here.
 
         What comes on a detour is sent no further.
@@ -91,8 +91,8 @@
 class _Transaction:
     """A neighbour's transaction; its work begins with its first statement."""
 
-    local: LocalWork
-    work: WorkInTransaction
+    local: LocalExecutor
+    work: TransactionExecution
     session: SessionValues
     call: int = 0  # of the statement that runs, 0 while it is idle
     idle_since: float = 0.0
@@ -100,8 +100,8 @@
 
 @dataclass(slots=True)
 class _Single:
-    local: LocalWork
-    work: SingleStatement
+    local: LocalExecutor
+    work: AutocommitExecution
     session: SessionValues = field(default_factory=SessionValues)
 
 
@@ -288,10 +288,10 @@
         trace = Trace(run.service, Stage.ACCEPTED.value)
         self.send(reply_to(run, Answer(refusal=refusal, message=reason), None, trace))
 
-    def _run_single(self, work: LocalWork, run: Run) -> None:
+    def _run_single(self, work: LocalExecutor, run: Run) -> None:
         session = SessionValues()
         load_session(session, run)
-        single = work.single(route_of(run), session, run.writes)
+        single = work.autocommit(route_of(run), session, run.writes)
         self._singles[run.call] = _Single(work, single, session)
         single.start(statement_of(run), lambda answer: self._answer_single(run, answer))
 
@@ -300,7 +300,7 @@
         if single is not None:
             floor = single.session.floors.get(run.service)
             load = self._holder.teller.report(run.service, run.tenant)
-            doubts = single.local.doubts()
+            doubts = single.local.reduced_weights()
             self.send(reply_to(run, answer, floor, single.work.trace(), load, doubts))
 
     def _run_on(self, transaction: _Transaction, run: Run) -> None:
@@ -321,7 +321,7 @@
             transaction.work.end()
         floor = transaction.session.floors.get(run.service)
         load = self._holder.teller.report(run.service, run.tenant)
-        doubts = transaction.local.doubts()
+        doubts = transaction.local.reduced_weights()
         self.send(reply_to(run, answer, floor, transaction.work.trace(), load, doubts))
 
     def _end(self, number: int) -> None:
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -29,8 +29,8 @@
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import OtherGateways, Work
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.ports import OtherGateways, StatementExecutor
 from rowanrail.kernel.clock import Clock, Scheduler
 from rowanrail.model.position import Position
 from rowanrail.placement.hashed import Shard
@@ -100,7 +100,7 @@
         self._detours = peers.detours
         self._version = version
 
-    def work_for(self, service: Service, tenant: str, local: LocalWork) -> Work:
+    def work_for(self, service: Service, tenant: str, local: LocalExecutor) -> StatementExecutor:
         """Return the work for a tenant's statements: here, or through a holder's connections."""
         if self._neighbours is None or not service.share.is_shared:
             return local
@@ -109,7 +109,7 @@
             return local
         return self._forwarded(self._neighbours, service, local)
 
-    def local_work(self, service: Service, is_detour: bool = False) -> LocalWork | None:
+    def local_work(self, service: Service, is_detour: bool = False) -> LocalExecutor | None:
         """Return work on own connections; None if the sender had better run it itself.
 
         What comes on a detour is sent no further.
@@ -118,8 +118,8 @@
         if is_detour and not detour_may_run(service.share.is_regional, primary_fails):
             return None
         if is_detour or self._detours is None:
-            return LocalWork(service, self._names, self._scheduler)
-        return LocalWork(
+            return LocalExecutor(service, self._names, self._scheduler)
+        return LocalExecutor(
             service,
             self._names,
             self._scheduler,
@@ -156,11 +156,11 @@
         self,
         placement: Placement,
         service: Service,
-        local: LocalWork | None = None,
+        local: LocalExecutor | None = None,
         is_detour: bool = False,
     ) -> ForwardedWork:
         if local is None:
-            local = LocalWork(service, self._names, self._scheduler)
+            local = LocalExecutor(service, self._names, self._scheduler)
         return ForwardedWork(
             placement,
             local,
--- a/src/rowanrail/gateway/sessions/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -13,7 +13,7 @@
 from rowanrail.gateway.sessions.access import Access
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
+from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
@@ -44,7 +44,7 @@
         statement: TypedStatement,
         answer: Answer,
         seconds: float,
-        operation: SingleStatement | WorkInTransaction | None,
+        operation: AutocommitExecution | TransactionExecution | None,
     ) -> None:
         """See :meth:`rowanrail.gateway.sessions.session.SessionOutcomes.note`."""
         outcome = answer.refusal.value if answer.refusal else "done"
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -8,7 +8,11 @@
 from typing import Protocol
 
 from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.gateway.work.ports import SingleStatement, Work, WorkInTransaction
+from rowanrail.gateway.work.ports import (
+    AutocommitExecution,
+    StatementExecutor,
+    TransactionExecution,
+)
 from rowanrail.kernel.clock import Scheduler, Timer
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
@@ -48,7 +52,7 @@
         statement: TypedStatement,
         answer: Answer,
         seconds: float,
-        operation: SingleStatement | WorkInTransaction | None,
+        operation: AutocommitExecution | TransactionExecution | None,
     ) -> None:
         """Count and log what became of a statement."""
 
@@ -66,7 +70,7 @@
     def outcomes(self) -> SessionOutcomes:
         """Gets each answer."""
 
-    def route(self, database: str, tenant: str) -> tuple[Route, Work] | Answer:
+    def route(self, database: str, tenant: str) -> tuple[Route, StatementExecutor] | Answer:
         """Return the route in force for a database and where a tenant's work is done."""
 
     def idle_transaction_seconds(self) -> float:
@@ -111,8 +115,8 @@
         self.on_denied: Callable[[], None] = lambda: None
         self.closed = False
         self._host = host
-        self._transaction: WorkInTransaction | None = None
-        self._operation: SingleStatement | WorkInTransaction | None = None
+        self._transaction: TransactionExecution | None = None
+        self._operation: AutocommitExecution | TransactionExecution | None = None
         self._respond: Respond | None = None
         self._statement: TypedStatement | None = None
         self._abort_reason = ""
@@ -263,7 +267,7 @@
         if not self._may_begin():
             return
         route, work = found
-        operation = work.single(route, self.values, is_write(statement, self.values))
+        operation = work.autocommit(route, self.values, is_write(statement, self.values))
         self._operation = operation
         operation.start(statement, self._single_answered)
 
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -1,6 +1,6 @@
 """An autocommit read: a floor, then any member whose log holds it.
 
-For :class:`rowanrail.gateway.work.local.LocalWork`. Owns the members that are excluded and how
+For :class:`rowanrail.gateway.work.local.LocalExecutor`. Owns the members that are excluded and how
 often the read failed. Relies on :mod:`rowanrail.gateway.work.attempts` for what follows a refusal;
 a read changes nothing, so that it may run anywhere, again and again.
 """
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -1,14 +1,14 @@
 """An autocommit write, at the primary; what may have run is never sent again.
 
-For :class:`rowanrail.gateway.work.local.LocalWork`. Owns nothing beyond the statement. Relies on
-:mod:`rowanrail.gateway.work.attempts` for which refusals mean that nothing ran.
+For :class:`rowanrail.gateway.work.local.LocalExecutor`. Owns nothing beyond the statement.
+Relies on :mod:`rowanrail.gateway.work.attempts` for which refusals mean that nothing ran.
 """
 
 from rowanrail.gateway.work.attempts import Sent, WriteStep, step_after_write, unanswered
 from rowanrail.gateway.work.commands import commands_for
 from rowanrail.gateway.work.freshness import note_commit
 from rowanrail.gateway.work.operation import Operation
-from rowanrail.gateway.work.ports import Work
+from rowanrail.gateway.work.ports import StatementExecutor
 from rowanrail.gateway.work.refusals import LATE, busy
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
@@ -26,7 +26,7 @@
     def _find_primary(self) -> None:
         self.acquire_primary(self._find_primary, self._with_channel)
 
-    def move_to(self, work: Work | None) -> bool:
+    def move_to(self, work: StatementExecutor | None) -> bool:
         """See :meth:`Operation.move_to`."""
         return self._hand_to(work, self.statement, writes=True)
 
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -8,15 +8,15 @@
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
 from rowanrail.gateway.work.autocommit_read import AutocommitRead
 from rowanrail.gateway.work.autocommit_write import AutocommitWrite
-from rowanrail.gateway.work.ports import NO_OTHERS, OtherGateways, SingleStatement
+from rowanrail.gateway.work.ports import NO_OTHERS, AutocommitExecution, OtherGateways
 from rowanrail.gateway.work.transaction import Transaction
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.model.routing import Route
 
-__all__ = ["LocalWork"]
+__all__ = ["LocalExecutor"]
 
 
-class LocalWork:
+class LocalExecutor:
     """Statements of one service on this gateway's own connections.
 
     Parameters
@@ -45,21 +45,21 @@
         self._clock = clock
         self._others = others
 
-    def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
-        """See :meth:`Work.single`."""
+    def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
+        """See :meth:`StatementExecutor.autocommit`."""
         kind = AutocommitWrite if writes else AutocommitRead
         return kind(self._service, route, session, self._names, self._clock, self._others)
 
     def transaction(self, route: Route, session: SessionValues, read_only: bool) -> Transaction:
-        """See :meth:`Work.transaction`."""
+        """See :meth:`StatementExecutor.transaction`."""
         return Transaction(
             self._service, route, session, self._names, self._clock, self._others, read_only
         )
 
-    def doubts(self) -> dict[str, int]:
+    def reduced_weights(self) -> dict[str, int]:
         """Return the members that lost weight here, and how much is left, in hundredths."""
         return self._service.estimates.weights.reduced()
 
-    def note_doubts(self, doubts: dict[str, int]) -> None:
+    def note_reported_weights(self, doubts: dict[str, int]) -> None:
         """Take the members that lost weight at another gateway, and how much is left there."""
         self._service.estimates.weights.note_reported(doubts)
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -16,10 +16,10 @@
 from rowanrail.gateway.work.connected import ConnectedStatement, Stage
 from rowanrail.gateway.work.ports import (
     NO_OTHERS,
+    AutocommitExecution,
     OtherGateways,
-    SingleStatement,
-    Work,
-    WorkInTransaction,
+    StatementExecutor,
+    TransactionExecution,
 )
 from rowanrail.gateway.work.refusals import PRIMARY_RETRY_AFTER_MS, busy, primary_trouble
 from rowanrail.kernel.clock import Scheduler
@@ -60,7 +60,7 @@
         self.others = others
         self.attempts = 0
         self.floor: Position | None = None  # what a member's log must hold
-        self.remote: SingleStatement | WorkInTransaction | None = None
+        self.remote: AutocommitExecution | TransactionExecution | None = None
         service.used_at = clock.time()
 
     def trace(self) -> Trace:
@@ -123,10 +123,12 @@
         holder = self.others.find_remote_holder(self.tenant, instance)
         return self._hand_to(holder, statement, writes)
 
-    def _hand_to(self, work: Work | None, statement: TypedStatement, writes: bool) -> bool:
+    def _hand_to(
+        self, work: StatementExecutor | None, statement: TypedStatement, writes: bool
+    ) -> bool:
         if work is None:
             return False
-        remote = work.single(self.route_left(), self.session, writes)
+        remote = work.autocommit(self.route_left(), self.session, writes)
         self.remote = remote
         self.stop_timers()
         remote.start(statement, self.finish)
@@ -160,7 +162,7 @@
         else:
             self.acquire(pool, take)
 
-    def move_to(self, work: Work | None) -> bool:
+    def move_to(self, work: StatementExecutor | None) -> bool:
         """Have another gateway run what writes, if one is named; return whether it does."""
         raise NotImplementedError
 
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -1,7 +1,7 @@
 """Ports of work: where statements of a service run, whichever gateway that is at.
 
 For sessions, which don't know whether a statement runs here or at another gateway. Owns the
-protocols; :class:`rowanrail.gateway.work.local.LocalWork` and
+protocols; :class:`rowanrail.gateway.work.local.LocalExecutor` and
 :class:`rowanrail.gateway.relay.forwarding.ForwardedWork` keep them.
 """
 
@@ -15,7 +15,13 @@
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
 
-__all__ = ["NO_OTHERS", "OtherGateways", "SingleStatement", "Work", "WorkInTransaction"]
+__all__ = [
+    "NO_OTHERS",
+    "OtherGateways",
+    "AutocommitExecution",
+    "StatementExecutor",
+    "TransactionExecution",
+]
 
 
 class _Traced(Protocol):
@@ -28,14 +34,14 @@
         """Give the statement's answer, once."""
 
 
-class SingleStatement(_Traced, Protocol):
+class AutocommitExecution(_Traced, Protocol):
     """A read or write on its own."""
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
         """Begin; ``respond`` gets the answer once."""
 
 
-class WorkInTransaction(_Traced, Protocol):
+class TransactionExecution(_Traced, Protocol):
     """A transaction, from its first statement to its end."""
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
@@ -45,15 +51,15 @@
         """Roll back, if it is open."""
 
 
-class Work(Protocol):
+class StatementExecutor(Protocol):
     """Where statements of one service run."""
 
-    def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
+    def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
         """Return the work for one read or write."""
 
     def transaction(
         self, route: Route, session: SessionValues, read_only: bool
-    ) -> WorkInTransaction:
+    ) -> TransactionExecution:
         """Return the work for a transaction."""
 
 
@@ -78,8 +84,8 @@
         that holds the tenant's connections to that member, None if the member is in this region.
     """
 
-    find_detour: Callable[[], Work | None] = _no_detour
-    find_remote_holder: Callable[[str, str], Work | None] = _no_remote_holder
+    find_detour: Callable[[], StatementExecutor | None] = _no_detour
+    find_remote_holder: Callable[[str, str], StatementExecutor | None] = _no_remote_holder
 
 
 NO_OTHERS = OtherGateways()
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -1,8 +1,8 @@
 """A transaction: one connection from its first statement to its end.
 
-For :class:`rowanrail.gateway.work.local.LocalWork`. Owns whether it has begun, written and failed,
-and who runs it if another gateway does. Relies on the member, which keeps nothing of a transaction
-without its commit.
+For :class:`rowanrail.gateway.work.local.LocalExecutor`. Owns whether it has begun, written and
+failed, and who runs it if another gateway does. Relies on the member, which keeps nothing of a
+transaction without its commit.
 """
 
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.freshness import note_commit, oldest_sample, prefetch
 from rowanrail.gateway.work.operation import Operation
-from rowanrail.gateway.work.ports import OtherGateways, Work, WorkInTransaction
+from rowanrail.gateway.work.ports import OtherGateways, StatementExecutor, TransactionExecution
 from rowanrail.gateway.work.refusals import LATE, busy
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, Respond
@@ -68,7 +68,7 @@
         self._excluded: set[str] = set()
         self._busy_retries = 0
         self._reclaimed_for = ""
-        self._moved: WorkInTransaction | None = None
+        self._moved: TransactionExecution | None = None
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
         """Run a read, a write or the commit."""
@@ -143,7 +143,7 @@
         self.acquire(pool, self._with_channel)
         self.limit_opening()
 
-    def move_to(self, work: Work | None) -> bool:
+    def move_to(self, work: StatementExecutor | None) -> bool:
         """Have another gateway run the transaction from its first statement, if one is named."""
         respond = self.respond
         if work is None or respond is None:
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -214,7 +214,7 @@
         local = helper.gateway.local_work("db", is_detour=True)
         session = helper.client("orders").session
         answers = []
-        single = local.single(routes()["orders"], session.values, True)
+        single = local.autocommit(routes()["orders"], session.values, True)
         single.start(statement("q1", "WRITE a 1"), answers.append)
         pool = helper.gateway.services["db"].pools["m1"]
         self.assertEqual([channel.tenant for channel in pool.connections.idle], ["a"])
