--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -171,7 +171,7 @@
     ),
     CauseRule(
         "its outcome is unknown",
-        f"{_WORK}.attempts.unanswered",
+        f"{_WORK}.attempts.refusal_without_answer",
         lambda known: known.outcome == Refusal.OUTCOME_UNKNOWN.value,
         lambda known: (
             f"it was sent to {known.member} and its answer did not come ({known.reason})"
@@ -200,7 +200,7 @@
     ),
     CauseRule(
         "the primary was lost",
-        f"{_WORK}.refusals.primary_trouble",
+        f"{_WORK}.refusals.primary_unavailable_reason",
         lambda known: bool(known.lost),
         lambda known: f"it could not run{known.lost}",
     ),
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -29,10 +29,10 @@
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
 from rowanrail.gateway.relay.terms import Outgoing, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.local import LocalExecutor
-from rowanrail.gateway.work.refusals import busy, rejection
+from rowanrail.gateway.work.refusals import busy_answer, rejection_record
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
@@ -136,7 +136,7 @@
         self._timer = self._work.clock.call_in(timeout, self._timed_out)
 
     @property
-    def _kind(self) -> Sent:
+    def _kind(self) -> SentRequest:
         """What the statement is, for the rules."""
         raise NotImplementedError
 
@@ -254,10 +254,10 @@
         """Answer that nothing ran, and when to retry: no holder was found in time."""
         retry_after = self._work.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
         unknown = Forecast(0.0, 0.0)
-        self._rejection = rejection(
+        self._rejection = rejection_record(
             RejectionCause.NO_PLACE, unknown, self._left, self._route.priority, retry_after
         )
-        self._finish(busy(reason, retry_after))
+        self._finish(busy_answer(reason, retry_after))
 
     def finish(self, answer: Answer) -> None:
         """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.finish`."""
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -18,9 +18,9 @@
 from rowanrail.gateway.relay.link import Counted, Link, Lost, NotRun, Outcome, Replied, Sampled
 from rowanrail.gateway.relay.messages import End
 from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
-from rowanrail.gateway.work.refusals import LATE
+from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, StatementKind, TypedStatement
@@ -65,8 +65,8 @@
         return super().trace() if self._here is None else self._here.trace()
 
     @property
-    def _kind(self) -> Sent:
-        return Sent.WRITE if self._writes else Sent.READ
+    def _kind(self) -> SentRequest:
+        return SentRequest.WRITE if self._writes else SentRequest.READ
 
     def _run_at(self, link: Link) -> None:
         if not self._is_rejected(link, self._writes):
@@ -95,7 +95,7 @@
                 pass  # neither was asked for here
 
     def _timed_out(self) -> None:
-        self._follow(after_timeout(self._kind, is_owed=self._call > 0), LATE)
+        self._follow(after_timeout(self._kind, is_owed=self._call > 0), NO_ANSWER_MESSAGE)
 
     def finish(self, answer: Answer) -> None:
         """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.finish`."""
@@ -149,8 +149,8 @@
         self._here.run(statement, respond)
 
     @property
-    def _kind(self) -> Sent:
-        return Sent.COMMIT if self._commits and self._wrote else Sent.IN_TRANSACTION
+    def _kind(self) -> SentRequest:
+        return SentRequest.COMMIT if self._commits and self._wrote else SentRequest.IN_TRANSACTION
 
     @property
     def _commits(self) -> bool:
@@ -176,7 +176,7 @@
                 pass  # neither was asked for here
 
     def _timed_out(self) -> None:
-        self._follow(after_timeout(self._kind, is_owed=self._call > 0), LATE)
+        self._follow(after_timeout(self._kind, is_owed=self._call > 0), NO_ANSWER_MESSAGE)
         self.end()
 
     def end(self) -> None:
--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.work.attempts import Sent, unanswered
-from rowanrail.gateway.work.refusals import DEFER_SHARE
+from rowanrail.gateway.work.attempts import SentRequest, refusal_without_answer
+from rowanrail.gateway.work.refusals import DEFERRAL_FRACTION
 from rowanrail.model.statements import Refusal
 
 __all__ = [
@@ -69,15 +69,15 @@
 Verdict = PlaceNow | PlaceLater | RejectNotRun | Refuse | LostAtHolder
 
 
-def may_be_kept(sent: Sent) -> bool:
+def may_be_kept(sent: SentRequest) -> bool:
     """Return whether the database may have kept something if the statement ran.
 
     Examples
     --------
-    >>> [sent.value for sent in Sent if may_be_kept(sent)]
+    >>> [sent.value for sent in SentRequest if may_be_kept(sent)]
     ['write', 'commit']
     """
-    return sent is Sent.WRITE or sent is Sent.COMMIT
+    return sent is SentRequest.WRITE or sent is SentRequest.COMMIT
 
 
 def after_not_served(has_run: bool) -> PlaceLater | Refuse:
@@ -98,38 +98,38 @@
     return Refuse(Refusal.ABORTED) if has_run else PlaceLater()
 
 
-def after_loss(sent: Sent) -> PlaceNow | LostAtHolder:
+def after_loss(sent: SentRequest) -> PlaceNow | LostAtHolder:
     """Return what follows where the link was lost while an answer was owed.
 
     Examples
     --------
-    >>> after_loss(Sent.READ), after_loss(Sent.WRITE)
+    >>> after_loss(SentRequest.READ), after_loss(SentRequest.WRITE)
     (PlaceNow(), LostAtHolder(may_be_kept=True))
     """
-    return PlaceNow() if sent is Sent.READ else LostAtHolder(may_be_kept(sent))
+    return PlaceNow() if sent is SentRequest.READ else LostAtHolder(may_be_kept(sent))
 
 
-def after_timeout(sent: Sent, is_owed: bool) -> RejectNotRun | Refuse | LostAtHolder:
+def after_timeout(sent: SentRequest, is_owed: bool) -> RejectNotRun | Refuse | LostAtHolder:
     """Return what follows at the end of a statement's time.
 
     Parameters
     ----------
-    sent : Sent
+    sent : SentRequest
         What the statement is.
     is_owed : bool
         Whether a holder has it and owes an answer; if not, nothing ran.
 
     Examples
     --------
-    >>> after_timeout(Sent.WRITE, is_owed=True)
+    >>> after_timeout(SentRequest.WRITE, is_owed=True)
     Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
     """
     if not is_owed:
         return RejectNotRun()
     match sent:
-        case Sent.READ | Sent.WRITE:
-            return Refuse(unanswered(sent))
-        case Sent.IN_TRANSACTION | Sent.COMMIT:
+        case SentRequest.READ | SentRequest.WRITE:
+            return Refuse(refusal_without_answer(sent))
+        case SentRequest.IN_TRANSACTION | SentRequest.COMMIT:
             return LostAtHolder(may_be_kept(sent))
 
 
@@ -151,6 +151,6 @@
     >>> without_holder(1100.0, 1000.0, objective=200.0), without_holder(1131.0, 1000.0, 200.0)
     (PlaceLater(), RejectNotRun())
     """
-    if now + PLACE_RETRY_MS > began + DEFER_SHARE * objective:
+    if now + PLACE_RETRY_MS > began + DEFERRAL_FRACTION * objective:
         return RejectNotRun()
     return PlaceLater()
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.work.refusals import busy, rejection
+from rowanrail.gateway.work.refusals import busy_answer, rejection_record
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
@@ -123,8 +123,10 @@
         else:
             reason = f"{request.peer} is crowded for {assumed.wait:.0f} ms"
         return RejectedBySender(
-            busy(reason, retry_after),
-            rejection(verdict.cause, forecast, request.time_left, request.urgency, retry_after),
+            busy_answer(reason, retry_after),
+            rejection_record(
+                verdict.cause, forecast, request.time_left, request.urgency, retry_after
+            ),
         )
 
     def retry_after(self, base: float) -> float:
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -10,7 +10,7 @@
 from rowanrail.gateway.events import KEY_UNKNOWN, KEY_WITHDRAWN, OVER_QUOTA, ROUTE_MISSING
 from rowanrail.gateway.policies import KeyCheck
 from rowanrail.gateway.sessions.session import Session
-from rowanrail.gateway.work.refusals import busy, limit_retry_after_ms
+from rowanrail.gateway.work.refusals import busy_answer, limit_retry_after_ms
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.routing import RoutingConfiguration
@@ -169,7 +169,7 @@
             return_in=round(retry_after_ms),
         )
         self._note_rejection(session, RejectionCause.TENANT_LIMIT.value, urgency, retry_after_ms)
-        return busy("the tenant is at its limit", retry_after_ms)
+        return busy_answer("the tenant is at its limit", retry_after_ms)
 
     def _urgency(self, session: Session) -> int:
         known = self._configuration
--- a/src/rowanrail/gateway/work/attempts.py
+++ b/src/rowanrail/gateway/work/attempts.py
@@ -22,17 +22,17 @@
     "READ_ATTEMPT_SHARE",
     "ReadStep",
     "MEMBER_RETRY_SECONDS",
-    "Sent",
+    "SentRequest",
     "WriteStep",
     "answer_limit_seconds",
     "busy_pause_seconds",
     "has_attempts_left",
     "is_prompt",
     "may_retry_in_transaction",
-    "refusal_of_lost",
+    "client_refusal",
     "step_after_read",
     "step_after_write",
-    "unanswered",
+    "refusal_without_answer",
 ]
 
 # Of the objective: a read goes elsewhere rather than wait for longer, which leaves as much for its
@@ -78,7 +78,7 @@
     UNKNOWN = "unknown"  # it may have run: it is never sent again
 
 
-class Sent(enum.Enum):
+class SentRequest(enum.Enum):
     """What was sent to a member, by what its client may do if no answer comes."""
 
     READ = "read"  # on its own: runs anywhere, again and again
@@ -217,33 +217,35 @@
     return MEMBER_RETRY_SECONDS * retries
 
 
-def unanswered(sent: Sent) -> Refusal:
+def refusal_without_answer(sent: SentRequest) -> Refusal:
     """Return what the client is told of a statement whose answer did not come in time.
 
     Examples
     --------
-    >>> unanswered(Sent.COMMIT).value, unanswered(Sent.IN_TRANSACTION).value
-    ('outcome-unknown', 'aborted')
+    >>> refusal_without_answer(SentRequest.COMMIT).value
+    'outcome-unknown'
+    >>> refusal_without_answer(SentRequest.IN_TRANSACTION).value
+    'aborted'
     """
     match sent:
-        case Sent.READ:
+        case SentRequest.READ:
             return Refusal.TIMEOUT
-        case Sent.IN_TRANSACTION:
+        case SentRequest.IN_TRANSACTION:
             return Refusal.ABORTED
-        case Sent.WRITE | Sent.COMMIT:
+        case SentRequest.WRITE | SentRequest.COMMIT:
             return Refusal.OUTCOME_UNKNOWN
 
 
-def refusal_of_lost(refusal: Refusal, sent: Sent) -> Refusal:
+def client_refusal(refusal: Refusal, sent: SentRequest) -> Refusal:
     """Return what the client is told of a member's refusal, if the connection may be what was lost.
 
     Other refusals are passed on as they are.
 
     Examples
     --------
-    >>> refusal_of_lost(Refusal.LOST, Sent.IN_TRANSACTION).value
+    >>> client_refusal(Refusal.LOST, SentRequest.IN_TRANSACTION).value
     'aborted'
-    >>> refusal_of_lost(Refusal.NOT_PRIMARY, Sent.IN_TRANSACTION).value
+    >>> client_refusal(Refusal.NOT_PRIMARY, SentRequest.IN_TRANSACTION).value
     'not-primary'
     """
-    return unanswered(sent) if refusal is Refusal.LOST else refusal
+    return refusal_without_answer(sent) if refusal is Refusal.LOST else refusal
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -10,16 +10,16 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.work.attempts import (
     ReadStep,
-    Sent,
+    SentRequest,
     has_attempts_left,
+    refusal_without_answer,
     step_after_read,
-    unanswered,
 )
 from rowanrail.gateway.work.commands import commands_for
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.freshness import oldest_sample, prefetch
 from rowanrail.gateway.work.operation import Operation
-from rowanrail.gateway.work.refusals import LATE, PRIMARY_RETRY_AFTER_MS, busy
+from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE, PRIMARY_RETRY_AFTER_MS, busy_answer
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency
@@ -93,7 +93,7 @@
                 return
             self.excluded.clear()
             self.attempts = 0
-            self.retry_later(self._need_floor, busy("no member can serve the read"))
+            self.retry_later(self._need_floor, busy_answer("no member can serve the read"))
             return
         roomy = self.prompt_or_roomier(pool, self.excluded)
         if roomy is None:
@@ -190,7 +190,9 @@
         """See :meth:`Operation.on_timeout`. A read that was sent may still run."""
         self.service.primary.forget(self._with_floor)
         if self.channel is None:
-            self.refuse_unplaced(busy(LATE))
+            self.refuse_unplaced(busy_answer(NO_ANSWER_MESSAGE))
             return
-        self.finish(Answer(refusal=unanswered(Sent.READ), message=LATE))
+        self.finish(
+            Answer(refusal=refusal_without_answer(SentRequest.READ), message=NO_ANSWER_MESSAGE)
+        )
         self.discard()
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -4,12 +4,17 @@
 Relies on :mod:`rowanrail.gateway.work.attempts` for which refusals mean that nothing ran.
 """
 
-from rowanrail.gateway.work.attempts import Sent, WriteStep, step_after_write, unanswered
+from rowanrail.gateway.work.attempts import (
+    SentRequest,
+    WriteStep,
+    refusal_without_answer,
+    step_after_write,
+)
 from rowanrail.gateway.work.commands import commands_for
 from rowanrail.gateway.work.freshness import note_commit
 from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.ports import StatementExecutor
-from rowanrail.gateway.work.refusals import LATE, busy
+from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE, busy_answer
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 
@@ -33,7 +38,7 @@
     def _with_channel(self, channel: Channel | None, answer: Answer) -> None:
         if channel is None:
             self.service.primary.note_refused_connection(answer)
-            self.retry_later(self._find_primary, busy(answer.message))
+            self.retry_later(self._find_primary, busy_answer(answer.message))
             return
         commands = self.service.policies.state_replay.commands(channel, self.session)
         commands += commands_for(self.statement, None, channel, self.session, self.names)
@@ -67,13 +72,15 @@
             case WriteStep.RETRY:
                 self.retry_later(self._find_primary, answer)
             case WriteStep.UNKNOWN:
-                refusal = unanswered(Sent.WRITE)
+                refusal = refusal_without_answer(SentRequest.WRITE)
                 self.finish(Answer(refusal=refusal, message="the connection was lost"))
 
     def on_timeout(self) -> None:
         """See :meth:`Operation.on_timeout`."""
         if self.channel is None:
-            self.refuse_unplaced(busy(LATE))
+            self.refuse_unplaced(busy_answer(NO_ANSWER_MESSAGE))
             return
-        self.finish(Answer(refusal=unanswered(Sent.WRITE), message=LATE))
+        self.finish(
+            Answer(refusal=refusal_without_answer(SentRequest.WRITE), message=NO_ANSWER_MESSAGE)
+        )
         self.discard()
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -21,7 +21,11 @@
     StatementExecutor,
     TransactionExecution,
 )
-from rowanrail.gateway.work.refusals import PRIMARY_RETRY_AFTER_MS, busy, primary_trouble
+from rowanrail.gateway.work.refusals import (
+    PRIMARY_RETRY_AFTER_MS,
+    busy_answer,
+    primary_unavailable_reason,
+)
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import Position
@@ -89,7 +93,7 @@
     def on_deferral_over(self) -> None:
         """Reject what could not run so far if the primary is lost, or has no connection left."""
         tracker = self.service.primary
-        trouble = primary_trouble(tracker.failing_since, tracker.is_crowded)
+        trouble = primary_unavailable_reason(tracker.failing_since, tracker.is_crowded)
         if self.channel is not None or not trouble:
             return
         tracker.forget(self.floor_callback())
@@ -156,7 +160,7 @@
             return
         if pool is None or pool.is_failing:
             tracker.request_sample()
-            self.retry_later(again, busy("no primary is known"))
+            self.retry_later(again, busy_answer("no primary is known"))
         elif not self.may_wait_at(pool):
             self.reject_crowded(pool)
         else:
@@ -176,7 +180,7 @@
         if not tracker.is_long_lost:
             return False
         seconds = self.clock.time() - tracker.failing_since
-        self.finish(busy(f"the primary has been lost for {seconds:.1f} s; retry elsewhere"))
+        self.finish(busy_answer(f"the primary has been lost for {seconds:.1f} s; retry elsewhere"))
         return True
 
     # Admission
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -13,27 +13,27 @@
 from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS, spread
 
 __all__ = [
-    "DEFER_SHARE",
-    "LATE",
+    "DEFERRAL_FRACTION",
+    "NO_ANSWER_MESSAGE",
     "LIMIT_RETRY_AFTER_MS",
     "LIMIT_SPREAD_FACTOR",
     "PRIMARY_RETRY_AFTER_MS",
     "SHORTEST_LEFT_SECONDS",
-    "busy",
+    "busy_answer",
     "defer_seconds",
-    "judge_unplaced",
+    "rejection_of_deferred",
     "left_seconds",
     "limit_retry_after_ms",
     "may_defer",
-    "primary_trouble",
-    "rejection",
+    "primary_unavailable_reason",
+    "rejection_record",
     "shortest_retry_after_ms",
 ]
 
 # Of the objective: how long a statement waits for a primary, since until then a successor may
 # still serve it in time. With 0.24 in place of 0.7 callers got less on five of eight days with a
 # lost primary, the same on three (one run each).
-DEFER_SHARE = 0.7
+DEFERRAL_FRACTION = 0.7
 # Milliseconds, told to clients while a primary is lost: about what is left of finding and
 # promoting a successor after they were deferred.
 PRIMARY_RETRY_AFTER_MS = 1000.0
@@ -45,7 +45,7 @@
 # Seconds that a statement is left at the least when it is handed on: one that is out of time still
 # gets its answer.
 SHORTEST_LEFT_SECONDS = 0.001
-LATE = "no answer in time"
+NO_ANSWER_MESSAGE = "no answer in time"
 
 _NO_PRIMARY = Reject(RejectionCause.NO_PRIMARY, PRIMARY_RETRY_AFTER_MS)
 _NO_PLACE = Reject(RejectionCause.NO_PLACE, 0.0)
@@ -59,7 +59,7 @@
     >>> defer_seconds(objective_seconds=0.5)
     0.35
     """
-    return DEFER_SHARE * objective_seconds
+    return DEFERRAL_FRACTION * objective_seconds
 
 
 def may_defer(now_seconds: float, defer_until_seconds: float) -> bool:
@@ -67,7 +67,7 @@
     return now_seconds + MEMBER_RETRY_SECONDS <= defer_until_seconds
 
 
-def primary_trouble(failing_since_seconds: float, is_crowded: bool) -> str:
+def primary_unavailable_reason(failing_since_seconds: float, is_crowded: bool) -> str:
     """Return why a deferred statement is rejected for its primary, empty if it may wait on.
 
     Parameters
@@ -82,7 +82,7 @@
     return "the primary has no connection left" if is_crowded else ""
 
 
-def judge_unplaced(refusal: Refusal | None, has_primary: bool) -> Reject | None:
+def rejection_of_deferred(refusal: Refusal | None, has_primary: bool) -> Reject | None:
     """Return the rejection of a statement that no member took while it could be deferred.
 
     None passes the refusal on as it is: it says more than that there was no room.
@@ -97,9 +97,9 @@
 
     Examples
     --------
-    >>> judge_unplaced(Refusal.BUSY, has_primary=False)
+    >>> rejection_of_deferred(Refusal.BUSY, has_primary=False)
     Reject(cause=<RejectionCause.NO_PRIMARY: 'no-primary'>, retry_after_ms=1000.0)
-    >>> judge_unplaced(Refusal.ABORTED, has_primary=False)
+    >>> rejection_of_deferred(Refusal.ABORTED, has_primary=False)
     """
     if refusal is not Refusal.BUSY:
         return None
@@ -133,7 +133,7 @@
     return max(SHORTEST_LEFT_SECONDS, whole_seconds - waited_seconds)
 
 
-def busy(message: str, retry_after_ms: float | None = None) -> Answer:
+def busy_answer(message: str, retry_after_ms: float | None = None) -> Answer:
     """Return the refusal of a statement that was not run for want of room.
 
     Parameters
@@ -143,7 +143,7 @@
 
     Examples
     --------
-    >>> busy("m1 is crowded for 900 ms", 350).message
+    >>> busy_answer("m1 is crowded for 900 ms", 350).message
     'm1 is crowded for 900 ms; retry in 0.35 s'
     """
     if retry_after_ms is not None:
@@ -151,7 +151,7 @@
     return Answer(refusal=Refusal.BUSY, message=message)
 
 
-def rejection(
+def rejection_record(
     cause: RejectionCause, forecast: Forecast, left_ms: float, urgency: int, retry_after_ms: float
 ) -> Rejection:
     """Return what is logged of a statement that is rejected; times in milliseconds."""
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -13,12 +13,12 @@
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
 from rowanrail.gateway.work.refusals import (
-    busy,
+    busy_answer,
     defer_seconds,
-    judge_unplaced,
     left_seconds,
     may_defer,
-    rejection,
+    rejection_of_deferred,
+    rejection_record,
     shortest_retry_after_ms,
 )
 from rowanrail.kernel.clock import Scheduler, Timer
@@ -123,7 +123,7 @@
         """Refuse what no member took; as busy it is rejected, with its Retry-After."""
         tracker = self.service.primary
         has_primary = bool(tracker.believed) and not tracker.failing_since
-        verdict = judge_unplaced(answer.refusal, has_primary)
+        verdict = rejection_of_deferred(answer.refusal, has_primary)
         if verdict is None:
             self.finish(answer)
         else:
@@ -147,8 +147,8 @@
         retry_after = self.service.retry_times.next(
             shortest_retry_after_ms(base_ms), forecast.interval, (cause, urgency)
         )
-        self.rejection = rejection(cause, forecast, self.time_left_ms, urgency, retry_after)
-        self.finish(busy(reason, retry_after))
+        self.rejection = rejection_record(cause, forecast, self.time_left_ms, urgency, retry_after)
+        self.finish(busy_answer(reason, retry_after))
 
     def stop_timers(self) -> None:
         """Forget the statement's time: it has its answer, or another gateway runs it."""
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -16,18 +16,18 @@
     replay_in_transaction,
 )
 from rowanrail.gateway.work.attempts import (
-    Sent,
+    SentRequest,
     busy_pause_seconds,
+    client_refusal,
     may_retry_in_transaction,
-    refusal_of_lost,
-    unanswered,
+    refusal_without_answer,
 )
 from rowanrail.gateway.work.commands import commands_for
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.freshness import note_commit, oldest_sample, prefetch
 from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.ports import OtherGateways, StatementExecutor, TransactionExecution
-from rowanrail.gateway.work.refusals import LATE, busy
+from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE, busy_answer
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, Respond
 from rowanrail.model.position import ORIGIN, Position
@@ -98,10 +98,10 @@
         return self.route.name if self.read_only else f"{self.route.name} transactions"
 
     @property
-    def _sent(self) -> Sent:
+    def _sent(self) -> SentRequest:
         """What was sent last; it decides what the client is told if the answer is lost."""
         commits = self.statement.kind is StatementKind.COMMIT and self.wrote
-        return Sent.COMMIT if commits else Sent.IN_TRANSACTION
+        return SentRequest.COMMIT if commits else SentRequest.IN_TRANSACTION
 
     def floor_callback(self) -> Callable[[Position | None], None] | None:
         """See :meth:`Operation.floor_callback`."""
@@ -131,7 +131,7 @@
         pool = self.service.choose(self._excluded, self.wanted())
         if position is None or pool is None:
             self._excluded.clear()
-            self.retry_later(self._begin, busy("no member can serve the transaction"))
+            self.retry_later(self._begin, busy_answer("no member can serve the transaction"))
             return
         roomy = self.prompt_or_roomier(pool, self._excluded)
         if roomy is None:
@@ -167,7 +167,7 @@
                 self._exclude_member()
             else:
                 self.service.primary.note_refused_connection(answer)
-            self.retry_later(self._begin, busy(answer.message))
+            self.retry_later(self._begin, busy_answer(answer.message))
             return
         kind = CommandKind.BEGIN_READ if self.read_only else CommandKind.BEGIN
         commands = self.service.policies.state_replay.commands(channel, self.session)
@@ -218,7 +218,7 @@
             self.service.primary.note_not_primary(instance)
         else:
             self._excluded.add(instance)
-        answer = _for_client(answer, Sent.IN_TRANSACTION)
+        answer = _for_client(answer, SentRequest.IN_TRANSACTION)
         if answer.refusal is Refusal.BEHIND and instance == self.service.primary.believed:
             self._begun_at = self.clock.time()
         self.retry_later(self._begin, answer)
@@ -282,7 +282,7 @@
             self.pool.note_error()
         self.failed = True
         self.end()
-        self.finish(_for_client(answer, Sent.IN_TRANSACTION))
+        self.finish(_for_client(answer, SentRequest.IN_TRANSACTION))
 
     def _commit_answered(self, answer: Answer) -> None:
         assert self.pool is not None
@@ -344,16 +344,16 @@
         self.service.primary.forget(self._with_floor)
         self.failed = True
         if self.channel is None:
-            self.refuse_unplaced(busy(LATE))
+            self.refuse_unplaced(busy_answer(NO_ANSWER_MESSAGE))
             return
-        self.finish(Answer(refusal=unanswered(self._sent), message=LATE))
+        self.finish(Answer(refusal=refusal_without_answer(self._sent), message=NO_ANSWER_MESSAGE))
         self.discard()
 
 
-def _for_client(answer: Answer, sent: Sent) -> Answer:
+def _for_client(answer: Answer, sent: SentRequest) -> Answer:
     """Return what the client is told of a member's refusal."""
     assert answer.refusal is not None
-    refusal = refusal_of_lost(answer.refusal, sent)
+    refusal = client_refusal(answer.refusal, sent)
     if refusal is answer.refusal:
         return answer
     return Answer(refusal=refusal, message=answer.message)
--- a/tests/gateway/test_statement_rules.py
+++ b/tests/gateway/test_statement_rules.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rowanrail.gateway.work import attempts, freshness, refusals
-from rowanrail.gateway.work.attempts import ReadStep, Sent, WriteStep
+from rowanrail.gateway.work.attempts import ReadStep, SentRequest, WriteStep
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import NOT_RUN, Refusal, SessionState
 from rowanrail.scheduling.admission import Forecast, RejectionCause
@@ -119,29 +119,31 @@
 
 class UnansweredTest(unittest.TestCase):
     def test_only_what_can_not_be_kept_is_called_not_run(self):
-        told = {sent: attempts.unanswered(sent) for sent in Sent}
+        told = {sent: attempts.refusal_without_answer(sent) for sent in SentRequest}
         self.assertEqual(
             told,
             {
-                Sent.READ: Refusal.TIMEOUT,
-                Sent.WRITE: Refusal.OUTCOME_UNKNOWN,
-                Sent.IN_TRANSACTION: Refusal.ABORTED,
-                Sent.COMMIT: Refusal.OUTCOME_UNKNOWN,
+                SentRequest.READ: Refusal.TIMEOUT,
+                SentRequest.WRITE: Refusal.OUTCOME_UNKNOWN,
+                SentRequest.IN_TRANSACTION: Refusal.ABORTED,
+                SentRequest.COMMIT: Refusal.OUTCOME_UNKNOWN,
             },
         )
-        for sent in (Sent.WRITE, Sent.COMMIT):
+        for sent in (SentRequest.WRITE, SentRequest.COMMIT):
             self.assertNotIn(told[sent], NOT_RUN)
 
     def test_a_lost_connection_is_told_as_no_answer(self):
-        for sent in Sent:
+        for sent in SentRequest:
             self.assertIs(
-                attempts.refusal_of_lost(Refusal.LOST, sent), attempts.unanswered(sent), sent
+                attempts.client_refusal(Refusal.LOST, sent),
+                attempts.refusal_without_answer(sent),
+                sent,
             )
 
     def test_other_refusals_are_passed_on(self):
         for refusal in set(Refusal) - {Refusal.LOST}:
-            for sent in Sent:
-                self.assertIs(attempts.refusal_of_lost(refusal, sent), refusal)
+            for sent in SentRequest:
+                self.assertIs(attempts.client_refusal(refusal, sent), refusal)
 
 
 class DeferTest(unittest.TestCase):
@@ -153,10 +155,10 @@
         self.assertFalse(refusals.may_defer(0.001, 0.02))
 
     def test_only_a_lost_or_full_primary_ends_it(self):
-        self.assertEqual(refusals.primary_trouble(0.0, False), "")
-        self.assertEqual(refusals.primary_trouble(12.5, True), "the primary is lost")
+        self.assertEqual(refusals.primary_unavailable_reason(0.0, False), "")
+        self.assertEqual(refusals.primary_unavailable_reason(12.5, True), "the primary is lost")
         full = "the primary has no connection left"
-        self.assertEqual(refusals.primary_trouble(0.0, True), full)
+        self.assertEqual(refusals.primary_unavailable_reason(0.0, True), full)
 
     def test_whoever_it_is_handed_on_to_has_some_time(self):
         self.assertEqual(refusals.left_seconds(0.5, 0.25), 0.25)
@@ -165,13 +167,13 @@
 
 class UnplacedTest(unittest.TestCase):
     def test_without_a_primary_clients_retry_when_a_successor_can_be_there(self):
-        verdict = refusals.judge_unplaced(Refusal.BUSY, has_primary=False)
+        verdict = refusals.rejection_of_deferred(Refusal.BUSY, has_primary=False)
         self.assertEqual(
             (verdict.cause, verdict.retry_after_ms), (RejectionCause.NO_PRIMARY, 1000.0)
         )
 
     def test_with_a_primary_they_retry_as_soon_as_may_be(self):
-        verdict = refusals.judge_unplaced(Refusal.BUSY, has_primary=True)
+        verdict = refusals.rejection_of_deferred(Refusal.BUSY, has_primary=True)
         self.assertEqual((verdict.cause, verdict.retry_after_ms), (RejectionCause.NO_PLACE, 0.0))
         shortest = refusals.shortest_retry_after_ms(verdict.retry_after_ms)
         self.assertEqual(shortest, SHORTEST_RETRY_AFTER_MS)
@@ -179,7 +181,7 @@
     def test_a_refusal_that_says_more_is_passed_on(self):
         for refusal in set(Refusal) - {Refusal.BUSY}:
             for has_primary in (True, False):
-                self.assertIsNone(refusals.judge_unplaced(refusal, has_primary))
+                self.assertIsNone(refusals.rejection_of_deferred(refusal, has_primary))
 
 
 class LimitTest(unittest.TestCase):
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -14,7 +14,7 @@
     after_timeout,
     without_holder,
 )
-from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.model.statements import Refusal
 
 
@@ -28,26 +28,26 @@
 
 class LossTest(unittest.TestCase):
     def test_only_a_read_on_its_own_runs_again(self):
-        again = [sent for sent in Sent if after_loss(sent) == PlaceNow()]
-        self.assertEqual(again, [Sent.READ])
+        again = [sent for sent in SentRequest if after_loss(sent) == PlaceNow()]
+        self.assertEqual(again, [SentRequest.READ])
 
     def test_a_write_and_a_commit_may_be_kept_and_nothing_else(self):
-        self.assertEqual(after_loss(Sent.WRITE), LostAtHolder(may_be_kept=True))
-        self.assertEqual(after_loss(Sent.COMMIT), LostAtHolder(may_be_kept=True))
-        self.assertEqual(after_loss(Sent.IN_TRANSACTION), LostAtHolder(may_be_kept=False))
+        self.assertEqual(after_loss(SentRequest.WRITE), LostAtHolder(may_be_kept=True))
+        self.assertEqual(after_loss(SentRequest.COMMIT), LostAtHolder(may_be_kept=True))
+        self.assertEqual(after_loss(SentRequest.IN_TRANSACTION), LostAtHolder(may_be_kept=False))
 
 
 class TimeoutTest(unittest.TestCase):
     def test_what_no_holder_has_is_rejected_as_not_run(self):
-        for sent in Sent:
+        for sent in SentRequest:
             self.assertEqual(after_timeout(sent, is_owed=False), RejectNotRun())
 
     def test_what_a_holder_has_is_promised_nothing_that_is_not_certain(self):
         for sent, verdict in (
-            (Sent.READ, Refuse(Refusal.TIMEOUT)),
-            (Sent.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
-            (Sent.IN_TRANSACTION, LostAtHolder(may_be_kept=False)),
-            (Sent.COMMIT, LostAtHolder(may_be_kept=True)),
+            (SentRequest.READ, Refuse(Refusal.TIMEOUT)),
+            (SentRequest.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
+            (SentRequest.IN_TRANSACTION, LostAtHolder(may_be_kept=False)),
+            (SentRequest.COMMIT, LostAtHolder(may_be_kept=True)),
         ):
             with self.subTest(sent):
                 self.assertEqual(after_timeout(sent, is_owed=True), verdict)
