--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -157,7 +157,7 @@
     ),
     CauseRule(
         "no route",
-        "rowanrail.gateway.sessions.access.Access.refuse_database",
+        "rowanrail.gateway.sessions.access.AccessControl.refuse_unknown_database",
         lambda known: known.outcome == Refusal.UNKNOWN_DATABASE.value,
         lambda known: _missing_route(known.statement, known.around),
     ),
--- a/src/rowanrail/gateway/discovery/control_follower.py
+++ b/src/rowanrail/gateway/discovery/control_follower.py
@@ -36,7 +36,7 @@
     PROVISIONAL_TAKEN,
 )
 from rowanrail.gateway.services.locality import Locality
-from rowanrail.gateway.sessions.access import Access
+from rowanrail.gateway.sessions.access import AccessControl
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import TransportError
 from rowanrail.model.routing import ConfigurationFormat, RoutingConfiguration
@@ -62,7 +62,7 @@
 class DirectoryHost(Protocol):
     """What takes the news: the gateway."""
 
-    access: Access
+    access: AccessControl
 
     def apply(self, configuration: RoutingConfiguration, corrects: bool = False) -> bool:
         """Put a configuration in force, see :meth:`rowanrail.gateway.gateway.Gateway.apply`."""
@@ -257,7 +257,7 @@
         if not reply.current:
             self._note_lost(address, "it does not hold what the leader has committed")
             return False
-        self._gateway.access.hear_control(address)
+        self._gateway.access.note_control_up_to_date(address)
         if self._is_lost:
             self._is_lost = False
             self._decisions.note(CONTROL_REGAINED, peer=address)
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -28,9 +28,9 @@
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.services.weight_lines import note_weight
 from rowanrail.gateway.session_values import PreparedNames
-from rowanrail.gateway.sessions.access import Access
-from rowanrail.gateway.sessions.outcomes import Outcomes
-from rowanrail.gateway.sessions.pending import PendingProof, PendingStart
+from rowanrail.gateway.sessions.access import AccessControl
+from rowanrail.gateway.sessions.outcomes import OutcomeRecorder
+from rowanrail.gateway.sessions.pending import PendingSample, PendingSessionStart
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.gateway.work.local import LocalExecutor
 from rowanrail.gateway.work.ports import StatementExecutor
@@ -85,10 +85,10 @@
         self._policies = GatewayPolicies.create(registry)
         self._timer: Timer | None = None
         self._ticks = 0
-        self._unconfigured: list[PendingStart] = []
+        self._unconfigured: list[PendingSessionStart] = []
         self._session_count = 0
-        self.access = Access(Clock(clock), decisions, self._policies.key_check, quota_terms)
-        self.outcomes = Outcomes(decisions, self.access)
+        self.access = AccessControl(Clock(clock), decisions, self._policies.key_check, quota_terms)
+        self.outcomes = OutcomeRecorder(decisions, self.access)
         self.holdings = Holdings(self, peers, decisions)
         self.outcomes.on_trace = self.holdings.note_own
         self._known = KnownDirectory(peers)
@@ -201,7 +201,7 @@
         if self.configuration is not None:
             proceed()
             return
-        waiting = PendingStart(proceed)
+        waiting = PendingSessionStart(proceed)
         self._unconfigured.append(waiting)
         self.clock.call_later(START_WAIT_SECONDS, waiting.run)
 
@@ -249,8 +249,8 @@
         if self.configuration is None:
             return Answer(refusal=Refusal.BUSY, message="no configuration yet; retry in 1 s")
         if database not in self.configuration.routes:
-            return self.access.refuse_database(database)
-        identity = self.access.open(database, key)
+            return self.access.refuse_unknown_database(database)
+        identity = self.access.authenticate(database, key)
         if identity is None:
             return Answer(refusal=Refusal.DENIED, message="no tenant holds this key")
         self._session_count += 1
@@ -270,11 +270,11 @@
     def route(self, database: str, tenant: str) -> tuple[Route, StatementExecutor] | Answer:
         """See :meth:`SessionHost.route`."""
         if self.configuration is None:
-            return self.access.refuse_database(database)
+            return self.access.refuse_unknown_database(database)
         route = self.configuration.routes.get(database)
         local = self.local_work(route.service) if route is not None else None
         if route is None or local is None:
-            return self.access.refuse_database(database)
+            return self.access.refuse_unknown_database(database)
         return route, self._router.work_for(self.services[route.service], tenant, local)
 
     def local_work(self, service: str, is_detour: bool = False) -> LocalExecutor | None:
@@ -291,9 +291,9 @@
         if known is None or known.primary.failing_since:
             give(None)
             return
-        proof = PendingProof(known.primary, self.clock.time(), give)
-        self.clock.call_later(PROVE_SECONDS, proof.give_up)
-        proof.ask()
+        proof = PendingSample(known.primary, self.clock.time(), give)
+        self.clock.call_later(PROVE_SECONDS, proof.expire)
+        proof.request()
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.load`."""
--- a/src/rowanrail/gateway/planned_stop.py
+++ b/src/rowanrail/gateway/planned_stop.py
@@ -69,7 +69,7 @@
     gateway.stopping = True
     holder.leave()
     await asyncio.sleep(LEAVE_SHARE * stop_seconds)
-    frontend.begin_closing()
+    frontend.drain()
     while True:
         passed = loop.time() - begun_at
         match stop_phase(passed, stop_seconds, _is_busy(frontend, holder)):
@@ -78,7 +78,7 @@
             case StopPhase.ABORTING:
                 gateway.abort_transactions()
                 holder.end_idle_transactions()
-                frontend.begin_closing()
+                frontend.drain()
         await asyncio.sleep(STOP_CHECK_SECONDS)
     frontend.close()
     gateway.close()
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -23,12 +23,12 @@
 from rowanrail.tenants.quota import QuotaGuard
 from rowanrail.tenants.terms import QuotaTerms
 
-__all__ = ["Access"]
+__all__ = ["AccessControl"]
 
 UNKNOWN_URGENCY = 1  # of a database whose route has gone
 
 
-class Access:
+class AccessControl:
     """Decides by the configuration in force, and logs what it refuses.
 
     Parameters
@@ -80,7 +80,7 @@
 
     # Routes
 
-    def hear_control(self, peer: str) -> None:
+    def note_control_up_to_date(self, peer: str) -> None:
         """Note that a control node said that it holds all that is committed."""
         self._followed = peer
         self._heard_at = self._clock.now
@@ -90,7 +90,7 @@
         """Milliseconds since a control node last said so, None before the first one did."""
         return None if self._heard_at is None else self._clock.now - self._heard_at
 
-    def refuse_database(self, database: str) -> Answer:
+    def refuse_unknown_database(self, database: str) -> Answer:
         """Return the refusal of a database that no route names, and log what it rests on."""
         age = self.control_age
         self._decisions.note(
@@ -104,7 +104,7 @@
 
     # Keys
 
-    def open(self, database: str, key: str) -> ClientIdentity | None:
+    def authenticate(self, database: str, key: str) -> ClientIdentity | None:
         """Return the identity of a client's key, None if it may open no session."""
         identity = self.identify(database, key_digest(key))
         if identity is None:
@@ -119,7 +119,7 @@
         route = known.routes.get(database)
         return known.tenants.identify(key, route is not None and route.takes_anybody)
 
-    def holds(self, database: str, identity: ClientIdentity) -> bool:
+    def is_key_valid(self, database: str, identity: ClientIdentity) -> bool:
         """Return whether a key is still the same tenant's as when its session opened."""
         return self._key_check.holds(identity, self.identify(database, identity.key))
 
@@ -127,7 +127,7 @@
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
         if version > self.version:
             return True  # it was checked against a newer configuration than the one here
-        return self.holds(database, identity)
+        return self.is_key_valid(database, identity)
 
     def deny_withdrawn(self, sessions: list[Session]) -> None:
         """End the sessions whose key is no longer what it was when they opened."""
@@ -135,7 +135,7 @@
         for session in sessions:
             if session.database not in routes:
                 continue  # its next statement learns that there is no route
-            if not self.holds(session.database, session.identity):
+            if not self.is_key_valid(session.database, session.identity):
                 self._decisions.note(
                     KEY_WITHDRAWN,
                     session=session.label,
--- a/src/rowanrail/gateway/sessions/frontend.py
+++ b/src/rowanrail/gateway/sessions/frontend.py
@@ -18,7 +18,7 @@
         """
 
     @abstractmethod
-    def begin_closing(self) -> None:
+    def drain(self) -> None:
         """Accept no more clients; close each session as soon as it is idle."""
 
     @abstractmethod
--- a/src/rowanrail/gateway/sessions/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -1,7 +1,7 @@
 """Where the answers of clients' statements are noted: log, metrics, clients that will retry.
 
 For the sessions, which report each answer. Owns the log lines 300 and 301; relies on the trace that
-the work of a statement gives, and on :class:`Access` to remember who was rejected.
+the work of a statement gives, and on :class:`AccessControl` to remember who was rejected.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 import msgspec
 
 from rowanrail.gateway.events import ANSWERED, REFUSED
-from rowanrail.gateway.sessions.access import Access
+from rowanrail.gateway.sessions.access import AccessControl
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
@@ -18,21 +18,21 @@
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
 
-__all__ = ["Outcomes"]
+__all__ = ["OutcomeRecorder"]
 
 
-class Outcomes:
+class OutcomeRecorder:
     """Notes the answer of each statement.
 
     Parameters
     ----------
     decisions : DecisionLog
         Gets a line for each answer that a member gave, and for each refusal.
-    access : Access
+    access : AccessControl
         Knows the version in force, and remembers who was rejected.
     """
 
-    def __init__(self, decisions: DecisionLog, access: Access) -> None:
+    def __init__(self, decisions: DecisionLog, access: AccessControl) -> None:
         self.on_outcome: Callable[[str, str, str, float], None] = lambda *outcome: None
         self.on_trace: Callable[[str, Trace | None], None] = lambda tenant, trace: None
         self._decisions = decisions
--- a/src/rowanrail/gateway/sessions/pending.py
+++ b/src/rowanrail/gateway/sessions/pending.py
@@ -10,10 +10,10 @@
 from rowanrail.members.samples import PositionSample
 from rowanrail.model.position import Position
 
-__all__ = ["PendingProof", "PendingStart"]
+__all__ = ["PendingSample", "PendingSessionStart"]
 
 
-class PendingStart:
+class PendingSessionStart:
     """A session's start that waits for the first configuration; runs once."""
 
     def __init__(self, proceed: Callable[[], None]) -> None:
@@ -26,7 +26,7 @@
             proceed()
 
 
-class PendingProof:
+class PendingSample:
     """A sample that another gateway waits for; given once, None if it doesn't come in time."""
 
     def __init__(
@@ -39,14 +39,14 @@
         self._asked_at = asked_at
         self._give: Callable[[PositionSample | None], None] | None = give
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Have the primary sampled."""
         self._tracker.need(self._asked_at, self._take)
 
     def _take(self, position: Position | None) -> None:
         self._answer(self._tracker.sample if position is not None else None)
 
-    def give_up(self) -> None:
+    def expire(self) -> None:
         """Answer that there is no sample, unless one was given."""
         self._tracker.forget(self._take)
         self._answer(None)
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -57,7 +57,7 @@
     def test_refused_for_a_route_that_the_newest_known_version_lacks(self):
         client = self.played.client("orders")
         self.played.configure(2, without=("orders",))
-        self.played.gateway.access.hear_control("c1:7")
+        self.played.gateway.access.note_control_up_to_date("c1:7")
         self.played.clock.advance(1.2)
         client.run("READ a")
         story = self.story("q1")
--- a/tests/forms/names.py
+++ b/tests/forms/names.py
@@ -23,7 +23,7 @@
 from rowanrail.cli.main import main as command_line
 from rowanrail.cli.output import ExitCode
 from rowanrail.config import model, settings
-from rowanrail.gateway.sessions.outcomes import Outcomes
+from rowanrail.gateway.sessions.outcomes import OutcomeRecorder
 from rowanrail.kernel import registry
 from rowanrail.kernel.catalogue import CATALOGUE, Event
 from rowanrail.kernel.decisions import DecisionLog
@@ -140,7 +140,7 @@
     reader, writer = os.pipe()
     decisions = DecisionLog("g1", writer, wall_clock=lambda: 1.5)
     access = mock.Mock(version=7)
-    outcomes = Outcomes(decisions, access)
+    outcomes = OutcomeRecorder(decisions, access)
     session = mock.Mock(label="s1", database="orders")
     session.identity.tenant = "t1"
     statement = mock.Mock(request_id="q1", kind=StatementKind.READ)
--- a/tests/gateway/test_control_follower.py
+++ b/tests/gateway/test_control_follower.py
@@ -96,7 +96,7 @@
     def set_directory(self, directory):
         self.revisions.append(directory.revision)
 
-    def hear_control(self, peer):
+    def note_control_up_to_date(self, peer):
         self.heard.append(peer)
 
 
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -78,7 +78,7 @@
     def set_directory(self, directory):
         self.directory = directory
 
-    def hear_control(self, peer):
+    def note_control_up_to_date(self, peer):
         pass
 
 
