--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -29,10 +29,10 @@
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
 from rowanrail.gateway.relay.terms import Outgoing, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.refusals import busy, rejection
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.refusals import busy_answer, rejection_record
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Respond
 from rowanrail.model.routing import Route
@@ -63,7 +63,7 @@
     ----------
     placement : Placement
         Says at which gateway they run.
-    local : LocalWork
+    local : LocalExecutor
         For the case that it is this gateway in the end.
     clock : Clock
         Time and timers.
@@ -78,7 +78,7 @@
     """
 
     placement: Placement
-    local: LocalWork
+    local: LocalExecutor
     clock: Clock
     link_outcome: LinkOutcome
     remote_admission: RemoteAdmission
@@ -108,7 +108,7 @@
         self._rejection: Rejection | None = None
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.trace`."""
+        """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.trace`."""
         if self._holder_trace is not None:
             return msgspec.structs.replace(self._holder_trace, via=self._peer)
         stage = Stage.SENT if self._sent else Stage.WAITS_FOR_HOLDER
@@ -136,7 +136,7 @@
         self._timer = self._work.clock.call_in(timeout, self._timed_out)
 
     @property
-    def _kind(self) -> Sent:
+    def _kind(self) -> SentRequest:
         """What the statement is, for the rules."""
         raise NotImplementedError
 
@@ -215,7 +215,7 @@
         floor = self._session.floors.get(service)
         if reply.floor is not None and (floor is None or reply.floor > floor):
             self._session.floors[service] = reply.floor
-        self._work.local.note_doubts(reply.doubts)
+        self._work.local.note_reported_weights(reply.doubts)
         self._holder_trace = reply.trace
         self._work.remote_admission.note(
             self._peer, service, self._session.identity.tenant, reply.load
@@ -254,13 +254,13 @@
         """Answer that nothing ran, and when to retry: no holder was found in time."""
         retry_after = self._work.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
         unknown = Forecast(0.0, 0.0)
-        self._rejection = rejection(
+        self._rejection = rejection_record(
             RejectionCause.NO_PLACE, unknown, self._left, self._route.priority, retry_after
         )
-        self._finish(busy(reason, retry_after))
+        self._finish(busy_answer(reason, retry_after))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.finish`."""
+        """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.finish`."""
         self._finish(answer)
 
     def _finish(self, answer: Answer) -> None:
