--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -10,7 +10,7 @@
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep, MemberStep
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
-from rowanrail.placement.hashed import METER, claim, shards_of
+from rowanrail.placement.hashed import DEMAND_AGGREGATOR, rendezvous_score, shards_of
 
 __all__ = ["RankedHolders"]
 
@@ -76,11 +76,13 @@
         self._held: Counter[str] = Counter()
         keys = [key for service in self._services for key in self._keys(service)]
         for group in self._groups:
-            for key in [*keys, METER] if self._regional_gateways else keys:
+            for key in [*keys, DEMAND_AGGREGATOR] if self._regional_gateways else keys:
                 self._rank(group, key)
 
     def _rank(self, group: str, key: str) -> None:
-        self._set_first(group, key, max(claim(key, name) for name in self._groups[group]))
+        self._set_first(
+            group, key, max(rendezvous_score(key, name) for name in self._groups[group])
+        )
 
     def _set_first(self, group: str, key: str, to: tuple[bytes, str] | None) -> None:
         """Note which gateway is first for something in a group; None if there is none any more."""
@@ -148,8 +150,8 @@
             self._first[group] = {}
         self._groups[group].add(gateway.name)
         keys = [key for service in self._services for key in self._keys(service)]
-        for key in [*keys, METER] if self._regional_gateways else keys:
-            mine = claim(key, gateway.name)
+        for key in [*keys, DEMAND_AGGREGATOR] if self._regional_gateways else keys:
+            mine = rendezvous_score(key, gateway.name)
             known = self._first[group].get(key)
             if known is None or mine > known:
                 self._set_first(group, key, mine)
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -19,7 +19,7 @@
 from rowanrail.gateway.relay.messages import CountDemand
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.kernel.clock import Clock
-from rowanrail.placement.hashed import METER
+from rowanrail.placement.hashed import DEMAND_AGGREGATOR
 from rowanrail.tenants.counts import REPORT_MS
 from rowanrail.tenants.demand import DemandBook
 from rowanrail.tenants.quota import QuotaGuard
@@ -85,7 +85,7 @@
 
     def _report(self, is_early: bool) -> None:
         report = msgspec.structs.replace(self._guard.report(), is_early=is_early)
-        match self._neighbours.hashed_holder(METER):
+        match self._neighbours.hashed_holder(DEMAND_AGGREGATOR):
             case HeldHere():
                 self._book.note_gateway(self._life, report)
                 self._guard.take_fleet(self._book.fleet())
@@ -104,7 +104,7 @@
         """
         if message.is_passed_on:
             return  # two that take each other for the meter would go on for ever
-        holder = self._neighbours.hashed_holder(METER)
+        holder = self._neighbours.hashed_holder(DEMAND_AGGREGATOR)
         if isinstance(holder, HeldAt):
             link = holder.link
             passed_on = msgspec.structs.replace(message, call=link.number_call(), is_passed_on=True)
@@ -117,7 +117,7 @@
     def _report_to_regions(self) -> None:
         report = self._book.tell_region()
         for group in self._detours.groups:
-            holder = self._detours.hashed_holder_in(group, METER)
+            holder = self._detours.hashed_holder_in(group, DEMAND_AGGREGATOR)
             if isinstance(holder, HeldAt):
                 link = holder.link
                 question = CountDemand(link.number_call(), self._region, report, is_region=True)
--- a/src/rowanrail/placement/hashed.py
+++ b/src/rowanrail/placement/hashed.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 
 __all__ = [
-    "METER",
+    "DEMAND_AGGREGATOR",
     "MINIMUM_CONNECTIONS",
     "SHARDS",
     "Population",
     "Shard",
-    "claim",
+    "rendezvous_score",
     "connection_limit",
     "even_share",
     "is_shared",
@@ -44,7 +44,8 @@
 # choked by 150 statements a second, which a primary's region gets while replicas lag.
 SHARDS = 3
 ROUNDING = 0.01  # connections that a share may lack by the rounding of its digits
-METER = "tenants' demand"  # ranked like a service: the gateway that sums it for a region, the meter
+# Key by which a region's gateways are ranked for summing the region's tenant demand.
+DEMAND_AGGREGATOR = "tenants' demand"
 SMALLEST_OWN_SHARE = 3  # chosen: connections a gateway, below which a zone shares one gateway's
 
 
@@ -244,16 +245,16 @@
     >>> rank("orders", [name for name in order if name != order[1]]) == [order[0], order[2]]
     True
     """
-    return sorted(gateways, key=lambda name: claim(service, name), reverse=True)
+    return sorted(gateways, key=lambda name: rendezvous_score(service, name), reverse=True)
 
 
-def claim(service: str, gateway: str) -> tuple[bytes, str]:
+def rendezvous_score(service: str, gateway: str) -> tuple[bytes, str]:
     """Return by what a gateway is compared with others for a service; the highest comes first.
 
     Examples
     --------
     >>> names = ["a", "b", "c"]
-    >>> max(claim("orders", name) for name in names)[1] == rank("orders", names)[0]
+    >>> max(rendezvous_score("orders", name) for name in names)[1] == rank("orders", names)[0]
     True
     """
     weight = hashlib.blake2b(f"{gateway}/{service}".encode(), digest_size=8).digest()
--- a/tests/coordination/test_holders.py
+++ b/tests/coordination/test_holders.py
@@ -17,7 +17,7 @@
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
-from rowanrail.placement.hashed import METER, rank, shards_of
+from rowanrail.placement.hashed import DEMAND_AGGREGATOR, rank, shards_of
 
 
 def ranked(state):
@@ -28,7 +28,9 @@
     services = {member.service for member in state.members.values()}
     held = set(services)
     if any(gateway.group for gateway in state.gateways.values()):
-        held = {shard.key for service in services for shard in shards_of(service)} | {METER}
+        held = {shard.key for service in services for shard in shards_of(service)} | {
+            DEMAND_AGGREGATOR
+        }
     names = {rank(service, known)[0] for known in by_group.values() for service in held}
     return [state.gateways[name] for name in sorted(names)]
 
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Refusal
-from rowanrail.placement.hashed import METER, Population, Shard, rank
+from rowanrail.placement.hashed import DEMAND_AGGREGATOR, Population, Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.relay.test_detours import CutDriver
@@ -276,7 +276,7 @@
     def test_a_region_that_takes_another_gateway_for_the_meter_is_heard_all_the_same(self):
         # Seen on a played day: while the network was split, regions heard of a fifth of the fleet
         # where half of it was in reach, since each sent its sums to a gateway that nobody asked.
-        _, other = rank(METER, ["gb1", "gb2"])
+        _, other = rank(DEMAND_AGGREGATOR, ["gb1", "gb2"])
         for name in ("ga1", "ga2"):
             detours = self.world.gateways[name].gateway.peers.detours
             detours.hashed_holder_in = lambda group, key, detours=detours: detours._keeper.reach(
@@ -288,7 +288,7 @@
         self.assertEqual([self.fleet_at(one) for one in self.world.gateways.values()], [36] * 4)
 
     def test_another_gateway_takes_over_from_a_lost_meter(self):
-        names = rank(METER, ["ga1", "ga2"])
+        names = rank(DEMAND_AGGREGATOR, ["ga1", "ga2"])
         meter, other = (self.world.gateways[name] for name in names)
         self.ask(other, 9)
         self.world.clock.advance(1.0)
