--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -202,7 +202,7 @@
     """Have the parts tell each other what happens."""
     parts.holder.on_region = parts.metering.pass_on
     if parts.is_planned:
-        parts.gateway.holdings.meter = parts.meter
+        parts.gateway.holdings.load_meter = parts.meter
         parts.holder.on_run = parts.gateway.holdings.note_held
     parts.gateway.on_alarm = parts.follower.report_now
 
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -113,8 +113,8 @@
         if neighbours is not None:
             neighbours.on_link = self._note_link
         if detours is not None:
-            detours.on_found = self._note_detour
-            detours.on_lost = self._remote_admission.forget
+            detours.on_detour_found = self._note_detour
+            detours.on_link_lost = self._remote_admission.forget
 
     @property
     def peers(self) -> Peers:
@@ -164,7 +164,7 @@
         self._set_services(configuration)
         for service in self.services.values():
             service.set_tenants(configuration.tenants or Tenants())
-        self.holdings.apply()
+        self.holdings.apply_limits()
         self.access.set_configuration(configuration)
         self.access.deny_withdrawn(list(self.sessions))
         waiting, self._unconfigured = self._unconfigured, []
@@ -225,7 +225,7 @@
 
     def set_plan(self, plan: Plan) -> None:
         """Know who holds services' connections by the control nodes' newest plan."""
-        self.holdings.take(plan)
+        self.holdings.adopt_plan(plan)
 
     def _note_link(self, peer: str, is_up: bool, reason: str) -> None:
         if not is_up:
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -114,8 +114,8 @@
     readings: list[Reading] = [
         ("links", {"state": state.value}, states.count(state)) for state in LinkState
     ]
-    readings.append(("link_calls_owed", {}, sum(link.owed for link in neighbours.links)))
-    readings.append(("detours", {}, detours.found))
-    readings.append(("held_statements", {}, holder.running))
+    readings.append(("link_calls_owed", {}, sum(link.pending_calls for link in neighbours.links)))
+    readings.append(("detours", {}, detours.known_detours))
+    readings.append(("held_statements", {}, holder.running_statements))
     readings.append(("held_transactions", {}, holder.open_transactions))
     return readings
--- a/src/rowanrail/gateway/planned_stop.py
+++ b/src/rowanrail/gateway/planned_stop.py
@@ -67,7 +67,7 @@
     loop = asyncio.get_running_loop()
     begun_at = loop.time()
     gateway.stopping = True
-    holder.leave()
+    holder.announce_leaving()
     await asyncio.sleep(LEAVE_SHARE * stop_seconds)
     frontend.begin_closing()
     while True:
@@ -85,4 +85,4 @@
 
 
 def _is_busy(frontend: Frontend, holder: Holder) -> bool:
-    return bool(frontend.busy_sessions() or holder.running or holder.open_transactions)
+    return bool(frontend.busy_sessions() or holder.running_statements or holder.open_transactions)
--- a/src/rowanrail/gateway/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -49,12 +49,12 @@
         self._addresses: dict[str, str] = {}
         self.planned: PlannedHolders | None = None
         self._book = DetourBook()
-        self.on_found: Callable[[str, str], None] = lambda service, peer: None
-        self.on_lost: Callable[[str], None] = lambda peer: None
+        self.on_detour_found: Callable[[str, str], None] = lambda service, peer: None
+        self.on_link_lost: Callable[[str], None] = lambda peer: None
         self._keeper.on_link = self._note_link
 
     @property
-    def found(self) -> int:
+    def known_detours(self) -> int:
         """Number of services to whose primary a detour is known."""
         return sum(self.knows_detour(service) for service in self._book.services)
 
@@ -80,7 +80,7 @@
 
     def _note_link(self, peer: str, is_up: bool, reason: str) -> None:
         if not is_up:
-            self.on_lost(peer)
+            self.on_link_lost(peer)
 
     @property
     def groups(self) -> list[str]:
@@ -133,7 +133,7 @@
                 case Sampled(instance=instance, position=position):
                     self._keeper.note_answer(link)
                     if self._book.note_reached(service, name, self._clock.now):
-                        self.on_found(service, name)
+                        self.on_detour_found(service, name)
                     take(asked_at, instance, position)
                 case NotRun() | Lost() | Replied() | Counted():
                     self._book.note_unreached(service, name)
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -55,7 +55,7 @@
         self._decisions = decisions
         self._population = Population()
         self._is_handing_over = False
-        self.meter: LoadMeter | None = None
+        self.load_meter: LoadMeter | None = None
         if planned is not None and neighbours is not None:
             neighbours.planned = planned
         if planned is not None and detours is not None:
@@ -68,22 +68,22 @@
 
     def note_held(self, shard: Shard) -> None:
         """Count a statement that another gateway sent here."""
-        if self.meter is not None and self._is_shared(shard.service):
-            self.meter.note_held(shard)
+        if self.load_meter is not None and self._is_shared(shard.service):
+            self.load_meter.note_held(shard)
 
     def note_own(self, tenant: str, trace: Trace | None) -> None:
         """Count a statement of a client of this gateway, held here if no other one ran it."""
-        if self.meter is None or trace is None or not self._is_shared(trace.service):
+        if self.load_meter is None or trace is None or not self._is_shared(trace.service):
             return
-        self.meter.note_own()
+        self.load_meter.note_own()
         if not trace.via:
-            self.meter.note_held(Shard.of(trace.service, tenant))
+            self.load_meter.note_held(Shard.of(trace.service, tenant))
 
     def _is_shared(self, name: str) -> bool:
         service = self._host.services.get(name)
         return service is not None and service.share.is_shared
 
-    def take(self, plan: Plan) -> None:
+    def adopt_plan(self, plan: Plan) -> None:
         """Go by a plan if it is newer than the one in force.
 
         Statements under way stay where they are.
@@ -98,7 +98,7 @@
             self._detours.set_addresses(plan.addresses)
         self._is_handing_over = planned.is_handing_over
         self._note(before, planned, plan)
-        self.apply()
+        self.apply_limits()
 
     def _hashed_share(self, key: str) -> float:
         """Return the share that this gateway has of a shard by the hash; 0 if others hold it."""
@@ -127,9 +127,9 @@
     def set_population(self, population: Population) -> None:
         """Note how many gateways share connections."""
         self._population = population
-        self.apply()
+        self.apply_limits()
 
-    def apply(self) -> None:
+    def apply_limits(self) -> None:
         """Set what services may open by the plan in force."""
         for service in self._host.services.values():
             self._set_allowance(service)
@@ -146,7 +146,7 @@
         """
         was_handing_over, self._is_handing_over = self._is_handing_over, self._hands_over()
         if was_handing_over and not self._is_handing_over:
-            self.apply()
+            self.apply_limits()
         for service in services:
             if service.has_connections and (service.share.is_regional or service.share.is_planned):
                 self._set_allowance(service)
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -176,7 +176,7 @@
         return self._suspect
 
     @property
-    def owed(self) -> int:
+    def pending_calls(self) -> int:
         """Number of calls without an answer."""
         return len(self._calls)
 
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -137,9 +137,9 @@
         return sum(link.open_transactions for link in self._links)
 
     @property
-    def running(self) -> int:
+    def running_statements(self) -> int:
         """Statements of neighbours that run here."""
-        return sum(link.running for link in self._links)
+        return sum(link.running_statements for link in self._links)
 
     def accept(self, send: Send) -> "ServedLink":
         """Serve a neighbour's new connection."""
@@ -163,7 +163,7 @@
             link.end_idle_since(self.clock.now - limit)
         self.clock.call_in(IDLE_CHECK_MS, self._sweep)
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Have the neighbours send new work elsewhere; what is open goes on."""
         for link in self._links:
             link.send(Leaving())
@@ -197,7 +197,7 @@
         return len(self._transactions)
 
     @property
-    def running(self) -> int:
+    def running_statements(self) -> int:
         """Statements that run."""
         return len(self._singles) + sum(t.call > 0 for t in self._transactions.values())
 
--- a/tests/relay/test_forwarding.py
+++ b/tests/relay/test_forwarding.py
@@ -157,7 +157,7 @@
         client = self.zone.last.client("reports")
         client.run("READ a", seconds=0.1)
         self.zone.first.gateway.stopping = True
-        self.zone.first.holder.leave()
+        self.zone.first.holder.announce_leaving()
         self.zone.clock.advance(0.01)
         self.assertIsNone(client.run("READ b", seconds=0.1).refusal)
         self.assertGreater(self.zone.opened_by(self.zone.second), 0)
@@ -276,7 +276,7 @@
     def test_it_goes_on_at_a_holder_that_is_leaving(self):
         self.begin("WRITE a 1")
         self.zone.first.gateway.stopping = True
-        self.zone.first.holder.leave()
+        self.zone.first.holder.announce_leaving()
         self.zone.clock.advance(0.01)
         self.assertIsNone(self.client.run("COMMIT", seconds=0.1).refusal)
 
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -90,11 +90,11 @@
         self.fill()
         self.hear_load()
         self.assertEqual(self.client.answers[-1].refusal, Refusal.BUSY)
-        held = self.zone.first.holder.running
+        held = self.zone.first.holder.running_statements
         other = self.zone.last.client("orders")
         self.assertEqual(other.run("WRITE d 4").refusal, Refusal.BUSY)
         self.assertIn("is crowded", other.answers[-1].message)
-        self.assertEqual(self.zone.first.holder.running, held)
+        self.assertEqual(self.zone.first.holder.running_statements, held)
         self.assertNotIn("WRITE d 4", self.zone.primary.texts())
 
     def test_when_room_is_back_a_probe_learns_it(self):
