--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -200,10 +200,10 @@
 
 def wire_parts(parts: GatewayParts) -> None:
     """Have the parts tell each other what happens."""
-    parts.holder.on_region = parts.metering.pass_on
+    parts.holder.on_region_report = parts.metering.forward_to_aggregator
     if parts.is_planned:
         parts.gateway.holdings.load_meter = parts.meter
-        parts.holder.on_run = parts.gateway.holdings.note_held
+        parts.holder.on_statement = parts.gateway.holdings.note_held
     parts.gateway.on_alarm = parts.follower.report_now
 
 
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -96,7 +96,7 @@
             case NoHolder():
                 pass  # the guard sees by the age of what it knows that it is alone
 
-    def pass_on(self, message: CountDemand) -> None:
+    def forward_to_aggregator(self, message: CountDemand) -> None:
         """Pass on to the meter of this region what another region reported to this gateway.
 
         Other regions know of a few gateways of each region, and take the first that they reach for
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -117,19 +117,19 @@
 
     Attributes
     ----------
-    on_run : callable
+    on_statement : callable
         Gets the shard to which each statement of a neighbour belongs.
-    on_region : callable
+    on_region_report : callable
         Gets what another region reported of its clients' demand.
     """
 
     def __init__(self, host: HolderHost, clock: Clock) -> None:
         self.host = host
         self.clock = clock
-        self.teller = LoadReporter(clock, host.load)
-        self.on_region: Callable[[CountDemand], None] = lambda message: None
+        self.load_reporter = LoadReporter(clock, host.load)
+        self.on_region_report: Callable[[CountDemand], None] = lambda message: None
         self._links: dict[ServedLink, None] = {}
-        self.on_run: Callable[[Shard], None] = lambda shard: None
+        self.on_statement: Callable[[Shard], None] = lambda shard: None
 
     @property
     def open_transactions(self) -> int:
@@ -204,7 +204,7 @@
     def receive(self, message: FromGateway) -> None:
         """Take a message of the neighbour."""
         if isinstance(message, Run):
-            self._holder.on_run(Shard.of(message.service, message.tenant))
+            self._holder.on_statement(Shard.of(message.service, message.tenant))
         match message:
             case Run():
                 self._run(message)
@@ -240,7 +240,7 @@
         book = self._holder.host.demand
         if message.is_region:
             book.note_region(message.sender, message.report)
-            self._holder.on_region(message)
+            self._holder.on_region_report(message)
         else:
             book.note_gateway(message.sender, message.report)
         fleet = book.fleet()
@@ -299,7 +299,7 @@
         single = self._singles.pop(run.call, None)
         if single is not None:
             floor = single.session.floors.get(run.service)
-            load = self._holder.teller.report(run.service, run.tenant)
+            load = self._holder.load_reporter.report(run.service, run.tenant)
             doubts = single.local.doubts()
             self.send(reply_to(run, answer, floor, single.work.trace(), load, doubts))
 
@@ -320,7 +320,7 @@
             del self._transactions[run.transaction]
             transaction.work.end()
         floor = transaction.session.floors.get(run.service)
-        load = self._holder.teller.report(run.service, run.tenant)
+        load = self._holder.load_reporter.report(run.service, run.tenant)
         doubts = transaction.local.doubts()
         self.send(reply_to(run, answer, floor, transaction.work.trace(), load, doubts))
 
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -71,7 +71,7 @@
         self.gateway.start()
         self.metering.start()
         holder = world.network.holders[name] = Holder(self.gateway, clock)
-        holder.on_region = self.metering.pass_on
+        holder.on_region_report = self.metering.forward_to_aggregator
 
     def client(self, database, key="key-of-a"):
         session = self.gateway.open_session(database, key)
