--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded_call.py
@@ -13,21 +13,31 @@
 
 from rowanrail.gateway.policies import LinkOutcome
 from rowanrail.gateway.relay.forwarding_rules import (
+    HOLDER_LOOKUP_INTERVAL_MS,
     HOLDER_RETRY_AFTER_MS,
-    PLACE_RETRY_MS,
-    LostAtHolder,
-    PlaceLater,
-    PlaceNow,
+    LinkLost,
     Refuse,
     RejectNotRun,
+    RetryLater,
+    RetryNow,
     Verdict,
-    may_be_kept,
+    may_persist,
     without_holder,
 )
-from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, NoHolder, WhereHeld
+from rowanrail.gateway.relay.holder_choice import (
+    HeldLocally,
+    HeldRemotely,
+    HolderLocation,
+    NoHolder,
+)
 from rowanrail.gateway.relay.link import Link, Outcome, Replied
+from rowanrail.gateway.relay.message_mapping import (
+    OutgoingStatement,
+    answer_from,
+    build_run_message,
+    reply_margin,
+)
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
-from rowanrail.gateway.relay.terms import Outgoing, answer_of, reply_margin, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.attempts import Sent
 from rowanrail.gateway.work.connected import Stage
@@ -41,13 +51,13 @@
 from rowanrail.placement.hashed import Shard
 from rowanrail.scheduling.admission import Forecast, RejectionCause
 
-__all__ = ["Forwarded", "ForwardingTerms", "Placement"]
+__all__ = ["ForwardedCall", "ForwardingContext", "HolderLocator"]
 
 
-class Placement(Protocol):
+class HolderLocator(Protocol):
     """Says at which gateway a service's statements run."""
 
-    def where_held(self, shard: Shard) -> WhereHeld:
+    def locate_holder(self, shard: Shard) -> HolderLocation:
         """Return where statements of a service, or of some tenants of it, run now."""
 
     @property
@@ -56,12 +66,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForwardingTerms:
+class ForwardingContext:
     """Where statements of one service go, and by which terms.
 
     Parameters
     ----------
-    placement : Placement
+    placement : HolderLocator
         Says at which gateway they run.
     local : LocalWork
         For the case that it is this gateway in the end.
@@ -77,7 +87,7 @@
         Of the configuration by which clients' keys were taken.
     """
 
-    placement: Placement
+    placement: HolderLocator
     local: LocalWork
     clock: Clock
     link_outcome: LinkOutcome
@@ -86,23 +96,23 @@
     version: int = 0
 
 
-class Forwarded:
+class ForwardedCall:
     """One statement under way at a neighbour, with its deadline and its one answer."""
 
-    def __init__(self, work: ForwardingTerms, route: Route, session: SessionValues) -> None:
-        self._work = work
+    def __init__(self, context: ForwardingContext, route: Route, session: SessionValues) -> None:
+        self._context = context
         self._route = route
         self._session = session
         self._respond: Respond | None = None
         self._statement: TypedStatement | None = None
-        self._began = 0.0
+        self._began_at = 0.0
         self._timer: Timer | None = None
         self._retry: Timer | None = None
         self._link: Link | None = None
-        self._call = 0
+        self._call_id = 0
         self._sent = False
         self._attempts = 0
-        self._ran = False  # whether a statement of its transaction was answered
+        self._has_run = False  # whether a statement of its transaction was answered
         self._peer = ""
         self._holder_trace: Trace | None = None
         self._rejection: Rejection | None = None
@@ -121,8 +131,8 @@
         )
 
     @property
-    def _left(self) -> float:
-        return self._began + self._route.timeout_seconds * 1000 - self._work.clock.now
+    def _time_left(self) -> float:
+        return self._began_at + self._route.timeout_seconds * 1000 - self._context.clock.now
 
     def _begin(self, statement: TypedStatement, respond: Respond) -> None:
         self._statement = statement
@@ -131,59 +141,63 @@
         self._rejection = None
         self._sent = False
         self._attempts = 0
-        self._began = self._work.clock.now
+        self._began_at = self._context.clock.now
         timeout = self._route.timeout_seconds * 1000
-        self._timer = self._work.clock.call_in(timeout, self._timed_out)
+        self._timer = self._context.clock.call_in(timeout, self._on_timeout)
 
     @property
-    def _kind(self) -> Sent:
+    def _sent_kind(self) -> Sent:
         """What the statement is, for the rules."""
         raise NotImplementedError
 
-    def _ask(self, link: Link, transaction: int = 0, read_only: bool = False) -> None:
+    def _send(self, link: Link, transaction: int = 0, read_only: bool = False) -> None:
         assert self._statement is not None
         self._attempts += 1
         self._sent = True
         self._peer = link.peer
         self._link = link
-        self._call = link.number_call()
-        outgoing = Outgoing(
+        self._call_id = link.next_call_id()
+        outgoing = OutgoingStatement(
             self._statement,
             self._route,
             self._session,
-            self._left,
+            self._time_left,
             transaction,
             read_only,
-            self._work.is_detour,
-            begins=not self._ran,
-            version=self._work.version,
+            self._context.is_detour,
+            begins=not self._has_run,
+            version=self._context.version,
+        )
+        link.request(
+            build_run_message(outgoing, self._call_id),
+            self._on_outcome,
+            may_persist(self._sent_kind),
         )
-        link.ask(run_of(outgoing, self._call), self._settled, may_be_kept(self._kind))
 
-    def _settled(self, outcome: Outcome) -> None:
+    def _on_outcome(self, outcome: Outcome) -> None:
         raise NotImplementedError
 
-    def _timed_out(self) -> None:
+    def _on_timeout(self) -> None:
         raise NotImplementedError
 
-    def _run_here(self) -> None:
+    def _run_locally(self) -> None:
         raise NotImplementedError
 
-    def _run_at(self, link: Link) -> None:
+    def _run_remotely(self, link: Link) -> None:
         raise NotImplementedError
 
-    def _is_rejected(self, link: Link, writes: bool) -> bool:
+    def _rejects(self, link: Link, writes: bool) -> bool:
         """Return whether its holder would reject it or can't answer in time; then answer so."""
-        rejected = self._work.remote_admission.judge(
+        rejected = self._context.remote_admission.check(
             RemoteRequest(
                 link.peer,
                 self._route.service,
                 self._session.identity.tenant,
                 self._route.priority,
                 writes,
-                time_left=self._left,
+                time_left=self._time_left,
                 time_given=self._route.timeout_seconds * 1000,
-                round_trip=reply_margin(self._work.is_detour),
+                round_trip=reply_margin(self._context.is_detour),
                 is_retry=self._session.is_retrying,
             )
         )
@@ -194,68 +208,70 @@
         self._finish(rejected.answer)
         return True
 
-    def _place(self) -> None:
+    def _dispatch(self) -> None:
         if self._respond is None:
             return
         shard = Shard.of(self._route.service, self._session.identity.tenant)
-        match self._work.placement.where_held(shard):
-            case HeldHere():
-                self._run_here()
-            case HeldAt(link=link):
-                self._run_at(link)
+        match self._context.placement.locate_holder(shard):
+            case HeldLocally():
+                self._run_locally()
+            case HeldRemotely(link=link):
+                self._run_remotely(link)
             case NoHolder():
                 self._wait_for_holder("no gateway of the zone holds connections")
 
-    def _replied(self, outcome: Replied) -> Answer:
+    def _accept_reply(self, outcome: Replied) -> Answer:
         reply, link = outcome.reply, self._link
-        self._call = 0
+        self._call_id = 0
         if link is not None:
-            self._work.placement.note_answer(link)
+            self._context.placement.note_answer(link)
         service = self._route.service
         floor = self._session.floors.get(service)
         if reply.floor is not None and (floor is None or reply.floor > floor):
             self._session.floors[service] = reply.floor
-        self._work.local.note_doubts(reply.doubts)
+        self._context.local.note_doubts(reply.doubts)
         self._holder_trace = reply.trace
-        self._work.remote_admission.note(
+        self._context.remote_admission.note(
             self._peer, service, self._session.identity.tenant, reply.load
         )
-        return answer_of(reply)
+        return answer_from(reply)
 
-    def _lost(self, is_kept: bool, reason: str) -> Answer:
-        self._work.remote_admission.forget(self._peer)
-        return Answer(refusal=self._work.link_outcome.refusal(is_kept), message=reason)
+    def _lost_answer(self, may_have_persisted: bool, reason: str) -> Answer:
+        self._context.remote_admission.forget(self._peer)
+        return Answer(
+            refusal=self._context.link_outcome.refusal(may_have_persisted), message=reason
+        )
 
-    def _follow(self, verdict: Verdict, reason: str) -> None:
+    def _apply_verdict(self, verdict: Verdict, reason: str) -> None:
         """Do what the rules say."""
         match verdict:
-            case PlaceNow():
-                self._work.remote_admission.forget(self._peer)
-                self._place()
-            case PlaceLater():
+            case RetryNow():
+                self._context.remote_admission.forget(self._peer)
+                self._dispatch()
+            case RetryLater():
                 self._wait_for_holder(reason)
             case RejectNotRun():
                 self._reject(reason)
             case Refuse(refusal=refusal):
                 self._finish(Answer(refusal=refusal, message=reason))
-            case LostAtHolder(may_be_kept=is_kept):
-                self._finish(self._lost(is_kept, reason))
+            case LinkLost(may_persist=may_have_persisted):
+                self._finish(self._lost_answer(may_have_persisted, reason))
 
     def _wait_for_holder(self, reason: str) -> None:
         """Look for a holder again in a moment, or reject what can't be in time any more."""
         objective = self._route.objective_seconds * 1000
-        match without_holder(self._work.clock.now, self._began, objective):
-            case PlaceLater():
-                self._retry = self._work.clock.call_in(PLACE_RETRY_MS, self._place)
+        match without_holder(self._context.clock.now, self._began_at, objective):
+            case RetryLater():
+                self._retry = self._context.clock.call_in(HOLDER_LOOKUP_INTERVAL_MS, self._dispatch)
             case RejectNotRun():
                 self._reject(reason)
 
     def _reject(self, reason: str) -> None:
         """Answer that nothing ran, and when to retry: no holder was found in time."""
-        retry_after = self._work.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
+        retry_after = self._context.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
         unknown = Forecast(0.0, 0.0)
         self._rejection = rejection(
-            RejectionCause.NO_PLACE, unknown, self._left, self._route.priority, retry_after
+            RejectionCause.NO_PLACE, unknown, self._time_left, self._route.priority, retry_after
         )
         self._finish(busy(reason, retry_after))
 
@@ -269,8 +285,8 @@
             if timer is not None:
                 timer.cancel()
         self._timer = self._retry = None
-        if self._call and self._link is not None:
-            self._link.drop(self._call)
-            self._call = 0
+        if self._call_id and self._link is not None:
+            self._link.cancel(self._call_id)
+            self._call_id = 0
         if respond is not None:
             respond(answer)
--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -17,34 +17,36 @@
 
 __all__ = [
     "HOLDER_RETRY_AFTER_MS",
-    "PLACE_RETRY_MS",
-    "LostAtHolder",
-    "PlaceLater",
-    "PlaceNow",
+    "HOLDER_LOOKUP_INTERVAL_MS",
+    "LinkLost",
+    "RetryLater",
+    "RetryNow",
     "Refuse",
     "RejectNotRun",
     "Verdict",
-    "after_loss",
+    "after_link_loss",
     "after_not_served",
     "after_timeout",
-    "may_be_kept",
+    "may_persist",
     "without_holder",
 ]
 
-PLACE_RETRY_MS = 10.0  # until a holder is looked for again: a link inside a zone opens within it
+HOLDER_LOOKUP_INTERVAL_MS = (
+    10.0  # until a holder is looked for again: a link inside a zone opens within it
+)
 # Told to clients, in milliseconds, while no holder is known: about the time until one is found or
 # the next gateway of the order takes over.
 HOLDER_RETRY_AFTER_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceNow:
+class RetryNow:
     """Look for a holder at once: nothing of the statement is kept anywhere."""
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceLater:
-    """Look for a holder again after ``PLACE_RETRY_MS``."""
+class RetryLater:
+    """Look for a holder again after ``HOLDER_LOOKUP_INTERVAL_MS``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,27 +62,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LostAtHolder:
+class LinkLost:
     """Answer with what the guard of lost links promises; assume nothing of the holder's load."""
 
-    may_be_kept: bool
+    may_persist: bool
 
 
-Verdict = PlaceNow | PlaceLater | RejectNotRun | Refuse | LostAtHolder
+Verdict = RetryNow | RetryLater | RejectNotRun | Refuse | LinkLost
 
 
-def may_be_kept(sent: Sent) -> bool:
+def may_persist(sent: Sent) -> bool:
     """Return whether the database may have kept something if the statement ran.
 
     Examples
     --------
-    >>> [sent.value for sent in Sent if may_be_kept(sent)]
+    >>> [sent.value for sent in Sent if may_persist(sent)]
     ['write', 'commit']
     """
     return sent is Sent.WRITE or sent is Sent.COMMIT
 
 
-def after_not_served(has_run: bool) -> PlaceLater | Refuse:
+def after_not_served(has_run: bool) -> RetryLater | Refuse:
     """Return what follows where the holder ran nothing of a statement and can't run it.
 
     What begins may begin elsewhere. A transaction of which something ran is over.
@@ -95,21 +97,21 @@
     >>> after_not_served(has_run=True)
     Refuse(refusal=<Refusal.ABORTED: 'aborted'>)
     """
-    return Refuse(Refusal.ABORTED) if has_run else PlaceLater()
+    return Refuse(Refusal.ABORTED) if has_run else RetryLater()
 
 
-def after_loss(sent: Sent) -> PlaceNow | LostAtHolder:
+def after_link_loss(sent: Sent) -> RetryNow | LinkLost:
     """Return what follows where the link was lost while an answer was owed.
 
     Examples
     --------
-    >>> after_loss(Sent.READ), after_loss(Sent.WRITE)
-    (PlaceNow(), LostAtHolder(may_be_kept=True))
+    >>> after_link_loss(Sent.READ), after_link_loss(Sent.WRITE)
+    (RetryNow(), LinkLost(may_persist=True))
     """
-    return PlaceNow() if sent is Sent.READ else LostAtHolder(may_be_kept(sent))
+    return RetryNow() if sent is Sent.READ else LinkLost(may_persist(sent))
 
 
-def after_timeout(sent: Sent, is_owed: bool) -> RejectNotRun | Refuse | LostAtHolder:
+def after_timeout(sent: Sent, is_owed: bool) -> RejectNotRun | Refuse | LinkLost:
     """Return what follows at the end of a statement's time.
 
     Parameters
@@ -130,10 +132,10 @@
         case Sent.READ | Sent.WRITE:
             return Refuse(unanswered(sent))
         case Sent.IN_TRANSACTION | Sent.COMMIT:
-            return LostAtHolder(may_be_kept(sent))
+            return LinkLost(may_persist(sent))
 
 
-def without_holder(now: float, began: float, objective: float) -> PlaceLater | RejectNotRun:
+def without_holder(now: float, began: float, objective: float) -> RetryLater | RejectNotRun:
     """Return what follows while no gateway is known to run a statement.
 
     It waits for one as long as a new primary would be waited for, so that a holder that is
@@ -149,8 +151,8 @@
     Examples
     --------
     >>> without_holder(1100.0, 1000.0, objective=200.0), without_holder(1131.0, 1000.0, 200.0)
-    (PlaceLater(), RejectNotRun())
+    (RetryLater(), RejectNotRun())
     """
-    if now + PLACE_RETRY_MS > began + DEFER_SHARE * objective:
+    if now + HOLDER_LOOKUP_INTERVAL_MS > began + DEFER_SHARE * objective:
         return RejectNotRun()
-    return PlaceLater()
+    return RetryLater()
--- a/src/rowanrail/gateway/relay/holder_choice.py
+++ b/src/rowanrail/gateway/relay/holder_choice.py
@@ -10,16 +10,23 @@
 
 from rowanrail.gateway.relay.link import Link, LinkState
 
-__all__ = ["HeldAt", "HeldHere", "NoHolder", "WhereHeld", "choose_holder", "usable"]
+__all__ = [
+    "HeldLocally",
+    "HeldRemotely",
+    "HolderLocation",
+    "NoHolder",
+    "choose_holder",
+    "location_via",
+]
 
 
 @dataclass(frozen=True, slots=True)
-class HeldHere:
+class HeldLocally:
     """This gateway holds the connections itself."""
 
 
 @dataclass(frozen=True, slots=True)
-class HeldAt:
+class HeldRemotely:
     """Another gateway holds them, and its link stands."""
 
     link: Link
@@ -30,15 +37,15 @@
     """No gateway is known to hold them now, or its link is still being opened."""
 
 
-WhereHeld = HeldHere | HeldAt | NoHolder
+HolderLocation = HeldLocally | HeldRemotely | NoHolder
 
 
-def usable(link: Link) -> HeldAt | NoHolder | None:
+def location_via(link: Link) -> HeldRemotely | NoHolder | None:
     """Return where new work for the gateway behind a link goes.
 
     Returns
     -------
-    HeldAt, NoHolder or None
+    HeldRemotely, NoHolder or None
         NoHolder while the link is being opened, so that work waits for it. None if the gateway
         counts as down: it is leaving, suspected or gone, and the next of an order takes its place.
     """
@@ -46,15 +53,15 @@
         return None
     match link.state:
         case LinkState.UP:
-            return HeldAt(link)
+            return HeldRemotely(link)
         case LinkState.LEAVING:
             return None
     return NoHolder()
 
 
 def choose_holder(
-    order: Iterable[str], reach: Callable[[str], WhereHeld | None], connected: int = 1
-) -> WhereHeld:
+    order: Iterable[str], reach: Callable[[str], HolderLocation | None], connected: int = 1
+) -> HolderLocation:
     """Return the first gateway of an order that can take work.
 
     Parameters
@@ -69,16 +76,16 @@
 
     Returns
     -------
-    WhereHeld
+    HolderLocation
         NoHolder if all are down, or while the links of those that are not are being opened.
 
     Examples
     --------
-    >>> state = {"a": None, "b": NoHolder(), "c": HeldHere(), "d": HeldHere()}
+    >>> state = {"a": None, "b": NoHolder(), "c": HeldLocally(), "d": HeldLocally()}
     >>> choose_holder("abcd", state.get, connected=2), choose_holder("abcd", state.get)
-    (HeldHere(), NoHolder())
+    (HeldLocally(), NoHolder())
     """
-    chosen: WhereHeld = NoHolder()
+    chosen: HolderLocation = NoHolder()
     seen = 0
     for name in order:
         if seen == connected:
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from rowanrail.gateway.events import HOLDING_BEGUN, HOLDING_ENDED, PLAN_TAKEN
-from rowanrail.gateway.relay.holder_choice import HeldHere
+from rowanrail.gateway.relay.holder_choice import HeldLocally
 from rowanrail.gateway.relay.load_meter import LoadMeter
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.services.service import Service
@@ -92,12 +92,12 @@
         if planned is None or self._neighbours is None:
             return
         before = planned.held
-        if not planned.take(plan, self._hashed_share):
+        if not planned.adopt(plan, self._hashed_share):
             return
         if self._detours is not None:
             self._detours.set_addresses(plan.addresses)
         self._is_handing_over = planned.is_handing_over
-        self._note(before, planned, plan)
+        self._log_changes(before, planned, plan)
         self.apply_limits()
 
     def _hashed_share(self, key: str) -> float:
@@ -107,7 +107,7 @@
         is_first = rank(key, [*self._neighbours.names, name])[0] == name
         return even_share(self._population) if is_first else 0.0
 
-    def _note(self, before: Iterable[str], planned: PlannedHolders, plan: Plan) -> None:
+    def _log_changes(self, before: Iterable[str], planned: PlannedHolders, plan: Plan) -> None:
         held = planned.held
         shards = sum(len(shards) for shards in plan.groups.values())
         self._decisions.note(PLAN_TAKEN, number=plan.number, parts=shards, held=sorted(held))
@@ -144,14 +144,17 @@
         services : iterable of Service
             Those that may have any.
         """
-        was_handing_over, self._is_handing_over = self._is_handing_over, self._hands_over()
+        was_handing_over, self._is_handing_over = (
+            self._is_handing_over,
+            self._is_plan_handing_over(),
+        )
         if was_handing_over and not self._is_handing_over:
             self.apply_limits()
         for service in services:
             if service.has_connections and (service.share.is_regional or service.share.is_planned):
                 self._set_allowance(service)
 
-    def _hands_over(self) -> bool:
+    def _is_plan_handing_over(self) -> bool:
         return self._planned is not None and self._planned.is_handing_over
 
     def _set_allowance(self, service: Service) -> None:
@@ -174,8 +177,10 @@
         if self._neighbours is None:
             return frozenset(shards)
         named = service.share.planned_shards
-        where_held = self._neighbours.where_held
+        locate_holder = self._neighbours.locate_holder
         here = frozenset(
-            p for p in shards if p not in named and isinstance(where_held(p), HeldHere)
+            shard
+            for shard in shards
+            if shard not in named and isinstance(locate_holder(shard), HeldLocally)
         )
         return named | here
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -10,12 +10,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from rowanrail.gateway.relay.liveness import Silence, judge_silence
+from rowanrail.gateway.relay.liveness import LivenessAction, assess_liveness
 from rowanrail.gateway.relay.messages import (
-    AskSample,
-    CountDemand,
-    DemandCounted,
-    Drop,
+    Cancel,
+    DemandReport,
+    DemandTotals,
     FromGateway,
     FromHolder,
     Leaving,
@@ -23,8 +22,9 @@
     Ping,
     Pong,
     Reply,
-    Run,
+    RunStatement,
     SampleReply,
+    SampleRequest,
 )
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.model.position import Position
@@ -101,21 +101,21 @@
 
 
 Outcome = Replied | NotRun | Lost | Sampled | Counted
-Settle = Callable[[Outcome], None]
+OnOutcome = Callable[[Outcome], None]
 
 
 @dataclass(frozen=True, slots=True)
-class _Call:
+class _PendingCall:
     """What the neighbour owes an answer to.
 
     Parameters
     ----------
-    may_be_kept : bool
+    may_persist : bool
         Whether the database may keep something of it if it runs.
     """
 
-    settle: Settle
-    may_be_kept: bool
+    on_outcome: OnOutcome
+    may_persist: bool
 
 
 class Link:
@@ -134,16 +134,16 @@
     __slots__ = (
         "_calls",
         "_clock",
-        "_heard",
-        "_next",
+        "_last_heard",
+        "_last_call_id",
         "_on_down",
         "_peer",
         "_pinged_at",
         "_port",
         "_state",
-        "_suspect",
+        "_is_suspect",
         "_timer",
-        "_transactions",
+        "_last_transaction_id",
     )
 
     def __init__(self, peer: str, clock: Clock, on_down: Callable[["Link", str], None]) -> None:
@@ -152,12 +152,12 @@
         self._on_down = on_down
         self._port: LinkPort | None = None
         self._state = LinkState.OPENING
-        self._calls: dict[int, _Call] = {}
-        self._next = 0
-        self._transactions = 0
-        self._heard = clock.now
+        self._calls: dict[int, _PendingCall] = {}
+        self._last_call_id = 0
+        self._last_transaction_id = 0
+        self._last_heard = clock.now
         self._pinged_at: float | None = None
-        self._suspect = False
+        self._is_suspect = False
         self._timer: Timer | None = None
 
     @property
@@ -173,7 +173,7 @@
     @property
     def is_suspect(self) -> bool:
         """Whether the neighbour left a ping unanswered, so that new work goes elsewhere."""
-        return self._suspect
+        return self._is_suspect
 
     @property
     def pending_calls(self) -> int:
@@ -182,46 +182,49 @@
 
     # What the gateway asks
 
-    def number_transaction(self) -> int:
+    def next_transaction_id(self) -> int:
         """Return a number for a transaction, unique on this link."""
-        self._transactions += 1
-        return self._transactions
+        self._last_transaction_id += 1
+        return self._last_transaction_id
 
-    def number_call(self) -> int:
+    def next_call_id(self) -> int:
         """Return a number for a call, unique on this link."""
-        self._next += 1
-        return self._next
-
-    def ask(
-        self, question: Run | AskSample | CountDemand, settle: Settle, may_be_kept: bool = True
+        self._last_call_id += 1
+        return self._last_call_id
+
+    def request(
+        self,
+        message: RunStatement | SampleRequest | DemandReport,
+        on_outcome: OnOutcome,
+        may_persist: bool = True,
     ) -> None:
         """Send a statement, ask for a sample, or report what clients ask for.
 
         Parameters
         ----------
-        question : Run, AskSample or CountDemand
+        question : Run, SampleRequest or DemandReport
             What is asked.
         settle : callable
             Gets the outcome once.
-        may_be_kept : bool
+        may_persist : bool
             Whether the database may keep something of it if it runs. What is not kept is given up
             as soon as the neighbour is suspected, all else only when the link is lost.
         """
         if self._port is None or self._state is LinkState.DOWN:
-            settle(NotRun("the link is closed"))
+            on_outcome(NotRun("the link is closed"))
             return
         if not self._calls:
-            self._heard = self._clock.now  # silence counts from the first answer that is owed
+            self._last_heard = self._clock.now  # silence counts from the first answer that is owed
             self._pinged_at = None
-        self._calls[question.call] = _Call(settle, may_be_kept)
-        self._port.send(question)
+        self._calls[message.call] = _PendingCall(on_outcome, may_persist)
+        self._port.send(message)
         if self._timer is None:
             self._timer = self._clock.call_in(LINK_CHECK_MS, self._check)
 
-    def drop(self, call: int) -> None:
+    def cancel(self, call: int) -> None:
         """Forget a call, and have the neighbour forget it."""
         if self._calls.pop(call, None) is not None:
-            self.notify(Drop(call))
+            self.notify(Cancel(call))
 
     def notify(self, message: FromGateway) -> None:
         """Send what needs no answer."""
@@ -244,18 +247,18 @@
 
     def receive(self, message: FromHolder) -> None:
         """Take a message of the neighbour."""
-        self._heard = self._clock.now
+        self._last_heard = self._clock.now
         self._pinged_at = None
-        self._suspect = False
+        self._is_suspect = False
         match message:
             case Reply(call=call):
-                self._settle(call, Replied(message))
+                self._resolve(call, Replied(message))
             case NotServed(call=call, reason=reason):
-                self._settle(call, NotRun(reason))
+                self._resolve(call, NotRun(reason))
             case SampleReply(call=call, instance=instance, position=position):
-                self._settle(call, Sampled(instance, position))
-            case DemandCounted(call=call, fleet=fleet):
-                self._settle(call, Counted(fleet))
+                self._resolve(call, Sampled(instance, position))
+            case DemandTotals(call=call, fleet=fleet):
+                self._resolve(call, Counted(fleet))
             case Leaving():
                 if self._state is LinkState.UP:
                     self._state = LinkState.LEAVING
@@ -268,30 +271,30 @@
 
     # Inside
 
-    def _settle(self, call: int, outcome: Outcome) -> None:
-        owed = self._calls.pop(call, None)
-        if owed is not None:
-            owed.settle(outcome)
+    def _resolve(self, call: int, outcome: Outcome) -> None:
+        pending = self._calls.pop(call, None)
+        if pending is not None:
+            pending.on_outcome(outcome)
 
     def _check(self) -> None:
         """Ask a silent neighbour whether it is there; suspect it, then give it up."""
         self._timer = None
-        if self._state is LinkState.DOWN or not (self._calls or self._suspect):
+        if self._state is LinkState.DOWN or not (self._calls or self._is_suspect):
             return
         now = self._clock.now
-        heard_ago = now - self._heard
-        pinged_ago = None if self._pinged_at is None else now - self._pinged_at
-        match judge_silence(heard_ago, pinged_ago):
-            case Silence.PING:
+        since_heard_ms = now - self._last_heard
+        since_ping_ms = None if self._pinged_at is None else now - self._pinged_at
+        match assess_liveness(since_heard_ms, since_ping_ms):
+            case LivenessAction.PING:
                 self._pinged_at = now
                 self.notify(Ping())
-            case Silence.SUSPECT:
-                self._suspect = True
-                self._give_up_unkept(f"no word for {heard_ago:.0f} ms")
-            case Silence.LOST:
-                self._go_down(f"no word for {heard_ago:.0f} ms")
+            case LivenessAction.SUSPECT:
+                self._is_suspect = True
+                self._fail_retryable_calls(f"no word for {since_heard_ms:.0f} ms")
+            case LivenessAction.LOST:
+                self._go_down(f"no word for {since_heard_ms:.0f} ms")
                 return
-            case Silence.BEARABLE:
+            case LivenessAction.WAIT:
                 pass
         self._check_later()
 
@@ -299,14 +302,14 @@
         if self._timer is None and self._state is not LinkState.DOWN:
             self._timer = self._clock.call_in(LINK_CHECK_MS, self._check)
 
-    def _give_up_unkept(self, reason: str) -> None:
+    def _fail_retryable_calls(self, reason: str) -> None:
         """Settle as lost the calls of which nothing is kept, and have the neighbour forget them."""
-        given_up = [call for call, owed in self._calls.items() if not owed.may_be_kept]
+        given_up = [call for call, pending in self._calls.items() if not pending.may_persist]
         for call in given_up:
-            owed = self._calls.pop(call, None)
-            if owed is not None:  # settling an earlier one may have ended it
-                self.notify(Drop(call))
-                owed.settle(Lost(reason))
+            pending = self._calls.pop(call, None)
+            if pending is not None:  # settling an earlier one may have ended it
+                self.notify(Cancel(call))
+                pending.on_outcome(Lost(reason))
 
     def _go_down(self, reason: str) -> None:
         if self._state is LinkState.DOWN:
@@ -320,5 +323,5 @@
             port.close()
         calls, self._calls = self._calls, {}
         self._on_down(self, reason)
-        for owed in calls.values():
-            owed.settle(Lost(reason))
+        for pending in calls.values():
+            pending.on_outcome(Lost(reason))
--- a/src/rowanrail/gateway/relay/load_meter.py
+++ b/src/rowanrail/gateway/relay/load_meter.py
@@ -11,18 +11,18 @@
 from rowanrail.placement.hashed import Shard
 from rowanrail.scheduling.load_report import LoadReport, ShardLoad
 
-__all__ = ["SPAN_MS", "LoadMeter"]
+__all__ = ["WINDOW_MS", "LoadMeter"]
 
-SPAN_MS = 5000.0  # a wave of 10 s touches three spans of the seven that planners go by
+WINDOW_MS = 5000.0  # a wave of 10 s touches three spans of the seven that planners go by
 # For which a span is reported. Reports go about every 1 s (the wait of a poll), so that one of them
 # has it; a span that is reported twice counts once.
-REPORTED_MS = 1400.0
+REPORT_TTL_MS = 1400.0
 LOOP_CHECK_MS = 500.0  # chosen: between checks of the loop and the links, ten in a span
 # Average lag of the loop. A statement passes a holder's loop four times: that is a fifth of a
 # second, of the half within which the most urgent ones are to be answered.
 SLOW_LAG_MS = 50.0
-CHOKED_SHARE = 0.5  # chosen: of the checks of a span at which bytes waited for a link
-MOST_SHARDS = 8  # that are reported, about 150 bytes; the others are small ones
+CONGESTED_SHARE = 0.5  # chosen: of the checks of a span at which bytes waited for a link
+MAX_REPORTED_SHARDS = 8  # that are reported, about 150 bytes; the others are small ones
 
 
 class LoadMeter:
@@ -41,22 +41,22 @@
         self._unsent = unsent
         self._shards: Counter[str] = Counter()
         self._tenants: dict[str, Counter[str]] = {}
-        self._own = 0
+        self._client_statements = 0
         self._checks = 0
-        self._lag = 0.0
-        self._choked = 0
-        self._began = clock.now
+        self._total_lag = 0.0
+        self._congested_checks = 0
+        self._window_began = clock.now
         self._report: LoadReport | None = None
 
     @property
     def latest(self) -> LoadReport | None:
         """The last span, as long as it has to be reported; None before and after that."""
-        is_due = self._clock.now - self._began <= REPORTED_MS
+        is_due = self._clock.now - self._window_began <= REPORT_TTL_MS
         return self._report if is_due else None
 
     def start(self) -> None:
         """Begin to count and check."""
-        self._began = self._clock.now
+        self._window_began = self._clock.now
         self._check_later()
 
     def note_held(self, shard: Shard) -> None:
@@ -68,32 +68,37 @@
 
     def note_own(self) -> None:
         """Count a statement of a client of this gateway."""
-        self._own += 1
+        self._client_statements += 1
 
     def _check_later(self) -> None:
         self._clock.call_in(LOOP_CHECK_MS, self._check, self._clock.now + LOOP_CHECK_MS)
 
     def _check(self, due: float) -> None:
         self._checks += 1
-        self._lag += self._clock.now - due
-        self._choked += self._unsent() > 0
-        if self._clock.now - self._began >= SPAN_MS - LOOP_CHECK_MS / 2:
-            self._end_span()
+        self._total_lag += self._clock.now - due
+        self._congested_checks += self._unsent() > 0
+        if self._clock.now - self._window_began >= WINDOW_MS - LOOP_CHECK_MS / 2:
+            self._close_window()
         self._check_later()
 
     @property
     def _is_slow(self) -> bool:
-        return self._lag > SLOW_LAG_MS * self._checks or self._choked > CHOKED_SHARE * self._checks
-
-    def _end_span(self) -> None:
-        span = round(self._clock.now - self._began)
-        shards = [self._shard(key, count) for key, count in self._shards.most_common(MOST_SHARDS)]
-        self._report = LoadReport(span, self._own, self._is_slow, shards)
+        return (
+            self._total_lag > SLOW_LAG_MS * self._checks
+            or self._congested_checks > CONGESTED_SHARE * self._checks
+        )
+
+    def _close_window(self) -> None:
+        window = round(self._clock.now - self._window_began)
+        shards = [
+            self._shard(key, count) for key, count in self._shards.most_common(MAX_REPORTED_SHARDS)
+        ]
+        self._report = LoadReport(window, self._client_statements, self._is_slow, shards)
         self._shards.clear()
         self._tenants.clear()
-        self._own = self._checks = self._choked = 0
-        self._lag = 0.0
-        self._began = self._clock.now
+        self._client_statements = self._checks = self._congested_checks = 0
+        self._total_lag = 0.0
+        self._window_began = self._clock.now
 
     def _shard(self, key: str, count: int) -> ShardLoad:
         tenants = self._tenants.get(key)
--- a/src/rowanrail/gateway/relay/terms.py
+++ b/src/rowanrail/gateway/relay/message_mapping.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from types import MappingProxyType
 
-from rowanrail.gateway.relay.messages import Reply, Run
+from rowanrail.gateway.relay.messages import Reply, RunStatement
 from rowanrail.gateway.session_values import SessionValues, is_write
 from rowanrail.model.position import Position
 from rowanrail.model.routing import Route
@@ -18,25 +18,25 @@
 from rowanrail.tenants.model import ClientIdentity
 
 __all__ = [
-    "Outgoing",
-    "answer_of",
-    "load_session",
+    "OutgoingStatement",
+    "answer_from",
+    "apply_session_values",
     "reply_margin",
-    "reply_to",
-    "route_of",
-    "run_of",
-    "statement_of",
+    "build_reply",
+    "route_from",
+    "build_run_message",
+    "statement_from",
 ]
 
 REPLY_MARGIN_MS = 30.0  # chosen: the holder gives up this much sooner, so its answer is in time
 # The same for a holder in another region: the round trip takes 40 ms more. Without it, its answer
 # that a statement has not run came too late, and the client was told that it might have.
 REMOTE_REPLY_MARGIN_MS = 80.0
-SHORTEST_MS = 1.0  # a statement that is out of time still gets its answer
+MIN_TIMEOUT_MS = 1.0  # a statement that is out of time still gets its answer
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class OutgoingStatement:
     """A statement that is sent to another gateway, as its session hands it over.
 
     Parameters
@@ -67,20 +67,20 @@
     return REMOTE_REPLY_MARGIN_MS if is_detour else REPLY_MARGIN_MS
 
 
-def run_of(outgoing: Outgoing, call: int) -> Run:
+def build_run_message(outgoing: OutgoingStatement, call: int) -> RunStatement:
     """Return the message that has a statement run."""
     statement, route, session = outgoing.statement, outgoing.route, outgoing.session
     shape = ""
     if statement.kind is StatementKind.EXECUTE:
         shape = session.prepared[statement.name][1]
-    return Run(
+    return RunStatement(
         call=call,
         transaction=outgoing.transaction,
         read_only=outgoing.read_only,
         service=route.service,
         route=route.name,
         consistency=route.consistency,
-        timeout=max(SHORTEST_MS, outgoing.timeout - reply_margin(outgoing.is_detour)),
+        timeout=max(MIN_TIMEOUT_MS, outgoing.timeout - reply_margin(outgoing.is_detour)),
         objective=route.objective_seconds * 1000,
         staleness=route.staleness_seconds * 1000,
         priority=route.priority,
@@ -99,11 +99,11 @@
         key=session.identity.key,
         database=route.database,
         version=outgoing.version,
-        returned=session.is_retrying,
+        is_retry=session.is_retrying,
     )
 
 
-def route_of(run: Run) -> Route:
+def route_from(run: RunStatement) -> Route:
     """Return the route under which a statement came."""
     return Route(
         name=run.route,
@@ -117,24 +117,24 @@
     )
 
 
-def statement_of(run: Run) -> TypedStatement:
+def statement_from(run: RunStatement) -> TypedStatement:
     """Return the client's statement."""
     return TypedStatement(run.request_id, run.kind, run.text, run.name, run.value)
 
 
-def load_session(session: SessionValues, run: Run) -> None:
+def apply_session_values(session: SessionValues, run: RunStatement) -> None:
     """Give ``session`` exactly what the client's session has set."""
     session.identity = ClientIdentity(run.tenant, run.key)
     session.values = run.values
-    session.is_retrying = run.returned
+    session.is_retrying = run.is_retry
     if run.kind is StatementKind.EXECUTE:
         session.prepared[run.name] = (run.writes, run.shape)
     if run.floor is not None:
         session.floors[run.service] = run.floor
 
 
-def reply_to(
-    run: Run,
+def build_reply(
+    run: RunStatement,
     answer: Answer,
     floor: Position | None,
     trace: Trace,
@@ -156,7 +156,7 @@
     )
 
 
-def answer_of(reply: Reply) -> Answer:
+def answer_from(reply: Reply) -> Answer:
     """Return the answer for the client."""
     return Answer(
         rows=reply.rows,
--- a/src/rowanrail/gateway/relay/messages.py
+++ b/src/rowanrail/gateway/relay/messages.py
@@ -18,11 +18,10 @@
 from rowanrail.tenants.demand import Report
 
 __all__ = [
-    "AskSample",
-    "CountDemand",
-    "DemandCounted",
-    "Drop",
-    "End",
+    "Cancel",
+    "SampleRequest",
+    "DemandReport",
+    "DemandTotals",
     "FromGateway",
     "FromHolder",
     "Leaving",
@@ -30,12 +29,13 @@
     "Ping",
     "Pong",
     "Reply",
-    "Run",
+    "Rollback",
+    "RunStatement",
     "SampleReply",
 ]
 
 
-class Run(msgspec.Struct, tag=1, array_like=True, frozen=True, gc=False):
+class RunStatement(msgspec.Struct, tag=1, array_like=True, frozen=True, gc=False):
     """Run a client's statement, alone or in a transaction.
 
     Parameters
@@ -91,16 +91,16 @@
     key: bytes = b""
     database: str = ""
     version: int = 0
-    returned: bool = False
+    is_retry: bool = False
 
 
-class End(msgspec.Struct, tag=2, array_like=True, frozen=True, gc=False):
+class Rollback(msgspec.Struct, tag=2, array_like=True, frozen=True, gc=False):
     """Roll a transaction back, if it is still open."""
 
     transaction: int
 
 
-class Drop(msgspec.Struct, tag=3, array_like=True, frozen=True, gc=False):
+class Cancel(msgspec.Struct, tag=3, array_like=True, frozen=True, gc=False):
     """Forget a call: its answer is no longer wanted."""
 
     call: int
@@ -110,21 +110,21 @@
     """Answer at once, to show that the connection and the gateway are alive."""
 
 
-class AskSample(msgspec.Struct, tag=5, array_like=True, frozen=True, gc=False):
+class SampleRequest(msgspec.Struct, tag=5, array_like=True, frozen=True, gc=False):
     """Have a service's primary prove its position after this question was sent."""
 
     call: int
     service: str
 
 
-class CountDemand(msgspec.Struct, tag=6, array_like=True, frozen=True, gc=False):
+class DemandReport(msgspec.Struct, tag=6, array_like=True, frozen=True, gc=False):
     """What runs for clients, by tenant.
 
     Parameters
     ----------
     sender : str
         Name of one life of the gateway, or of the region if ``is_region``.
-    is_passed_on : bool
+    is_forwarded : bool
         Whether it comes from a gateway of the same region that is not the meter itself.
     """
 
@@ -132,7 +132,7 @@
     sender: str
     report: Report
     is_region: bool = False
-    is_passed_on: bool = False
+    is_forwarded: bool = False
 
 
 class Reply(msgspec.Struct, tag=11, array_like=True, frozen=True, gc=False):
@@ -186,12 +186,12 @@
     position: Position
 
 
-class DemandCounted(msgspec.Struct, tag=16, array_like=True, frozen=True, gc=False):
+class DemandTotals(msgspec.Struct, tag=16, array_like=True, frozen=True, gc=False):
     """What clients of the whole fleet asked for, of the tenants that the report named."""
 
     call: int
     fleet: Report
 
 
-FromGateway = Run | End | Drop | Ping | AskSample | CountDemand
-FromHolder = Reply | NotServed | Leaving | Pong | SampleReply | DemandCounted
+FromGateway = RunStatement | Rollback | Cancel | Ping | SampleRequest | DemandReport
+FromHolder = Reply | NotServed | Leaving | Pong | SampleReply | DemandTotals
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from rowanrail.gateway.relay.detours import Detours
-from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, NoHolder
+from rowanrail.gateway.relay.holder_choice import HeldLocally, HeldRemotely, NoHolder
 from rowanrail.gateway.relay.link import Counted, Outcome
-from rowanrail.gateway.relay.messages import CountDemand
+from rowanrail.gateway.relay.messages import DemandReport
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.kernel.clock import Clock
 from rowanrail.placement.hashed import DEMAND_AGGREGATOR
@@ -29,7 +29,7 @@
 # Between checks for a burst, which is reported before its turn. A burst of four times a limit fills
 # what is tolerated beyond it in 0.3 s; two regions learn of it after two checks and 40 ms.
 BURST_CHECK_MS = 75.0
-LIFE_BYTES = 4  # two lives of a gateway within 8 s are alike once in 4e9
+INCARNATION_BYTES = 4  # two lives of a gateway within 8 s are alike once in 4e9
 
 
 class Metering:
@@ -63,7 +63,7 @@
         guard: QuotaGuard,
         book: DemandBook,
     ) -> None:
-        self._life = f"{name} {secrets.token_hex(LIFE_BYTES)}"
+        self._incarnation = f"{name} {secrets.token_hex(INCARNATION_BYTES)}"
         self._region = region
         self._clock = clock
         self._neighbours = neighbours
@@ -86,31 +86,33 @@
     def _report(self, is_early: bool) -> None:
         report = msgspec.structs.replace(self._guard.report(), is_early=is_early)
         match self._neighbours.hashed_holder(DEMAND_AGGREGATOR):
-            case HeldHere():
-                self._book.note_gateway(self._life, report)
+            case HeldLocally():
+                self._book.note_gateway(self._incarnation, report)
                 self._guard.take_fleet(self._book.fleet())
                 self._report_to_regions()
-            case HeldAt(link=link):
-                question = CountDemand(link.number_call(), self._life, report)
-                link.ask(question, self._settled, may_be_kept=False)
+            case HeldRemotely(link=link):
+                message = DemandReport(link.next_call_id(), self._incarnation, report)
+                link.request(message, self._on_outcome, may_persist=False)
             case NoHolder():
                 pass  # the guard sees by the age of what it knows that it is alone
 
-    def forward_to_aggregator(self, message: CountDemand) -> None:
+    def forward_to_aggregator(self, message: DemandReport) -> None:
         """Pass on to the meter of this region what another region reported to this gateway.
 
         Other regions know of a few gateways of each region, and take the first that they reach for
         its meter. While the network is split that may be another one.
         """
-        if message.is_passed_on:
+        if message.is_forwarded:
             return  # two that take each other for the meter would go on for ever
         holder = self._neighbours.hashed_holder(DEMAND_AGGREGATOR)
-        if isinstance(holder, HeldAt):
+        if isinstance(holder, HeldRemotely):
             link = holder.link
-            passed_on = msgspec.structs.replace(message, call=link.number_call(), is_passed_on=True)
-            link.ask(passed_on, lambda outcome: None, may_be_kept=False)
+            passed_on = msgspec.structs.replace(
+                message, call=link.next_call_id(), is_forwarded=True
+            )
+            link.request(passed_on, lambda outcome: None, may_persist=False)
 
-    def _settled(self, outcome: Outcome) -> None:
+    def _on_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Counted):
             self._guard.take_fleet(outcome.fleet)
 
@@ -118,7 +120,7 @@
         report = self._book.tell_region()
         for group in self._detours.groups:
             holder = self._detours.hashed_holder_in(group, DEMAND_AGGREGATOR)
-            if isinstance(holder, HeldAt):
+            if isinstance(holder, HeldRemotely):
                 link = holder.link
-                question = CountDemand(link.number_call(), self._region, report, is_region=True)
-                link.ask(question, lambda outcome: None, may_be_kept=False)
+                message = DemandReport(link.next_call_id(), self._region, report, is_region=True)
+                link.request(message, lambda outcome: None, may_persist=False)
--- a/src/rowanrail/gateway/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -11,12 +11,12 @@
 from itertools import chain
 
 from rowanrail.gateway.relay.holder_choice import (
-    HeldAt,
-    HeldHere,
+    HeldLocally,
+    HeldRemotely,
+    HolderLocation,
     NoHolder,
-    WhereHeld,
     choose_holder,
-    usable,
+    location_via,
 )
 from rowanrail.gateway.relay.link import Link
 from rowanrail.gateway.relay.liveness import Backoff
@@ -24,9 +24,11 @@
 from rowanrail.placement.hashed import Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 
-__all__ = ["LinkKeeper", "LinkOpener", "Neighbour", "Neighbours"]
+__all__ = ["LinkManager", "LinkOpener", "Neighbour", "Neighbours"]
 
-CONNECTED = 2  # gateways of an order that are kept connected, so that one can take over at once
+CONNECTED_HOLDERS = (
+    2  # gateways of an order that are kept connected, so that one can take over at once
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +61,7 @@
         self.backoff = Backoff()
 
 
-class LinkKeeper:
+class LinkManager:
     """Links to gateways, opened when they are wanted and again after a while when they are lost.
 
     Parameters
@@ -98,7 +100,7 @@
             if name not in self._peers:
                 self._peers[name] = _Peer(neighbour)
 
-    def reach(self, name: str) -> HeldAt | NoHolder | None:
+    def reach(self, name: str) -> HeldRemotely | NoHolder | None:
         """Return where a gateway is reached, None if it counts as down; opens a link if needed."""
         peer = self._peers.get(name)
         if peer is None:
@@ -108,7 +110,7 @@
                 return None
             peer.link = Link(peer.neighbour.name, self._clock, self._on_down)
             self._opener.open(peer.neighbour.address, peer.link)
-        return None if peer.link is None else usable(peer.link)
+        return None if peer.link is None else location_via(peer.link)
 
     def _on_down(self, link: Link, reason: str) -> None:
         peer = self._peers.get(link.peer)
@@ -131,7 +133,7 @@
                 peer.link.close("the gateway is stopping")
 
 
-class Neighbours(LinkKeeper):
+class Neighbours(LinkManager):
     """Chooses where a service's statements run, and keeps the links for it.
 
     Parameters
@@ -147,7 +149,7 @@
     def __init__(self, name: str, clock: Clock, opener: LinkOpener) -> None:
         super().__init__(clock, opener)
         self._name = name
-        self._orders: dict[str, list[str]] = {}
+        self._rankings: dict[str, list[str]] = {}
         self.planned: PlannedHolders | None = None
 
     @property
@@ -158,28 +160,30 @@
     def set_neighbours(self, neighbours: Iterable[Neighbour]) -> None:
         """Know the gateways of the zone; this one may be among them or not."""
         super().set_neighbours(n for n in neighbours if n.name != self._name)
-        self._orders.clear()
+        self._rankings.clear()
 
-    def where_held(self, shard: Shard) -> WhereHeld:
-        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.where_held`."""
-        order = self._order(shard.key)
-        planned = self.planned.order_here(shard) if self.planned is not None else []
+    def locate_holder(self, shard: Shard) -> HolderLocation:
+        """See :meth:`rowanrail.gateway.relay.forwarding.HolderLocator.locate_holder`."""
+        order = self._ranking(shard.key)
+        planned = self.planned.local_holders(shard) if self.planned is not None else []
         if not planned:
-            return self._first(order)
-        return self._first(chain(planned, (name for name in order if name not in planned)))
+            return self._first_available(order)
+        return self._first_available(
+            chain(planned, (name for name in order if name not in planned))
+        )
 
-    def hashed_holder(self, key: str) -> WhereHeld:
+    def hashed_holder(self, key: str) -> HolderLocation:
         """Return which gateway of the group holds something, by the hash."""
-        return self._first(self._order(key))
+        return self._first_available(self._ranking(key))
 
-    def _order(self, key: str) -> list[str]:
-        order = self._orders.get(key)
+    def _ranking(self, key: str) -> list[str]:
+        order = self._rankings.get(key)
         if order is None:
-            order = self._orders[key] = rank(key, [*self._peers, self._name])
+            order = self._rankings[key] = rank(key, [*self._peers, self._name])
         return order
 
-    def _first(self, order: Iterable[str]) -> WhereHeld:
-        return choose_holder(order, self._reach_or_self, CONNECTED)
+    def _first_available(self, order: Iterable[str]) -> HolderLocation:
+        return choose_holder(order, self._reach_or_self, CONNECTED_HOLDERS)
 
-    def _reach_or_self(self, name: str) -> WhereHeld | None:
-        return HeldHere() if name == self._name else self.reach(name)
+    def _reach_or_self(self, name: str) -> HolderLocation | None:
+        return HeldLocally() if name == self._name else self.reach(name)
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -23,7 +23,7 @@
 
 # Of a holder's pace that one sender gives out to clients as times to retry: about ten gateways of a
 # zone send to one holder, and each gives times without knowing of the others.
-SENDER_SHARE = 0.1
+SENDER_PACE_SHARE = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,18 +78,18 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        self._book = LoadBook(clock)
-        self._returns = RetryTimes(clock)
+        self._loads = LoadBook(clock)
+        self._retry_times = RetryTimes(clock)
 
     def note(self, peer: str, service: str, tenant: str, load: ServiceLoad | None) -> None:
         """Take what a holder reported with an answer to a tenant's statement."""
-        self._book.note(Subject(peer, service, tenant), load)
+        self._loads.note(Subject(peer, service, tenant), load)
 
     def forget(self, peer: str) -> None:
         """Assume nothing of a holder whose link is lost."""
-        self._book.forget(peer)
+        self._loads.forget(peer)
 
-    def judge(self, request: RemoteRequest) -> RejectedBySender | None:
+    def check(self, request: RemoteRequest) -> RejectedBySender | None:
         """Return the answer to a statement that its holder would reject, None for one to send.
 
         Where nothing was reported lately the holder is taken to have room. A statement whose time
@@ -99,22 +99,22 @@
         subject = Subject(request.peer, request.service, request.tenant)
         assumed = Assumed()
         if not request.is_retry:
-            assumed = self._book.assume(subject, request.urgency, request.writes)
+            assumed = self._loads.assume(subject, request.urgency, request.writes)
         verdict = judge_sending(
             assumed.wait, request.round_trip, request.time_left, request.time_given
         )
         if not isinstance(verdict, Reject):
             return None
         is_crowded = verdict.cause is RejectionCause.HOLDER_CROWDED
-        if is_crowded and self._book.may_probe(subject):
+        if is_crowded and self._loads.may_probe(subject):
             return None
         return self._reject(request, verdict, assumed)
 
     def _reject(
         self, request: RemoteRequest, verdict: Reject, assumed: Assumed
     ) -> RejectedBySender:
-        interval = 1000 / (SENDER_SHARE * assumed.pace) if assumed.pace else 0.0
-        retry_after = self._returns.next(
+        interval = 1000 / (SENDER_PACE_SHARE * assumed.pace) if assumed.pace else 0.0
+        retry_after = self._retry_times.next(
             verdict.retry_after_ms, interval, (request.peer, request.urgency)
         )
         forecast = Forecast(assumed.wait, request.round_trip)
@@ -129,4 +129,4 @@
 
     def retry_after(self, base: float) -> float:
         """Return after how many milliseconds a client retries for whom no holder is known."""
-        return self._returns.next(base)
+        return self._retry_times.next(base)
--- a/src/rowanrail/gateway/relay/remote_holder.py
+++ b/src/rowanrail/gateway/relay/remote_holder.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.relay.detours import Detours
-from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere, WhereHeld
+from rowanrail.gateway.relay.holder_choice import HeldLocally, HeldRemotely, HolderLocation
 from rowanrail.gateway.relay.link import Link
 from rowanrail.placement.hashed import Shard
 
@@ -40,15 +40,15 @@
         self._region = region
         self._was_tried = False
 
-    def where_held(self, shard: Shard) -> WhereHeld:
-        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.where_held`."""
+    def locate_holder(self, shard: Shard) -> HolderLocation:
+        """See :meth:`rowanrail.gateway.relay.forwarding.HolderLocator.locate_holder`."""
         found = self._detours.holder_in(self._region, shard)
-        if self._was_tried or not isinstance(found, HeldAt):
-            return HeldHere()
+        if self._was_tried or not isinstance(found, HeldRemotely):
+            return HeldLocally()
         self._was_tried = True
         return found
 
     @property
     def note_answer(self) -> Callable[[Link], None]:
-        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.note_answer`."""
+        """See :meth:`rowanrail.gateway.relay.forwarding.HolderLocator.note_answer`."""
         return self._detours.note_answer
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -13,23 +13,28 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from rowanrail.gateway.relay.message_mapping import (
+    apply_session_values,
+    build_reply,
+    route_from,
+    statement_from,
+)
 from rowanrail.gateway.relay.messages import (
-    AskSample,
-    CountDemand,
-    DemandCounted,
-    Drop,
-    End,
+    Cancel,
+    DemandReport,
+    DemandTotals,
     FromGateway,
     FromHolder,
     Leaving,
     NotServed,
     Ping,
     Pong,
-    Run,
+    Rollback,
+    RunStatement,
     SampleReply,
+    SampleRequest,
 )
-from rowanrail.gateway.relay.serving_rules import Arrival, judge_arrival
-from rowanrail.gateway.relay.terms import load_session, reply_to, route_of, statement_of
+from rowanrail.gateway.relay.serving_rules import ArrivalDecision, decide_arrival
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.local import LocalWork
@@ -99,7 +104,7 @@
 
 
 @dataclass(slots=True)
-class _Single:
+class _SingleStatement:
     local: LocalWork
     work: SingleStatement
     session: SessionValues = field(default_factory=SessionValues)
@@ -127,7 +132,7 @@
         self.host = host
         self.clock = clock
         self.load_reporter = LoadReporter(clock, host.load)
-        self.on_region_report: Callable[[CountDemand], None] = lambda message: None
+        self.on_region_report: Callable[[DemandReport], None] = lambda message: None
         self._links: dict[ServedLink, None] = {}
         self.on_statement: Callable[[Shard], None] = lambda shard: None
 
@@ -155,13 +160,13 @@
 
     def start(self) -> None:
         """Begin to check for transactions that have been idle for too long."""
-        self.clock.call_in(IDLE_CHECK_MS, self._sweep)
+        self.clock.call_in(IDLE_CHECK_MS, self._end_expired)
 
-    def _sweep(self) -> None:
+    def _end_expired(self) -> None:
         limit = self.host.idle_transaction_seconds() * 1000 + IDLE_MARGIN_MS
         for link in self._links:
             link.end_idle_since(self.clock.now - limit)
-        self.clock.call_in(IDLE_CHECK_MS, self._sweep)
+        self.clock.call_in(IDLE_CHECK_MS, self._end_expired)
 
     def announce_leaving(self) -> None:
         """Have the neighbours send new work elsewhere; what is open goes on."""
@@ -188,7 +193,7 @@
     def __init__(self, holder: Holder, send: Send) -> None:
         self.send = send
         self._holder = holder
-        self._singles: dict[int, _Single] = {}
+        self._singles: dict[int, _SingleStatement] = {}
         self._transactions: dict[int, _Transaction] = {}
 
     @property
@@ -203,19 +208,19 @@
 
     def receive(self, message: FromGateway) -> None:
         """Take a message of the neighbour."""
-        if isinstance(message, Run):
+        if isinstance(message, RunStatement):
             self._holder.on_statement(Shard.of(message.service, message.tenant))
         match message:
-            case Run():
+            case RunStatement():
                 self._run(message)
-            case End(transaction=number):
+            case Rollback(transaction=number):
                 self._end(number)
-            case Drop(call=call):
+            case Cancel(call=call):
                 self._drop(call)
-            case AskSample(call=call, service=service):
+            case SampleRequest(call=call, service=service):
                 self._report_sample(call, service)
-            case CountDemand():
-                self._count(message)
+            case DemandReport():
+                self._add_demand(message)
             case Ping():
                 self.send(Pong())
 
@@ -236,7 +241,7 @@
 
         self._holder.host.prove_primary(service, give)
 
-    def _count(self, message: CountDemand) -> None:
+    def _add_demand(self, message: DemandReport) -> None:
         book = self._holder.host.demand
         if message.is_region:
             book.note_region(message.sender, message.report)
@@ -246,71 +251,71 @@
         fleet = book.fleet()
         asked = message.report.tenants
         named = {tenant: total for tenant, total in fleet.tenants.items() if tenant in asked}
-        self.send(DemandCounted(message.call, Report(named, fleet.gateways, fleet.unknown)))
+        self.send(DemandTotals(message.call, Report(named, fleet.gateways, fleet.unknown)))
 
     # Statements
 
-    def _run(self, run: Run) -> None:
+    def _run(self, run: RunStatement) -> None:
         is_open = run.transaction in self._transactions
         begins = run.begins or not run.transaction
-        match judge_arrival(is_open, begins, self._admits(run), self._holder.host.stopping):
-            case Arrival.RUN if is_open:
-                self._run_on(self._transactions[run.transaction], run)
-            case Arrival.RUN:
+        match decide_arrival(is_open, begins, self._admits(run), self._holder.host.stopping):
+            case ArrivalDecision.RUN if is_open:
+                self._run_in_transaction(self._transactions[run.transaction], run)
+            case ArrivalDecision.RUN:
                 self._begin(run)
-            case Arrival.NOT_SERVED:
+            case ArrivalDecision.NOT_SERVED:
                 self.send(NotServed(run.call, "it is stopping"))
-            case Arrival.DENIED:
+            case ArrivalDecision.DENIED:
                 self._end(run.transaction)
                 self._refuse(run, Refusal.DENIED, "the key was withdrawn")
-            case Arrival.ENDED:
+            case ArrivalDecision.ENDED:
                 self._refuse(run, Refusal.ABORTED, "the transaction was ended at its holder")
 
-    def _admits(self, run: Run) -> bool:
+    def _admits(self, run: RunStatement) -> bool:
         identity = ClientIdentity(run.tenant, run.key)
         return self._holder.host.admits(run.database, identity, run.version)
 
-    def _begin(self, run: Run) -> None:
+    def _begin(self, run: RunStatement) -> None:
         """Begin a single statement or a transaction, if its service is known here."""
         work = self._holder.host.local_work(run.service, run.is_detour)
         if work is None:
             self.send(NotServed(run.call, f"it does not serve {run.service} now"))
         elif run.transaction:
             session = SessionValues()
-            opened = work.transaction(route_of(run), session, run.read_only)
+            opened = work.transaction(route_from(run), session, run.read_only)
             transaction = self._transactions[run.transaction] = _Transaction(work, opened, session)
-            self._run_on(transaction, run)
+            self._run_in_transaction(transaction, run)
         else:
             self._run_single(work, run)
 
-    def _refuse(self, run: Run, refusal: Refusal, reason: str) -> None:
+    def _refuse(self, run: RunStatement, refusal: Refusal, reason: str) -> None:
         """Refuse a statement of which nothing may run, here or elsewhere."""
         trace = Trace(run.service, Stage.ACCEPTED.value)
-        self.send(reply_to(run, Answer(refusal=refusal, message=reason), None, trace))
+        self.send(build_reply(run, Answer(refusal=refusal, message=reason), None, trace))
 
-    def _run_single(self, work: LocalWork, run: Run) -> None:
+    def _run_single(self, work: LocalWork, run: RunStatement) -> None:
         session = SessionValues()
-        load_session(session, run)
-        single = work.single(route_of(run), session, run.writes)
-        self._singles[run.call] = _Single(work, single, session)
-        single.start(statement_of(run), lambda answer: self._answer_single(run, answer))
+        apply_session_values(session, run)
+        single = work.single(route_from(run), session, run.writes)
+        self._singles[run.call] = _SingleStatement(work, single, session)
+        single.start(statement_from(run), lambda answer: self._answer_single(run, answer))
 
-    def _answer_single(self, run: Run, answer: Answer) -> None:
+    def _answer_single(self, run: RunStatement, answer: Answer) -> None:
         single = self._singles.pop(run.call, None)
         if single is not None:
             floor = single.session.floors.get(run.service)
             load = self._holder.load_reporter.report(run.service, run.tenant)
             doubts = single.local.doubts()
-            self.send(reply_to(run, answer, floor, single.work.trace(), load, doubts))
+            self.send(build_reply(run, answer, floor, single.work.trace(), load, doubts))
 
-    def _run_on(self, transaction: _Transaction, run: Run) -> None:
-        load_session(transaction.session, run)
+    def _run_in_transaction(self, transaction: _Transaction, run: RunStatement) -> None:
+        apply_session_values(transaction.session, run)
         transaction.call = run.call
         transaction.work.run(
-            statement_of(run), lambda answer: self._answer_in_transaction(run, answer)
+            statement_from(run), lambda answer: self._answer_in_transaction(run, answer)
         )
 
-    def _answer_in_transaction(self, run: Run, answer: Answer) -> None:
+    def _answer_in_transaction(self, run: RunStatement, answer: Answer) -> None:
         transaction = self._transactions.get(run.transaction)
         if transaction is None or transaction.call != run.call:
             return
@@ -322,12 +327,12 @@
         floor = transaction.session.floors.get(run.service)
         load = self._holder.load_reporter.report(run.service, run.tenant)
         doubts = transaction.local.doubts()
-        self.send(reply_to(run, answer, floor, transaction.work.trace(), load, doubts))
+        self.send(build_reply(run, answer, floor, transaction.work.trace(), load, doubts))
 
     def _end(self, number: int) -> None:
         transaction = self._transactions.pop(number, None)
         if transaction is not None:
-            transaction.work.finish(_left())
+            transaction.work.finish(_sender_gone())
             transaction.work.end()
 
     def end_idle_since(self, since: float) -> None:
@@ -339,8 +344,8 @@
     def _drop(self, call: int) -> None:
         single = self._singles.pop(call, None)
         if single is not None:
-            single.work.finish(_left())
+            single.work.finish(_sender_gone())
 
 
-def _left() -> Answer:
+def _sender_gone() -> Answer:
     return Answer(refusal=Refusal.ABORTED, message="the neighbour left")
--- a/src/rowanrail/gateway/relay/serving_rules.py
+++ b/src/rowanrail/gateway/relay/serving_rules.py
@@ -8,10 +8,10 @@
 
 import enum
 
-__all__ = ["Arrival", "judge_arrival"]
+__all__ = ["ArrivalDecision", "decide_arrival"]
 
 
-class Arrival(enum.Enum):
+class ArrivalDecision(enum.Enum):
     """What is done with a statement on its arrival."""
 
     RUN = "run"
@@ -20,7 +20,9 @@
     ENDED = "ended"  # its transaction is no longer open here: aborted
 
 
-def judge_arrival(is_open: bool, begins: bool, is_admitted: bool, is_stopping: bool) -> Arrival:
+def decide_arrival(
+    is_open: bool, begins: bool, is_admitted: bool, is_stopping: bool
+) -> ArrivalDecision:
     """Return what is done with a statement that another gateway sent.
 
     Parameters
@@ -36,15 +38,15 @@
 
     Examples
     --------
-    >>> judge_arrival(is_open=True, begins=False, is_admitted=True, is_stopping=True).value
+    >>> decide_arrival(is_open=True, begins=False, is_admitted=True, is_stopping=True).value
     'run'
-    >>> judge_arrival(is_open=False, begins=True, is_admitted=True, is_stopping=True).value
+    >>> decide_arrival(is_open=False, begins=True, is_admitted=True, is_stopping=True).value
     'not-served'
-    >>> judge_arrival(is_open=False, begins=False, is_admitted=True, is_stopping=False).value
+    >>> decide_arrival(is_open=False, begins=False, is_admitted=True, is_stopping=False).value
     'ended'
     """
     if not (is_open or begins):
-        return Arrival.ENDED
+        return ArrivalDecision.ENDED
     if not is_admitted:
-        return Arrival.DENIED
-    return Arrival.NOT_SERVED if is_stopping and not is_open else Arrival.RUN
+        return ArrivalDecision.DENIED
+    return ArrivalDecision.NOT_SERVED if is_stopping and not is_open else ArrivalDecision.RUN
--- a/src/rowanrail/gateway/relay/transport.py
+++ b/src/rowanrail/gateway/relay/transport.py
@@ -19,9 +19,9 @@
 __all__ = ["TcpHolderServer", "TcpLinkOpener"]
 
 LINK_CONNECT_SECONDS = 0.4  # eight round trips between regions; statements go elsewhere meanwhile
-MAXIMUM_LINK_FRAME_BYTES = 2 * 1024 * 1024  # a statement of 1 MiB and what goes with it
+MAX_LINK_FRAME_BYTES = 2 * 1024 * 1024  # a statement of 1 MiB and what goes with it
 # Chosen: unsent bytes at which a peer that does not read is given up, before memory is short.
-LINK_BACKLOG_BYTES = 8 * 1024 * 1024
+MAX_LINK_BACKLOG_BYTES = 8 * 1024 * 1024
 _LENGTH = struct.Struct("<I")
 
 _encoder = msgspec.msgpack.Encoder()
@@ -46,7 +46,7 @@
         start = 0
         while len(buffer) - start >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(buffer, start)
-            if length > MAXIMUM_LINK_FRAME_BYTES:
+            if length > MAX_LINK_FRAME_BYTES:
                 self.close()
                 return
             end = start + _LENGTH.size + length
@@ -76,7 +76,7 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        if transport.get_write_buffer_size() > LINK_BACKLOG_BYTES:
+        if transport.get_write_buffer_size() > MAX_LINK_BACKLOG_BYTES:
             transport.abort()
             return
         frame = _encoder.encode(message)
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -21,8 +21,8 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.policies import LinkOutcome
-from rowanrail.gateway.relay.forwarding import ForwardedWork, Placement
-from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere
+from rowanrail.gateway.relay.forwarding import ForwardedWork, HolderLocator
+from rowanrail.gateway.relay.holder_choice import HeldLocally, HeldRemotely
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.relay.remote_holder import RemoteHolder
@@ -105,7 +105,7 @@
         if self._neighbours is None or not service.share.is_shared:
             return local
         shard = Shard.of(service.spec.name, tenant)
-        if isinstance(self._neighbours.where_held(shard), HeldHere):
+        if isinstance(self._neighbours.locate_holder(shard), HeldLocally):
             return local
         return self._forwarded(self._neighbours, service, local)
 
@@ -141,7 +141,7 @@
             return None
         region = self._locality.region_of(pool.record.zone)
         shard = Shard.of(service.spec.name, tenant)
-        if not isinstance(self._detours.holder_in(region, shard), HeldAt):
+        if not isinstance(self._detours.holder_in(region, shard), HeldRemotely):
             return None
         return self._forwarded(RemoteHolder(self._detours, region), service, is_detour=True)
 
@@ -154,7 +154,7 @@
 
     def _forwarded(
         self,
-        placement: Placement,
+        placement: HolderLocator,
         service: Service,
         local: LocalWork | None = None,
         is_detour: bool = False,
@@ -181,4 +181,4 @@
             tracker.note_reported(asked_at_ms / 1000, instance, position)
 
         # Gateways that hold no connections yet are no help while the primary has none left.
-        self._detours.ask(service.spec.name, bool(tracker.failing_since), take)
+        self._detours.query_samples(service.spec.name, bool(tracker.failing_since), take)
--- a/src/rowanrail/placement/hashed.py
+++ b/src/rowanrail/placement/hashed.py
@@ -43,10 +43,10 @@
 # 250 KB a second, and a statement takes about 1.7 KB of it each way, so that one holder would be
 # choked by 150 statements a second, which a primary's region gets while replicas lag.
 SHARDS = 3
-ROUNDING = 0.01  # connections that a share may lack by the rounding of its digits
+ROUNDING_TOLERANCE = 0.01  # connections that a share may lack by the rounding of its digits
 # Key by which a region's gateways are ranked for summing the region's tenant demand.
 DEMAND_AGGREGATOR = "tenants' demand"
-SMALLEST_OWN_SHARE = 3  # chosen: connections a gateway, below which a zone shares one gateway's
+MIN_OWN_CONNECTIONS = 3  # chosen: connections a gateway, below which a zone shares one gateway's
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
         return False  # nobody has a neighbour to share with
     if population.is_regional:
         return True  # connections belong to tenants: the fewer hold them, the fewer are opened
-    return (connections - RESERVED_CONNECTIONS) // population.gateways < SMALLEST_OWN_SHARE
+    return (connections - RESERVED_CONNECTIONS) // population.gateways < MIN_OWN_CONNECTIONS
 
 
 def connection_limit(
@@ -224,7 +224,7 @@
     divided = connections - RESERVED_CONNECTIONS - samplers
     if population.is_regional:
         divided -= SUCCESSOR_CONNECTIONS
-    return max(MINIMUM_CONNECTIONS, int(divided * share + ROUNDING))
+    return max(MINIMUM_CONNECTIONS, int(divided * share + ROUNDING_TOLERANCE))
 
 
 def rank(service: str, gateways: Iterable[str]) -> list[str]:
--- a/src/rowanrail/placement/planned.py
+++ b/src/rowanrail/placement/planned.py
@@ -99,7 +99,7 @@
         now = self._clock.now
         return any(now < handover.until for handover in self._handovers.values())
 
-    def take(self, plan: Plan, hashed_share: Callable[[str], float]) -> bool:
+    def adopt(self, plan: Plan, hashed_share: Callable[[str], float]) -> bool:
         """Go by a plan if it is newer than the one in force; return whether it is.
 
         Parameters
@@ -117,22 +117,22 @@
         self._samplers.clear()
         until = self._clock.now + HANDOVER_MS
         self._handovers = {
-            key: _Handover(until, self._meanwhile(share, known.get(key, hashed_share(key))))
+            key: _Handover(until, self._handover_share(share, known.get(key, hashed_share(key))))
             for key in self.held
             if (share := self._share(key))
         }
         return True
 
     @staticmethod
-    def _meanwhile(share: float, before: float) -> float:
+    def _handover_share(share: float, before: float) -> float:
         """Return the share during the handover: others still have what is gained."""
         return min(share, before) if before else share * HANDOVER_SHARE_FACTOR
 
-    def order_here(self, shard: Shard) -> list[str]:
-        """Return the holders of a shard in the gateway's own group, see :meth:`order`."""
-        return self.order(self._group, shard)
+    def local_holders(self, shard: Shard) -> list[str]:
+        """Return the holders of a shard in the gateway's own group, see :meth:`holders`."""
+        return self.holders(self._group, shard)
 
-    def order(self, group: str, shard: Shard) -> list[str]:
+    def holders(self, group: str, shard: Shard) -> list[str]:
         """Return the holders that the plan names for a shard, the one to be asked first at first.
 
         Clients' gateways, or tenants, are spread over several; one that is added takes over a
@@ -144,9 +144,9 @@
         names = planned.gateways
         if len(names) == 1:
             return names
-        return rank(f"{shard.key} {self._chooser(shard, planned)}", names)
+        return rank(f"{shard.key} {self._spreading_key(shard, planned)}", names)
 
-    def _chooser(self, shard: Shard, planned: ShardPlan) -> str:
+    def _spreading_key(self, shard: Shard, planned: ShardPlan) -> str:
         if not shard.tenant:
             return self._name
         return f"{shard.tenant} {self._name}" if planned.is_split else shard.tenant
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -3,13 +3,13 @@
 import unittest
 
 from rowanrail.gateway.relay.forwarding_rules import (
-    PLACE_RETRY_MS,
-    LostAtHolder,
-    PlaceLater,
-    PlaceNow,
+    HOLDER_LOOKUP_INTERVAL_MS,
+    LinkLost,
     Refuse,
     RejectNotRun,
-    after_loss,
+    RetryLater,
+    RetryNow,
+    after_link_loss,
     after_not_served,
     after_timeout,
     without_holder,
@@ -20,7 +20,7 @@
 
 class NotServedTest(unittest.TestCase):
     def test_what_begins_may_begin_elsewhere(self):
-        self.assertEqual(after_not_served(has_run=False), PlaceLater())
+        self.assertEqual(after_not_served(has_run=False), RetryLater())
 
     def test_a_transaction_of_which_something_ran_is_aborted(self):
         self.assertEqual(after_not_served(has_run=True), Refuse(Refusal.ABORTED))
@@ -28,13 +28,13 @@
 
 class LossTest(unittest.TestCase):
     def test_only_a_read_on_its_own_runs_again(self):
-        again = [sent for sent in Sent if after_loss(sent) == PlaceNow()]
+        again = [sent for sent in Sent if after_link_loss(sent) == RetryNow()]
         self.assertEqual(again, [Sent.READ])
 
     def test_a_write_and_a_commit_may_be_kept_and_nothing_else(self):
-        self.assertEqual(after_loss(Sent.WRITE), LostAtHolder(may_be_kept=True))
-        self.assertEqual(after_loss(Sent.COMMIT), LostAtHolder(may_be_kept=True))
-        self.assertEqual(after_loss(Sent.IN_TRANSACTION), LostAtHolder(may_be_kept=False))
+        self.assertEqual(after_link_loss(Sent.WRITE), LinkLost(may_persist=True))
+        self.assertEqual(after_link_loss(Sent.COMMIT), LinkLost(may_persist=True))
+        self.assertEqual(after_link_loss(Sent.IN_TRANSACTION), LinkLost(may_persist=False))
 
 
 class TimeoutTest(unittest.TestCase):
@@ -46,8 +46,8 @@
         for sent, verdict in (
             (Sent.READ, Refuse(Refusal.TIMEOUT)),
             (Sent.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
-            (Sent.IN_TRANSACTION, LostAtHolder(may_be_kept=False)),
-            (Sent.COMMIT, LostAtHolder(may_be_kept=True)),
+            (Sent.IN_TRANSACTION, LinkLost(may_persist=False)),
+            (Sent.COMMIT, LinkLost(may_persist=True)),
         ):
             with self.subTest(sent):
                 self.assertEqual(after_timeout(sent, is_owed=True), verdict)
@@ -55,6 +55,6 @@
 
 class WithoutHolderTest(unittest.TestCase):
     def test_it_waits_while_the_next_try_is_within_its_share_of_the_objective(self):
-        last = 1000.0 + 700.0 - PLACE_RETRY_MS
-        self.assertEqual(without_holder(last, 1000.0, 1000.0), PlaceLater())
+        last = 1000.0 + 700.0 - HOLDER_LOOKUP_INTERVAL_MS
+        self.assertEqual(without_holder(last, 1000.0, 1000.0), RetryLater())
         self.assertEqual(without_holder(last + 1, 1000.0, 1000.0), RejectNotRun())
--- a/tests/relay/test_holder_choice.py
+++ b/tests/relay/test_holder_choice.py
@@ -3,11 +3,11 @@
 import unittest
 
 from rowanrail.gateway.relay.holder_choice import (
-    HeldAt,
-    HeldHere,
+    HeldLocally,
+    HeldRemotely,
     NoHolder,
     choose_holder,
-    usable,
+    location_via,
 )
 from rowanrail.gateway.relay.link import Link, LinkState
 from rowanrail.gateway.relay.messages import Leaving
@@ -35,18 +35,18 @@
         return choose_holder(states, reach, connected), asked
 
     def test_the_first_that_is_not_down_is_chosen(self):
-        chosen, _ = self.choose({"a": None, "b": HeldHere(), "c": NoHolder()}, 2)
-        self.assertEqual(chosen, HeldHere())
+        chosen, _ = self.choose({"a": None, "b": HeldLocally(), "c": NoHolder()}, 2)
+        self.assertEqual(chosen, HeldLocally())
 
     def test_no_more_are_connected_than_can_be_needed(self):
-        _, asked = self.choose(dict.fromkeys("abcd", HeldHere()), 2)
+        _, asked = self.choose(dict.fromkeys("abcd", HeldLocally()), 2)
         self.assertEqual(asked, ["a", "b"])
-        _, asked = self.choose({"a": None, "b": HeldHere(), "c": HeldHere()}, 1)
+        _, asked = self.choose({"a": None, "b": HeldLocally(), "c": HeldLocally()}, 1)
         self.assertEqual(asked, ["a", "b"])
 
     def test_the_next_one_serves_while_the_first_link_is_opened(self):
-        chosen, _ = self.choose({"a": NoHolder(), "b": HeldHere()}, 2)
-        self.assertEqual(chosen, HeldHere())
+        chosen, _ = self.choose({"a": NoHolder(), "b": HeldLocally()}, 2)
+        self.assertEqual(chosen, HeldLocally())
 
     def test_with_all_down_there_is_no_holder(self):
         chosen, asked = self.choose({"a": None, "b": None}, 2)
@@ -59,12 +59,12 @@
         self.link = Link("g2", Clock(self.clock), lambda link, reason: None)
 
     def test_a_link_is_waited_for_and_then_used(self):
-        self.assertEqual(usable(self.link), NoHolder())
+        self.assertEqual(location_via(self.link), NoHolder())
         self.link.opened(QuietPort())
-        self.assertEqual(usable(self.link), HeldAt(self.link))
+        self.assertEqual(location_via(self.link), HeldRemotely(self.link))
 
     def test_a_gateway_that_is_leaving_counts_as_down(self):
         self.link.opened(QuietPort())
         self.link.receive(Leaving())
         self.assertEqual(self.link.state, LinkState.LEAVING)
-        self.assertIsNone(usable(self.link))
+        self.assertIsNone(location_via(self.link))
--- a/tests/relay/test_liveness.py
+++ b/tests/relay/test_liveness.py
@@ -3,37 +3,37 @@
 import unittest
 
 from rowanrail.gateway.relay.liveness import (
-    FIRST_BACKOFF_MS,
-    LONGEST_BACKOFF_MS,
+    INITIAL_BACKOFF_MS,
     LOST_AFTER_MS,
+    MAX_BACKOFF_MS,
     PING_AFTER_MS,
     SUSPECT_AFTER_MS,
     Backoff,
-    Silence,
-    judge_silence,
+    LivenessAction,
+    assess_liveness,
 )
 
 
 class SilenceTest(unittest.TestCase):
     def test_silence_alone_is_only_a_reason_to_ping(self):
-        self.assertEqual(judge_silence(PING_AFTER_MS - 1, None), Silence.BEARABLE)
-        for heard_ago in (PING_AFTER_MS, 60_000.0):
-            self.assertEqual(judge_silence(heard_ago, None), Silence.PING)
+        self.assertEqual(assess_liveness(PING_AFTER_MS - 1, None), LivenessAction.WAIT)
+        for since_heard_ms in (PING_AFTER_MS, 60_000.0):
+            self.assertEqual(assess_liveness(since_heard_ms, None), LivenessAction.PING)
 
     def test_an_unanswered_ping_is_suspicion_then_loss(self):
-        for pinged_ago, verdict in (
-            (0.0, Silence.BEARABLE),
-            (SUSPECT_AFTER_MS - 1, Silence.BEARABLE),
-            (SUSPECT_AFTER_MS, Silence.SUSPECT),
-            (LOST_AFTER_MS - 1, Silence.SUSPECT),
-            (LOST_AFTER_MS, Silence.LOST),
+        for since_ping_ms, verdict in (
+            (0.0, LivenessAction.WAIT),
+            (SUSPECT_AFTER_MS - 1, LivenessAction.WAIT),
+            (SUSPECT_AFTER_MS, LivenessAction.SUSPECT),
+            (LOST_AFTER_MS - 1, LivenessAction.SUSPECT),
+            (LOST_AFTER_MS, LivenessAction.LOST),
         ):
-            with self.subTest(pinged_ago):
-                self.assertEqual(judge_silence(60_000.0, pinged_ago), verdict)
+            with self.subTest(since_ping_ms):
+                self.assertEqual(assess_liveness(60_000.0, since_ping_ms), verdict)
 
     def test_a_far_gateway_without_processor_time_is_not_suspected(self):
         round_trip, stopped = 50.0, 100.0
-        self.assertEqual(judge_silence(300.0, round_trip + stopped - 1), Silence.BEARABLE)
+        self.assertEqual(assess_liveness(300.0, round_trip + stopped - 1), LivenessAction.WAIT)
 
 
 class BackoffTest(unittest.TestCase):
@@ -50,7 +50,7 @@
             pauses.append(pause)
             now += pause
         self.assertEqual(pauses, [200.0, 400.0, 800.0, 1600.0, 2000.0, 2000.0])
-        self.assertEqual((pauses[0], pauses[-1]), (FIRST_BACKOFF_MS, LONGEST_BACKOFF_MS))
+        self.assertEqual((pauses[0], pauses[-1]), (INITIAL_BACKOFF_MS, MAX_BACKOFF_MS))
 
     def test_an_answer_makes_the_next_pause_short_but_ends_none(self):
         backoff = Backoff()
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rowanrail.gateway.relay.load_meter import LOOP_CHECK_MS, SPAN_MS, LoadMeter
+from rowanrail.gateway.relay.load_meter import LOOP_CHECK_MS, WINDOW_MS, LoadMeter
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Refusal
 from rowanrail.placement.hashed import Population, Shard, even_share, planned_limit
@@ -257,8 +257,8 @@
 class SpreadTest(unittest.TestCase):
     def holders(self, shard, known, name="g1"):
         planned = PlannedHolders(name, "a", Clock(ManualClock()))
-        planned.take(known, lambda key: 0.0)
-        return planned.order_here(shard)
+        planned.adopt(known, lambda key: 0.0)
+        return planned.local_holders(shard)
 
     def known(self, is_split):
         holdings = [Holding(name, 0.1) for name in ("h1", "h2", "h3")]
@@ -311,7 +311,7 @@
         self.meter.start()
 
     def span(self):
-        self.clock.advance(SPAN_MS / 1000)
+        self.clock.advance(WINDOW_MS / 1000)
         return self.meter.latest
 
     def test_it_tells_a_span_for_a_while_and_then_no_more(self):
@@ -346,5 +346,5 @@
         self.unsent = 4000
         self.clock.advance(LOOP_CHECK_MS / 1000)
         self.unsent = 0
-        self.clock.advance((SPAN_MS - LOOP_CHECK_MS) / 1000)
+        self.clock.advance((WINDOW_MS - LOOP_CHECK_MS) / 1000)
         self.assertFalse(self.meter.latest.is_slow, "a moment is no sign")
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -85,4 +85,4 @@
     def test_the_order_without_a_plan_is_that_of_the_hash(self):
         neighbours = self.world.sender.gateway.peers.neighbours
         shard = Shard.of("db", "somebody")
-        self.assertEqual(neighbours._order(shard.key), rank(shard.key, ["ga1", "ga2"]))
+        self.assertEqual(neighbours._ranking(shard.key), rank(shard.key, ["ga1", "ga2"]))
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -279,8 +279,8 @@
         _, other = rank(DEMAND_AGGREGATOR, ["gb1", "gb2"])
         for name in ("ga1", "ga2"):
             detours = self.world.gateways[name].gateway.peers.detours
-            detours.hashed_holder_in = lambda group, key, detours=detours: detours._keeper.reach(
-                other
+            detours.hashed_holder_in = lambda group, key, detours=detours: (
+                detours._link_manager.reach(other)
             )
         for one, number in zip(self.world.gateways.values(), (5, 7, 11, 13), strict=True):
             self.ask(one, number)
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -4,9 +4,13 @@
 
 import msgspec
 
-from rowanrail.gateway.relay.messages import Reply, Run
+from rowanrail.gateway.relay.message_mapping import (
+    OutgoingStatement,
+    apply_session_values,
+    build_run_message,
+)
+from rowanrail.gateway.relay.messages import Reply, RunStatement
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
-from rowanrail.gateway.relay.terms import Outgoing, load_session, run_of
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import Refusal
@@ -30,35 +34,35 @@
         self.remote_admission.note("g1", "db", "anna", ServiceLoad([0, 3000], [0, 0], 400))
 
     def test_what_the_holder_would_refuse_is_not_sent(self):
-        rejected = self.remote_admission.judge(asked())
+        rejected = self.remote_admission.check(asked())
         self.assertEqual(rejected.answer.refusal, Refusal.BUSY)
         self.assertRegex(rejected.answer.message, r"^g1 is crowded .*; retry in \d\.\d\d s$")
         self.assertEqual(rejected.rejection.cause, "holder-crowded")
         self.assertEqual(rejected.rejection.left, 800)
 
     def test_what_is_more_urgent_or_only_reads_is_sent(self):
-        self.assertIsNone(self.remote_admission.judge(asked(urgency=0)))
-        self.assertIsNone(self.remote_admission.judge(asked(writes=False)))
+        self.assertIsNone(self.remote_admission.check(asked(urgency=0)))
+        self.assertIsNone(self.remote_admission.check(asked(writes=False)))
 
     def test_another_tenant_s_statement_is_sent(self):
-        self.assertIsNone(self.remote_admission.judge(asked(tenant="bob")))
+        self.assertIsNone(self.remote_admission.check(asked(tenant="bob")))
 
     def test_who_has_returned_is_sent_since_the_holder_knows_its_place(self):
-        self.assertIsNone(self.remote_admission.judge(asked(is_retry=True)))
+        self.assertIsNone(self.remote_admission.check(asked(is_retry=True)))
 
     def test_what_has_no_time_for_the_way_is_not_sent_even_as_a_probe(self):
         self.zone.clock.advance(0.5)
-        rejected = self.remote_admission.judge(asked(time_left=70.0))
+        rejected = self.remote_admission.check(asked(time_left=70.0))
         self.assertEqual(rejected.rejection.cause, "way-too-long")
 
     def test_a_probe_is_sent_each_tenth_of_a_second(self):
-        self.assertIsNotNone(self.remote_admission.judge(asked()))
+        self.assertIsNotNone(self.remote_admission.check(asked()))
         self.zone.clock.advance(0.11)
-        self.assertIsNone(self.remote_admission.judge(asked()))
-        self.assertIsNotNone(self.remote_admission.judge(asked()))
+        self.assertIsNone(self.remote_admission.check(asked()))
+        self.assertIsNotNone(self.remote_admission.check(asked()))
 
     def test_many_refused_at_one_moment_are_told_different_moments(self):
-        told = {self.remote_admission.judge(asked()).rejection.return_in for _ in range(50)}
+        told = {self.remote_admission.check(asked()).rejection.return_in for _ in range(50)}
         self.assertGreater(len(told), 40)
 
 
@@ -167,8 +171,12 @@
         session, held = SessionValues(), SessionValues()
         session.is_retrying = True
         route = Route("orders", "orders", "db", Consistency.PRIMARY, 1.0, 0.5)
-        run = run_of(Outgoing(statement("q1", "WRITE a 1"), route, session, 800.0), 1)
-        load_session(held, msgspec.msgpack.decode(msgspec.msgpack.encode(run), type=Run))
+        run = build_run_message(
+            OutgoingStatement(statement("q1", "WRITE a 1"), route, session, 800.0), 1
+        )
+        apply_session_values(
+            held, msgspec.msgpack.decode(msgspec.msgpack.encode(run), type=RunStatement)
+        )
         self.assertTrue(held.is_retrying)
 
 
@@ -195,5 +203,5 @@
         self.assertEqual(decoded.call, 1)
 
     def test_a_run_without_the_last_field_is_a_newcomer_s(self):
-        self.assertEqual(Run.__struct_fields__[-1], "returned")
-        self.assertIs(Run.__struct_defaults__[-1], False)
+        self.assertEqual(RunStatement.__struct_fields__[-1], "is_retry")
+        self.assertIs(RunStatement.__struct_defaults__[-1], False)
--- a/tests/relay/test_serving_rules.py
+++ b/tests/relay/test_serving_rules.py
@@ -3,7 +3,7 @@
 import itertools
 import unittest
 
-from rowanrail.gateway.relay.serving_rules import Arrival, judge_arrival
+from rowanrail.gateway.relay.serving_rules import ArrivalDecision, decide_arrival
 
 BOTH = (False, True)
 
@@ -11,19 +11,21 @@
 class ArrivalTest(unittest.TestCase):
     def test_a_transaction_that_was_ended_is_never_begun_in_the_middle(self):
         for is_admitted, is_stopping in itertools.product(BOTH, BOTH):
-            self.assertEqual(judge_arrival(False, False, is_admitted, is_stopping), Arrival.ENDED)
+            self.assertEqual(
+                decide_arrival(False, False, is_admitted, is_stopping), ArrivalDecision.ENDED
+            )
 
     def test_nothing_runs_for_a_withdrawn_key(self):
         for is_open, is_stopping in itertools.product(BOTH, BOTH):
-            verdict = judge_arrival(is_open, True, False, is_stopping)
-            self.assertEqual(verdict, Arrival.DENIED)
-        self.assertEqual(judge_arrival(True, False, False, False), Arrival.DENIED)
+            verdict = decide_arrival(is_open, True, False, is_stopping)
+            self.assertEqual(verdict, ArrivalDecision.DENIED)
+        self.assertEqual(decide_arrival(True, False, False, False), ArrivalDecision.DENIED)
 
     def test_during_a_stop_open_transactions_go_on_and_nothing_begins(self):
         for begins in BOTH:
-            self.assertEqual(judge_arrival(True, begins, True, True), Arrival.RUN)
-        self.assertEqual(judge_arrival(False, True, True, True), Arrival.NOT_SERVED)
+            self.assertEqual(decide_arrival(True, begins, True, True), ArrivalDecision.RUN)
+        self.assertEqual(decide_arrival(False, True, True, True), ArrivalDecision.NOT_SERVED)
 
     def test_all_else_runs(self):
         for is_open, begins in ((False, True), (True, True), (True, False)):
-            self.assertEqual(judge_arrival(is_open, begins, True, False), Arrival.RUN)
+            self.assertEqual(decide_arrival(is_open, begins, True, False), ArrivalDecision.RUN)
--- a/tests/unit/test_architecture.py
+++ b/tests/unit/test_architecture.py
@@ -59,7 +59,7 @@
             path.read_text() for path in (ROOT / "src/rowanrail").rglob("messages.py")
         )
         sources += (ROOT / "src/rowanrail/coordination/commands.py").read_text()
-        for name in ("Run", "Reply", "PutRequest", "PutDocument", "DirectoryRequest"):
+        for name in ("RunStatement", "Reply", "PutRequest", "PutDocument", "DirectoryRequest"):
             self.assertIn(f"class {name}(", sources)
         for name in ("HeartbeatNotice", "GatewayReport", "IntendPromotion", "Readmit"):
             self.assertIn(f"class {name}(", sources)
