--- a/src/rowanrail/coordination/duty.py
+++ b/src/rowanrail/coordination/duty.py
@@ -30,7 +30,7 @@
 from rowanrail.members.channel import MemberDriver
 from rowanrail.members.leadership import LeadershipProof
 from rowanrail.members.primary import PrimaryTracker
-from rowanrail.members.primary_health import health_of
+from rowanrail.members.primary_health import primary_health_report
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Command, CommandKind
 
@@ -228,7 +228,7 @@
                     status.received if status else None,
                 )
             )
-        health = health_of(self._trackers[service], now)
+        health = primary_health_report(self._trackers[service], now)
         own = report_view(OWN_SOURCE, health, age=0.0)
         holding_since = now if self._holding_since is None else self._holding_since
         return ServiceView(
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -38,7 +38,7 @@
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
 from rowanrail.members.channel import MemberDriver
-from rowanrail.members.primary_health import health_of
+from rowanrail.members.primary_health import primary_health_report
 from rowanrail.members.samples import PositionSample
 from rowanrail.model.members import PrimaryHealth
 from rowanrail.model.routing import Route, RoutingConfiguration, ServiceSpec
@@ -189,7 +189,7 @@
     def _new_service(self, name: str, spec: ServiceSpec) -> Service:
         service = Service(spec, self._locality, self._driver, self.clock, self._policies)
         service.primary.on_alarm = functools.partial(self._note_primary, service)
-        service.primary.on_trouble = functools.partial(self._router.ask_for_samples, service)
+        service.primary.on_unavailable = functools.partial(self._router.ask_for_samples, service)
         note = functools.partial(note_weight, self._decisions, service)
         service.estimates.weights.on_change = note
         service.set_population(self._known.population)
@@ -240,7 +240,7 @@
     def health(self) -> list[PrimaryHealth]:
         """Return what this proxy sees of the primaries that it uses."""
         now = self.clock.time()
-        return [health_of(service.primary, now) for service in self.services.values()]
+        return [primary_health_report(service.primary, now) for service in self.services.values()]
 
     # Sessions
 
--- a/src/rowanrail/gateway/pools/idle_channels.py
+++ b/src/rowanrail/gateway/pools/idle_channels.py
@@ -53,7 +53,10 @@
         if not usable:
             return None
         for channel in usable:
-            if channel.values == waiter.values and not channel.uncertain:
+            if (
+                channel.session_values == waiter.session_values
+                and not channel.session_state_unknown
+            ):
                 break
         else:
             channel = usable[0]
--- a/src/rowanrail/gateway/pools/waiter.py
+++ b/src/rowanrail/gateway/pools/waiter.py
@@ -18,22 +18,22 @@
     """Somebody who wants a connection.
 
     :param entry: how urgent it is, whose connection it needs, until when.
-    :param values: session values that the connection should have already, if one has.
+    :param session_values: values that the connection should have already, if one has.
     :param respond: gets the connection, or None with the reason.
     :param expire: learns, in place of ``respond``, that it could no longer be answered in time.
     """
 
-    __slots__ = ("entry", "expire", "respond", "since", "values")
+    __slots__ = ("entry", "expire", "respond", "since", "session_values")
 
     def __init__(
         self,
         entry: QueueEntry,
-        values: dict[str, str],
+        session_values: dict[str, str],
         respond: Callable[[Channel | None, Answer], None],
         expire: Callable[[], None] = lambda: None,
     ) -> None:
         self.entry = entry
-        self.values = values
+        self.session_values = session_values
         self.respond = respond
         self.expire = expire
         self.since = 0.0
--- a/src/rowanrail/gateway/relay/forwarded.py
+++ b/src/rowanrail/gateway/relay/forwarded.py
@@ -34,7 +34,7 @@
 from rowanrail.gateway.work.local import LocalWork
 from rowanrail.gateway.work.refusals import busy, rejection
 from rowanrail.kernel.clock import Clock, Timer
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
@@ -93,7 +93,7 @@
         self._work = work
         self._route = route
         self._session = session
-        self._respond: Respond | None = None
+        self._respond: AnswerCallback | None = None
         self._statement: TypedStatement | None = None
         self._began = 0.0
         self._timer: Timer | None = None
@@ -124,7 +124,7 @@
     def _left(self) -> float:
         return self._began + self._route.timeout_seconds * 1000 - self._work.clock.now
 
-    def _begin(self, statement: TypedStatement, respond: Respond) -> None:
+    def _begin(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         self._statement = statement
         self._respond = respond
         self._holder_trace = None
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -21,7 +21,7 @@
 from rowanrail.gateway.work.attempts import Sent
 from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
 from rowanrail.gateway.work.refusals import LATE
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, StatementKind, TypedStatement
 from rowanrail.model.trace import Trace
@@ -55,7 +55,7 @@
         self._writes = writes
         self._here: SingleStatement | None = None
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """See :meth:`rowanrail.gateway.work.ports.SingleStatement.start`."""
         self._begin(statement, respond)
         self._place()
@@ -116,7 +116,7 @@
         self._number = 0  # 0 until its first statement was sent, and after its end
         self._here: WorkInTransaction | None = None
 
-    def run(self, statement: TypedStatement, respond: Respond) -> None:
+    def run(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.run`."""
         if self._here is not None:
             self._here.run(statement, respond)
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -178,7 +178,7 @@
         tracker = service.primary
 
         def take(asked_at_ms: float, instance: str, position: Position) -> None:
-            tracker.note_reported(asked_at_ms / 1000, instance, position)
+            tracker.note_reported_position(asked_at_ms / 1000, instance, position)
 
         # Gateways that hold no connections yet are no help while the primary has none left.
         self._detours.ask(service.spec.name, bool(tracker.failing_since), take)
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -145,7 +145,7 @@
         record = pool.record
         name = record.instance
         work = self._times.work(wanted.kind)
-        is_primary = name == self._tracker.believed
+        is_primary = name == self._tracker.presumed_primary
         behind = 0.0
         if age is not None and not is_primary and name in self._lags:
             behind = self._lags[name].expected_behind(age, now)
--- a/src/rowanrail/gateway/services/primary_lines.py
+++ b/src/rowanrail/gateway/services/primary_lines.py
@@ -23,7 +23,7 @@
         decisions.note(
             PRIMARY_LOST,
             service=tracker.service,
-            instance=tracker.believed,
+            instance=tracker.presumed_primary,
             failing_for=round(now - tracker.failing_since, 3),
             proved_ago=round(now - tracker.proved_at, 3),
         )
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -151,7 +151,7 @@
 
     def primary_pool(self) -> MemberPool | None:
         """Return the pool of the member believed to lead."""
-        return self.pools.get(self.primary.believed)
+        return self.pools.get(self.primary.presumed_primary)
 
     def choose(self, excluded: set[str], wanted: Wanted = _ANY) -> MemberPool | None:
         """Return the member for a read that any member with a fresh log may serve."""
@@ -200,7 +200,7 @@
         """Let time pass."""
         self.primary.tick(self.in_use)
         if self.in_use:
-            self._probes.tick(self.pools, self.primary.believed, self.share.samplers)
+            self._probes.tick(self.pools, self.primary.presumed_primary, self.share.samplers)
         for pool in self.pools.values():
             pool.trim(self._is_kept)
         self._held_connections = self.has_connections
--- a/src/rowanrail/gateway/services/weight_lines.py
+++ b/src/rowanrail/gateway/services/weight_lines.py
@@ -26,5 +26,5 @@
         falls=weight.falls,
         error_share=0.0 if pool is None else round(pool.error_share, 3),
         queue=round(service.estimates.queue_seconds(instance), 3),
-        primary=service.primary.believed,
+        primary=service.primary.presumed_primary,
     )
--- a/src/rowanrail/gateway/session_values.py
+++ b/src/rowanrail/gateway/session_values.py
@@ -44,15 +44,15 @@
     """Return the commands that give a connection exactly the session's values."""
     commands: list[Command] = []
     wanted = session.values
-    if channel.uncertain or any(name not in wanted for name in channel.values):
+    if channel.session_state_unknown or any(name not in wanted for name in channel.session_values):
         commands.append(Command(CommandKind.RESET))
-        channel.values = {}
+        channel.session_values = {}
         channel.prepared = set()
-        channel.uncertain = False
+        channel.session_state_unknown = False
     for name, value in wanted.items():
-        if channel.values.get(name) != value:
+        if channel.session_values.get(name) != value:
             commands.append(Command(CommandKind.SET, f"{name} {value}"))
-            channel.values[name] = value
+            channel.session_values[name] = value
     return commands
 
 
@@ -60,9 +60,9 @@
     """Return the commands for values that the session set since its transaction began."""
     commands = []
     for name, value in session.values.items():
-        if channel.values.get(name) != value:
+        if channel.session_values.get(name) != value:
             commands.append(Command(CommandKind.SET, f"{name} {value}"))
-            channel.values[name] = value
+            channel.session_values[name] = value
     return commands
 
 
--- a/src/rowanrail/gateway/sessions/pending.py
+++ b/src/rowanrail/gateway/sessions/pending.py
@@ -41,14 +41,14 @@
 
     def ask(self) -> None:
         """Have the primary sampled."""
-        self._tracker.need(self._asked_at, self._take)
+        self._tracker.wait_for_position(self._asked_at, self._take)
 
     def _take(self, position: Position | None) -> None:
         self._answer(self._tracker.sample if position is not None else None)
 
     def give_up(self) -> None:
         """Answer that there is no sample, unless one was given."""
-        self._tracker.forget(self._take)
+        self._tracker.cancel_wait(self._take)
         self._answer(None)
 
     def _answer(self, sample: PositionSample | None) -> None:
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -10,7 +10,7 @@
 from rowanrail.gateway.session_values import SessionValues, is_write
 from rowanrail.gateway.work.ports import SingleStatement, Work, WorkInTransaction
 from rowanrail.kernel.clock import Scheduler, Timer
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import (
     NOT_RUN,
@@ -113,7 +113,7 @@
         self._host = host
         self._transaction: WorkInTransaction | None = None
         self._operation: SingleStatement | WorkInTransaction | None = None
-        self._respond: Respond | None = None
+        self._respond: AnswerCallback | None = None
         self._statement: TypedStatement | None = None
         self._abort_reason = ""
         self._denied = False
@@ -142,7 +142,7 @@
 
     # Statements
 
-    def execute(self, statement: TypedStatement, respond: Respond) -> None:
+    def execute(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run a statement; ``respond`` gets its answer once, perhaps at once."""
         assert self._respond is None, "statements of a session run one after the other"
         self._respond = respond
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -20,7 +20,7 @@
 from rowanrail.gateway.work.freshness import oldest_sample, prefetch
 from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.refusals import LATE, PRIMARY_RETRY_AFTER_MS, busy
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
@@ -30,7 +30,7 @@
 class AutocommitRead(Operation):
     """An autocommit read: a floor, then any member whose log holds it."""
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Begin."""
         self.statement = statement
         self.excluded: set[str] = set()
@@ -65,11 +65,11 @@
         self.stage = Stage.WAITS_FOR_SAMPLE
         prefetch(self.service, self.route, self.clock.time())
         tracker = self.service.primary
-        if not tracker.can_give(self._asked_since) and tracker.is_long_lost:
+        if not tracker.has_sample_since(self._asked_since) and tracker.is_failover_overdue:
             if not self.hand_over(self.statement, writes=False):
                 self.reject_long_lost()
             return
-        tracker.need(self._asked_since, self._with_floor)
+        tracker.wait_for_position(self._asked_since, self._with_floor)
 
     def _with_floor(self, position: Position | None) -> None:
         if self.respond is None:
@@ -160,7 +160,9 @@
         elif refusal is Refusal.UNKNOWN_NAME and self.channel is not None:
             self.channel.prepared.clear()
         self.release()
-        match step_after_read(refusal, self._errors, instance == self.service.primary.believed):
+        match step_after_read(
+            refusal, self._errors, instance == self.service.primary.presumed_primary
+        ):
             case ReadStep.ANSWER:
                 self.finish(answer)
             case ReadStep.NEXT_MEMBER:
@@ -188,7 +190,7 @@
 
     def on_timeout(self) -> None:
         """See :meth:`Operation.on_timeout`. A read that was sent may still run."""
-        self.service.primary.forget(self._with_floor)
+        self.service.primary.cancel_wait(self._with_floor)
         if self.channel is None:
             self.refuse_unplaced(busy(LATE))
             return
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -10,14 +10,14 @@
 from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.ports import Work
 from rowanrail.gateway.work.refusals import LATE, busy
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 
 
 class AutocommitWrite(Operation):
     """An autocommit write, at the primary; what may have run is never sent again."""
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Begin."""
         self.statement = statement
         self.begin_statement(respond)
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -15,7 +15,7 @@
 from rowanrail.gateway.work.attempts import OPEN_ATTEMPT_SECONDS, answer_limit_seconds
 from rowanrail.gateway.work.statement import Statement
 from rowanrail.kernel.clock import Scheduler, Timer
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, Command, CommandKind
 from rowanrail.scheduling.entry import QueueEntry
@@ -145,7 +145,7 @@
 
     # The connection
 
-    def send(self, commands: list[Command], respond: Respond) -> None:
+    def send(self, commands: list[Command], respond: AnswerCallback) -> None:
         """Send commands; only the last one's answer matters unless an earlier one fails."""
         assert self.channel is not None
         channel = self.channel
@@ -164,7 +164,7 @@
 
         self.sent_at = sent_at
         self.stage = Stage.SENT
-        answered: list[Respond] = [check] * (len(commands) - 1)
+        answered: list[AnswerCallback] = [check] * (len(commands) - 1)
         channel.send(commands, [*answered, settle])
 
     def release(self, latency: float | None = None) -> None:
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -23,7 +23,7 @@
 )
 from rowanrail.gateway.work.refusals import PRIMARY_RETRY_AFTER_MS, busy, primary_trouble
 from rowanrail.kernel.clock import Scheduler
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.position import Position
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
@@ -75,13 +75,13 @@
             stage=self.stage.value,
             member=self.member,
             attempts=self.attempts,
-            primary=tracker.believed,
+            primary=tracker.presumed_primary,
             primary_failing_for=round(now - failing, 3) if failing else 0.0,
             sample_age=round(now - tracker.sample.asked_at, 3) if tracker.sample else None,
             rejection=self.rejection,
         )
 
-    def begin_statement(self, respond: Respond) -> None:
+    def begin_statement(self, respond: AnswerCallback) -> None:
         """See :meth:`Statement.begin_statement`."""
         self.attempts = 0
         super().begin_statement(respond)
@@ -89,10 +89,10 @@
     def on_deferral_over(self) -> None:
         """Reject what could not run so far if the primary is lost, or has no connection left."""
         tracker = self.service.primary
-        trouble = primary_trouble(tracker.failing_since, tracker.is_crowded)
+        trouble = primary_trouble(tracker.failing_since, tracker.is_at_connection_limit)
         if self.channel is not None or not trouble:
             return
-        tracker.forget(self.floor_callback())
+        tracker.cancel_wait(self.floor_callback())
         self.reject(RejectionCause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
 
     def floor_callback(self) -> Callable[[Position | None], None] | None:
@@ -171,7 +171,7 @@
         the primary. Its client still has time to try another gateway, and gets no Retry-After.
         """
         tracker = self.service.primary
-        if not tracker.is_long_lost:
+        if not tracker.is_failover_overdue:
             return False
         seconds = self.clock.time() - tracker.failing_since
         self.finish(busy(f"the primary has been lost for {seconds:.1f} s; retry elsewhere"))
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
@@ -31,14 +31,14 @@
 class SingleStatement(_Traced, Protocol):
     """A read or write on its own."""
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Begin; ``respond`` gets the answer once."""
 
 
 class WorkInTransaction(_Traced, Protocol):
     """A transaction, from its first statement to its end."""
 
-    def run(self, statement: TypedStatement, respond: Respond) -> None:
+    def run(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run a read, a write or the commit."""
 
     def end(self) -> None:
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -22,7 +22,7 @@
     shortest_retry_after_ms,
 )
 from rowanrail.kernel.clock import Scheduler, Timer
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
@@ -57,7 +57,7 @@
         self.clock = clock
         self.timer: Timer | None = None
         self.deferral_timer: Timer | None = None
-        self.respond: Respond | None = None
+        self.respond: AnswerCallback | None = None
         self.arrived_at = 0.0
         self.rejection: Rejection | None = None
 
@@ -81,7 +81,7 @@
         """Milliseconds until the statement's time is over."""
         return self.time_given_ms - (self.clock.time() - self.arrived_at) * 1000
 
-    def begin_statement(self, respond: Respond) -> None:
+    def begin_statement(self, respond: AnswerCallback) -> None:
         """Take a statement and start its clock."""
         self.respond = respond
         self.arrived_at = self.clock.time()
@@ -122,7 +122,7 @@
     def refuse_unplaced(self, answer: Answer) -> None:
         """Refuse what no member took; as busy it is rejected, with its Retry-After."""
         tracker = self.service.primary
-        has_primary = bool(tracker.believed) and not tracker.failing_since
+        has_primary = bool(tracker.presumed_primary) and not tracker.failing_since
         verdict = judge_unplaced(answer.refusal, has_primary)
         if verdict is None:
             self.finish(answer)
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -29,7 +29,7 @@
 from rowanrail.gateway.work.ports import OtherGateways, Work, WorkInTransaction
 from rowanrail.gateway.work.refusals import LATE, busy
 from rowanrail.kernel.clock import Scheduler
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import (
@@ -70,7 +70,7 @@
         self._reclaimed_for = ""
         self._moved: WorkInTransaction | None = None
 
-    def run(self, statement: TypedStatement, respond: Respond) -> None:
+    def run(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run a read, a write or the commit."""
         if self._moved is not None:
             self._moved.run(statement, respond)
@@ -120,8 +120,8 @@
         self.stage = Stage.WAITS_FOR_SAMPLE
         since = oldest_sample(self.route, self._begun_at)
         prefetch(self.service, self.route, self.clock.time())
-        if self.service.primary.can_give(since) or not self.reject_long_lost():
-            self.service.primary.need(since, self._with_floor)
+        if self.service.primary.has_sample_since(since) or not self.reject_long_lost():
+            self.service.primary.wait_for_position(since, self._with_floor)
 
     def _with_floor(self, position: Position | None) -> None:
         if self.respond is None:
@@ -219,7 +219,7 @@
         else:
             self._excluded.add(instance)
         answer = _for_client(answer, Sent.IN_TRANSACTION)
-        if answer.refusal is Refusal.BEHIND and instance == self.service.primary.believed:
+        if answer.refusal is Refusal.BEHIND and instance == self.service.primary.presumed_primary:
             self._begun_at = self.clock.time()
         self.retry_later(self._begin, answer)
 
@@ -334,14 +334,14 @@
             if answer.refusal is not None:
                 channel.close()
             # A value set inside of a transaction may be undone with it.
-            channel.uncertain = bool(channel.values)
+            channel.session_state_unknown = bool(channel.session_values)
             pool.release(channel)
 
         channel.send([Command(CommandKind.ROLLBACK)], [rolled_back])
 
     def on_timeout(self) -> None:
         """See :meth:`Operation.on_timeout`."""
-        self.service.primary.forget(self._with_floor)
+        self.service.primary.cancel_wait(self._with_floor)
         self.failed = True
         if self.channel is None:
             self.refuse_unplaced(busy(LATE))
--- a/src/rowanrail/members/channel.py
+++ b/src/rowanrail/members/channel.py
@@ -10,10 +10,10 @@
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
 
-Respond = Callable[[Answer], None]
+AnswerCallback = Callable[[Answer], None]
 
 
-class Wire(ABC):
+class ChannelTransport(ABC):
     """A driver's side of one connection."""
 
     @abstractmethod
@@ -52,8 +52,8 @@
         "on_closed",
         "prepared",
         "tenant",
-        "uncertain",
-        "values",
+        "session_state_unknown",
+        "session_values",
         "wire",
     )
 
@@ -67,24 +67,24 @@
         self.address = address
         self.instance = instance
         self.tenant = tenant
-        self.wire: Wire | None = None
+        self.wire: ChannelTransport | None = None
         self.closed = False
-        self.values: dict[str, str] = {}
+        self.session_values: dict[str, str] = {}
         self.prepared: set[str] = set()
-        self.uncertain = False
+        self.session_state_unknown = False
         self.in_transaction = False
         self.last_used = 0.0  # steady ms, kept by its pool
         self.leased_at = 0.0  # steady ms, kept by its pool
         self.on_closed: Callable[[Channel], None] = lambda channel: None
         self._on_open = on_open
-        self._expected: deque[tuple[Respond, bool]] = deque()
+        self._expected: deque[tuple[AnswerCallback, bool]] = deque()
 
     @property
     def busy(self) -> bool:
         """Whether answers are outstanding."""
         return bool(self._expected)
 
-    def send(self, commands: list[Command], respond: list[Respond]) -> None:
+    def send(self, commands: list[Command], respond: list[AnswerCallback]) -> None:
         """Send commands, each with the function that takes its answer."""
         if self.closed or self.wire is None:
             lost = Answer(refusal=Refusal.LOST, message="the connection is closed")
@@ -98,7 +98,7 @@
 
     # Events from the driver
 
-    def opened(self, wire: Wire, position: Position | None) -> None:
+    def opened(self, wire: ChannelTransport, position: Position | None) -> None:
         """Note that the member accepted the connection."""
         self.wire = wire
         if self.closed:
--- a/src/rowanrail/members/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -4,7 +4,7 @@
 or a commit that the member accepted, which a replaced primary refuses.
 
 Owns one service's samples and the reads that wait for one. It asks the rules
-(:class:`rowanrail.members.primary_belief.PrimaryBelief`,
+(:class:`rowanrail.members.primary_state.PrimaryState`,
 :mod:`rowanrail.members.sampling_rules`) and does what they say; the connections are those of
 :class:`rowanrail.members.sampler.MemberSampler`. A member that has no connection left is alive
 and never counts as lost for it.
@@ -16,7 +16,7 @@
 from rowanrail.members.channel import MemberDriver
 from rowanrail.members.leadership import LeadershipProof
 from rowanrail.members.monitor_interval import MONITOR_SECONDS
-from rowanrail.members.primary_belief import PrimaryBelief
+from rowanrail.members.primary_state import PrimaryState
 from rowanrail.members.probe import Lender
 from rowanrail.members.sampler import MemberSampler
 from rowanrail.members.samples import FloorWaiters, GiveFloor, PositionSample, SampleHistory
@@ -47,32 +47,32 @@
         self, service: str, driver: MemberDriver, scheduler: Scheduler, proof: LeadershipProof
     ) -> None:
         self.service = service
-        self.belief = PrimaryBelief()
+        self.state = PrimaryState()
         self.on_primary: Callable[[], None] = lambda: None
         self.on_alarm: Callable[[], None] = lambda: None
         self.on_proof: Callable[[str], None] = lambda instance: None
-        self.on_trouble: Callable[[], None] = lambda: None
+        self.on_unavailable: Callable[[], None] = lambda: None
         self.monitor_seconds = MONITOR_SECONDS
         self.history = SampleHistory()  # of the newest term
         self._proof = proof
         self._scheduler = scheduler
-        self._sampler = MemberSampler(self.belief, self, driver, scheduler)
+        self._sampler = MemberSampler(self.state, self, driver, scheduler)
         self._waiting = FloorWaiters()
 
     @property
-    def believed(self) -> str:
+    def presumed_primary(self) -> str:
         """The member that is believed to be primary; empty while none is known."""
-        return self.belief.believed
+        return self.state.presumed_primary
 
     @property
     def proved_at(self) -> float:
         """Steady seconds of the last proof; negative before the first one."""
-        return self.belief.proved_at
+        return self.state.proved_at
 
     @property
     def failing_since(self) -> float:
         """Steady seconds of the first failure since the last proof; 0 without one."""
-        return self.belief.failing_since
+        return self.state.failing_since
 
     @property
     def sample(self) -> PositionSample | None:
@@ -90,16 +90,16 @@
         return bool(len(self._sampler) or self.failing_since or len(self._waiting))
 
     @property
-    def is_long_lost(self) -> bool:
+    def is_failover_overdue(self) -> bool:
         """Whether it has failed for longer than finding or making a successor takes."""
-        return self.belief.is_long_lost(self._scheduler.time())
+        return self.state.is_failover_overdue(self._scheduler.time())
 
     @property
-    def is_crowded(self) -> bool:
+    def is_at_connection_limit(self) -> bool:
         """Whether the primary had no connection left for a sample a moment ago."""
-        return self._sampler.is_crowded
+        return self._sampler.is_at_connection_limit
 
-    def can_give(self, asked_since: float) -> bool:
+    def has_sample_since(self, asked_since: float) -> bool:
         """Return whether there is a sample that was asked for at ``asked_since`` or later."""
         return self.history.oldest_since(asked_since) is not None
 
@@ -111,7 +111,7 @@
         """Know the service's members; the one that calls itself primary is believed first."""
         self._sampler.set_members(records)
         claims = [record.instance for record in records if record.primary]
-        if self.belief.note_members(self._sampler.records, claims):
+        if self.state.note_members(self._sampler.records, claims):
             self.on_primary()
             if self.failing_since:
                 self.request_sample()
@@ -124,18 +124,18 @@
             return
         if not self.history.add(asked_at, position, instance):
             return  # it led when it answered, and has been replaced since
-        self.belief.note_proof(self._scheduler.time())
+        self.state.note_proof(self._scheduler.time())
         self._sampler.note_connected(instance)
         self.on_proof(instance)
-        if self.belief.end_failure():
+        if self.state.end_failure():
             self._sampler.drop_idle(primary=instance)
-        if self.belief.end_alarm():
+        if self.state.end_alarm():
             self.on_alarm()
-        if instance in self._sampler.records and self.belief.believe(instance):
+        if instance in self._sampler.records and self.state.believe(instance):
             self.on_primary()
         self._waiting.serve(self.sample)
 
-    def note_reported(self, asked_at: float, instance: str, position: Position) -> None:
+    def note_reported_position(self, asked_at: float, instance: str, position: Position) -> None:
         """Take a position that another gateway proved, asked for at ``asked_at`` or later.
 
         It lets reads go on; that this gateway does not reach the primary stays true.
@@ -152,26 +152,26 @@
 
     def note_not_primary(self, instance: str) -> None:
         """Note that a member refused as one that does not lead."""
-        if self.belief.note_not_primary(instance, self._scheduler.time()):
+        if self.state.note_not_primary(instance, self._scheduler.time()):
             self._search()
 
     def note_failure(self, instance: str) -> None:
         """Note that the member believed to lead does not answer."""
-        self.belief.note_failure(instance, self._scheduler.time())
+        self.state.note_failure(instance, self._scheduler.time())
 
     def note_unsampled(self, instance: str) -> None:
         """Note that a member could not be sampled; if it is the primary, ask all others."""
-        if instance == self.believed:
+        if instance == self.presumed_primary:
             self._search()
 
     def note_refused_connection(self, answer: Answer) -> None:
         """Note why no connection to the primary could be had; only silence counts against it."""
         if answer.refusal is Refusal.LOST:
-            self.note_failure(self.believed)
+            self.note_failure(self.presumed_primary)
 
     # Floors
 
-    def need(self, asked_since: float, give: GiveFloor) -> None:
+    def wait_for_position(self, asked_since: float, give: GiveFloor) -> None:
         """Give a position sampled at ``asked_since`` or later, now or once there is one."""
         sample = self.history.oldest_since(asked_since)
         if sample is not None:
@@ -180,7 +180,7 @@
         self._waiting.add(asked_since, give)
         self.request_sample()
 
-    def forget(self, give: GiveFloor | None) -> None:
+    def cancel_wait(self, give: GiveFloor | None) -> None:
         """Withdraw a wait for a sample."""
         self._waiting.forget(give)
 
@@ -190,26 +190,26 @@
         """Give up late samples, watch the primary, and search for it if none is known."""
         now = self._scheduler.time()
         self._sampler.expire()
-        if self.belief.raise_alarm(now):
+        if self.state.raise_alarm(now):
             self.on_alarm()
-        if in_use and (self.failing_since or self.is_crowded):
-            self.on_trouble()
-        if in_use and self.belief.is_search_due(now):
+        if in_use and (self.failing_since or self.is_at_connection_limit):
+            self.on_unavailable()
+        if in_use and self.state.is_search_due(now):
             self._search()
         if is_sample_due(self.is_awaited, in_use, now - self.proved_at, self.monitor_seconds):
             self.request_sample()
 
     def request_sample(self) -> None:
         """Ask for a new sample, also ahead of the reads that will need it."""
-        if self._sampler.is_asking(self.believed):
+        if self._sampler.is_asking(self.presumed_primary):
             return  # the answer to a later question is asked for when this one is answered
-        if self.believed:
-            self._sampler.ask(self._sampler.records[self.believed])
+        if self.presumed_primary:
+            self._sampler.ask(self._sampler.records[self.presumed_primary])
         else:
             self._search()
 
     def _search(self) -> None:
-        if self.belief.begin_search(self._scheduler.time()):
+        if self.state.begin_search(self._scheduler.time()):
             for record in self._sampler.records.values():
                 self._sampler.ask(record)
 
--- a/src/rowanrail/members/primary_health.py
+++ b/src/rowanrail/members/primary_health.py
@@ -7,13 +7,13 @@
 from rowanrail.members.primary import PrimaryTracker
 from rowanrail.model.members import PrimaryHealth
 
-__all__ = ["health_of"]
+__all__ = ["primary_health_report"]
 
 
-def health_of(tracker: PrimaryTracker, now: float) -> PrimaryHealth:
+def primary_health_report(tracker: PrimaryTracker, now: float) -> PrimaryHealth:
     """Return what to report of a primary at a moment in seconds."""
     proved_ago = round(1000 * (now - tracker.proved_at)) if tracker.proved_at >= 0 else -1
     failing = tracker.failing_since
     # A failure of less than a millisecond is one all the same.
     failing_for = max(1, round(1000 * (now - failing))) if failing else 0
-    return PrimaryHealth(tracker.service, tracker.believed, proved_ago, failing_for)
+    return PrimaryHealth(tracker.service, tracker.presumed_primary, proved_ago, failing_for)
--- a/src/rowanrail/members/primary_belief.py
+++ b/src/rowanrail/members/primary_state.py
@@ -12,9 +12,9 @@
 __all__ = [
     "ALARM_SECONDS",
     "FAILING_SEARCH_PAUSE_SECONDS",
-    "LONG_LOST_SECONDS",
+    "FAILOVER_OVERDUE_SECONDS",
     "SEARCH_INTERVAL_SECONDS",
-    "PrimaryBelief",
+    "PrimaryState",
 ]
 
 # Seconds between two questions to all members while no primary is known; chosen.
@@ -23,21 +23,21 @@
 FAILING_SEARCH_PAUSE_SECONDS = 0.15
 # Seconds of failing after which a primary is long lost: a successor stands within 1 to 2 s, and
 # only a gateway that is cut off waits longer.
-LONG_LOST_SECONDS = 2.0
+FAILOVER_OVERDUE_SECONDS = 2.0
 ALARM_SECONDS = 0.26  # of failing, after which the control nodes are told at once; chosen
 NEVER_PROVED = -1.0  # in place of the moment of a proof
 
 
 @dataclass(slots=True)
-class PrimaryBelief:
-    """What is believed of one service's primary; times are steady seconds.
+class PrimaryState:
+    """What is presumed of one service's primary; times are steady seconds.
 
     While the primary serves, another member's claim to lead changes nothing; and a member's silence
-    counts only against the one that is believed, or against the service while none is.
+    counts only against the presumed primary, or against the service while none is.
 
     Parameters
     ----------
-    believed : str
+    presumed_primary : str
         The member that is taken for the primary; empty while none is known.
     proved_at : float
         Moment of the last proof; negative before the first one.
@@ -48,28 +48,28 @@
 
     Examples
     --------
-    >>> belief = PrimaryBelief()
-    >>> belief.note_members(["m1", "m2"], claims=["m1"]), belief.believed
+    >>> state = PrimaryState()
+    >>> state.note_members(["m1", "m2"], claims=["m1"]), state.presumed_primary
     (True, 'm1')
-    >>> belief.note_failure("m2", now=9.0), belief.failing_since
+    >>> state.note_failure("m2", now=9.0), state.failing_since
     (None, 0.0)
-    >>> belief.note_failure("m1", now=10.0), belief.raise_alarm(now=10.2), belief.raise_alarm(10.3)
+    >>> state.note_failure("m1", now=10.0), state.raise_alarm(now=10.2), state.raise_alarm(10.3)
     (None, False, True)
-    >>> belief.is_long_lost(now=12.1), belief.note_proof(now=12.2), belief.end_failure()
+    >>> state.is_failover_overdue(now=12.1), state.note_proof(now=12.2), state.end_failure()
     (True, None, True)
-    >>> belief.end_alarm(), belief.believe("m2")
+    >>> state.end_alarm(), state.believe("m2")
     (True, True)
     """
 
-    believed: str = ""
+    presumed_primary: str = ""
     proved_at: float = NEVER_PROVED
     failing_since: float = 0.0
     is_alarmed: bool = False
     _search_at: float = 0.0
 
-    def is_long_lost(self, now: float) -> bool:
+    def is_failover_overdue(self, now: float) -> bool:
         """Return whether it has failed for longer than finding or making a successor takes."""
-        return bool(self.failing_since) and now - self.failing_since > LONG_LOST_SECONDS
+        return bool(self.failing_since) and now - self.failing_since > FAILOVER_OVERDUE_SECONDS
 
     # What members say and do
 
@@ -82,26 +82,26 @@
             Those that call themselves primary. One that serves is proved; one that fails may have
             been replaced, so that a claim counts only then.
         """
-        if self.believed not in instances:
-            self.believed = ""
-        if not claims or self.believed in claims:
+        if self.presumed_primary not in instances:
+            self.presumed_primary = ""
+        if not claims or self.presumed_primary in claims:
             return False
-        if self.believed and not self.failing_since:
+        if self.presumed_primary and not self.failing_since:
             return False
-        self.believed = claims[0]
+        self.presumed_primary = claims[0]
         return True
 
     def note_not_primary(self, instance: str, now: float) -> bool:
         """Note that a member refused as one that isn't primary; return whether it was believed."""
-        if self.believed != instance:
+        if self.presumed_primary != instance:
             return False
-        self.believed = ""
+        self.presumed_primary = ""
         self._begin_failure(now)
         return True
 
     def note_failure(self, instance: str, now: float) -> None:
         """Note that a member doesn't answer."""
-        if self.believed == instance or not self.believed:
+        if self.presumed_primary == instance or not self.presumed_primary:
             self._begin_failure(now)
 
     def _begin_failure(self, now: float) -> None:
@@ -128,8 +128,8 @@
 
     def believe(self, instance: str) -> bool:
         """Take a member for the primary; return whether that is a change."""
-        is_change = self.believed != instance
-        self.believed = instance
+        is_change = self.presumed_primary != instance
+        self.presumed_primary = instance
         return is_change
 
     # Time
--- a/src/rowanrail/members/sampler.py
+++ b/src/rowanrail/members/sampler.py
@@ -10,7 +10,7 @@
 
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, MemberDriver
-from rowanrail.members.primary_belief import PrimaryBelief
+from rowanrail.members.primary_state import PrimaryState
 from rowanrail.members.probe import Lender, Probe
 from rowanrail.members.sampling_rules import (
     LateSample,
@@ -52,7 +52,7 @@
 
     Parameters
     ----------
-    belief : PrimaryBelief
+    belief : PrimaryState
         Says which member is believed to be primary, and whether it fails.
     owner : SampleOwner
         Gets the results of samples.
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        belief: PrimaryBelief,
+        belief: PrimaryState,
         owner: SampleOwner,
         driver: MemberDriver,
         scheduler: Scheduler,
@@ -82,9 +82,9 @@
         return len(self._probes)
 
     @property
-    def is_crowded(self) -> bool:
+    def is_at_connection_limit(self) -> bool:
         """Whether the primary had no connection left for a sample a moment ago."""
-        probe = self._probes.get(self._belief.believed)
+        probe = self._probes.get(self._belief.presumed_primary)
         return probe is not None and probe.is_crowded
 
     def set_members(self, records: list[MemberRecord]) -> None:
@@ -154,7 +154,7 @@
     def _may_borrow(self, probe: Probe) -> bool:
         instance = probe.record.instance
         return self.lender is not None and may_borrow(
-            is_believed=instance == self._belief.believed,
+            is_believed=instance == self._belief.presumed_primary,
             is_failing=bool(self._belief.failing_since),
             is_crowded=probe.is_crowded,
             can_lend=self.lender.can_lend(instance),
@@ -243,7 +243,7 @@
 
     def _is_needless(self, probe: Probe) -> bool:
         """Return whether a probe's own connection may be closed."""
-        believed, is_failing = self._belief.believed, bool(self._belief.failing_since)
+        believed, is_failing = self._belief.presumed_primary, bool(self._belief.failing_since)
         return is_needless(
             is_wanted=self._owner.is_awaited or is_failing or not believed,
             is_believed=believed == probe.record.instance,
--- a/tests/coordination/test_duty.py
+++ b/tests/coordination/test_duty.py
@@ -11,7 +11,7 @@
 from rowanrail.coordination.duty import Promoter, PromotionOutcome
 from rowanrail.coordination.member_questions import StatusReader, StatusReply
 from rowanrail.kernel.errors import RowanrailError
-from rowanrail.members.channel import MemberDriver, Wire
+from rowanrail.members.channel import ChannelTransport, MemberDriver
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, CommandKind, Refusal
@@ -36,7 +36,7 @@
         return MemberRecord(self.instance, "db", address, "z1", self.leads, False, 4, self.sequence)
 
 
-class PlayedWire(Wire):
+class PlayedWire(ChannelTransport):
     def __init__(self, member, channel):
         self.member, self.channel = member, channel
 
--- a/tests/coordination/test_member_questions.py
+++ b/tests/coordination/test_member_questions.py
@@ -4,7 +4,7 @@
 import unittest
 
 from rowanrail.coordination.member_questions import MemberQuestions, StatusReader, StatusReply
-from rowanrail.members.channel import MemberDriver, Wire
+from rowanrail.members.channel import ChannelTransport, MemberDriver
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, Command, CommandKind
@@ -15,7 +15,7 @@
         return None if answer.refusal else StatusReply(False, 1, Position(1, 4))
 
 
-class AnsweringWire(Wire):
+class AnsweringWire(ChannelTransport):
     def __init__(self, channel, after):
         self.channel, self.after = channel, after
 
--- a/tests/gateway/test_crowded.py
+++ b/tests/gateway/test_crowded.py
@@ -75,10 +75,10 @@
         client = self.played.client("orders")
         self.played.primary.refuse_start = FULL
         client.run("WRITE a 1", seconds=0.6)
-        self.assertTrue(tracker.is_crowded)
+        self.assertTrue(tracker.is_at_connection_limit)
         self.played.primary.refuse_start = None
         tracker.note_proof("m1", self.played.clock.now, Position(1, 12))
-        self.assertFalse(tracker.is_crowded)
+        self.assertFalse(tracker.is_at_connection_limit)
 
     def test_a_borrowed_connection_that_is_silent_counts_against_the_primary(self):
         self.played.client("orders").run("WRITE a 1", seconds=0.1)
--- a/tests/gateway/test_idle_services.py
+++ b/tests/gateway/test_idle_services.py
@@ -48,5 +48,5 @@
 
     def test_one_whose_primary_fails_is_looked_at_though_it_is_not_used(self):
         self.rest()
-        self.service.primary.belief.failing_since = self.played.clock.time()
+        self.service.primary.state.failing_since = self.played.clock.time()
         self.assertGreaterEqual(self.ticks(0.3), 0.3 / TICK_SECONDS - 2)
--- a/tests/gateway/test_primary_rules.py
+++ b/tests/gateway/test_primary_rules.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from rowanrail.members.primary_belief import (
+from rowanrail.members.primary_state import (
     ALARM_SECONDS,
     FAILING_SEARCH_PAUSE_SECONDS,
-    LONG_LOST_SECONDS,
+    FAILOVER_OVERDUE_SECONDS,
     SEARCH_INTERVAL_SECONDS,
-    PrimaryBelief,
+    PrimaryState,
 )
 from rowanrail.members.sampling_rules import (
     LOAN_WAIT_SECONDS,
@@ -29,29 +29,29 @@
 
 class PrimaryBeliefTest(unittest.TestCase):
     def setUp(self):
-        self.belief = PrimaryBelief("m1", proved_at=10.0)
+        self.belief = PrimaryState("m1", proved_at=10.0)
 
     def test_a_claim_counts_only_while_none_is_known_or_the_believed_one_fails(self):
         self.assertFalse(self.belief.note_members(["m1", "m2"], claims=["m2"]))
         self.belief.note_failure("m1", 11.0)
         self.assertTrue(self.belief.note_members(["m1", "m2"], claims=["m2"]))
-        self.assertEqual(self.belief.believed, "m2")
+        self.assertEqual(self.belief.presumed_primary, "m2")
 
     def test_the_believed_one_may_call_itself_primary_beside_another(self):
         self.belief.note_failure("m1", 11.0)
         self.assertFalse(self.belief.note_members(["m1", "m2"], claims=["m2", "m1"]))
-        self.assertEqual(self.belief.believed, "m1")
+        self.assertEqual(self.belief.presumed_primary, "m1")
 
     def test_one_that_left_is_believed_no_more(self):
         self.assertFalse(self.belief.note_members(["m2"], claims=[]))
-        self.assertEqual(self.belief.believed, "")
+        self.assertEqual(self.belief.presumed_primary, "")
 
     def test_silence_of_another_member_is_no_failure_of_the_primary(self):
         self.belief.note_failure("m2", 11.0)
         self.assertEqual(self.belief.failing_since, 0.0)
 
     def test_any_silence_is_a_failure_while_no_primary_is_known(self):
-        belief = PrimaryBelief()
+        belief = PrimaryState()
         belief.note_failure("m2", 11.0)
         self.assertEqual(belief.failing_since, 11.0)
 
@@ -63,7 +63,7 @@
     def test_a_refusal_as_replica_ends_the_belief_in_that_member_only(self):
         self.assertFalse(self.belief.note_not_primary("m2", 11.0))
         self.assertTrue(self.belief.note_not_primary("m1", 11.0))
-        self.assertEqual((self.belief.believed, self.belief.failing_since), ("", 11.0))
+        self.assertEqual((self.belief.presumed_primary, self.belief.failing_since), ("", 11.0))
 
     def test_an_alarm_is_raised_once_and_ended_once(self):
         self.assertFalse(self.belief.raise_alarm(99.0))
@@ -77,10 +77,10 @@
 
     def test_it_is_long_lost_after_the_time_for_a_successor(self):
         self.belief.note_failure("m1", 11.0)
-        self.assertFalse(self.belief.is_long_lost(11.0 + LONG_LOST_SECONDS - JUST))
-        self.assertTrue(self.belief.is_long_lost(11.0 + LONG_LOST_SECONDS + JUST))
+        self.assertFalse(self.belief.is_failover_overdue(11.0 + FAILOVER_OVERDUE_SECONDS - JUST))
+        self.assertTrue(self.belief.is_failover_overdue(11.0 + FAILOVER_OVERDUE_SECONDS + JUST))
         self.belief.end_failure()
-        self.assertFalse(self.belief.is_long_lost(99.0))
+        self.assertFalse(self.belief.is_failover_overdue(99.0))
 
     def test_searches_are_spaced(self):
         self.assertTrue(self.belief.begin_search(11.0))
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -233,7 +233,7 @@
         client = self.lose_the_primary(played)
         self.replace(played)
         played.clock.advance(0.25)
-        self.assertEqual(played.gateway.services["db"].primary.believed, "m3")
+        self.assertEqual(played.gateway.services["db"].primary.presumed_primary, "m3")
         self.assertIsNone(client.run("WRITE c 3", seconds=0.05).refusal)
 
     def test_its_successor_is_believed_when_the_directory_names_it(self):
@@ -251,7 +251,7 @@
         records = [member.record() for member in played.members]
         played.primary.primary, played.far.primary = True, False
         played.gateway.set_directory(Directory(2, records, Population(3, 3)))
-        self.assertEqual(played.gateway.services["db"].primary.believed, "m1")
+        self.assertEqual(played.gateway.services["db"].primary.presumed_primary, "m1")
         self.assertIsNone(client.run("WRITE b 2", seconds=0.1).refusal)
 
     def test_looking_ends_and_leaves_no_connections_behind(self):
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -153,7 +153,7 @@
         holder = self.world.holder
         holder.driver.cut.add("m1")
         service = holder.gateway.services["db"]
-        service.primary.belief.failing_since = self.world.clock.now
+        service.primary.state.failing_since = self.world.clock.now
         answer = self.world.client("orders").run("WRITE a 1", seconds=0.4)
         self.assertIsNone(answer.refusal, answer)
         self.assertGreater(
--- a/tests/scheduling/member.py
+++ b/tests/scheduling/member.py
@@ -7,7 +7,7 @@
 
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.waiter import Waiter
-from rowanrail.members.channel import Channel, MemberDriver, Wire
+from rowanrail.members.channel import Channel, ChannelTransport, MemberDriver
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
 from rowanrail.scheduling.queue import QueueEntry
@@ -72,7 +72,7 @@
         self.clock.call_later(self.way, self.take, OPENING, opened, refused)
 
 
-class SlottedWire(Wire):
+class SlottedWire(ChannelTransport):
     def __init__(self, member: SlottedMember, channel: Channel) -> None:
         self.member, self.channel = member, channel
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -10,7 +10,7 @@
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
-from rowanrail.members.channel import Channel, MemberDriver, Wire
+from rowanrail.members.channel import Channel, ChannelTransport, MemberDriver
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
 from rowanrail.model.routing import Consistency, Route, RoutingConfiguration, ServiceSpec
@@ -106,7 +106,7 @@
         return [wire for wire in self.wires if not wire.closed]
 
 
-class PlayedWire(Wire):
+class PlayedWire(ChannelTransport):
     def __init__(self, member: PlayedMember, channel: Channel) -> None:
         self.member, self.channel, self.closed = member, channel, False
         self.number = len(member.wires)
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -27,7 +27,7 @@
     "rowanrail.gateway.services.service_share",
     "rowanrail.gateway.services.locality",
     "rowanrail.members.monitor_interval",
-    "rowanrail.members.primary_belief",
+    "rowanrail.members.primary_state",
     "rowanrail.members.sampling_rules",
     "rowanrail.members.samples",
     "rowanrail.gateway.planned_stop",
