--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -53,7 +53,7 @@
         ("connections_limit", labels, connections.limit),
         ("connections_leased", labels, len(connections.leases)),
         ("concurrency_limit", labels, pool.concurrency.value),
-        ("under_way", labels, connections.under_way),
+        ("under_way", labels, connections.in_flight),
         ("queue_longest_wait_seconds", labels, pool.queue.longest_wait(1000 * now_seconds) / 1000),
     ]
     for urgency, length in pool.queue.lengths.items():
--- a/src/rowanrail/gateway/pools/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -43,7 +43,7 @@
         return self.established + len(self.opening)
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Number of those that occupy the member, those of idle transactions left out."""
         return max(0, len(self.leases) - len(self.idle_transactions)) + len(self.opening)
 
--- a/src/rowanrail/gateway/pools/error_share.py
+++ b/src/rowanrail/gateway/pools/error_rate.py
@@ -6,18 +6,18 @@
 
 import math
 
-__all__ = ["ErrorShare"]
+__all__ = ["ErrorRate"]
 
 ERROR_WEIGHT = 0.2  # of the newest answer in the share of answers that were errors
 ERROR_DECAY_MS = 2000.0  # after it a share without new answers has shrunk to 1/e
 
 
-class ErrorShare:
+class ErrorRate:
     """A moving average that is forgotten with time.
 
     Examples
     --------
-    >>> errors = ErrorShare()
+    >>> errors = ErrorRate()
     >>> errors.note(1.0, 10_000.0)
     >>> errors.at(10_000.0), errors.at(20_000.0) < 0.01
     (0.2, True)
--- a/src/rowanrail/gateway/pools/forecasts.py
+++ b/src/rowanrail/gateway/pools/forecasts.py
@@ -51,9 +51,9 @@
 
     def _wait(self, ahead: float, places: int) -> float:
         connections = self._connections
-        return expected_wait(ahead, places, connections.under_way, connections.leases.average)
+        return expected_wait(ahead, places, connections.in_flight, connections.leases.average)
 
-    def of(self, entry: QueueEntry) -> Forecast:
+    def for_entry(self, entry: QueueEntry) -> Forecast:
         """Return what a statement that comes now, or waits already, can expect here."""
         connections, places = self._connections, self._places
         needs_opening = not connections.has_one_for(entry.tenant)
--- a/src/rowanrail/gateway/pools/member_health.py
+++ b/src/rowanrail/gateway/pools/member_health.py
@@ -4,7 +4,7 @@
 are steady milliseconds.
 """
 
-from rowanrail.gateway.pools.error_share import ErrorShare
+from rowanrail.gateway.pools.error_rate import ErrorRate
 
 __all__ = ["MemberHealth", "backoff_ms"]
 
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self.failing_until = 0.0  # until then it is left alone
         self._failures = 0
-        self._errors = ErrorShare()
+        self._errors = ErrorRate()
 
     def is_failing(self, now: float) -> bool:
         """Return whether connections failed a moment ago."""
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -107,7 +107,7 @@
 
     def _has_room_for(self, entry: QueueEntry) -> bool:
         # All reads wait for a sample, so that none of them would run in its place.
-        return entry.urgency < 0 or self.connections.under_way < self.concurrency.value
+        return entry.urgency < 0 or self.connections.in_flight < self.concurrency.value
 
     def _start_waiting(self) -> None:
         """Let those go on for whom there is room, in the order of the queue."""
@@ -131,7 +131,7 @@
         if not self.queue:
             return False
         connections = self.connections
-        is_full = connections.under_way >= self.concurrency.value
+        is_full = connections.in_flight >= self.concurrency.value
         now = self.clock.now
         idle = connections.idle
         supply = Supply(idle.tenants, self._may_open, connections.may_come_back)
@@ -170,7 +170,7 @@
 
     # Idle transactions
 
-    def note_idle(self, transaction: IdleTransaction) -> None:
+    def note_idle_transaction(self, transaction: IdleTransaction) -> None:
         """Note that a transaction holds a connection and does nothing."""
         self.connections.idle_transactions.add(transaction)
         self._start_waiting()
@@ -221,9 +221,9 @@
         """
         now = self.clock.now
         if refusal is None:
-            self.concurrency.note_answer(now, taken, self.connections.under_way)
+            self.concurrency.note_answer(now, taken, self.connections.in_flight)
         elif refusal is Refusal.BUSY:
-            self.concurrency.note_busy(now, self.connections.under_way)
+            self.concurrency.note_busy(now, self.connections.in_flight)
 
     def _note_failure(self) -> None:
         backoff = self.health.note_failure(self.clock.now)
@@ -235,7 +235,7 @@
             self.health.note_reachable()
             self._start_waiting()
 
-    def note_silence(self) -> None:
+    def note_timeout(self) -> None:
         """Note that the member left a command unanswered."""
         self._note_failure()
         self.on_trouble(Trouble.SILENCE)
--- a/src/rowanrail/gateway/pools/queued_request.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -66,11 +66,11 @@
         """Ask for the connection; it may come at once."""
         self._pool.acquire(self._waiter)
         if not self._is_over:
-            forecast = self._pool.forecasts.of(self._waiter.entry)
+            forecast = self._pool.forecasts.for_entry(self._waiter.entry)
             self._expected = forecast.wait
             self._check_later(forecast)
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Wait no longer."""
         if not self._is_over:
             self._end()
@@ -87,7 +87,7 @@
         self._timer = self._clock.call_in(pause, self._check)
 
     def _check(self) -> None:
-        forecast = self._pool.forecasts.of(self._waiter.entry)
+        forecast = self._pool.forecasts.for_entry(self._waiter.entry)
         if isinstance(self._watch.judge(forecast, self._left, self._error.certain_share), Admit):
             self._check_later(forecast)
         else:
@@ -96,7 +96,7 @@
     def _lose(self) -> None:
         """Leave, as it can't be answered in time any more."""
         self._note_waited(was_served=False)
-        self.leave()
+        self.cancel()
         self._give_up()
 
     def _note_waited(self, was_served: bool) -> None:
--- a/src/rowanrail/gateway/services/load_measure.py
+++ b/src/rowanrail/gateway/services/load_measure.py
@@ -44,12 +44,12 @@
 
 
 def _certain_time(pool: MemberPool, entry: QueueEntry) -> float:
-    forecast = pool.forecasts.of(entry)
+    forecast = pool.forecasts.for_entry(entry)
     if forecast.has_room:
         return 0.0
     return forecast.wait * pool.forecasts.errors.of(entry.urgency).certain_share + forecast.run
 
 
 def _pace(pool: MemberPool, entry: QueueEntry) -> int:
-    interval = pool.forecasts.of(entry).interval
+    interval = pool.forecasts.for_entry(entry).interval
     return round(1000 / interval) if interval else 0
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -152,14 +152,14 @@
         distance = self._locality.distance(record.zone)
         is_remote = distance == 2 and bool(self._locality.regions)
         usual = self._times.usual(name, wanted.kind)
-        forecast = pool.forecasts.of(wanted.entry)
+        forecast = pool.forecasts.for_entry(wanted.entry)
         return Candidate(
             instance=name,
             wait=counted_wait(forecast, bool(wanted.entry.tenant)),
             run=expected_run(usual, work, is_remote),
             queue=self._times.queue(name, now),
             work=work,
-            under_way=pool.connections.under_way + self._sent_remote[name],
+            under_way=pool.connections.in_flight + self._sent_remote[name],
             slots=record.slots,
             is_primary=is_primary,
             error_share=pool.error_share,
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -95,7 +95,7 @@
         self._attempt_timer = None
         if self.pool is None or self.respond is None:
             return
-        self.pool.note_silence()
+        self.pool.note_timeout()
         if self.channel is not None:
             self.channel.close()  # answers as lost what is outstanding, which goes elsewhere
         elif self._queued is not None:
@@ -137,7 +137,7 @@
         """Wait no longer for a connection."""
         queued, self._queued = self._queued, None
         if queued is not None:
-            queued.leave()
+            queued.cancel()
 
     def let_go(self, answer: Answer) -> None:
         """See :meth:`Statement.let_go`."""
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -198,14 +198,14 @@
 
     def may_wait_at(self, pool: MemberPool) -> bool:
         """Return whether the statement can still be served at a member."""
-        forecast = pool.forecasts.of(self.entry())
+        forecast = pool.forecasts.for_entry(self.entry())
         certain = pool.forecasts.errors.of(self.route.priority).certain_share
         verdict = judge_arriving(forecast, self.time_left_ms, self.time_given_ms, certain)
         return isinstance(verdict, Admit)
 
     def is_prompt(self, pool: MemberPool) -> bool:
         """Return whether a member has room soon enough for an answer within the objective."""
-        forecast = pool.forecasts.of(self.entry())
+        forecast = pool.forecasts.for_entry(self.entry())
         waited = self.time_given_ms - self.time_left_ms
         return is_prompt(forecast, self.route.objective_seconds, waited)
 
@@ -248,7 +248,7 @@
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
-        forecast = pool.forecasts.of(self.entry())
+        forecast = pool.forecasts.for_entry(self.entry())
         reason = f"{self.member} is crowded for {forecast.wait:.0f} ms"
         self.reject(cause, reason, retry_after_base(forecast.wait, self.time_given_ms), forecast)
 
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -248,7 +248,7 @@
             if self.read_only and self.pool is not None:
                 self.pool.note_answer()
             if self.pool is not None and self.channel is not None:
-                self.pool.note_idle(self)  # until its next statement, perhaps at once
+                self.pool.note_idle_transaction(self)  # until its next statement, perhaps at once
             self.finish(answer)
             return
         if self._retries(answer):
--- a/tests/gateway/test_pool_rules.py
+++ b/tests/gateway/test_pool_rules.py
@@ -4,7 +4,7 @@
 import unittest
 
 from rowanrail.gateway.pools import (
-    error_share,
+    error_rate,
     idle_rules,
     idle_transactions,
     leases,
@@ -166,7 +166,7 @@
 
 # What each constant was in seconds, before times here were counted in milliseconds.
 SECONDS = (
-    (error_share.ERROR_DECAY_MS, 2.0),
+    (error_rate.ERROR_DECAY_MS, 2.0),
     (idle_rules.IDLE_MS, 0.6),
     (idle_rules.TENANT_IDLE_MS, 30.0),
     (idle_rules.GIVEN_UP_IDLE_MS, 0.1),
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -280,7 +280,7 @@
         client.run("WRITE b 2", seconds=1.1)
         pool = played.gateway.services["db"].pools["m1"]
         for _ in range(6):
-            pool.note_silence()
+            pool.note_timeout()
         self.assertGreater(pool.health.failing_until, 1000 * (played.clock.now + 1.5))
         played.primary.reachable = True
         played.clock.advance(0.45)  # the probe is repeated each 0.3 s
@@ -303,7 +303,7 @@
             self.busy[-1].ask("WRITE a 1")
 
     def test_a_write_that_would_wait_too_long_is_refused_at_once(self):
-        interval = self.pool.forecasts.of(QueueEntry(1, "", 0.0)).interval
+        interval = self.pool.forecasts.for_entry(QueueEntry(1, "", 0.0)).interval
         served_in_time = int(1000 / interval)  # of the route's time-out of 1 s
         later = [self.played.client("orders") for _ in range(4 * served_in_time + 40)]
         for client in later:
@@ -398,7 +398,7 @@
                 self.played.clock.advance(float(told))
         first, *_ = sorted(self.pool.queue, key=lambda waiter: not waiter.entry.is_retrying)
         self.assertTrue(first.entry.is_retrying)
-        self.assertLess(self.pool.forecasts.of(first.entry).wait, 100.0)
+        self.assertLess(self.pool.forecasts.for_entry(first.entry).wait, 100.0)
 
     def test_who_comes_sooner_than_it_was_told_is_a_newcomer(self):
         client = self.played.client("orders")
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -66,7 +66,9 @@
         self.tries += 1
         self.is_sent = self.is_over = False
         certain = pool.forecasts.errors.of(crowd.urgency).certain_share
-        if not isinstance(judge_arriving(pool.forecasts.of(entry), whole, whole, certain), Admit):
+        if not isinstance(
+            judge_arriving(pool.forecasts.for_entry(entry), whole, whole, certain), Admit
+        ):
             self.come_back(entry, "arriving")
             return
         self.entry = entry
@@ -83,14 +85,14 @@
             self.is_over = True
             self.crowd.in_doubt += 1
             return
-        self.queued.leave()
+        self.queued.cancel()
         self.come_back(self.entry, "expired")
 
     def come_back(self, entry: QueueEntry, refused: str) -> None:
         self.crowd.refused[refused] += 1
         if self.tries >= TRIES:
             return
-        forecast = self.holder.pool.forecasts.of(entry)
+        forecast = self.holder.pool.forecasts.for_entry(entry)
         base = retry_after_base(forecast.wait, TIMEOUT * 1000)
         told = self.holder.retry_times.next(base, forecast.interval, entry.urgency) / 1000
         self.crowd.told.append(self.clock.time() + told)
--- a/tests/scheduling/holders.py
+++ b/tests/scheduling/holders.py
@@ -5,7 +5,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from rowanrail.gateway.pools.error_share import ErrorShare
+from rowanrail.gateway.pools.error_rate import ErrorRate
 from rowanrail.kernel.clock import Clock
 from rowanrail.scheduling.choice import Candidate, choose
 from rowanrail.scheduling.member_weight import MemberWeight, Trouble
@@ -81,7 +81,7 @@
         self.times = RunTimes()
         self.under_way = Counter()
         self.health = {member.name: MemberWeight() for member in members}
-        self.errors = {member.name: ErrorShare() for member in members}
+        self.errors = {member.name: ErrorRate() for member in members}
 
     def distance(self, zone):
         if zone == self.zone:
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -265,7 +265,7 @@
         self.assertGreater(self.kind.expired, 15)
         member.slowness = 1.0
         self.clock.advance(3.0)
-        self.assertEqual(self.pool.connections.under_way, 0)
+        self.assertEqual(self.pool.connections.in_flight, 0)
         ended = len(self.kind.times)
         self.call(4)
         self.clock.advance(0.5)
@@ -294,8 +294,8 @@
         idle = [Transaction() for _ in range(self.pool.concurrency.value)]
         for transaction in idle:
             self.pool.connections.leases.begin(transaction.channel)
-            self.pool.note_idle(transaction)
-        self.assertEqual(self.pool.connections.under_way, 0)
+            self.pool.note_idle_transaction(transaction)
+        self.assertEqual(self.pool.connections.in_flight, 0)
         Caller(self.pool, self.shared.clock, self.kind, WORK)
         self.shared.clock.advance(0.1)
         self.assertEqual(len(self.kind.times), 1)
@@ -305,7 +305,7 @@
         leases = self.pool.connections.leases
         leases.begin(transaction.channel)
         usual = leases.average
-        self.pool.note_idle(transaction)
+        self.pool.note_idle_transaction(transaction)
         self.shared.clock.advance(3.0)
         self.pool.connections.idle_transactions.remove(transaction)
         leases.end(transaction.channel)
@@ -335,9 +335,9 @@
         for _ in range(100):
             Caller(pool, clock, usual, WORK)
         now = clock.time() * 1000
-        urgent = pool.forecasts.of(QueueEntry(0, "a", now))
-        same = pool.forecasts.of(QueueEntry(2, "a", now))
-        stranger = pool.forecasts.of(QueueEntry(2, "b", now))
+        urgent = pool.forecasts.for_entry(QueueEntry(0, "a", now))
+        same = pool.forecasts.for_entry(QueueEntry(2, "a", now))
+        stranger = pool.forecasts.for_entry(QueueEntry(2, "b", now))
         self.assertLess(urgent.wait, 20.0)
         self.assertLess(stranger.wait, same.wait / 3)
         self.assertFalse(same.has_room)
@@ -348,7 +348,7 @@
 
     def test_an_idle_member_has_room(self):
         pool = SharedMember().pools[0]
-        forecast = pool.forecasts.of(QueueEntry(1, "a", 0.0))
+        forecast = pool.forecasts.for_entry(QueueEntry(1, "a", 0.0))
         self.assertTrue(forecast.has_room)
         self.assertGreater(forecast.wait, 10.0)  # its connection has to be opened
 
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -13,7 +13,7 @@
     "rowanrail.explain.rejections",
     "rowanrail.gateway.discovery.control_choice",
     "rowanrail.gateway.discovery.provisional",
-    "rowanrail.gateway.pools.error_share",
+    "rowanrail.gateway.pools.error_rate",
     "rowanrail.gateway.pools.idle_rules",
     "rowanrail.gateway.pools.idle_transactions",
     "rowanrail.gateway.pools.member_health",
