--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -22,11 +22,11 @@
 from rowanrail.gateway.relay.peers import NO_PEERS, Peers
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.relay.work_routing import WorkRouter
-from rowanrail.gateway.services.load_measure import measure
+from rowanrail.gateway.services.load_measurement import measure_load
 from rowanrail.gateway.services.locality import Locality
-from rowanrail.gateway.services.primary_lines import note_primary
+from rowanrail.gateway.services.primary_log import log_primary_state
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.services.weight_lines import note_weight
+from rowanrail.gateway.services.weight_log import log_weight_change
 from rowanrail.gateway.session_values import PreparedNames
 from rowanrail.gateway.sessions.access import Access
 from rowanrail.gateway.sessions.outcomes import Outcomes
@@ -137,7 +137,7 @@
     def _due_services(self) -> list[Service]:
         """Return the services that are checked now: those in use, at times all."""
         if self._ticks % TICKS_OF_IDLE:
-            return [service for service in self.services.values() if service.is_due]
+            return [service for service in self.services.values() if service.needs_tick]
         return list(self.services.values())
 
     @property
@@ -190,7 +190,7 @@
         service = Service(spec, self._locality, self._driver, self.clock, self._policies)
         service.primary.on_alarm = functools.partial(self._note_primary, service)
         service.primary.on_unavailable = functools.partial(self._router.ask_for_samples, service)
-        note = functools.partial(note_weight, self._decisions, service)
+        note = functools.partial(log_weight_change, self._decisions, service)
         service.estimates.weights.on_change = note
         service.set_population(self._known.population)
         service.set_members(self._known.members(name))
@@ -234,7 +234,7 @@
 
     def _note_primary(self, service: Service) -> None:
         """Log that a primary was lost or found again, and have the control nodes told."""
-        note_primary(self._decisions, service.primary, self.clock.time())
+        log_primary_state(self._decisions, service.primary, self.clock.time())
         self.on_alarm()
 
     def health(self) -> list[PrimaryHealth]:
@@ -298,7 +298,7 @@
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.load`."""
         known = self.services.get(service)
-        return None if known is None else measure(known, tenant, self.clock.time() * 1000)
+        return None if known is None else measure_load(known, tenant, self.clock.time() * 1000)
 
     def idle_transaction_seconds(self) -> float:
         """See :meth:`SessionHost.idle_transaction_seconds`."""
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -66,7 +66,7 @@
 def _estimate_gauges(
     labels: dict[str, str], instance: str, estimates: MemberEstimates
 ) -> list[Reading]:
-    weight = estimates.weights.own(instance)
+    weight = estimates.weights.local_weight(instance)
     return [
         ("member_weight", labels | {"reason": weight.reason}, weight.value),
         ("member_queue_seconds", labels, estimates.queue_seconds(instance)),
--- a/src/rowanrail/gateway/services/load_measure.py
+++ b/src/rowanrail/gateway/services/load_measurement.py
@@ -9,10 +9,10 @@
 from rowanrail.scheduling.load import URGENCIES, ServiceLoad, rounded
 from rowanrail.scheduling.queue import QueueEntry
 
-__all__ = ["measure"]
+__all__ = ["measure_load"]
 
 
-def measure(service: Service, tenant: str, now: float) -> ServiceLoad | None:
+def measure_load(service: Service, tenant: str, now: float) -> ServiceLoad | None:
     """Return how long a tenant's statements of each urgency take, None if there is room.
 
     Members of other regions count for nothing: what needs them is sent on to their own holders.
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -23,13 +23,13 @@
 from rowanrail.scheduling.run_times import RunTimes
 from rowanrail.scheduling.warming import Warming
 
-__all__ = ["MemberEstimates", "Wanted"]
+__all__ = ["MemberEstimates", "ReadRequirements"]
 
 _UNASKED = QueueEntry(0, None, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class ReadRequirements:
     """What a read, or a transaction that only reads, asks of a member.
 
     Parameters
@@ -133,14 +133,16 @@
         since = self._tracker.history.held_since(floor)
         return 0.0 if since is None else max(0.0, self._clock.now - since * 1000)
 
-    def candidates(self, pools: Mapping[str, MemberPool], wanted: Wanted) -> list[Candidate]:
+    def candidates(
+        self, pools: Mapping[str, MemberPool], wanted: ReadRequirements
+    ) -> list[Candidate]:
         """Return members as candidates for a read."""
         now = self._clock.now
         age = self._age(wanted.floor) if wanted.floor is not None else None
         return [self._candidate(pool, wanted, age, now) for pool in pools.values()]
 
     def _candidate(
-        self, pool: MemberPool, wanted: Wanted, age: float | None, now: float
+        self, pool: MemberPool, wanted: ReadRequirements, age: float | None, now: float
     ) -> Candidate:
         record = pool.record
         name = record.instance
@@ -165,7 +167,7 @@
             error_share=pool.error_share,
             is_suspect=pool.is_suspect,
             slowness=self._warming[name].slowness(now) if name in self._warming else 1.0,
-            weight=self.weights.effective(name),
+            weight=self.weights.effective_weight(name),
             distance=distance,
             behind=behind,
         )
--- a/src/rowanrail/gateway/services/member_weights.py
+++ b/src/rowanrail/gateway/services/member_weights.py
@@ -35,14 +35,14 @@
         self._weights = {name: self._weights.get(name) or MemberWeight() for name in instances}
         self._reported.keep(instances)
 
-    def own(self, instance: str) -> Weight:
+    def local_weight(self, instance: str) -> Weight:
         """Return a member's weight by what was met here."""
         known = self._weights.get(instance)
         return Weight(1.0, "", 0) if known is None else known.weight
 
-    def effective(self, instance: str) -> float:
+    def effective_weight(self, instance: str) -> float:
         """Return a member's weight with what others reported."""
-        return self.own(instance).value * self._reported.factor(instance, self._clock.now)
+        return self.local_weight(instance).value * self._reported.factor(instance, self._clock.now)
 
     # What was met here
 
@@ -90,7 +90,7 @@
 
     # What gateways report to each other
 
-    def reduced(self) -> dict[str, int]:
+    def reduced_weights(self) -> dict[str, int]:
         """Return the members that lost weight here, and how much is left in hundredths."""
         weights = {name: weight.weight.value for name, weight in self._weights.items()}
         return {name: round(value * 100) for name, value in weights.items() if value < 1.0}
--- a/src/rowanrail/gateway/services/primary_lines.py
+++ b/src/rowanrail/gateway/services/primary_log.py
@@ -8,10 +8,10 @@
 from rowanrail.members.primary import PrimaryTracker
 from rowanrail.model.position import Position
 
-__all__ = ["note_primary"]
+__all__ = ["log_primary_state"]
 
 
-def note_primary(decisions: DecisionLog, tracker: PrimaryTracker, now: float) -> None:
+def log_primary_state(decisions: DecisionLog, tracker: PrimaryTracker, now: float) -> None:
     """Log the state of a service's primary, after an alarm about it.
 
     Parameters
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -15,7 +15,7 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.pool_loan import PoolLoan
 from rowanrail.gateway.services.locality import Locality
-from rowanrail.gateway.services.member_estimates import MemberEstimates, Wanted
+from rowanrail.gateway.services.member_estimates import MemberEstimates, ReadRequirements
 from rowanrail.gateway.services.member_probes import MemberProbes
 from rowanrail.gateway.services.service_share import ServiceShare
 from rowanrail.kernel.clock import Clock, Scheduler
@@ -32,7 +32,7 @@
 from rowanrail.tenants.model import Tenant, Tenants
 
 IN_USE_SECONDS = 10.0  # without a statement for so long a primary need not be watched; chosen
-_ANY = Wanted()
+_ANY = ReadRequirements()
 
 
 class Service:
@@ -126,7 +126,7 @@
         return self._scheduler.time() - self.used_at < IN_USE_SECONDS
 
     @property
-    def is_due(self) -> bool:
+    def needs_tick(self) -> bool:
         """Whether time matters to it: it is used, holds connections, or its primary is looked for.
 
         Connections are opened only while it is used; that they are there is known from the last
@@ -153,7 +153,9 @@
         """Return the pool of the member believed to lead."""
         return self.pools.get(self.primary.presumed_primary)
 
-    def choose(self, excluded: set[str], wanted: Wanted = _ANY) -> MemberPool | None:
+    def choose_member(
+        self, excluded: set[str], wanted: ReadRequirements = _ANY
+    ) -> MemberPool | None:
         """Return the member for a read that any member with a fresh log may serve."""
         pools = {
             instance: pool
--- a/src/rowanrail/gateway/services/weight_lines.py
+++ b/src/rowanrail/gateway/services/weight_log.py
@@ -7,15 +7,17 @@
 from rowanrail.gateway.services.service import Service
 from rowanrail.kernel.decisions import DecisionLog
 
-__all__ = ["note_weight"]
+__all__ = ["log_weight_change"]
 
 
-def note_weight(decisions: DecisionLog, service: Service, instance: str, has_fallen: bool) -> None:
+def log_weight_change(
+    decisions: DecisionLog, service: Service, instance: str, has_fallen: bool
+) -> None:
     """Log a change of a member's weight with what decided it.
 
     A fall of a member is logged once, until it has risen again, which takes its probes seconds.
     """
-    weight = service.estimates.weights.own(instance)
+    weight = service.estimates.weights.local_weight(instance)
     pool = service.pools.get(instance)
     decisions.note(
         MEMBER_FELL if has_fallen else MEMBER_ROSE,
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -87,7 +87,7 @@
 
     def _choose(self) -> None:
         self.attempts += 1
-        pool = self.service.choose(self.excluded, self.wanted())
+        pool = self.service.choose_member(self.excluded, self.wanted())
         if pool is None or not has_attempts_left(self.attempts):
             if self.service.primary.failing_since and self.hand_over(self.statement, writes=False):
                 return
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -58,7 +58,7 @@
 
     def doubts(self) -> dict[str, int]:
         """Return the members that lost weight here, and how much is left, in hundredths."""
-        return self._service.estimates.weights.reduced()
+        return self._service.estimates.weights.reduced_weights()
 
     def note_doubts(self, doubts: dict[str, int]) -> None:
         """Take the members that lost weight at another gateway, and how much is left there."""
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.pools.pool import MemberPool
-from rowanrail.gateway.services.member_estimates import Wanted
+from rowanrail.gateway.services.member_estimates import ReadRequirements
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
 from rowanrail.gateway.work.attempts import is_prompt
@@ -216,9 +216,9 @@
         """Which statements take about as long as this one."""
         return self.route.name
 
-    def wanted(self) -> Wanted:
+    def wanted(self) -> ReadRequirements:
         """Return what the read asks of a member."""
-        return Wanted(self.kind, self.entry(), self.floor)
+        return ReadRequirements(self.kind, self.entry(), self.floor)
 
     def note_answer(self, answer: Answer) -> None:
         """Have the choice of members learn from an answer to what was sent last."""
@@ -230,7 +230,7 @@
         for is_enough in (self.is_prompt, self.may_wait_at):
             pools = self.service.pools.items()
             crowded = {instance for instance, pool in pools if not is_enough(pool)}
-            found = self.service.choose(excluded | crowded, self.wanted())
+            found = self.service.choose_member(excluded | crowded, self.wanted())
             if found is not None:
                 return found
         return None
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -128,7 +128,7 @@
             return
         own = self.session.floors.get(self.service.spec.name, ORIGIN)
         self.floor = None if position is None else max(position, own)
-        pool = self.service.choose(self._excluded, self.wanted())
+        pool = self.service.choose_member(self._excluded, self.wanted())
         if position is None or pool is None:
             self._excluded.clear()
             self.retry_later(self._begin, busy("no member can serve the transaction"))
--- a/tests/gateway/test_choice_of_member.py
+++ b/tests/gateway/test_choice_of_member.py
@@ -112,4 +112,4 @@
         (health,) = self.played.gateway.health()
         self.assertEqual(health.failing_for_ms, 0)
         self.assertIsNone(self.writer.run("WRITE a 1", seconds=0.1).refusal)
-        self.assertEqual(self.estimates.weights.own("m1").value, 1.0)
+        self.assertEqual(self.estimates.weights.local_weight("m1").value, 1.0)
--- a/tests/gateway/test_member_weight.py
+++ b/tests/gateway/test_member_weight.py
@@ -18,7 +18,7 @@
         self.weights = self.played.gateway.services["db"].estimates.weights
 
     def weight(self):
-        return self.weights.own("m2").value
+        return self.weights.local_weight("m2").value
 
     def lose_weight(self):
         """Have the near member fail reads until it has lost most of its weight."""
--- a/tests/relay/test_remote_replicas.py
+++ b/tests/relay/test_remote_replicas.py
@@ -4,7 +4,7 @@
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.relay.neighbours import Neighbour
-from rowanrail.gateway.services.member_estimates import Wanted
+from rowanrail.gateway.services.member_estimates import ReadRequirements
 from rowanrail.model.statements import Answer, Refusal, SessionState
 from tests.relay.test_regions import GATEWAYS, POPULATION, REGIONS, Regions
 from tests.support.gateway import PlayedMember
@@ -83,7 +83,7 @@
             self.there.pools["m2"].note_error()
 
     def weight_here(self):
-        wanted = Wanted("reports")
+        wanted = ReadRequirements("reports")
         (candidate,) = self.here.estimates.candidates({"m2": self.here.pools["m2"]}, wanted)
         return candidate.weight
 
@@ -104,8 +104,8 @@
 
     def test_it_is_not_told_on(self):
         self.run_at_home()
-        self.assertEqual(self.here.estimates.weights.reduced(), {})
-        self.assertEqual(list(self.there.estimates.weights.reduced()), ["m2"])
+        self.assertEqual(self.here.estimates.weights.reduced_weights(), {})
+        self.assertEqual(list(self.there.estimates.weights.reduced_weights()), ["m2"])
 
     def test_a_member_that_others_can_not_reach_still_serves_here(self):
         self.run_at_home()
