--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -53,7 +53,7 @@
         ("connections_limit", labels, connections.limit),
         ("connections_leased", labels, len(connections.leases)),
         ("concurrency_limit", labels, pool.concurrency.value),
-        ("under_way", labels, connections.under_way),
+        ("under_way", labels, connections.in_flight),
         ("queue_longest_wait_seconds", labels, pool.queue.longest_wait(1000 * now_seconds) / 1000),
     ]
     for urgency, length in pool.queue.lengths.items():
@@ -66,7 +66,7 @@
 def _estimate_gauges(
     labels: dict[str, str], instance: str, estimates: MemberEstimates
 ) -> list[Reading]:
-    weight = estimates.weights.own(instance)
+    weight = estimates.weights.local_weight(instance)
     return [
         ("member_weight", labels | {"reason": weight.reason}, weight.value),
         ("member_queue_seconds", labels, estimates.queue_seconds(instance)),
--- a/src/rowanrail/gateway/relay/forwarded_call.py
+++ b/src/rowanrail/gateway/relay/forwarded_call.py
@@ -44,7 +44,7 @@
 from rowanrail.gateway.work.local import LocalExecutor
 from rowanrail.gateway.work.refusals import busy_answer, rejection_record
 from rowanrail.kernel.clock import Clock, Timer
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
@@ -103,7 +103,7 @@
         self._context = context
         self._route = route
         self._session = session
-        self._respond: Respond | None = None
+        self._respond: AnswerCallback | None = None
         self._statement: TypedStatement | None = None
         self._began_at = 0.0
         self._timer: Timer | None = None
@@ -134,7 +134,7 @@
     def _time_left(self) -> float:
         return self._began_at + self._route.timeout_seconds * 1000 - self._context.clock.now
 
-    def _begin(self, statement: TypedStatement, respond: Respond) -> None:
+    def _begin(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         self._statement = statement
         self._respond = respond
         self._holder_trace = None
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -21,7 +21,7 @@
 from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
 from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, StatementKind, TypedStatement
 from rowanrail.model.trace import Trace
@@ -55,7 +55,7 @@
         self._writes = writes
         self._local: AutocommitExecution | None = None
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """See :meth:`rowanrail.gateway.work.ports.AutocommitExecution.start`."""
         self._begin(statement, respond)
         self._dispatch()
@@ -120,7 +120,7 @@
         self._number = 0  # 0 until its first statement was sent, and after its end
         self._local: TransactionExecution | None = None
 
-    def run(self, statement: TypedStatement, respond: Respond) -> None:
+    def run(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """See :meth:`rowanrail.gateway.work.ports.TransactionExecution.run`."""
         if self._local is not None:
             self._local.run(statement, respond)
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -14,7 +14,7 @@
     TransactionExecution,
 )
 from rowanrail.kernel.clock import Scheduler, Timer
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import (
     NOT_RUN,
@@ -117,7 +117,7 @@
         self._host = host
         self._transaction: TransactionExecution | None = None
         self._operation: AutocommitExecution | TransactionExecution | None = None
-        self._respond: Respond | None = None
+        self._respond: AnswerCallback | None = None
         self._statement: TypedStatement | None = None
         self._abort_reason = ""
         self._denied = False
@@ -146,7 +146,7 @@
 
     # Statements
 
-    def execute(self, statement: TypedStatement, respond: Respond) -> None:
+    def execute(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run a statement; ``respond`` gets its answer once, perhaps at once."""
         assert self._respond is None, "statements of a session run one after the other"
         self._respond = respond
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -58,7 +58,7 @@
 
     def reduced_weights(self) -> dict[str, int]:
         """Return the members that lost weight here, and how much is left, in hundredths."""
-        return self._service.estimates.weights.reduced()
+        return self._service.estimates.weights.reduced_weights()
 
     def note_reported_weights(self, doubts: dict[str, int]) -> None:
         """Take the members that lost weight at another gateway, and how much is left there."""
