--- a/src/rowanlab/simulator/report.py
+++ b/src/rowanlab/simulator/report.py
@@ -8,7 +8,7 @@
 from rowanlab.simulator.permissive import Guard
 from rowanlab.simulator.scenario import SeedResult
 from rowanlab.simulator.scenarios import SCENARIOS
-from rowanrail.kernel.events import silence
+from rowanrail.kernel.events import disable_logging
 
 
 class SeedTask(msgspec.Struct, frozen=True):
@@ -60,7 +60,7 @@
 
 def run_seed(task: SeedTask) -> SeedResult:
     """Run one seed, silently."""
-    silence()
+    disable_logging()
     result = SCENARIOS[task.scenario].run(task.seed, task.without)
     if not task.keep_trace:
         result.trace = []
--- a/src/rowanlab/standin/server.py
+++ b/src/rowanlab/standin/server.py
@@ -20,7 +20,7 @@
 from rowanrail.mysql.errors import to_mysql_error
 from rowanrail.mysql.values import result_column
 from rowanrail.mysql.wire import ServedConnection, ServedSession, Server
-from rowanrail.rpc.routed import RoutedNetwork
+from rowanrail.rpc.routed import AddressTranslatingNetwork
 from rowanrail.rpc.tcp import TcpNetwork, split_address
 from rowanrail.sql_proxy.backend import Column, MemberStatus
 from rowanrail.sql_proxy.core import hash_password
@@ -131,7 +131,7 @@
 
 async def run_member(settings: MemberSettings, bootstrap: bool) -> None:
     """Run a member until a stop signal."""
-    network = RoutedNetwork(TcpNetwork(), settings.routes)
+    network = AddressTranslatingNetwork(TcpNetwork(), settings.routes)
     folder = Path(settings.data_folder)
     disk = FileDisk(folder)
     database = folder / "database"
--- a/src/rowanrail/config/diff.py
+++ b/src/rowanrail/config/diff.py
@@ -20,8 +20,8 @@
     after: str
 
 
-def plain(configuration: Configuration) -> dict[str, Any]:
-    """Return a configuration as plain values with its secrets hidden."""
+def redact_secrets(configuration: Configuration) -> dict[str, Any]:
+    """Return a configuration as plain values, with its secrets redacted."""
     content: dict[str, Any] = msgspec.to_builtins(configuration)
     for group in content["groups"]:
         if group["backend"]["password"]:
@@ -31,7 +31,7 @@
     return content
 
 
-def difference(before: Configuration, after: Configuration) -> list[Change]:
+def diff_configurations(before: Configuration, after: Configuration) -> list[Change]:
     """Return what changed; secrets are compared but not shown."""
     old = _flatten(msgspec.to_builtins(_without_common(before, after)), "")
     new = _flatten(msgspec.to_builtins(_without_common(after, before)), "")
--- a/src/rowanrail/config/settings.py
+++ b/src/rowanrail/config/settings.py
@@ -25,7 +25,7 @@
     COORDINATOR = "coordinator"
 
 
-class Holders(enum.Enum):
+class HolderSelection(enum.Enum):
     """How it is decided which gateways hold a service's connections."""
 
     HASHED = "hashed"
@@ -107,7 +107,7 @@
     quota_window_seconds: float = 5.0
     quota_excess: float = 0.1
     quota_slack: float = 20.0
-    holders: Holders = Holders.HASHED
+    holders: HolderSelection = HolderSelection.HASHED
     metrics: str = ""
     log_lines_per_second: int = 400
     log_level: Level = Level.INFO
@@ -132,7 +132,7 @@
     bootstrap: bool = False
     tolerated_losses: int = 1
     promoter_address: str = ""
-    holders: Holders = Holders.HASHED
+    holders: HolderSelection = HolderSelection.HASHED
     metrics: str = ""
     log_lines_per_second: int = 400
     log_level: Level = Level.INFO
--- a/src/rowanrail/coordination/daemon.py
+++ b/src/rowanrail/coordination/daemon.py
@@ -20,7 +20,7 @@
 from rowanrail.kernel.disk import FileDisk
 from rowanrail.kernel.http import HttpRequest, HttpResponse, HttpServer, serve
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
-from rowanrail.kernel.metrics import Metrics, log_gauge, serve_metrics
+from rowanrail.kernel.metrics import Metrics, dropped_lines_gauge, serve_metrics
 from rowanrail.kernel.registry import Registry
 from rowanrail.rpc.network import Network
 
@@ -82,6 +82,8 @@
     )
     server = await serve(settings.listen, api.handle)
     if settings.metrics:
-        metrics = Metrics("rowanrail_control", lambda: [*gauges(node), log_gauge(decisions)])
+        metrics = Metrics(
+            "rowanrail_control", lambda: [*gauges(node), dropped_lines_gauge(decisions)]
+        )
         await serve_metrics(settings.host, settings.metrics, metrics)
     return server
--- a/src/rowanrail/coordination/gauges.py
+++ b/src/rowanrail/coordination/gauges.py
@@ -1,14 +1,14 @@
 """Metrics of a control node, read from its parts when a scrape asks for them."""
 
 from rowanrail.coordination.node import Coordinator
-from rowanrail.kernel.metrics import Reading
+from rowanrail.kernel.metrics import GaugeSample
 
 
-def gauges(node: Coordinator) -> list[Reading]:
+def gauges(node: Coordinator) -> list[GaugeSample]:
     """Return term, log, versions, members and the latest promotion of each service."""
     raft = node.consensus.raft
     state = node.state
-    readings: list[Reading] = [
+    readings: list[GaugeSample] = [
         ("term", {}, raft.term),
         ("leader", {}, float(raft.is_leader)),
         ("current", {}, float(node.service.is_current)),
@@ -31,10 +31,10 @@
     return readings
 
 
-def _plan_gauges(node: Coordinator) -> list[Reading]:
+def _plan_gauges(node: Coordinator) -> list[GaugeSample]:
     """Return the plan of holders: its number, and what each shard is asked for at the leader."""
     plan = node.state.plan
-    readings: list[Reading] = [("plan_number", {}, plan.number)]
+    readings: list[GaugeSample] = [("plan_number", {}, plan.number)]
     for group, shards in plan.groups.items():
         for key, shard in shards.items():
             for holding in shard.holdings:
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -13,7 +13,7 @@
 
 from rowanrail.cluster.data_folder import NodeConfig, open_data_folder
 from rowanrail.cluster.messages import JoinRequest
-from rowanrail.config.settings import CoordinatorSettings, Holders, NodeAddress
+from rowanrail.config.settings import CoordinatorSettings, HolderSelection, NodeAddress
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.storage import Identity, Storage
@@ -122,7 +122,7 @@
             self._acknowledging_replicas,
         )
         self.failover.start()
-        is_planned = self._settings.holders is Holders.PLANNED
+        is_planned = self._settings.holders is HolderSelection.PLANNED
         self.planning = PlanController(
             self.consensus, self.service, self._decisions, is_planned, self._connections
         )
--- a/src/rowanrail/explain/diagnosis.py
+++ b/src/rowanrail/explain/diagnosis.py
@@ -122,7 +122,7 @@
     missing = []
     if not any(line.event >= control_events.NODE_STARTED.number for line in lines):
         missing.append("no log of a control node: promotions and committed versions are unknown")
-    left_out = [line for line in lines if line.event == decisions.LEFT_OUT.number]
+    left_out = [line for line in lines if line.event == decisions.LINES_DROPPED.number]
     if statement is not None:
         left_out = [line for line in left_out if line.process == statement.process]
     other = sum(int(line.fields.get("other", 0)) for line in left_out)
--- a/src/rowanrail/explain/search.py
+++ b/src/rowanrail/explain/search.py
@@ -13,7 +13,7 @@
 from rowanrail.coordination.events import NODE_STARTED
 from rowanrail.explain.diagnosis import STATEMENT_EVENTS
 from rowanrail.explain.lines import LineHead, LogLine, ReadResult, read_head, read_line
-from rowanrail.kernel.decisions import LEFT_OUT
+from rowanrail.kernel.decisions import LINES_DROPPED
 
 __all__ = ["Source", "search"]
 
@@ -113,7 +113,7 @@
 
 
 def _belongs(head: LineHead, window: _Window | None) -> bool:
-    if head.event == LEFT_OUT.number:
+    if head.event == LINES_DROPPED.number:
         return True
     if window is None or head.event in STATEMENT_EVENTS:
         return False
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
+from rowanrail.config.settings import GatewaySettings, HolderSelection, rpc_addresses
 from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayReport
 from rowanrail.gateway.discovery.control_follower import ControlFollower
@@ -38,7 +38,7 @@
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.http import HttpRequest, HttpResponse, HttpServer, error_response, serve
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
-from rowanrail.kernel.metrics import Metrics, Reading, log_gauge, serve_metrics
+from rowanrail.kernel.metrics import GaugeSample, Metrics, dropped_lines_gauge, serve_metrics
 from rowanrail.kernel.registry import Registry
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.rpc.network import Network
@@ -105,7 +105,7 @@
     @property
     def is_planned(self) -> bool:
         """Whether control nodes plan who holds connections."""
-        return self.settings.holders is Holders.PLANNED
+        return self.settings.holders is HolderSelection.PLANNED
 
 
 async def run_gateway(settings: GatewaySettings, reload_settings: ReloadSettings) -> None:
@@ -177,7 +177,7 @@
 
 def _make_peers(settings: GatewaySettings, clock: Clock) -> Peers:
     planned = None
-    if settings.holders is Holders.PLANNED:
+    if settings.holders is HolderSelection.PLANNED:
         planned = PlannedHolders(settings.name, _region(settings), clock)
     return Peers(
         Neighbours(settings.name, clock, TcpLinkOpener()),
@@ -245,20 +245,20 @@
     await parts.frontend.start(settings.listen)
     if settings.metrics:
         metrics = Metrics("rowanrail_gateway", partial(read_gauges, parts))
-        parts.gateway.outcomes.on_outcome = metrics.note_statement
-        parts.gateway.access.on_rejection = metrics.note_rejection
+        parts.gateway.outcomes.on_outcome = metrics.record_statement
+        parts.gateway.access.on_rejection = metrics.record_rejection
         await serve_metrics(settings.listen.rpartition(":")[0], settings.metrics, metrics)
     return ready_server
 
 
-def read_gauges(parts: GatewayParts) -> list[Reading]:
+def read_gauges(parts: GatewayParts) -> list[GaugeSample]:
     """Return all that the process measures of itself."""
     return [
         *gauges(parts.gateway),
         *directory_gauges(parts.follower),
         *tenant_gauges(parts.gateway),
         *relay_gauges(parts.neighbours, parts.holder, parts.detours),
-        log_gauge(parts.decisions),
+        dropped_lines_gauge(parts.decisions),
     ]
 
 
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -12,17 +12,17 @@
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.serving import Holder
 from rowanrail.gateway.services.member_estimates import MemberEstimates
-from rowanrail.kernel.metrics import Reading
+from rowanrail.kernel.metrics import GaugeSample
 from rowanrail.members.primary import PrimaryTracker
 
 NO_AGE_SECONDS = -1.0  # shown where nothing was heard yet
 SHOWN_TENANTS = 100  # of a gateway; bounds its metrics where there are thousands
 
 
-def gauges(gateway: Gateway) -> list[Reading]:
+def gauges(gateway: Gateway) -> list[GaugeSample]:
     """Return sessions, versions, and for each service its members and its primary."""
     version = gateway.configuration.version if gateway.configuration else 0
-    readings: list[Reading] = [
+    readings: list[GaugeSample] = [
         ("sessions", {}, len(gateway.sessions)),
         ("configuration_version", {}, version),
         ("ready", {}, float(gateway.is_ready)),
@@ -39,16 +39,16 @@
     return readings
 
 
-def _primary_gauges(service: str, tracker: PrimaryTracker, now_seconds: float) -> list[Reading]:
+def _primary_gauges(service: str, tracker: PrimaryTracker, now_seconds: float) -> list[GaugeSample]:
     labels = {"service": service}
     age = now_seconds - tracker.sample.asked_at if tracker.sample else NO_AGE_SECONDS
     failing = now_seconds - tracker.failing_since if tracker.failing_since else 0.0
     return [("sample_age_seconds", labels, age), ("primary_failing_seconds", labels, failing)]
 
 
-def _pool_gauges(labels: dict[str, str], pool: MemberPool, now_seconds: float) -> list[Reading]:
+def _pool_gauges(labels: dict[str, str], pool: MemberPool, now_seconds: float) -> list[GaugeSample]:
     connections = pool.connections
-    readings: list[Reading] = [
+    readings: list[GaugeSample] = [
         ("connections", labels, connections.count),
         ("connections_limit", labels, connections.limit),
         ("connections_leased", labels, len(connections.leases)),
@@ -65,7 +65,7 @@
 
 def _estimate_gauges(
     labels: dict[str, str], instance: str, estimates: MemberEstimates
-) -> list[Reading]:
+) -> list[GaugeSample]:
     weight = estimates.weights.local_weight(instance)
     return [
         ("member_weight", labels | {"reason": weight.reason}, weight.value),
@@ -73,22 +73,22 @@
     ]
 
 
-def _plan_gauges(gateway: Gateway) -> list[Reading]:
+def _plan_gauges(gateway: Gateway) -> list[GaugeSample]:
     """Return the plan's number, and the shards that are held here by it, with their cause."""
     planned = gateway.holdings.planned
     if planned is None:
         return []
-    readings: list[Reading] = [("plan_number", {}, planned.plan.number)]
+    readings: list[GaugeSample] = [("plan_number", {}, planned.plan.number)]
     for held in planned.held_shards(list(gateway.services)):
         labels = {"service": held.service, "part": held.key, "cause": held.cause}
         readings.append(("held_share", labels, held.share))
     return readings
 
 
-def tenant_gauges(gateway: Gateway) -> list[Reading]:
+def tenant_gauges(gateway: Gateway) -> list[GaugeSample]:
     """Return the largest tenants with their limits, and how much of the fleet is heard."""
     quota = gateway.access.quota
-    readings: list[Reading] = [("quota_heard_share", {}, quota.heard_share)]
+    readings: list[GaugeSample] = [("quota_heard_share", {}, quota.heard_share)]
     for tenant in quota.largest(SHOWN_TENANTS):
         labels = {"tenant": tenant.name}
         readings.append(("tenant_limit", labels, tenant.limit))
@@ -98,7 +98,7 @@
     return readings
 
 
-def directory_gauges(follower: ControlFollower) -> list[Reading]:
+def directory_gauges(follower: ControlFollower) -> list[GaugeSample]:
     """Return how the directory came: whole, by difference, and by difference that differed."""
     counts = follower.counts.items()
     return [("directories_taken", {"kind": kind}, count) for kind, count in counts]
@@ -108,10 +108,10 @@
     return NO_AGE_SECONDS if age is None else age / 1000
 
 
-def relay_gauges(neighbours: Neighbours, holder: Holder, detours: Detours) -> list[Reading]:
+def relay_gauges(neighbours: Neighbours, holder: Holder, detours: Detours) -> list[GaugeSample]:
     """Return the links to neighbours by state, what runs here for neighbours, and detours."""
     states = [link.state for link in neighbours.links]
-    readings: list[Reading] = [
+    readings: list[GaugeSample] = [
         ("links", {"state": state.value}, states.count(state)) for state in LinkState
     ]
     readings.append(("link_calls_owed", {}, sum(link.pending_calls for link in neighbours.links)))
--- a/src/rowanrail/gateway/relay/transport.py
+++ b/src/rowanrail/gateway/relay/transport.py
@@ -14,7 +14,7 @@
 from rowanrail.gateway.relay.neighbours import LinkOpener
 from rowanrail.gateway.relay.serving import Holder, ServedLink
 from rowanrail.kernel.lifecycle import listen_error
-from rowanrail.kernel.sockets import limit_silence
+from rowanrail.kernel.sockets import set_tcp_timeouts
 
 __all__ = ["TcpHolderServer", "TcpLinkOpener"]
 
@@ -39,7 +39,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        limit_silence(transport)
+        set_tcp_timeouts(transport)
 
     def data_received(self, data: bytes) -> None:
         buffer = self._buffer + data if self._buffer else data
--- a/src/rowanrail/kernel/decisions.py
+++ b/src/rowanrail/kernel/decisions.py
@@ -19,7 +19,7 @@
 LINES_PER_SECOND = 400  # refusals outlast successes; ten times as many
 MAXIMUM_PENDING_BYTES = 512 * 1024  # about 2,000 lines, five seconds of the budget
 
-LEFT_OUT = define(
+LINES_DROPPED = define(
     10,
     Level.WARNING,
     "{info} informative and {other} other lines were left out",
@@ -48,7 +48,7 @@
         self._budget = lines_per_second
         self._wall_clock = wall_clock
         self._silenced = _LEVELS[: _LEVELS.index(level)]
-        self.left_out_total = 0
+        self.dropped_total = 0
         self._pending = bytearray()
         self._second = 0
         self._info_lines = 0
@@ -66,11 +66,11 @@
         informative = event.level is Level.INFO
         if informative and self._info_lines >= self._info_budget:
             self._left_out_info += 1
-            self.left_out_total += 1
+            self.dropped_total += 1
             return
         if self._lines >= self._budget or len(self._pending) > MAXIMUM_PENDING_BYTES:
             self._left_out += 1
-            self.left_out_total += 1
+            self.dropped_total += 1
             return
         self._lines += 1
         self._info_lines += informative
@@ -83,7 +83,7 @@
         if self._left_out or self._left_out_info:
             counts = {"info": self._left_out_info, "other": self._left_out}
             self._left_out = self._left_out_info = 0
-            self._write(self._wall_clock(), LEFT_OUT, counts)
+            self._write(self._wall_clock(), LINES_DROPPED, counts)
 
     def _write(self, now: float, event: Event, fields: dict[str, Any]) -> None:
         line = {
@@ -109,7 +109,7 @@
             # which the metric of lines left out shows.
             lines = self._pending.count(b"\n")
             self._left_out += lines
-            self.left_out_total += lines
+            self.dropped_total += lines
             self._pending.clear()
             return
         del self._pending[:written]
--- a/src/rowanrail/kernel/events.py
+++ b/src/rowanrail/kernel/events.py
@@ -68,6 +68,6 @@
     handler.push_application()
 
 
-def silence() -> None:
+def disable_logging() -> None:
     """Write no log lines; observers still get every event."""
     logbook.NullHandler().push_application()
--- a/src/rowanrail/kernel/metrics.py
+++ b/src/rowanrail/kernel/metrics.py
@@ -14,8 +14,8 @@
 LEAST_URGENT = 3  # in labels; stands for all that are less urgent, so that their number is bounded
 CONTENT_TYPE = "text/plain; version=0.0.4"
 
-Reading = tuple[str, dict[str, str], float]
-Read = Callable[[], list[Reading]]
+GaugeSample = tuple[str, dict[str, str], float]
+GaugeReader = Callable[[], list[GaugeSample]]
 
 
 class Metrics:
@@ -25,7 +25,7 @@
     :param read: gives the gauges at the moment of a question: name, labels, value.
     """
 
-    def __init__(self, prefix: str, read: Read) -> None:
+    def __init__(self, prefix: str, read: GaugeReader) -> None:
         from prometheus_client import CollectorRegistry, Counter, Histogram
 
         self._prefix = prefix
@@ -59,12 +59,12 @@
             registry=self._registry,
         )
 
-    def note_rejection(self, cause: str, urgency: int, return_in: float) -> None:
+    def record_rejection(self, cause: str, urgency: int, return_in: float) -> None:
         """Count a rejected statement; its client was told to retry after ``return_in`` ms."""
         self._rejections.labels(cause, str(min(max(urgency, 0), LEAST_URGENT))).inc()
         self._returns.labels(cause).observe(return_in / 1000)
 
-    def note_statement(self, kind: str, outcome: str, stage: str, seconds: float) -> None:
+    def record_statement(self, kind: str, outcome: str, stage: str, seconds: float) -> None:
         """Count a statement; ``stage`` says how far it came."""
         self._outcomes.labels(kind, outcome, stage).inc()
         self._latency.labels(kind).observe(seconds)
@@ -85,9 +85,9 @@
         return rendered
 
 
-def log_gauge(decisions: DecisionLog) -> Reading:
+def dropped_lines_gauge(decisions: DecisionLog) -> GaugeSample:
     """Return how many lines the decision log has left out since the start."""
-    return ("log_lines_left_out", {}, decisions.left_out_total)
+    return ("log_lines_left_out", {}, decisions.dropped_total)
 
 
 async def serve_metrics(host: str, place: str, metrics: Metrics) -> HttpServer:
--- a/src/rowanrail/kernel/sockets.py
+++ b/src/rowanrail/kernel/sockets.py
@@ -6,7 +6,7 @@
 import asyncio
 import socket
 
-__all__ = ["limit_silence"]
+__all__ = ["set_tcp_timeouts"]
 
 # Of bytes that nobody acknowledges: 30 round trips between regions, and less than a long poll.
 UNACKNOWLEDGED_MS = 1500
@@ -17,7 +17,7 @@
 UNANSWERED_PROBES = 2
 
 
-def limit_silence(transport: asyncio.BaseTransport) -> None:
+def set_tcp_timeouts(transport: asyncio.BaseTransport) -> None:
     """Have the kernel close a connection whose far end is gone without closing it.
 
     Parameters
--- a/src/rowanrail/rpc/routed.py
+++ b/src/rowanrail/rpc/routed.py
@@ -8,7 +8,7 @@
 from rowanrail.rpc.network import Handler, Listener, Network
 
 
-class RoutedNetwork(Network):
+class AddressTranslatingNetwork(Network):
     """Sends to ``routes[address]`` where the table names the address."""
 
     def __init__(self, network: Network, routes: dict[str, str]) -> None:
--- a/src/rowanrail/rpc/tcp.py
+++ b/src/rowanrail/rpc/tcp.py
@@ -14,7 +14,7 @@
 from rowanrail.kernel.errors import TransportError
 from rowanrail.kernel.lifecycle import listen_error
 from rowanrail.kernel.registry import register
-from rowanrail.kernel.sockets import limit_silence
+from rowanrail.kernel.sockets import set_tcp_timeouts
 from rowanrail.rpc.codec import (
     MAXIMUM_RPC_FRAME_BYTES,
     Failure,
@@ -146,7 +146,7 @@
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writers.add(writer)
-            limit_silence(writer.transport)
+            set_tcp_timeouts(writer.transport)
             try:
                 await self._serve_connection(reader, writer, handler)
             finally:
@@ -258,7 +258,7 @@
         host, port = split_address(address)
         async with asyncio.timeout(RPC_CONNECT_SECONDS):
             reader, writer = await asyncio.open_connection(host, port)
-        limit_silence(writer.transport)
+        set_tcp_timeouts(writer.transport)
         connection = _Connection(reader, writer)
         self._connections[address] = connection
         return connection
--- a/src/rowanrail/sql_control/daemon.py
+++ b/src/rowanrail/sql_control/daemon.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.registry import Registry
 from rowanrail.kernel.web import serve_http
-from rowanrail.rpc.routed import RoutedNetwork
+from rowanrail.rpc.routed import AddressTranslatingNetwork
 from rowanrail.rpc.tcp import TcpNetwork
 from rowanrail.sql_control.events import CONTROL_STARTED, CONTROL_STOPPED
 from rowanrail.sql_control.http_api import OperatorApi
@@ -27,7 +27,7 @@
 
     :raises RowanrailError: if the folder or an address can't be used.
     """
-    network = RoutedNetwork(TcpNetwork(), settings.routes)
+    network = AddressTranslatingNetwork(TcpNetwork(), settings.routes)
     disk = FileDisk(Path(settings.data_folder))
     node = ControlNode(settings, network, disk, random.Random(), Registry())
     await node.start(bootstrap)
--- a/src/rowanrail/sql_control/http_api.py
+++ b/src/rowanrail/sql_control/http_api.py
@@ -15,7 +15,7 @@
 from returns.result import Failure
 
 from rowanrail.cluster.messages import NodesReply, NodesRequest
-from rowanrail.config.diff import difference, plain
+from rowanrail.config.diff import diff_configurations, redact_secrets
 from rowanrail.config.load import parse_configuration
 from rowanrail.config.settings import OperatorSpec
 from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
@@ -159,7 +159,7 @@
         return _json(
             {
                 "version": reply.version,
-                "configuration": plain(reply.configuration),
+                "configuration": redact_secrets(reply.configuration),
                 "drained": reply.drained,
                 "history": reply.history,
             }
@@ -184,7 +184,7 @@
         if isinstance(parsed, Failure):
             return _json({"error": "rejected as a whole", "problems": parsed.failure()}, 400)
         reply = await self._read()
-        changes = difference(reply.configuration, parsed.unwrap())
+        changes = diff_configurations(reply.configuration, parsed.unwrap())
         return _json({"version": reply.version, "changes": changes})
 
     async def _drain(self, request: web.Request) -> web.Response:
--- a/src/rowanrail/sql_control/service.py
+++ b/src/rowanrail/sql_control/service.py
@@ -24,7 +24,7 @@
 )
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.config.checks import check_configuration
-from rowanrail.config.diff import Change, difference
+from rowanrail.config.diff import Change, diff_configurations
 from rowanrail.config.model import Configuration
 from rowanrail.consensus.errors import NotLeaderError, SupersededError
 from rowanrail.consensus.messages import ConsensusMessage
@@ -236,7 +236,7 @@
             problems = check_configuration(target)
             if problems:
                 raise InvalidRequestError("; ".join(problems), step="apply")
-        return make_delta(current, target), difference(current, target)
+        return make_delta(current, target), diff_configurations(current, target)
 
     def _drain_delta(self, request: DrainRequest) -> tuple[ConfigurationDelta, list[Change]]:
         current = self.state.current
--- a/src/rowanrail/sql_proxy/daemon.py
+++ b/src/rowanrail/sql_proxy/daemon.py
@@ -14,7 +14,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.kernel.web import serve_http
 from rowanrail.rpc.network import Network
-from rowanrail.rpc.routed import RoutedNetwork
+from rowanrail.rpc.routed import AddressTranslatingNetwork
 from rowanrail.rpc.tcp import TcpNetwork
 from rowanrail.sql_proxy.config_watch import ConfigurationWatch
 from rowanrail.sql_proxy.core import ProxyCore
@@ -65,7 +65,7 @@
     registry = Registry()
     randomness = random.Random()
     incarnation = f"{randomness.getrandbits(48):012x}"
-    network = RoutedNetwork(TcpNetwork(), settings.routes)
+    network = AddressTranslatingNetwork(TcpNetwork(), settings.routes)
     driver = registry.create("backend", "mysql")
     core = ProxyCore(settings.zone, settings.routes, driver, registry, randomness)
     watch = _make_watch(settings, core, network, incarnation)
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -275,7 +275,7 @@
             file.seek(0)
             lines = read_lines(file.read().decode().splitlines()).lines
         self.assertEqual([line.event for line in lines], [301])
-        self.assertEqual(log.left_out_total, 0)
+        self.assertEqual(log.dropped_total, 0)
 
     def test_a_reader_that_does_not_read_holds_nothing_up(self):
         import os
@@ -305,4 +305,4 @@
         os.close(reading)
         log.flush()
         os.close(writing)
-        self.assertEqual(log.left_out_total, 3)
+        self.assertEqual(log.dropped_total, 3)
--- a/tests/forms/names.py
+++ b/tests/forms/names.py
@@ -187,7 +187,7 @@
         for node in ast.walk(tree):
             if isinstance(node, ast.Constant) and str(node.value).startswith("rowanrail_"):
                 prefixes.add(str(node.value))
-            elif hasattr(module, "Reading"):
+            elif hasattr(module, "GaugeSample"):
                 readings |= set(_reading(node))
                 labels |= set(_labels(node))
     core = mock.Mock(sessions=[])
--- a/tests/simulation/test_consistency.py
+++ b/tests/simulation/test_consistency.py
@@ -8,7 +8,7 @@
 from rowanlab.simulator.world import World
 from rowanlab.standin.member import FaultRequest
 from rowanrail.config.model import GroupConsistency
-from rowanrail.kernel.events import silence
+from rowanrail.kernel.events import disable_logging
 
 LAG_SECONDS = 0.4
 COUNT = "SELECT COUNT(*) FROM edits"
@@ -17,7 +17,7 @@
 class ConsistencyTest(unittest.TestCase):
     def observe(self, consistency):
         """Return what an older session reads just after another's write, and later."""
-        silence()
+        disable_logging()
         world = World(1)
         options = DataOptions(callers=0, proxies=1, consistency=consistency)
         data = DataWorld(world, registry_without(None), 1, options)
--- a/tests/simulation/test_regressions.py
+++ b/tests/simulation/test_regressions.py
@@ -11,14 +11,14 @@
 from rowanlab.standin.member import FaultRequest
 from rowanrail.config.model import VersionedConfiguration
 from rowanrail.kernel.errors import NotRunError, OutcomeUnknownError
-from rowanrail.kernel.events import silence
+from rowanrail.kernel.events import disable_logging
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.token import encode_token
 
 
 class RegressionTest(unittest.TestCase):
     def setUp(self):
-        silence()
+        disable_logging()
         self.world = World(1)
         options = DataOptions(callers=0, proxies=1)
         self.data = DataWorld(self.world, registry_without(None), 1, options)
--- a/tests/simulation/test_requests.py
+++ b/tests/simulation/test_requests.py
@@ -7,7 +7,7 @@
 from rowanlab.simulator.permissive import registry_without
 from rowanlab.simulator.world import FIRST_WALL_CLOCK, World
 from rowanrail.kernel.errors import NotRunError, RequestConflictError
-from rowanrail.kernel.events import silence
+from rowanrail.kernel.events import disable_logging
 from rowanrail.sql_proxy.writes import CLEAN_UP_EVERY_WRITES
 
 REQUEST_ID = f"{int(FIRST_WALL_CLOCK)}-request"
@@ -16,7 +16,7 @@
 
 class TwoProxiesTest(unittest.TestCase):
     def setUp(self):
-        silence()
+        disable_logging()
         self.world = World(1)
         options = DataOptions(callers=0, proxies=2)
         self.data = DataWorld(self.world, registry_without(None), 1, options)
--- a/tests/simulation/test_stateful.py
+++ b/tests/simulation/test_stateful.py
@@ -13,7 +13,7 @@
 from rowanlab.simulator.permissive import registry_without
 from rowanlab.simulator.world import World
 from rowanlab.standin.member import FaultRequest
-from rowanrail.kernel.events import silence
+from rowanrail.kernel.events import disable_logging
 
 FIXED = settings(
     derandomize=True,
@@ -30,7 +30,7 @@
     """Steps a world's loop between the rules."""
 
     def begin(self):
-        silence()
+        disable_logging()
         self.world = World(1)
         self.world.loop.set_exception_handler(lambda loop, context: None)
         asyncio.set_event_loop(self.world.loop)
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -6,7 +6,7 @@
 
 from returns.result import Failure, Success
 
-from rowanrail.config.diff import difference, plain
+from rowanrail.config.diff import diff_configurations, redact_secrets
 from rowanrail.config.load import load_configuration, parse_configuration
 from rowanrail.config.settings import Daemon, load_settings
 
@@ -72,7 +72,7 @@
     def test_shown_secret_is_refused_when_applied(self):
         content = valid()
         content["groups"][0]["backend"] = {"password": "secret"}
-        shown = plain(parse_configuration(content, "f").unwrap())
+        shown = redact_secrets(parse_configuration(content, "f").unwrap())
         self.assertNotIn("secret", str(shown))
         self.assertIn("in place of a secret", self.problems(shown))
 
@@ -81,7 +81,7 @@
         content = valid()
         content["groups"][0]["limits"] = {"queue_length": 7}
         content["groups"][0]["backend"] = {"password": "secret"}
-        changes = difference(before, parse_configuration(content, "f").unwrap())
+        changes = diff_configurations(before, parse_configuration(content, "f").unwrap())
         paths = {change.path: change for change in changes}
         self.assertEqual(paths["groups[g1].limits.queue_length"].after, "7")
         self.assertNotIn("secret", str(changes))
--- a/tests/unit/test_inspect_load.py
+++ b/tests/unit/test_inspect_load.py
@@ -24,9 +24,9 @@
     metrics = Metrics(
         "rowanrail_gateway", lambda: [*gauges(played.gateway), *tenant_gauges(played.gateway)]
     )
-    metrics.note_statement("read", "busy", "waits-for-connection", 0.2)
-    metrics.note_statement("read", "done", "sent", 0.1)
-    metrics.note_rejection("crowded", 2, 300.0)
+    metrics.record_statement("read", "busy", "waits-for-connection", 0.2)
+    metrics.record_statement("read", "done", "sent", 0.1)
+    metrics.record_rejection("crowded", 2, 300.0)
     return metrics.render().decode()
 
 
--- a/tests/unit/test_tcp.py
+++ b/tests/unit/test_tcp.py
@@ -7,7 +7,7 @@
 
 from rowanrail.cluster.messages import BarrierReply, BarrierRequest
 from rowanrail.kernel.errors import TransportError
-from rowanrail.kernel.sockets import limit_silence
+from rowanrail.kernel.sockets import set_tcp_timeouts
 from rowanrail.rpc.tcp import TcpNetwork
 
 
@@ -177,12 +177,12 @@
         kept = []
 
         async def accept(reader, writer):
-            limit_silence(writer.transport)
+            set_tcp_timeouts(writer.transport)
             kept.append(writer.get_extra_info("socket"))
 
         server = await asyncio.start_server(accept, "127.0.0.1", 0)
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
-        limit_silence(writer.transport)
+        set_tcp_timeouts(writer.transport)
         kept.append(writer.get_extra_info("socket"))
         await asyncio.sleep(0.05)
         for connection in kept:
