--- a/src/rowanlab/standin/server.py
+++ b/src/rowanlab/standin/server.py
@@ -19,8 +19,8 @@
 from rowanrail.mysql.backend import STATUS_QUERY
 from rowanrail.mysql.errors import to_mysql_error
 from rowanrail.mysql.values import result_column
-from rowanrail.mysql.wire import ServedConnection, ServedSession, Server
-from rowanrail.rpc.routed import AddressTranslatingNetwork
+from rowanrail.mysql.wire import Server, ServerConnection, ServerSession
+from rowanrail.rpc.address_translation import AddressTranslatingNetwork
 from rowanrail.rpc.tcp import TcpNetwork, split_address
 from rowanrail.sql_proxy.backend import Column, MemberStatus
 from rowanrail.sql_proxy.core import hash_password
@@ -61,13 +61,13 @@
         return User(name=username, auth_string=auth)
 
 
-class _WireSession(ServedSession):
+class _WireSession(ServerSession):
     def __init__(self, server: "MemberServer") -> None:
         super().__init__()
         self._server = server
         self._session = MemberSession(server.member)
 
-    def login_error(self, connection: ServedConnection) -> MysqlError | None:
+    def begin_session(self, connection: ServerConnection) -> MysqlError | None:
         settings = self._server.member.settings
         counts = self._server.member.connections
         if counts.now >= settings.connections:
@@ -75,7 +75,7 @@
             return MysqlError("Too many connections", ErrorCode.CON_COUNT_ERROR)
         counts.now += 1
         counts.peak = max(counts.peak, counts.now)
-        return super().login_error(connection)
+        return super().begin_session(connection)
 
     async def init(self, connection: Any) -> None:
         await asyncio.sleep(self._server.member.settings.connect_seconds)
--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -19,7 +19,7 @@
 from rowanrail.kernel.registry import register
 from rowanrail.mysql.errors import CallerCode, to_mysql_error
 from rowanrail.mysql.values import result_column
-from rowanrail.mysql.wire import ServedConnection, ServedSession, Server
+from rowanrail.mysql.wire import Server, ServerConnection, ServerSession
 from rowanrail.rpc.tcp import split_address
 from rowanrail.sql_proxy.commands import TOKEN_VARIABLE
 from rowanrail.sql_proxy.core import STOP_RETRY_AFTER_SECONDS, ProxyCore
@@ -49,7 +49,7 @@
         return User(name=username, auth_string=stored or NO_PASSWORD_HASH)
 
 
-class CallerSession(ServedSession):
+class CallerSession(ServerSession):
     """Joins one MySQL connection to one session of the core."""
 
     def __init__(self, core: ProxyCore, on_close: Callable[["CallerSession"], None]) -> None:
@@ -59,9 +59,9 @@
         self.session: SqlSession | None = None
         self._replaced: SqlSession | None = None
 
-    def login_error(self, connection: ServedConnection) -> MysqlError | None:
+    def begin_session(self, connection: ServerConnection) -> MysqlError | None:
         """Open the session, with a token from the connection attributes if there is one."""
-        super().login_error(connection)
+        super().begin_session(connection)
         assert self.username is not None
         if self.session is not None and self.session.user == self.username:
             return None  # COM_CHANGE_USER to the same user; reset() follows
@@ -90,7 +90,7 @@
         connection.set_ok(result.affected_rows, result.insert_id, result.warnings)
         return None
 
-    def _joined(self) -> tuple[SqlSession, ServedConnection]:
+    def _joined(self) -> tuple[SqlSession, ServerConnection]:
         if self.session is None or self.connection is None:
             raise ConnectionClosed
         return self.session, self.connection
@@ -174,7 +174,7 @@
                 return
 
 
-async def _announce_stop(connection: ServedConnection) -> None:
+async def _announce_stop(connection: ServerConnection) -> None:
     error = MysqlError(
         f"not run: this proxy is stopping; retry after {STOP_RETRY_AFTER_SECONDS:.3f} s",
         CallerCode.NOT_RUN,
--- a/src/rowanrail/mysql/wire.py
+++ b/src/rowanrail/mysql/wire.py
@@ -62,7 +62,7 @@
             raise ConnectionClosed from error
 
 
-class ServedSession(BaseSession):  # type: ignore[misc]
+class ServerSession(BaseSession):  # type: ignore[misc]
     """Base of sessions that are served over the wire."""
 
     def __init__(self) -> None:
@@ -70,15 +70,15 @@
         self.variables.set("version", SERVER_VERSION, force=True)
         self.username: str | None = None
         self.database: str | None = None
-        self.connection: ServedConnection | None = None
+        self.connection: ServerConnection | None = None
 
-    def login_error(self, connection: "ServedConnection") -> MysqlError | None:
+    def begin_session(self, connection: "ServerConnection") -> MysqlError | None:
         """Begin the session of an authenticated user, or return why it is refused."""
         self.connection = connection
         return None
 
 
-class ServedConnection(Connection):  # type: ignore[misc]
+class ServerConnection(Connection):  # type: ignore[misc]
     """One connection, with the gaps of the library filled."""
 
     ok_information = b""
@@ -114,7 +114,7 @@
         """Return an OK packet, or the error of a login that the session refuses."""
         if self.login_pending:
             self.login_pending = False
-            error = self.session.login_error(self)
+            error = self.session.begin_session(self)
             if error is not None:
                 self.session.username = None
                 return bytes(self.error(msg=error.msg, code=error.code))
@@ -201,7 +201,7 @@
 
 
 class Server(MysqlServer):  # type: ignore[misc]
-    """A MySQL server that makes :class:`ServedConnection` objects."""
+    """A MySQL server that makes :class:`ServerConnection` objects."""
 
     async def _client_connected_cb(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -210,7 +210,7 @@
         if inspect.isawaitable(session):
             session = await session
         stream = MysqlStream(WholeReader(reader), writer)
-        connection = ServedConnection(
+        connection = ServerConnection(
             stream=stream,
             session=session,
             control=self.control,
--- a/src/rowanrail/sql_control/daemon.py
+++ b/src/rowanrail/sql_control/daemon.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.registry import Registry
 from rowanrail.kernel.web import serve_http
-from rowanrail.rpc.routed import AddressTranslatingNetwork
+from rowanrail.rpc.address_translation import AddressTranslatingNetwork
 from rowanrail.rpc.tcp import TcpNetwork
 from rowanrail.sql_control.events import CONTROL_STARTED, CONTROL_STOPPED
 from rowanrail.sql_control.http_api import OperatorApi
--- a/src/rowanrail/sql_proxy/daemon.py
+++ b/src/rowanrail/sql_proxy/daemon.py
@@ -13,8 +13,8 @@
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.registry import Registry
 from rowanrail.kernel.web import serve_http
+from rowanrail.rpc.address_translation import AddressTranslatingNetwork
 from rowanrail.rpc.network import Network
-from rowanrail.rpc.routed import AddressTranslatingNetwork
 from rowanrail.rpc.tcp import TcpNetwork
 from rowanrail.sql_proxy.config_watch import ConfigurationWatch
 from rowanrail.sql_proxy.core import ProxyCore
