--- a/src/rowanrail/placement/__init__.py
+++ b/src/rowanrail/placement/__init__.py
@@ -1,7 +1,7 @@
-"""Which gateways hold the connections to a service's members, and how many each.
+"""Placement: which gateways hold the connections to a service's members, and how many each.
 
-By rendezvous hashing (:mod:`hashed`), or by the leader's plan (:mod:`planned`). Gateways and
-control nodes work out the same from the same directory.
+Holders are chosen by rendezvous hashing (:mod:`hashed`) or by the leader's plan (:mod:`planned`).
+Gateways and control nodes compute the same result from the same directory.
 
-Owns the rules; asks nobody and opens nothing. Relies on ``scheduling.plan`` for the form of a plan.
+Owns the rules; does no I/O. Relies on ``scheduling.plan`` for the form of a plan.
 """
--- a/src/rowanrail/placement/hashed.py
+++ b/src/rowanrail/placement/hashed.py
@@ -1,8 +1,8 @@
-"""Which gateway of a zone holds a service's connections, and how many it may open.
+"""Rendezvous hashing of services to gateways, and limits on connections to a member.
 
-Functions of what the directory says; every gateway works out the same from the same directory.
+Every gateway computes the same result from the same directory.
 
-Owns nothing and relies on nothing: plain values in, names and numbers out.
+Owns nothing and relies on nothing: pure functions on plain values.
 """
 
 import functools
@@ -26,41 +26,39 @@
     "shards_of",
 ]
 
-RESERVED_CONNECTIONS = 3  # of a member, for the questions of control nodes
-MINIMUM_CONNECTIONS = 2  # one that is in use and one that is being opened
-# Chosen: times an even share, since demand differs between gateways; a full member refuses without
-# harm.
+RESERVED_CONNECTIONS = 3  # of each member, for queries by control nodes
+MINIMUM_CONNECTIONS = 2  # one in use and one being opened
+# Multiple of an even share that a gateway may open, since demand differs between gateways. A member
+# without free connections refuses more without harm.
 DEMAND_FACTOR = 2
-ASSUMED_GATEWAYS = 8  # chosen: until the directory says how many there are
-# Chosen: connections that a region's holder may open to a member of another region. Work goes to
-# the holder there, and these are for when that one can't be reached.
+ASSUMED_GATEWAYS = 8  # until the directory says how many there are
+# Connections that a gateway may open to a member of another region. Work goes to the holder there;
+# these are for when that holder can't be reached.
 REMOTE_CONNECTIONS = 2
-# Of a member, for the holder that takes over when one is lost: its connections still count for
-# 3 s if its machine lost power; and for gateways that help while a primary is cut off. With 2 in
-# place of 6, members of 58 gateways refused 5,265 starts in a day of such cuts, with 6 3,582.
+# Connections of a member that are left for gateways that take over: a lost holder's connections may
+# count for 3 s more, and other gateways serve as a detour while a primary is cut off.
 SUCCESSOR_CONNECTIONS = 6
-# Gateways of a region that divide a service's tenants among them. A gateway's link passes
-# 250 KB a second, and a statement takes about 1.7 KB of it each way, so that one holder would be
-# choked by 150 statements a second, which a primary's region gets while replicas lag.
+# Shards of a service, by tenant, in a region that shares connections: several links then carry the
+# statements that the primary's region gets while replicas lag.
 SHARDS = 3
-ROUNDING_TOLERANCE = 0.01  # connections that a share may lack by the rounding of its digits
-# Key by which a region's gateways are ranked for summing the region's tenant demand.
+ROUNDING_TOLERANCE = 0.01  # connections; compensates the rounding of shares in a plan
+# Key for which a region's gateways are ranked to choose the one that sums tenants' demand.
 DEMAND_AGGREGATOR = "tenants' demand"
-MIN_OWN_CONNECTIONS = 3  # chosen: connections a gateway, below which a zone shares one gateway's
+MIN_OWN_CONNECTIONS = 3  # per gateway; with fewer, the gateways of a zone share a holder's
 
 
 @dataclass(frozen=True, slots=True)
 class Population:
-    """How many gateways there are, and in how many zones.
+    """The number of gateways, and of the zones or regions that they are in.
 
     Parameters
     ----------
     gateways : int
-        All gateways of the system; 0 if that is not known yet.
+        Number of gateways of the system; 0 if not known yet.
     zones : int
-        Zones that have at least one gateway; regions if those share.
+        Number of zones with at least one gateway; of regions if ``is_regional``.
     is_regional : bool
-        Whether the gateways of a region share connections, in place of those of a zone.
+        Whether connections are shared by the gateways of a region rather than of a zone.
     """
 
     gateways: int = 0
@@ -70,14 +68,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Shard:
-    """What a gateway holds connections for: a service, or some tenants of it.
+    """A unit of placement: a service, or the part of it that belongs to some tenants.
 
     Parameters
     ----------
+    service : str
+        Name of the service.
     number : int or None
-        Which tenants; None for a service that is not divided.
+        Index of the tenants' part; None for a service that is not divided.
     tenant : str
-        Whose statement is placed, if one is; shards are equal whatever it is.
+        Tenant of the statement that is placed; empty if there is none. Not compared.
 
     Examples
     --------
@@ -92,7 +92,7 @@
     @classmethod
     @functools.lru_cache(maxsize=4096)
     def of(cls, service: str, tenant: str) -> "Shard":
-        """Return the shard to which a tenant's statements on a service belong."""
+        """Return the shard of a tenant's statements; the whole service if there is no tenant."""
         if not tenant:
             return cls(service)
         digest = hashlib.blake2b(tenant.encode(), digest_size=4).digest()
@@ -100,22 +100,22 @@
 
     @property
     def key(self) -> str:
-        """The name by which gateways are ranked for it."""
+        """The key for which gateways are ranked."""
         return self.service if self.number is None else f"{self.service}/{self.number}"
 
 
 def shards_of(service: str) -> list[Shard]:
-    """Return the shards of a service whose connections belong to tenants."""
+    """Return all shards of a service that is divided by tenant."""
     return [Shard(service, number) for number in range(SHARDS)]
 
 
 def is_shared(connections: int, population: Population) -> bool:
-    """Return whether a service's connections are too few for each gateway to have its own.
+    """Return whether gateways share a holder's connections instead of opening their own.
 
     Parameters
     ----------
     connections : int
-        Connections that one member takes from all gateways together.
+        Connections that one member accepts from all gateways together.
     population : Population
         The gateways among which they are divided.
 
@@ -127,31 +127,31 @@
     True
     """
     if population.gateways <= population.zones:
-        return False  # nobody has a neighbour to share with
+        return False  # no gateway has a neighbour to share with
     if population.is_regional:
-        return True  # connections belong to tenants: the fewer hold them, the fewer are opened
+        return True  # connections belong to tenants, so fewer holders open fewer of them
     return (connections - RESERVED_CONNECTIONS) // population.gateways < MIN_OWN_CONNECTIONS
 
 
 def connection_limit(
     connections: int, population: Population, is_near: bool = True, shards: int = 1
 ) -> int:
-    """Return how many connections a gateway may open to one member.
+    """Return how many connections a gateway may open to one member without a plan.
 
-    Demand is uneven, so a gateway with connections of its own may use more than an even
-    share; a member that has none left refuses without harm. In a zone that shares, only
-    one gateway opens any, and one more to the primary for its samples.
+    A gateway with connections of its own may open more than an even share, since demand is uneven.
+    Where gateways share connections, this is the limit of a holder; it leaves one more connection
+    for sampling the primary.
 
     Parameters
     ----------
     connections : int
-        Connections that one member takes from all gateways together.
+        Connections that one member accepts from all gateways together.
     population : Population
         The gateways among which they are divided.
     is_near : bool
-        Whether the member stands in the gateway's own region.
+        Whether the member is in the gateway's own region.
     shards : int
-        How many shards of the service the gateway holds, where regions share.
+        Number of shards of the service that the gateway holds, where regions share.
 
     Examples
     --------
@@ -167,21 +167,21 @@
     >>> connection_limit(32, region, is_near=False)
     2
     """
-    left = connections - RESERVED_CONNECTIONS
+    available = connections - RESERVED_CONNECTIONS
     if population.is_regional and is_shared(connections, population):
         others = population.zones - 1
-        near = left - SUCCESSOR_CONNECTIONS - others * SHARDS  # a sample's each
-        share = math.ceil(near * min(shards, SHARDS) / SHARDS)
+        local = available - SUCCESSOR_CONNECTIONS - others * SHARDS  # for samples
+        share = math.ceil(local * min(shards, SHARDS) / SHARDS)
         return max(MINIMUM_CONNECTIONS, share) if is_near else REMOTE_CONNECTIONS
     if is_shared(connections, population):
         zones = max(1, population.zones)
-        return max(MINIMUM_CONNECTIONS, left // zones - 1)
-    share = left // (population.gateways or ASSUMED_GATEWAYS)
-    return min(left, max(MINIMUM_CONNECTIONS, DEMAND_FACTOR * (share - 1)))
+        return max(MINIMUM_CONNECTIONS, available // zones - 1)
+    share = available // (population.gateways or ASSUMED_GATEWAYS)
+    return min(available, max(MINIMUM_CONNECTIONS, DEMAND_FACTOR * (share - 1)))
 
 
 def even_share(population: Population) -> float:
-    """Return the share of a member's connections that each holder has where nobody plans.
+    """Return each holder's share of a member's connections without a plan.
 
     Examples
     --------
@@ -199,16 +199,16 @@
     Parameters
     ----------
     connections : int
-        Connections that one member takes from all gateways together.
+        Connections that one member accepts from all gateways together.
     population : Population
         The gateways among which they are divided.
     share : float
-        The gateway's share of what is divided.
+        The gateway's share of the connections, between 0 and 1.
     samplers : int
-        How many gateways open one more to sample a primary: all holders, or those of the other
-        regions where regions share.
+        Number of gateways that open one more connection to sample a primary: all holders, or those
+        of the other regions where regions share.
     is_near : bool
-        Whether the member stands in the gateway's own region.
+        Whether the member is in the gateway's own region.
 
     Examples
     --------
@@ -230,14 +230,14 @@
 def rank(service: str, gateways: Iterable[str]) -> list[str]:
     """Return gateways in the order in which they should hold a service's connections.
 
-    Rendezvous hashing: a gateway that comes or goes moves only what it holds itself.
+    By rendezvous hashing: a gateway that joins or leaves only moves what it holds itself.
 
     Parameters
     ----------
     service : str
-        Name of the service.
+        Name of the service, or key of a shard.
     gateways : iterable of str
-        Names of the gateways of one zone.
+        Names of the gateways of one zone or region.
 
     Examples
     --------
@@ -249,7 +249,7 @@
 
 
 def rendezvous_score(service: str, gateway: str) -> tuple[bytes, str]:
-    """Return by what a gateway is compared with others for a service; the highest comes first.
+    """Return a gateway's score for a service in rendezvous hashing; the highest ranks first.
 
     Examples
     --------
--- a/src/rowanrail/placement/planned.py
+++ b/src/rowanrail/placement/planned.py
@@ -1,10 +1,11 @@
-"""The plan of holders as one gateway goes by it: who holds a shard, and how much is held here.
+"""The plan of holders as one gateway applies it: who holds a shard, and its own shares.
 
-Where the plan says nothing the hash decides. Gateways that go by different plans cost each other
-one more step: a holder runs whatever comes, and members refuse what is beyond their connections.
+Shards that the plan does not name are placed by rendezvous hashing. Gateways may have different
+plans for a while: a holder runs whatever it is sent, and members refuse connections beyond their
+limit.
 
-Owns the plan in force and which shares are being handed over. Relies on :mod:`hashed` for the order
-of several holders and on ``scheduling.plan`` for the form of a plan.
+Owns the plan in force and the handover of shares. Relies on :mod:`hashed` for the order of several
+holders and on ``scheduling.plan`` for the form of a plan.
 """
 
 from collections.abc import Callable, Iterator
@@ -16,26 +17,26 @@
 
 __all__ = ["HANDOVER_MS", "Allowance", "HeldShard", "PlannedHolders"]
 
-# For which a holder that gains opens no more than before, a new one half of its share. Those that
-# lose learn of the plan within the wait of a poll (1 s) if their control node changes, and close
-# what is idle 0.1 s later.
+# Time during which a holder whose share grows keeps its old limit, and a new holder has a part of
+# its share. Meanwhile the other holders learn of the plan, within a poll of 1 s, and close idle
+# connections 0.1 s later.
 HANDOVER_MS = 2000.0
-# Of a new holder's share, meanwhile; the one before keeps at most as much.
+# Part of its share that a new holder has during a handover; the former holder keeps the same at most.
 HANDOVER_SHARE_FACTOR = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """What a gateway may open by the plan of one service's connections.
+    """What a gateway may open of one service's connections by the plan.
 
     Parameters
     ----------
     share : float
-        Of each member's connections; 0 if the plan names other gateways only.
+        Share of each member's connections; 0 if the plan names only other gateways.
     samplers : int
-        Holders that open one connection more to sample a primary.
+        Number of holders that open one more connection to sample a primary.
     shards : frozenset of Shard
-        For which the plan names the gateway.
+        Shards for which the plan names the gateway.
     """
 
     share: float
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Handover:
-    """Until when a shard that grows here has which share."""
+    """The share that a gateway has of a shard until the end of a handover."""
 
     until: float
     share: float
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldShard:
-    """A shard that this gateway holds by the plan, and why."""
+    """A shard that this gateway holds by the plan, with the cause of that."""
 
     service: str
     key: str
@@ -69,9 +70,9 @@
     name : str
         Name of this gateway.
     group : str
-        The zone or region with whose gateways it shares connections.
+        The zone or region whose gateways share connections with it.
     clock : Clock
-        Time.
+        Time in milliseconds.
     """
 
     def __init__(self, name: str, group: str, clock: Clock) -> None:
@@ -89,35 +90,37 @@
 
     @property
     def held(self) -> dict[str, ShardPlan]:
-        """The shards for which the plan names this gateway, by key."""
+        """The shards that the plan assigns to this gateway, by key."""
         shards = self._plan.groups.get(self._group, {})
         return {key: shard for key, shard in shards.items() if self._name in shard.gateways}
 
     @property
     def is_handing_over(self) -> bool:
-        """Whether anything that grows here has not its whole share yet."""
+        """Whether a shard of this gateway does not have its whole share yet."""
         now = self._clock.now
         return any(now < handover.until for handover in self._handovers.values())
 
     def adopt(self, plan: Plan, hashed_share: Callable[[str], float]) -> bool:
-        """Go by a plan if it is newer than the one in force; return whether it is.
+        """Put a plan in force if it is newer than the current one; return whether it is.
 
         Parameters
         ----------
         plan : Plan
             The plan.
         hashed_share : callable
-            Returns the share that this gateway has of a shard by the hash, by key.
+            Takes the key of a shard; returns this gateway's share of it by rendezvous hashing.
         """
         if plan.number <= self._plan.number:
             return False
         before = self._plan.groups.get(self._group, {})
-        known = {key: self._share_now(key) for key in before}
+        current_shares = {key: self._share_now(key) for key in before}
         self._plan = plan
         self._samplers.clear()
         until = self._clock.now + HANDOVER_MS
         self._handovers = {
-            key: _Handover(until, self._handover_share(share, known.get(key, hashed_share(key))))
+            key: _Handover(
+                until, self._handover_share(share, current_shares.get(key, hashed_share(key)))
+            )
             for key in self.held
             if (share := self._share(key))
         }
@@ -125,18 +128,18 @@
 
     @staticmethod
     def _handover_share(share: float, before: float) -> float:
-        """Return the share during the handover: others still have what is gained."""
+        """Return the share during a handover, while others still hold what was added."""
         return min(share, before) if before else share * HANDOVER_SHARE_FACTOR
 
     def local_holders(self, shard: Shard) -> list[str]:
-        """Return the holders of a shard in the gateway's own group, see :meth:`holders`."""
+        """Return the holders of a shard in the gateway's own group, in the order of preference."""
         return self.holders(self._group, shard)
 
     def holders(self, group: str, shard: Shard) -> list[str]:
-        """Return the holders that the plan names for a shard, the one to be asked first at first.
+        """Return the holders that the plan names for a shard, in the order of preference.
 
-        Clients' gateways, or tenants, are spread over several; one that is added takes over a
-        part of what each had.
+        With several holders, clients' gateways or tenants are spread over them by rendezvous
+        hashing: a holder that is added takes over a part from each of the others.
         """
         planned = self._plan.shard(group, shard.key)
         if planned is None:
@@ -152,10 +155,10 @@
         return f"{shard.tenant} {self._name}" if planned.is_split else shard.tenant
 
     def allowance(self, service: str, is_regional: bool) -> Allowance | None:
-        """Return what may be opened here of a service's connections, None if it isn't named."""
+        """Return this gateway's part of a service's connections, None if the plan has none."""
         shards = shards_of(service) if is_regional else [Shard(service)]
-        mine = self._plan.groups.get(self._group, {})
-        if not any(shard.key in mine for shard in shards):
+        assigned = self._plan.groups.get(self._group, {})
+        if not any(shard.key in assigned for shard in shards):
             return None
         held = frozenset(shard for shard in shards if self._holds(shard.key))
         share = sum(self._share_now(shard.key) for shard in held)
@@ -168,7 +171,7 @@
         return planned is not None and self._name in planned.gateways
 
     def _share_now(self, key: str) -> float:
-        """Return the share of a shard that may be opened here at the moment."""
+        """Return this gateway's current share of a shard, reduced during a handover."""
         handover = self._handovers.get(key)
         if handover is not None and self._clock.now < handover.until:
             return handover.share
@@ -181,7 +184,7 @@
         return sum(h.share for h in planned.holdings if h.gateway == self._name)
 
     def _count_samplers(self, shards: list[Shard], is_regional: bool) -> int:
-        """Return how many holders sample the primary beside those who divide its connections."""
+        """Return how many holders open a connection to sample the primary."""
         named = {
             name
             for group, planned in self._plan.groups.items()
@@ -193,7 +196,7 @@
         return len(named)
 
     def held_shards(self, services: list[str]) -> Iterator[HeldShard]:
-        """Yield what is held here by the plan, and why."""
+        """Yield the shards of services that this gateway holds by the plan."""
         for service in services:
             for shard in [Shard(service), *shards_of(service)]:
                 planned = self._plan.shard(self._group, shard.key)
