--- a/src/rowanrail/gateway/relay/detour_rules.py
+++ b/src/rowanrail/gateway/relay/detour_rules.py
@@ -1,12 +1,11 @@
-"""Whom a gateway asks that gets no sample of a primary, and which answer it goes by.
+"""Which gateways are asked for a sample of a primary, and which one becomes the detour.
 
-A detour costs the gateways that are asked time of their own, at a moment when many ask. Who is
-asked is therefore bounded: one gateway of each other zone, the one that holds the service's
-connections there, and two of the own zone, ten times a second at most and only while the trouble
-lasts.
+A gateway that can't reach a primary asks others for a sample of its position. Queries are bounded,
+since many gateways may ask at once: one holder in each other zone and a few gateways of the own
+zone, at most ten times a second, and only while the primary is unreachable.
 
-Owns what was asked and answered lately; times are milliseconds on the caller's steady clock. Relies
-on ``placement`` for the orders of gateways. :mod:`detours` acts on it.
+Owns the recent queries and answers; times are milliseconds on the caller's monotonic clock. Relies
+on ``placement`` for the orders of gateways. :mod:`detours` sends the queries.
 """
 
 from collections.abc import Iterable, Sequence
@@ -16,11 +15,9 @@
 
 __all__ = ["ReachabilityCache", "gateways_to_query"]
 
-QUERY_INTERVAL_MS = 100.0  # chosen: between questions about one service
-REACHABLE_TTL_MS = (
-    1000.0  # chosen: for which the gateway that answered last is taken to reach the primary
-)
-OWN_ZONE_QUERIES = 2  # two, since one of them may be cut off as well
+QUERY_INTERVAL_MS = 100.0  # minimum time between queries about one service
+REACHABLE_TTL_MS = 1000.0  # how long an answer proves that a gateway reaches the primary
+OWN_ZONE_QUERIES = 2  # more than one, since a gateway of the same zone may be cut off as well
 
 
 def gateways_to_query(
@@ -33,13 +30,13 @@
     service : str
         Name of the service.
     orders : iterable of sequence of str
-        For each other zone or region, the gateways in the order in which they hold the service's
+        For each other zone or region, its gateways in the order in which they hold the service's
         connections.
     own_zone : sequence of str
         The other gateways of the own zone.
     with_own_zone : bool
-        Whether they are asked, too: they can help where connections to the primary fail, not
-        where it has none left.
+        Whether to ask gateways of the own zone, too. They help if connections to the primary fail,
+        not if the primary has no connection left.
 
     Examples
     --------
@@ -56,60 +53,62 @@
 
 @dataclass(slots=True)
 class _Reachable:
-    """The gateway that last gave a sample, and until when it is believed to reach the primary."""
+    """The gateway that last returned a sample, and when that information expires."""
 
     gateway: str
     until: float
 
 
 class ReachabilityCache:
-    """Which gateway reaches each service's primary, by what was answered lately.
+    """The gateway that reaches each service's primary, by recent answers.
 
-    The gateway that was found first stays the detour while it answers, so that transactions and
-    sessions don't change theirs with each answer.
+    The first gateway that answers stays the detour while it keeps answering, so that transactions
+    and sessions don't switch gateways with each answer.
 
     Examples
     --------
-    >>> book = ReachabilityCache()
-    >>> book.try_begin_query("orders", now=0.0), book.try_begin_query("orders", now=99.0)
+    >>> cache = ReachabilityCache()
+    >>> cache.try_begin_query("orders", now=0.0), cache.try_begin_query("orders", now=99.0)
     (True, False)
-    >>> book.note_reachable("orders", "b1", now=40.0), book.note_reachable("orders", "c1", now=41.0)
-    (True, False)
-    >>> book.gateway("orders", now=1040.0), book.gateway("orders", now=1041.0)
+    >>> cache.note_reachable("orders", "b1", now=40.0)
+    True
+    >>> cache.note_reachable("orders", "c1", now=41.0)
+    False
+    >>> cache.gateway("orders", now=1040.0), cache.gateway("orders", now=1041.0)
     ('b1', None)
     """
 
     def __init__(self) -> None:
-        self._asked_at: dict[str, float] = {}
-        self._reached: dict[str, _Reachable] = {}
+        self._last_query: dict[str, float] = {}
+        self._reachable: dict[str, _Reachable] = {}
 
     @property
     def services(self) -> list[str]:
-        """Services of whose primary a gateway gave a sample, lately or not."""
-        return list(self._reached)
+        """Services for which a gateway has returned a sample, expired or not."""
+        return list(self._reachable)
 
     def try_begin_query(self, service: str, now: float) -> bool:
-        """Return whether gateways may be asked about a service; if so, they count as asked."""
-        if now - self._asked_at.get(service, -QUERY_INTERVAL_MS) < QUERY_INTERVAL_MS:
+        """Return whether a query about a service may be sent now; if so, record it as sent."""
+        if now - self._last_query.get(service, -QUERY_INTERVAL_MS) < QUERY_INTERVAL_MS:
             return False
-        self._asked_at[service] = now
+        self._last_query[service] = now
         return True
 
     def note_reachable(self, service: str, gateway: str, now: float) -> bool:
-        """Note that a gateway gave a sample; return whether none was known to reach the primary."""
+        """Record a gateway's sample; return whether the service had no detour until now."""
         known = self.gateway(service, now)
         if known is not None and known != gateway:
             return False
-        self._reached[service] = _Reachable(gateway, now + REACHABLE_TTL_MS)
+        self._reachable[service] = _Reachable(gateway, now + REACHABLE_TTL_MS)
         return known is None
 
     def note_unreachable(self, service: str, gateway: str) -> None:
-        """Note that a gateway gave no sample when it was asked."""
-        reached = self._reached.get(service)
-        if reached is not None and reached.gateway == gateway:
-            del self._reached[service]
+        """Record that a gateway returned no sample; it is no detour from now on."""
+        reachable = self._reachable.get(service)
+        if reachable is not None and reachable.gateway == gateway:
+            del self._reachable[service]
 
     def gateway(self, service: str, now: float) -> str | None:
-        """Return the gateway that reaches a service's primary, None if none is known to."""
-        reached = self._reached.get(service)
-        return None if reached is None or now > reached.until else reached.gateway
+        """Return the gateway that reaches a service's primary, None if none is known."""
+        reachable = self._reachable.get(service)
+        return None if reachable is None or now > reachable.until else reachable.gateway
--- a/src/rowanrail/gateway/relay/forwarded_call.py
+++ b/src/rowanrail/gateway/relay/forwarded_call.py
@@ -15,12 +15,12 @@
 from rowanrail.gateway.relay.forwarding_rules import (
     HOLDER_LOOKUP_INTERVAL_MS,
     HOLDER_RETRY_AFTER_MS,
+    Decision,
     LinkLost,
     Refuse,
     RejectNotRun,
     RetryLater,
     RetryNow,
-    Verdict,
     may_persist,
     without_holder,
 )
@@ -242,9 +242,9 @@
             refusal=self._context.link_outcome.refusal(may_have_persisted), message=reason
         )
 
-    def _apply_verdict(self, verdict: Verdict, reason: str) -> None:
+    def _apply_decision(self, decision: Decision, reason: str) -> None:
         """Do what the rules say."""
-        match verdict:
+        match decision:
             case RetryNow():
                 self._context.remote_admission.forget(self._peer)
                 self._dispatch()
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -89,15 +89,15 @@
             case NotRun(reason=reason):
                 self._call_id = 0
                 self._sent = False
-                self._apply_verdict(after_not_served(has_run=False), reason)
+                self._apply_decision(after_not_served(has_run=False), reason)
             case Lost(reason=reason):
                 self._call_id = 0
-                self._apply_verdict(after_link_loss(self._sent_kind), reason)
+                self._apply_decision(after_link_loss(self._sent_kind), reason)
             case Sampled() | Counted():
                 pass  # neither was asked for here
 
     def _on_timeout(self) -> None:
-        self._apply_verdict(after_timeout(self._sent_kind, is_owed=self._call_id > 0), LATE)
+        self._apply_decision(after_timeout(self._sent_kind, is_pending=self._call_id > 0), LATE)
 
     def finish(self, answer: Answer) -> None:
         """See :meth:`rowanrail.gateway.work.ports.SingleStatement.finish`."""
@@ -169,16 +169,16 @@
                 self._call_id = 0
                 self._sent = False
                 self._number = 0
-                self._apply_verdict(after_not_served(self._has_run), reason)
+                self._apply_decision(after_not_served(self._has_run), reason)
             case Lost(reason=reason):
                 self._call_id = 0
                 self._end_at_holder()
-                self._apply_verdict(after_link_loss(self._sent_kind), reason)
+                self._apply_decision(after_link_loss(self._sent_kind), reason)
             case Sampled() | Counted():
                 pass  # neither was asked for here
 
     def _on_timeout(self) -> None:
-        self._apply_verdict(after_timeout(self._sent_kind, is_owed=self._call_id > 0), LATE)
+        self._apply_decision(after_timeout(self._sent_kind, is_pending=self._call_id > 0), LATE)
         self.end()
 
     def end(self) -> None:
--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -1,12 +1,12 @@
-"""What becomes of a statement that was sent to another gateway which doesn't answer it.
+"""What to do about a forwarded statement that its holder does not answer.
 
-The rules promise a client that nothing was kept only where that is certain. A read is asked for
-again elsewhere, a write or a commit never is; a transaction whose holder is lost is over, since
-what ran of it can't be moved.
+A client is told that nothing was committed only if that is certain. Reads are retried at another
+gateway; writes and commits never are. A transaction whose holder is lost is aborted, since its
+state can't be moved.
 
 Owns nothing; the functions take plain values, with times in milliseconds. Relies on ``work`` for
-the share of an objective that a statement waits for somebody to run it. :mod:`forwarded` and
-:mod:`forwarding` act on the verdicts.
+the share of an objective that a statement may wait for a gateway to run it.
+:mod:`forwarded_call` and :mod:`forwarding` act on the decisions.
 """
 
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
     "RetryNow",
     "Refuse",
     "RejectNotRun",
-    "Verdict",
+    "Decision",
     "after_link_loss",
     "after_not_served",
     "after_timeout",
@@ -31,48 +31,46 @@
     "without_holder",
 ]
 
-HOLDER_LOOKUP_INTERVAL_MS = (
-    10.0  # until a holder is looked for again: a link inside a zone opens within it
-)
-# Told to clients, in milliseconds, while no holder is known: about the time until one is found or
-# the next gateway of the order takes over.
+HOLDER_LOOKUP_INTERVAL_MS = 10.0  # long enough for a link inside a zone to open
+# Retry delay that clients get while no holder is known: about the time until one is found or the
+# next gateway in the order takes over.
 HOLDER_RETRY_AFTER_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class RetryNow:
-    """Look for a holder at once: nothing of the statement is kept anywhere."""
+    """Look up a holder and send the statement at once: it has had no effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLater:
-    """Look for a holder again after ``HOLDER_LOOKUP_INTERVAL_MS``."""
+    """Look up a holder again after ``HOLDER_LOOKUP_INTERVAL_MS``."""
 
 
 @dataclass(frozen=True, slots=True)
 class RejectNotRun:
-    """Answer that nothing ran, and after how long to retry."""
+    """Answer that nothing ran, with a retry delay."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer with a refusal."""
+    """Answer with the given refusal."""
 
     refusal: Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """Answer with what the guard of lost links promises; assume nothing of the holder's load."""
+    """Answer as the ``LinkOutcome`` policy says, and forget the load that the holder reported."""
 
     may_persist: bool
 
 
-Verdict = RetryNow | RetryLater | RejectNotRun | Refuse | LinkLost
+Decision = RetryNow | RetryLater | RejectNotRun | Refuse | LinkLost
 
 
 def may_persist(sent: Sent) -> bool:
-    """Return whether the database may have kept something if the statement ran.
+    """Return whether the statement, if it ran, may have changed the database for good.
 
     Examples
     --------
@@ -83,14 +81,15 @@
 
 
 def after_not_served(has_run: bool) -> RetryLater | Refuse:
-    """Return what follows where the holder ran nothing of a statement and can't run it.
+    """Return what to do if the holder did not run a statement and can't run it.
 
-    What begins may begin elsewhere. A transaction of which something ran is over.
+    A single statement or a new transaction may start at another gateway. A transaction that has
+    run a statement is aborted.
 
     Parameters
     ----------
     has_run : bool
-        Whether a statement of the same transaction was answered before.
+        Whether an earlier statement of the same transaction was answered.
 
     Examples
     --------
@@ -101,7 +100,7 @@
 
 
 def after_link_loss(sent: Sent) -> RetryNow | LinkLost:
-    """Return what follows where the link was lost while an answer was owed.
+    """Return what to do if the link was lost while a call was pending.
 
     Examples
     --------
@@ -111,22 +110,22 @@
     return RetryNow() if sent is Sent.READ else LinkLost(may_persist(sent))
 
 
-def after_timeout(sent: Sent, is_owed: bool) -> RejectNotRun | Refuse | LinkLost:
-    """Return what follows at the end of a statement's time.
+def after_timeout(sent: Sent, is_pending: bool) -> RejectNotRun | Refuse | LinkLost:
+    """Return what to do when a statement's deadline has passed.
 
     Parameters
     ----------
     sent : Sent
-        What the statement is.
-    is_owed : bool
-        Whether a holder has it and owes an answer; if not, nothing ran.
+        Kind of statement.
+    is_pending : bool
+        Whether it was sent to a holder that has not answered; if not, nothing ran.
 
     Examples
     --------
-    >>> after_timeout(Sent.WRITE, is_owed=True)
+    >>> after_timeout(Sent.WRITE, is_pending=True)
     Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
     """
-    if not is_owed:
+    if not is_pending:
         return RejectNotRun()
     match sent:
         case Sent.READ | Sent.WRITE:
@@ -136,17 +135,17 @@
 
 
 def without_holder(now: float, began: float, objective: float) -> RetryLater | RejectNotRun:
-    """Return what follows while no gateway is known to run a statement.
+    """Return what to do while no gateway is known to run a statement.
 
-    It waits for one as long as a new primary would be waited for, so that a holder that is
-    replaced costs clients a delay and no refusal.
+    The statement waits as long as it would wait for a new primary, so that the replacement of a
+    holder delays clients instead of rejecting them.
 
     Parameters
     ----------
     now, began : float
-        On the steady clock; ``began`` is when the client's statement came.
+        Times on the monotonic clock; ``began`` is the arrival of the client's statement.
     objective : float
-        Latency that its operation should stay within.
+        Latency objective of its operation.
 
     Examples
     --------
--- a/src/rowanrail/gateway/relay/holder_choice.py
+++ b/src/rowanrail/gateway/relay/holder_choice.py
@@ -1,8 +1,8 @@
-"""Which gateway runs what needs a service's connections: the first of an order that can take it.
+"""Choice of the gateway that runs a service's statements: the first available one of an order.
 
-The order is made elsewhere: by rendezvous hashing (``placement.hashed``) and by the plan of holders
-(``placement.planned``). Owns no link: who asks says where each gateway is reached. Relies on
-:mod:`link` for what a verdict hands out.
+The order comes from rendezvous hashing (``placement.hashed``) and from the plan of holders
+(``placement.planned``). Owns no link: the caller tells where each gateway is reached. Relies on
+:mod:`link` for the links that a result contains.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,27 +27,27 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldRemotely:
-    """Another gateway holds them, and its link stands."""
+    """Another gateway holds them, and the link to it is open."""
 
     link: Link
 
 
 @dataclass(frozen=True, slots=True)
 class NoHolder:
-    """No gateway is known to hold them now, or its link is still being opened."""
+    """No gateway is known to hold them, or the link to it is still being opened."""
 
 
 HolderLocation = HeldLocally | HeldRemotely | NoHolder
 
 
 def location_via(link: Link) -> HeldRemotely | NoHolder | None:
-    """Return where new work for the gateway behind a link goes.
+    """Return the location of the gateway behind a link, as far as it can take new work.
 
     Returns
     -------
     HeldRemotely, NoHolder or None
         NoHolder while the link is being opened, so that work waits for it. None if the gateway
-        counts as down: it is leaving, suspected or gone, and the next of an order takes its place.
+        counts as down (leaving, suspected or gone), so that the next one in the order is used.
     """
     if link.is_suspect:
         return None
@@ -67,17 +67,17 @@
     Parameters
     ----------
     order : iterable of str
-        Names of gateways, the one that should hold the connections first.
+        Names of gateways, the preferred holder first.
     reach : callable
-        Returns where a gateway is reached, None if it counts as down; opens its link if needed.
+        Returns the location of a gateway, None if it counts as down; opens its link if needed.
     connected : int
-        How many gateways that aren't down are kept connected, so that the next one can take over
+        How many gateways that are not down to keep connected, so that the next one can take over
         at once.
 
     Returns
     -------
     HolderLocation
-        NoHolder if all are down, or while the links of those that are not are being opened.
+        NoHolder if all are down, or while the links to the others are being opened.
 
     Examples
     --------
--- a/src/rowanrail/gateway/relay/liveness.py
+++ b/src/rowanrail/gateway/relay/liveness.py
@@ -1,64 +1,63 @@
-"""When a link to another gateway is suspected, when it is lost, and when it is opened again.
+"""Failure detection for links between gateways, and the backoff before a link is reopened.
 
-For whoever asks why work left a gateway: :func:`assess_liveness` says what the silence of a gateway
-that owes answers means, :class:`Backoff` for how long a gateway whose link was lost is left alone.
-Owns no link and no timer; the times come from the caller, on its steady clock in milliseconds.
-Relies on nothing. :mod:`link` and :mod:`neighbours` act on the verdicts.
+:func:`assess_liveness` decides when a gateway that does not answer is pinged, suspected and given
+up; :class:`Backoff` decides when a lost link may be opened again.
+
+Owns no link and no timer; the caller passes times in milliseconds on its monotonic clock. Relies
+on nothing. :mod:`link` and :mod:`neighbours` act on the decisions.
 """
 
 import enum
 
 __all__ = ["Backoff", "LivenessAction", "assess_liveness"]
 
-# Of silence, while answers are owed, until the gateway is pinged: twice what a usual statement
-# takes.
+# Silence with calls pending after which a gateway is pinged: twice the duration of a typical
+# statement.
 PING_AFTER_MS = 100.0
-# Without an answer to a ping. A gateway answers within the time there and back, at most 50 ms
-# between regions, and after the 100 ms for which a spent quota of processor time stops it.
+# Time without an answer to a ping after which a gateway is suspected: a round trip between regions
+# (50 ms) and the longest pause of a process that is throttled by its CPU quota (100 ms).
 SUSPECT_AFTER_MS = 150.0
-# Without an answer to a ping; chosen. Until then a write stays open, since its answer may still
-# come: a link that is given up leaves the write's outcome unknown.
+# Time without an answer to a ping after which the link is closed. Pending writes wait this long,
+# since closing the link leaves their outcome unknown.
 LOST_AFTER_MS = 500.0
-INITIAL_BACKOFF_MS = 200.0  # a process that was killed needs about this to start
-MAX_BACKOFF_MS = 2000.0  # chosen: a gateway that is back is used after this at the latest
+INITIAL_BACKOFF_MS = 200.0  # about the time in which a killed process restarts
+MAX_BACKOFF_MS = 2000.0  # longest time until a gateway that is back is used again
 
 
 class LivenessAction(enum.Enum):
-    """What the silence of a gateway that owes answers means."""
+    """What to do about a gateway with pending calls."""
 
-    WAIT = "bearable"
+    WAIT = "wait"
     PING = "ping"
     SUSPECT = "suspect"
     LOST = "lost"
 
 
 def assess_liveness(since_heard_ms: float, since_ping_ms: float | None) -> LivenessAction:
-    """Return what to do about a gateway that owes answers.
+    """Return what to do about a gateway with pending calls.
 
-    Nothing is held against it before it had a ping and time to answer: the silence may be this
-    process's own, which was stopped for a while. That is why a long silence alone is only a reason
-    to ping.
+    Silence alone only causes a ping: this process may itself have been paused, so that the gateway
+    is suspected only after it had time to answer a ping.
 
     Parameters
     ----------
     since_heard_ms : float
-        Milliseconds since its last message, or since it first owed an answer.
+        Milliseconds since its last message, or since the first pending call if that is later.
     since_ping_ms : float or None
-        Milliseconds since the ping that it has not answered; None if there is none.
+        Milliseconds since the ping that it has not answered; None if no ping is outstanding.
 
     Returns
     -------
-    Silence
-        WAIT: wait. PING: ask it whether it is there. SUSPECT: new work goes elsewhere, and
-        calls of which nothing is kept are given up, so that they run elsewhere in time. LOST: the
-        link is closed, and everything that waits on it is given up.
+    LivenessAction
+        WAIT: do nothing. PING: send a ping. SUSPECT: send new work to other gateways, and fail the
+        calls that can safely run there. LOST: close the link, and fail all its calls.
 
     Examples
     --------
     >>> assess_liveness(60.0, None).value, assess_liveness(30_000.0, None).value
-    ('bearable', 'ping')
+    ('wait', 'ping')
     >>> [assess_liveness(600.0, ago).value for ago in (100.0, 150.0, 500.0)]
-    ['bearable', 'suspect', 'lost']
+    ['wait', 'suspect', 'lost']
     """
     if since_ping_ms is None:
         return LivenessAction.PING if since_heard_ms >= PING_AFTER_MS else LivenessAction.WAIT
@@ -68,10 +67,10 @@
 
 
 class Backoff:
-    """For how long a gateway whose link was lost is left alone.
+    """Exponential backoff before a lost link is opened again.
 
-    Each loss doubles the pause; an answer makes it short again. A connection that stands proves
-    nothing: a gateway may take it and answer nothing.
+    Each loss doubles the pause. Only an answer resets it: a gateway may accept a connection and
+    then answer nothing.
 
     Examples
     --------
@@ -94,12 +93,12 @@
         return now >= self._until
 
     def note_loss(self, now: float) -> None:
-        """Note that the link was lost, or never stood."""
+        """Record that the link was lost, or could not be opened."""
         self._until = now + self._pause
         self._pause = min(2 * self._pause, MAX_BACKOFF_MS)
 
     def note_answer(self) -> bool:
-        """Note that the gateway answered; return whether that is news since its last loss."""
-        is_news = self._pause != INITIAL_BACKOFF_MS
+        """Reset the pause; return whether this is the first answer since the last loss."""
+        is_first = self._pause != INITIAL_BACKOFF_MS
         self._pause = INITIAL_BACKOFF_MS
-        return is_news
+        return is_first
--- a/src/rowanrail/gateway/relay/message_mapping.py
+++ b/src/rowanrail/gateway/relay/message_mapping.py
@@ -1,7 +1,7 @@
-"""Statements and answers as messages between gateways, and back.
+"""Conversion of statements and answers to messages between gateways, and back.
 
-Owns how much of a statement's time is kept for the round trip. Relies on :mod:`messages` for the
-forms; nothing here does I/O or keeps state.
+Owns the part of a statement's timeout that is reserved for the round trip. Relies on
+:mod:`messages` for the message types; nothing here does I/O or keeps state.
 """
 
 from collections.abc import Mapping
@@ -28,27 +28,27 @@
     "statement_from",
 ]
 
-REPLY_MARGIN_MS = 30.0  # chosen: the holder gives up this much sooner, so its answer is in time
-# The same for a holder in another region: the round trip takes 40 ms more. Without it, its answer
-# that a statement has not run came too late, and the client was told that it might have.
+REPLY_MARGIN_MS = 30.0  # the holder times out this much earlier, so that its answer is in time
+# The same for a holder in another region, whose round trip is 40 ms longer. If the answer that a
+# statement has not run came too late, the client would be told that it might have run.
 REMOTE_REPLY_MARGIN_MS = 80.0
-MIN_TIMEOUT_MS = 1.0  # a statement that is out of time still gets its answer
+MIN_TIMEOUT_MS = 1.0  # a statement without time left still gets its answer from the holder
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingStatement:
-    """A statement that is sent to another gateway, as its session hands it over.
+    """A statement to send to another gateway, with the session state that it needs.
 
     Parameters
     ----------
     timeout : float
-        Milliseconds that are left for it.
+        Milliseconds until its deadline.
     transaction : int
         0 for a single statement.
     begins : bool
         Whether it is the first statement of its transaction.
     version : int
-        Of the configuration by which the client's key was taken.
+        Version of the configuration by which the client's key was accepted.
     """
 
     statement: TypedStatement
@@ -63,12 +63,12 @@
 
 
 def reply_margin(is_detour: bool) -> float:
-    """Return how much of a statement's milliseconds is kept for the round trip."""
+    """Return how many milliseconds of a statement's timeout are reserved for the round trip."""
     return REMOTE_REPLY_MARGIN_MS if is_detour else REPLY_MARGIN_MS
 
 
 def build_run_message(outgoing: OutgoingStatement, call: int) -> RunStatement:
-    """Return the message that has a statement run."""
+    """Return the message that asks a holder to run a statement."""
     statement, route, session = outgoing.statement, outgoing.route, outgoing.session
     shape = ""
     if statement.kind is StatementKind.EXECUTE:
@@ -104,7 +104,7 @@
 
 
 def route_from(run: RunStatement) -> Route:
-    """Return the route under which a statement came."""
+    """Return the route of a forwarded statement."""
     return Route(
         name=run.route,
         database=run.database or run.route,
@@ -118,12 +118,12 @@
 
 
 def statement_from(run: RunStatement) -> TypedStatement:
-    """Return the client's statement."""
+    """Return the client's statement from a message."""
     return TypedStatement(run.request_id, run.kind, run.text, run.name, run.value)
 
 
 def apply_session_values(session: SessionValues, run: RunStatement) -> None:
-    """Give ``session`` exactly what the client's session has set."""
+    """Set in ``session`` what the client's session has set."""
     session.identity = ClientIdentity(run.tenant, run.key)
     session.values = run.values
     session.is_retrying = run.is_retry
@@ -141,7 +141,7 @@
     load: ServiceLoad | None = None,
     doubts: Mapping[str, int] = MappingProxyType({}),
 ) -> Reply:
-    """Return the message that answers a statement, with what the holder knows of its service."""
+    """Return the reply to a statement, with the load and the doubted members of the holder."""
     return Reply(
         call=run.call,
         rows=answer.rows,
@@ -157,7 +157,7 @@
 
 
 def answer_from(reply: Reply) -> Answer:
-    """Return the answer for the client."""
+    """Return the client's answer from a reply."""
     return Answer(
         rows=reply.rows,
         signature=reply.signature,
--- a/src/rowanrail/gateway/relay/messages.py
+++ b/src/rowanrail/gateway/relay/messages.py
@@ -1,11 +1,11 @@
-"""The messages between gateways, checked where they are decoded.
+"""Messages between gateways; decoding validates them.
 
-Times are milliseconds. A connection carries messages both ways; ``call`` matches a reply to
-what was asked, and is unique on its connection. Messages are sent as arrays behind a number:
-classes and fields may be renamed, their order and numbers may not change.
+Times are in milliseconds. A connection carries messages both ways; ``call`` matches a reply to its
+request and is unique on the connection. Messages are encoded as arrays with a numeric tag: classes
+and fields may be renamed, but the order of fields and the tags must not change.
 
-Owns the forms. Relies on ``model`` for positions and refusals, on ``scheduling`` and ``tenants``
-for the reports that travel along.
+Owns the message types. Relies on ``model`` for positions and refusals, on ``scheduling`` and
+``tenants`` for the loads and demand reports that messages contain.
 """
 
 import msgspec
@@ -45,24 +45,27 @@
     read_only : bool
         Whether the transaction only reads.
     shape : str
-        The statement that an EXECUTE's name was prepared for; ``writes`` says whether it writes.
+        For EXECUTE, the statement that was prepared under the name.
+    writes : bool
+        Whether the statement, or the one that EXECUTE names, writes.
     values : dict
         All values that the session has set.
     floor : Position or None
-        The session's own last commit.
+        Position of the session's last commit.
     is_detour : bool
-        Whether the sender does not reach the primary; the statement may be sent no further.
+        Whether the sender can't run it itself, as it does not reach the primary or has few
+        connections to a member of another region; the receiver must not forward it.
     begins : bool
         Whether it is the first statement of its transaction.
     tenant : str
-        On whose connection it runs.
+        The client's tenant, on whose connection it runs.
     key : bytes
         Digest of the client's key; empty if the route takes anybody.
     database : str
-        What the client named, by which its key is checked.
+        The name that the client connected to, for which its key is checked.
     version : int
-        Of the configuration by which the sender took the key.
-    returned : bool
+        Version of the configuration by which the sender accepted the key.
+    is_retry : bool
         Whether it goes before new arrivals, since its client was rejected more than once.
     """
 
@@ -101,31 +104,31 @@
 
 
 class Cancel(msgspec.Struct, tag=3, array_like=True, frozen=True, gc=False):
-    """Forget a call: its answer is no longer wanted."""
+    """Cancel a call whose answer is no longer wanted."""
 
     call: int
 
 
 class Ping(msgspec.Struct, tag=4, array_like=True, frozen=True, gc=False):
-    """Answer at once, to show that the connection and the gateway are alive."""
+    """Ask for a :class:`Pong`, to check that the connection and the gateway are alive."""
 
 
 class SampleRequest(msgspec.Struct, tag=5, array_like=True, frozen=True, gc=False):
-    """Have a service's primary prove its position after this question was sent."""
+    """Ask for a sample of a service's primary that is taken after this request."""
 
     call: int
     service: str
 
 
 class DemandReport(msgspec.Struct, tag=6, array_like=True, frozen=True, gc=False):
-    """What runs for clients, by tenant.
+    """A gateway's or a region's demand by tenant.
 
     Parameters
     ----------
     sender : str
-        Name of one life of the gateway, or of the region if ``is_region``.
+        The gateway's incarnation (its name and a random suffix), or the region if ``is_region``.
     is_forwarded : bool
-        Whether it comes from a gateway of the same region that is not the meter itself.
+        Whether a gateway that is not the region's aggregator has forwarded it.
     """
 
     call: int
@@ -136,19 +139,19 @@
 
 
 class Reply(msgspec.Struct, tag=11, array_like=True, frozen=True, gc=False):
-    """The whole answer to a statement.
+    """The complete answer to a statement.
 
     Parameters
     ----------
     floor : Position or None
-        The session's own last commit after it.
+        Position of the session's last commit, after the statement.
     trace : Trace
-        How the answer came about, for the log of the client's gateway.
+        How the statement ran, for the log of the client's gateway.
     load : ServiceLoad or None
-        Of the service at the holder; None if there is room for all.
+        Load of the service at the holder; None if nothing has to wait.
     doubts : dict of str to int
-        Members that lost weight by what the holder's own statements met, and how much is left to
-        them in hundredths; empty while all are well.
+        Members whose weight the holder has reduced after errors of its own statements, with the
+        remaining weight in hundredths; empty if there are none.
     """
 
     call: int
@@ -164,22 +167,22 @@
 
 
 class NotServed(msgspec.Struct, tag=12, array_like=True, frozen=True, gc=False):
-    """The call was not run at all, and can't be here."""
+    """The call did not run and can't run at this gateway."""
 
     call: int
     reason: str
 
 
 class Leaving(msgspec.Struct, tag=13, array_like=True, frozen=True, gc=False):
-    """The sender is stopping: what is open goes on for a while, anything new is not served."""
+    """The sender is stopping: it serves no new work; open transactions continue for a while."""
 
 
 class Pong(msgspec.Struct, tag=14, array_like=True, frozen=True, gc=False):
-    """The answer to a ping."""
+    """Answer to a :class:`Ping`."""
 
 
 class SampleReply(msgspec.Struct, tag=15, array_like=True, frozen=True, gc=False):
-    """The member that led after the question was asked, and its position."""
+    """The member that was primary after the request was sent, and its position."""
 
     call: int
     instance: str
@@ -187,7 +190,7 @@
 
 
 class DemandTotals(msgspec.Struct, tag=16, array_like=True, frozen=True, gc=False):
-    """What clients of the whole fleet asked for, of the tenants that the report named."""
+    """Demand of the whole fleet, for the tenants that the report named."""
 
     call: int
     fleet: Report
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -100,31 +100,31 @@
         assumed = Assumed()
         if not request.is_retry:
             assumed = self._loads.assume(subject, request.urgency, request.writes)
-        verdict = judge_sending(
+        decision = judge_sending(
             assumed.wait, request.round_trip, request.time_left, request.time_given
         )
-        if not isinstance(verdict, Reject):
+        if not isinstance(decision, Reject):
             return None
-        is_crowded = verdict.cause is RejectionCause.HOLDER_CROWDED
+        is_crowded = decision.cause is RejectionCause.HOLDER_CROWDED
         if is_crowded and self._loads.may_probe(subject):
             return None
-        return self._reject(request, verdict, assumed)
+        return self._reject(request, decision, assumed)
 
     def _reject(
-        self, request: RemoteRequest, verdict: Reject, assumed: Assumed
+        self, request: RemoteRequest, decision: Reject, assumed: Assumed
     ) -> RejectedBySender:
         interval = 1000 / (SENDER_PACE_SHARE * assumed.pace) if assumed.pace else 0.0
         retry_after = self._retry_times.next(
-            verdict.retry_after_ms, interval, (request.peer, request.urgency)
+            decision.retry_after_ms, interval, (request.peer, request.urgency)
         )
         forecast = Forecast(assumed.wait, request.round_trip)
-        if verdict.cause is RejectionCause.WAY_TOO_LONG:
+        if decision.cause is RejectionCause.WAY_TOO_LONG:
             reason = f"{request.time_left:.0f} ms are too short for the way to {request.peer}"
         else:
             reason = f"{request.peer} is crowded for {assumed.wait:.0f} ms"
         return RejectedBySender(
             busy(reason, retry_after),
-            rejection(verdict.cause, forecast, request.time_left, request.urgency, retry_after),
+            rejection(decision.cause, forecast, request.time_left, request.urgency, retry_after),
         )
 
     def retry_after(self, base: float) -> float:
--- a/src/rowanrail/gateway/relay/serving_rules.py
+++ b/src/rowanrail/gateway/relay/serving_rules.py
@@ -1,9 +1,9 @@
 """What a holder does with a statement that another gateway sent.
 
-The sender's client is promised what the answer says: nothing that is called not served or denied
-has run here, and a transaction that was ended here is never begun anew in the middle.
+The sender relies on the answer: a statement that is not served or denied has not run, and a
+transaction that was ended here never resumes in a new one.
 
-Owns nothing and relies on nothing; :mod:`serving` acts on the verdicts.
+Owns nothing and relies on nothing; :mod:`serving` acts on the decisions.
 """
 
 import enum
@@ -12,29 +12,29 @@
 
 
 class ArrivalDecision(enum.Enum):
-    """What is done with a statement on its arrival."""
+    """What to do with a statement on its arrival."""
 
     RUN = "run"
-    NOT_SERVED = "not-served"  # nothing ran: the sender may run it elsewhere
-    DENIED = "denied"  # its key was withdrawn; an open transaction is rolled back
-    ENDED = "ended"  # its transaction is no longer open here: aborted
+    NOT_SERVED = "not-served"  # nothing ran; the sender may use another gateway
+    DENIED = "denied"  # the key was revoked; an open transaction is rolled back
+    ENDED = "ended"  # its transaction is no longer open here; answered as aborted
 
 
 def decide_arrival(
     is_open: bool, begins: bool, is_admitted: bool, is_stopping: bool
 ) -> ArrivalDecision:
-    """Return what is done with a statement that another gateway sent.
+    """Return what to do with a statement that another gateway sent.
 
     Parameters
     ----------
     is_open : bool
         Whether it belongs to a transaction that is open here.
     begins : bool
-        Whether it is the first statement of its transaction, or stands alone.
+        Whether it is the first statement of its transaction, or a single statement.
     is_admitted : bool
-        Whether its client's key holds, by the newer of the two gateways' configurations.
+        Whether its client's key is valid, by the newer of the two gateways' configurations.
     is_stopping : bool
-        Whether a planned stop has begun; open transactions go on for a while.
+        Whether a planned stop has begun; open transactions may continue for a while.
 
     Examples
     --------
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -40,17 +40,17 @@
 class TimeoutTest(unittest.TestCase):
     def test_what_no_holder_has_is_rejected_as_not_run(self):
         for sent in Sent:
-            self.assertEqual(after_timeout(sent, is_owed=False), RejectNotRun())
+            self.assertEqual(after_timeout(sent, is_pending=False), RejectNotRun())
 
     def test_what_a_holder_has_is_promised_nothing_that_is_not_certain(self):
-        for sent, verdict in (
+        for sent, decision in (
             (Sent.READ, Refuse(Refusal.TIMEOUT)),
             (Sent.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
             (Sent.IN_TRANSACTION, LinkLost(may_persist=False)),
             (Sent.COMMIT, LinkLost(may_persist=True)),
         ):
             with self.subTest(sent):
-                self.assertEqual(after_timeout(sent, is_owed=True), verdict)
+                self.assertEqual(after_timeout(sent, is_pending=True), decision)
 
 
 class WithoutHolderTest(unittest.TestCase):
--- a/tests/relay/test_liveness.py
+++ b/tests/relay/test_liveness.py
@@ -21,7 +21,7 @@
             self.assertEqual(assess_liveness(since_heard_ms, None), LivenessAction.PING)
 
     def test_an_unanswered_ping_is_suspicion_then_loss(self):
-        for since_ping_ms, verdict in (
+        for since_ping_ms, decision in (
             (0.0, LivenessAction.WAIT),
             (SUSPECT_AFTER_MS - 1, LivenessAction.WAIT),
             (SUSPECT_AFTER_MS, LivenessAction.SUSPECT),
@@ -29,7 +29,7 @@
             (LOST_AFTER_MS, LivenessAction.LOST),
         ):
             with self.subTest(since_ping_ms):
-                self.assertEqual(assess_liveness(60_000.0, since_ping_ms), verdict)
+                self.assertEqual(assess_liveness(60_000.0, since_ping_ms), decision)
 
     def test_a_far_gateway_without_processor_time_is_not_suspected(self):
         round_trip, stopped = 50.0, 100.0
--- a/tests/relay/test_serving_rules.py
+++ b/tests/relay/test_serving_rules.py
@@ -17,8 +17,8 @@
 
     def test_nothing_runs_for_a_withdrawn_key(self):
         for is_open, is_stopping in itertools.product(BOTH, BOTH):
-            verdict = decide_arrival(is_open, True, False, is_stopping)
-            self.assertEqual(verdict, ArrivalDecision.DENIED)
+            decision = decide_arrival(is_open, True, False, is_stopping)
+            self.assertEqual(decision, ArrivalDecision.DENIED)
         self.assertEqual(decide_arrival(True, False, False, False), ArrivalDecision.DENIED)
 
     def test_during_a_stop_open_transactions_go_on_and_nothing_begins(self):
