--- a/src/rowanrail/placement/planned.py
+++ b/src/rowanrail/placement/planned.py
@@ -21,7 +21,7 @@
 # its share. Meanwhile the other holders learn of the plan, within a poll of 1 s, and close idle
 # connections 0.1 s later.
 HANDOVER_MS = 2000.0
-# Part of its share that a new holder has during a handover; the former holder keeps the same at most.
+# Part of its share that a new holder has during a handover; the former one keeps at most as much.
 HANDOVER_SHARE_FACTOR = 0.5
 
 
