--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -1,7 +1,8 @@
-"""What this gateway holds of services' connections: by the plan, and by the hash without one.
+"""The shards that this gateway holds, by the plan or by rendezvous hashing, and their limits.
 
-Owns the plan in force and the count of gateways that share. Relies on ``placement`` for the shares,
-on :mod:`neighbours` for who stands in for a holder that is down, and sets services' limits.
+Owns the plan in force and the number of gateways that share connections, and sets the limits of
+services. Relies on ``placement`` for the shares and on :mod:`neighbours` for which gateway replaces
+a holder that is down.
 """
 
 from collections.abc import Iterable
@@ -22,23 +23,23 @@
 
 
 class HoldingsHost(Protocol):
-    """What is asked of the gateway."""
+    """Port: the state of the gateway that holdings need."""
 
     stopping: bool
     services: dict[str, Service]
 
 
 class Holdings:
-    """Sets how many connections services may open here, and which are kept.
+    """Sets how many connections services may open at this gateway, and for which shards.
 
     Parameters
     ----------
     host : HoldingsHost
         The gateway.
     peers : Peers
-        The gateways with which connections are shared, those of other groups, and the plan.
+        The gateways that share connections, those of other groups, and the plan.
     decisions : DecisionLog
-        Gets what begins and ends to be held.
+        Log of the shards that this gateway begins and ceases to hold.
     """
 
     def __init__(
@@ -63,16 +64,16 @@
 
     @property
     def planned(self) -> PlannedHolders | None:
-        """The plan; None if holders are hashed."""
+        """The plan; None if holders are chosen by rendezvous hashing only."""
         return self._planned
 
     def note_held(self, shard: Shard) -> None:
-        """Count a statement that another gateway sent here."""
+        """Count a statement that another gateway sent to this one."""
         if self.load_meter is not None and self._is_shared(shard.service):
             self.load_meter.note_held(shard)
 
     def note_own(self, tenant: str, trace: Trace | None) -> None:
-        """Count a statement of a client of this gateway, held here if no other one ran it."""
+        """Count a statement of this gateway's client, also as held if it ran at this gateway."""
         if self.load_meter is None or trace is None or not self._is_shared(trace.service):
             return
         self.load_meter.note_own()
@@ -84,9 +85,9 @@
         return service is not None and service.share.is_shared
 
     def adopt_plan(self, plan: Plan) -> None:
-        """Go by a plan if it is newer than the one in force.
+        """Put a plan in force if it is newer than the current one.
 
-        Statements under way stay where they are.
+        Statements that are running stay where they are.
         """
         planned = self._planned
         if planned is None or self._neighbours is None:
@@ -101,7 +102,7 @@
         self.apply_limits()
 
     def _hashed_share(self, key: str) -> float:
-        """Return the share that this gateway has of a shard by the hash; 0 if others hold it."""
+        """Return this gateway's share of a shard by rendezvous hashing; 0 if others hold it."""
         assert self._neighbours is not None
         name = self._neighbours.name
         is_first = rank(key, [*self._neighbours.names, name])[0] == name
@@ -125,24 +126,24 @@
             self._decisions.note(HOLDING_ENDED, number=plan.number, part=key)
 
     def set_population(self, population: Population) -> None:
-        """Note how many gateways share connections."""
+        """Set the number of gateways that share connections, and update limits."""
         self._population = population
         self.apply_limits()
 
     def apply_limits(self) -> None:
-        """Set what services may open by the plan in force."""
+        """Set the connection limits of all services by the plan in force."""
         for service in self._host.services.values():
             self._set_allowance(service)
 
     def tick(self, services: Iterable[Service]) -> None:
-        """Let time pass: handovers end, and others stand in for holders that are down.
+        """Update limits after the end of a handover, and after failures of holders.
 
-        Only services with connections are gone through: most gateways hold none of most services.
+        Services without connections are skipped, since most gateways hold none of most services.
 
         Parameters
         ----------
         services : iterable of Service
-            Those that may have any.
+            Services that may have connections.
         """
         was_handing_over, self._is_handing_over = (
             self._is_handing_over,
@@ -169,18 +170,18 @@
             service.set_shards(allowance.shards)
 
     def _shards_held(self, service: Service) -> frozenset[Shard]:
-        """Return for which shards of a service statements come to this gateway."""
+        """Return the shards of a service for which statements are sent to this gateway."""
         if self._host.stopping:
             return frozenset()
         name = service.spec.name
         shards = shards_of(name) if service.share.is_regional else [Shard(name)]
         if self._neighbours is None:
             return frozenset(shards)
-        named = service.share.planned_shards
+        planned_shards = service.share.planned_shards
         locate_holder = self._neighbours.locate_holder
-        here = frozenset(
+        located = frozenset(
             shard
             for shard in shards
-            if shard not in named and isinstance(locate_holder(shard), HeldLocally)
+            if shard not in planned_shards and isinstance(locate_holder(shard), HeldLocally)
         )
-        return named | here
+        return planned_shards | located
--- a/src/rowanrail/gateway/relay/load_meter.py
+++ b/src/rowanrail/gateway/relay/load_meter.py
@@ -1,7 +1,7 @@
-"""What comes to a gateway, as a holder and from its own clients, and whether it is slow.
+"""Load of a gateway, as a holder and from its own clients, and whether it is overloaded.
 
-Control nodes plan the holders by these reports. Owns the counts of the present span and the report
-of the last one. Relies on a clock only.
+Control nodes plan the holders by these reports. Owns the counts of the current window and the
+report of the last one. Relies only on a clock.
 """
 
 from collections import Counter
@@ -13,27 +13,27 @@
 
 __all__ = ["WINDOW_MS", "LoadMeter"]
 
-WINDOW_MS = 5000.0  # a wave of 10 s touches three spans of the seven that planners go by
-# For which a span is reported. Reports go about every 1 s (the wait of a poll), so that one of them
-# has it; a span that is reported twice counts once.
+WINDOW_MS = 5000.0  # planners use seven windows; a peak of 10 s affects at most three of them
+# How long a window is reported. Reports are sent about every 1 s, with polls, so that at least one
+# has it; a planner counts a window that is reported twice only once.
 REPORT_TTL_MS = 1400.0
-LOOP_CHECK_MS = 500.0  # chosen: between checks of the loop and the links, ten in a span
-# Average lag of the loop. A statement passes a holder's loop four times: that is a fifth of a
-# second, of the half within which the most urgent ones are to be answered.
+LOOP_CHECK_MS = 500.0  # interval between checks of the event loop and the links
+# Average lag of the event loop above which a gateway is slow. A statement passes a holder's loop
+# four times: 200 ms of the 500 ms within which the most urgent ones are to be answered.
 SLOW_LAG_MS = 50.0
-CONGESTED_SHARE = 0.5  # chosen: of the checks of a span at which bytes waited for a link
-MAX_REPORTED_SHARDS = 8  # that are reported, about 150 bytes; the others are small ones
+CONGESTED_SHARE = 0.5  # of a window's checks with unsent bytes on a link, above which it is slow
+MAX_REPORTED_SHARDS = 8  # the largest ones, in about 150 bytes
 
 
 class LoadMeter:
-    """Counts statements of one gateway.
+    """Counts the statements of one gateway in windows of ``WINDOW_MS``.
 
     Parameters
     ----------
     clock : Clock
         Time and timers.
     unsent : callable
-        Returns the bytes that wait for the links to other gateways.
+        Returns the number of bytes that wait for links to other gateways.
     """
 
     def __init__(self, clock: Clock, unsent: Callable[[], int] = lambda: 0) -> None:
@@ -50,17 +50,17 @@
 
     @property
     def latest(self) -> LoadReport | None:
-        """The last span, as long as it has to be reported; None before and after that."""
+        """The report of the last window while it is current, None otherwise."""
         is_due = self._clock.now - self._window_began <= REPORT_TTL_MS
         return self._report if is_due else None
 
     def start(self) -> None:
-        """Begin to count and check."""
+        """Start counting and the periodic checks."""
         self._window_began = self._clock.now
         self._check_later()
 
     def note_held(self, shard: Shard) -> None:
-        """Count a statement that this gateway takes as a holder."""
+        """Count a statement that this gateway runs as a holder."""
         key = shard.key
         self._shards[key] += 1
         if shard.tenant:
--- a/src/rowanrail/gateway/relay/peers.py
+++ b/src/rowanrail/gateway/relay/peers.py
@@ -1,7 +1,7 @@
-"""The other gateways, as far as one gateway has to do with them.
+"""The other gateways that a gateway works with.
 
-Owns the one data class that its parts are handed. Relies on :mod:`neighbours`, :mod:`detours` and
-the plan of holders.
+Owns the data class that is passed to the parts of a gateway. Relies on :mod:`neighbours`,
+:mod:`detours` and the plan of holders.
 """
 
 from dataclasses import dataclass
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """The other gateways, as far as this one has to do with them.
+    """The other gateways that a gateway works with, and the plan of holders.
 
     Parameters
     ----------
     neighbours : Neighbours or None
-        Those of the same group, where connections are shared; None if they are not.
+        Gateways of the same group, which share connections; None if nothing is shared.
     detours : Detours or None
-        Those of other groups; None if none is ever asked.
+        Gateways of other groups; None if they are not used.
     planned : PlannedHolders or None
-        Who holds connections by the control nodes' plan; None if holders are hashed.
+        Holders by the control nodes' plan; None if holders are chosen by rendezvous hashing only.
     """
 
     neighbours: Neighbours | None = None
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -1,12 +1,11 @@
-"""What a gateway rejects by itself, since the holder that would run it would reject it.
+"""Admission control at the sender: rejects statements that their holder would reject.
 
-Holders report their load with their answers. A statement that its holder would reject does not
-cross regions to learn that; one every 100 ms is sent all the same, so that its answer reports when
-there is room. Only what may begin anywhere is judged, never a statement of a transaction that has
-begun.
+Holders report their load with their answers. A statement that its holder would reject is not sent,
+except for one probe every 100 ms, whose answer shows when the holder has room again. Only single
+statements and the first ones of transactions are checked.
 
-Owns the loads that holders reported and the times that rejected clients were given. Relies on
-``scheduling`` for the forecast, the verdict and those times.
+Owns the loads that holders reported and the retry times given to rejected clients. Relies on
+``scheduling`` for the forecast, the decision and those times.
 """
 
 from dataclasses import dataclass
@@ -21,32 +20,34 @@
 
 __all__ = ["RejectedBySender", "RemoteAdmission", "RemoteRequest"]
 
-# Of a holder's pace that one sender gives out to clients as times to retry: about ten gateways of a
-# zone send to one holder, and each gives times without knowing of the others.
+# Part of a holder's pace that one sender gives out to clients as retry times: about ten gateways of
+# a zone send to one holder, and each does so without knowing about the others.
 SENDER_PACE_SHARE = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class RemoteRequest:
-    """A statement that would be sent to a holder; times in milliseconds.
+    """A statement that may be sent to a holder; times are in milliseconds.
 
     Parameters
     ----------
     peer : str
         Name of the holder.
+    service, tenant : str
+        The service, and the client's tenant.
     urgency : int
         Priority of its route; 0 is the most urgent.
     writes : bool
         Whether it needs the primary.
     time_left : float
-        Until its time is over.
+        Time until its deadline.
     time_given : float
-        That it had at first.
+        Its whole timeout.
     round_trip : float
-        There and back.
+        Round trip time to the holder.
     is_retry : bool
-        Whether it goes before new arrivals there, since it was rejected more than once: what was
-        reported of their wait does not hold for it.
+        Whether it goes before new arrivals at the holder, since its client was rejected more than
+        once; the wait that the holder reported does not apply to it.
     """
 
     peer: str
@@ -62,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedBySender:
-    """The answer to a statement that was not sent, and what is logged of it."""
+    """The answer to a statement that was not sent, and the rejection for the log."""
 
     answer: Answer
     rejection: Rejection
 
 
 class RemoteAdmission:
-    """Judges statements by what their holders reported of their load.
+    """Accepts or rejects statements by the load that their holders reported.
 
     Parameters
     ----------
@@ -82,19 +83,19 @@
         self._retry_times = RetryTimes(clock)
 
     def note(self, peer: str, service: str, tenant: str, load: ServiceLoad | None) -> None:
-        """Take what a holder reported with an answer to a tenant's statement."""
+        """Record the load that a holder reported with its answer to a tenant's statement."""
         self._loads.note(Subject(peer, service, tenant), load)
 
     def forget(self, peer: str) -> None:
-        """Assume nothing of a holder whose link is lost."""
+        """Discard the loads of a holder whose link is lost."""
         self._loads.forget(peer)
 
     def check(self, request: RemoteRequest) -> RejectedBySender | None:
-        """Return the answer to a statement that its holder would reject, None for one to send.
+        """Return the rejection of a statement, None if it is to be sent.
 
-        Where nothing was reported lately the holder is taken to have room. A statement whose time
-        is shorter than the round trip is never sent; one that the holder has no room for is, if
-        no other was for a while.
+        Without a recent report the holder is assumed to have room. A statement with less time left
+        than the round trip is always rejected. One that the holder has no room for is sent as a
+        probe if none was sent for a while.
         """
         subject = Subject(request.peer, request.service, request.tenant)
         assumed = Assumed()
@@ -128,5 +129,5 @@
         )
 
     def retry_after(self, base: float) -> float:
-        """Return after how many milliseconds a client retries for whom no holder is known."""
+        """Return the retry delay, in milliseconds, of a client for whom no holder is known."""
         return self._retry_times.next(base)
--- a/src/rowanrail/gateway/relay/remote_holder.py
+++ b/src/rowanrail/gateway/relay/remote_holder.py
@@ -1,9 +1,9 @@
-"""Work at the gateway that holds the connections to a member of another region.
+"""Placement of work at the holder in the region of a member.
 
-A connection belongs to one tenant, so that many small holders of a member's few connections would
-open them over and over. The gateways of a member's own region therefore hold nearly all of them,
-and other regions send work there: one round trip, as the statement itself would take, and an
-opening, where one is needed, is made next to the member.
+A connection belongs to one tenant, so that many holders with few connections each would have to
+open them again and again. The gateways of a member's own region hold nearly all its connections,
+and other regions send work there. This costs one round trip, as the statement itself would, and
+new connections are opened next to the member.
 
 Owns whether the holder was tried, for one statement or transaction. Relies on :mod:`detours` for
 the gateways of other regions.
@@ -20,17 +20,17 @@
 
 
 class RemoteHolder:
-    """Places one statement, or transaction, at the holder in the member's region.
+    """Locates the holder in a member's region for one statement or transaction.
 
-    It is asked for again only if nothing ran there; then the statement runs on the few connections
-    that this gateway has itself, since the holder may not reach the member.
+    A second lookup means that nothing ran there, perhaps because the holder does not reach the
+    member. The work then runs on the few connections of this gateway.
 
     Parameters
     ----------
     detours : Detours
         Knows the gateways of other regions.
     region : str
-        Where the member stands.
+        The member's region.
     """
 
     __slots__ = ("_detours", "_region", "_was_tried")
@@ -41,7 +41,7 @@
         self._was_tried = False
 
     def locate_holder(self, shard: Shard) -> HolderLocation:
-        """See :meth:`rowanrail.gateway.relay.forwarding.HolderLocator.locate_holder`."""
+        """Return the remote holder on the first call, this gateway on later ones or without it."""
         found = self._detours.holder_in(self._region, shard)
         if self._was_tried or not isinstance(found, HeldRemotely):
             return HeldLocally()
@@ -50,5 +50,5 @@
 
     @property
     def note_answer(self) -> Callable[[Link], None]:
-        """See :meth:`rowanrail.gateway.relay.forwarding.HolderLocator.note_answer`."""
+        """The callback that records an answer of the gateway behind a link."""
         return self._detours.note_answer
