--- a/src/rowanrail/gateway/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -1,12 +1,12 @@
-"""Detours around a path that is cut: gateways that reach a primary which this one does not.
+"""Detours around network faults: gateways that reach a primary which this one does not.
 
-A gateway that gets no sample of a primary's position asks gateways of other zones for one, and
-some of its own. Their samples let its reads go on at replicas; writes and transactions run on the
-connections of the gateway that answered. Whoever is asked answers from its own connections only,
-so that nothing goes round in circles.
+A gateway that gets no sample of a primary's position asks gateways of other zones for one, and a
+few of its own zone. With their samples its reads continue at replicas; writes and transactions run
+on the connections of the gateway that answered. A gateway that is asked uses only its own
+connections, so that there are no forwarding loops.
 
-Owns the links to gateways of other zones or regions. Relies on :mod:`detour_rules` for whom to ask
-and which answer counts, and on the plan for who holds what there.
+Owns the links to gateways of other zones or regions. Relies on :mod:`detour_rules` for which
+gateways to ask and which answer to use, and on the plan for the holders there.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -32,7 +32,7 @@
 
 
 class Detours:
-    """Finds gateways that reach a primary, and keeps links to them while they are of use.
+    """Finds gateways that reach a primary, and keeps the links to gateways of other groups.
 
     Parameters
     ----------
@@ -60,13 +60,13 @@
 
     @property
     def known_detours(self) -> int:
-        """Number of services to whose primary a detour is known."""
+        """Number of services with a known detour to the primary."""
         return sum(self.knows_detour(service) for service in self._reachability.services)
 
     def set_gateways(
         self, own_zone: Sequence[Neighbour], others: Mapping[str, Sequence[Neighbour]]
     ) -> None:
-        """Know the gateways that may be asked: of the own zone, and of each other zone."""
+        """Replace the gateways that may be asked: those of the own zone and of each other zone."""
         own = [neighbour for neighbour in own_zone if neighbour.name != self._name]
         self._own_zone = [neighbour.name for neighbour in own]
         self._zones = {zone: [n.name for n in listed] for zone, listed in others.items()}
@@ -74,12 +74,12 @@
         self._update_links()
 
     def set_addresses(self, addresses: Mapping[str, str]) -> None:
-        """Know where the holders that a plan names take statements."""
+        """Set the addresses of the holders that a plan names, by gateway name."""
         self._planned_addresses = dict(addresses)
         self._update_links()
 
     def _update_links(self) -> None:
-        """Know both kinds of gateways; where both name an address the directory's counts."""
+        """Pass all gateways to the links; the directory's addresses override those of the plan."""
         named = [Neighbour(name, address) for name, address in self._planned_addresses.items()]
         self._link_manager.set_neighbours(
             n for n in [*named, *self._directory_gateways] if n.name != self._name
@@ -91,15 +91,15 @@
 
     @property
     def groups(self) -> list[str]:
-        """The other zones or regions, whichever share connections."""
+        """Names of the other zones or regions, whichever share connections."""
         return list(self._zones)
 
     def hashed_holder_in(self, group: str, key: str) -> HolderLocation:
-        """Return which gateway of another group holds something there, by the hash."""
+        """Return the first available gateway of another group for a key, by rendezvous hashing."""
         return self._first_available(rank(key, self._zones.get(group, [])))
 
     def holder_in(self, group: str, shard: Shard) -> HolderLocation:
-        """Return which gateway of another group holds a shard there."""
+        """Return the holder of a shard in another group: by the plan, then by hashing."""
         return self._first_available(self._holder_order(group, shard))
 
     def _holder_order(self, group: str, shard: Shard) -> list[str]:
@@ -110,17 +110,17 @@
         return choose_holder(order, self._link_manager.reach)
 
     def query_samples(self, service: str, with_own_zone: bool, on_sample: OnSample) -> None:
-        """Ask for samples of a service's primary, unless that was done a moment ago.
+        """Ask other gateways for samples of a service's primary, at a limited rate.
 
         Parameters
         ----------
         service : str
             Name of the service.
         with_own_zone : bool
-            Whether gateways of the own zone are asked, too; they have no connection to it yet.
-        take : callable
-            Gets the moment of the question in milliseconds, the member and its position, for each
-            answer.
+            Whether to ask gateways of the own zone, too; they have no connection to it yet.
+        on_sample : callable
+            Called for each answer with the time of the query in milliseconds, the member and its
+            position.
         """
         if not self._reachability.try_begin_query(service, self._clock.now):
             return
@@ -131,7 +131,7 @@
     def _query_gateway(self, name: str, service: str, on_sample: OnSample) -> None:
         found = self._link_manager.reach(name)
         if not isinstance(found, HeldRemotely):
-            return  # a link that is being opened stands when it is asked the next time
+            return  # a link that is being opened is used by the next query
         link = found.link
         asked_at = self._clock.now
 
@@ -148,11 +148,11 @@
         link.request(SampleRequest(link.next_call_id(), service), on_outcome)
 
     def knows_detour(self, service: str) -> bool:
-        """Return whether a gateway is known that reaches the service's primary."""
+        """Return whether a gateway that reaches the service's primary is known and connected."""
         return isinstance(self._locate_reachable(service), HeldRemotely)
 
     def locate_holder(self, shard: Shard) -> HolderLocation:
-        """See :meth:`rowanrail.gateway.relay.forwarding.HolderLocator.locate_holder`."""
+        """Return the gateway that reaches the primary of a shard's service, if one is known."""
         return self._locate_reachable(shard.service)
 
     def _locate_reachable(self, service: str) -> HolderLocation:
@@ -164,7 +164,7 @@
 
     @property
     def note_answer(self) -> Callable[..., None]:
-        """See :meth:`rowanrail.gateway.relay.neighbours.LinkManager.note_answer`."""
+        """The callback that records an answer of the gateway behind a link."""
         return self._link_manager.note_answer
 
     def close(self) -> None:
--- a/src/rowanrail/gateway/relay/forwarded_call.py
+++ b/src/rowanrail/gateway/relay/forwarded_call.py
@@ -1,8 +1,8 @@
-"""One statement under way at another gateway: its deadline, its holder, its one answer.
+"""One statement that is forwarded to another gateway: its deadline, its holder, its answer.
 
-Owns the statement's timers and its call on a link. Relies on :mod:`holder_choice` for where it
-goes, on :mod:`remote_admission` for whether it is sent, and on :mod:`forwarding_rules` for what
-follows when no answer comes.
+Owns the statement's timers and its call on a link. Relies on :mod:`holder_choice` for the holder,
+on :mod:`remote_admission` for whether the statement is sent, and on :mod:`forwarding_rules` for
+what to do if no answer comes.
 """
 
 from collections.abc import Callable
@@ -55,36 +55,37 @@
 
 
 class HolderLocator(Protocol):
-    """Says at which gateway a service's statements run."""
+    """Port: locates the gateway that runs a service's statements."""
 
     def locate_holder(self, shard: Shard) -> HolderLocation:
-        """Return where statements of a service, or of some tenants of it, run now."""
+        """Return the gateway that now runs the statements of a shard."""
 
     @property
     def note_answer(self) -> Callable[[Link], None]:
-        """Note that the gateway behind a link answered."""
+        """The callback that records an answer of the gateway behind a link."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardingContext:
-    """Where statements of one service go, and by which terms.
+    """What forwarded statements of one service need.
 
     Parameters
     ----------
     placement : HolderLocator
-        Says at which gateway they run.
+        Locates the gateway that runs them.
     local : LocalWork
-        For the case that it is this gateway in the end.
+        Runs them if that is this gateway.
     clock : Clock
         Time and timers.
     link_outcome : LinkOutcome
-        Says what may be promised when a link is lost.
+        Policy for the answer when a link is lost.
     remote_admission : RemoteAdmission
-        Rejects what the holders would reject.
+        Rejects statements that the holder would reject.
     is_detour : bool
-        Whether they go to a gateway that reaches the primary because this one does not.
+        Whether they go to a gateway outside the own group, or on a detour; the receiver must not
+        forward them.
     version : int
-        Of the configuration by which clients' keys were taken.
+        Version of the configuration by which clients' keys were accepted.
     """
 
     placement: HolderLocator
@@ -97,7 +98,10 @@
 
 
 class ForwardedCall:
-    """One statement under way at a neighbour, with its deadline and its one answer."""
+    """One forwarded statement, with its deadline and its one answer.
+
+    Base class of single statements and transactions.
+    """
 
     def __init__(self, context: ForwardingContext, route: Route, session: SessionValues) -> None:
         self._context = context
@@ -118,7 +122,7 @@
         self._rejection: Rejection | None = None
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.trace`."""
+        """Return how the statement ran: the holder's trace, or how far it came at this gateway."""
         if self._holder_trace is not None:
             return msgspec.structs.replace(self._holder_trace, via=self._peer)
         stage = Stage.SENT if self._sent else Stage.WAITS_FOR_HOLDER
@@ -147,7 +151,7 @@
 
     @property
     def _sent_kind(self) -> Sent:
-        """What the statement is, for the rules."""
+        """Kind of the statement, for the rules."""
         raise NotImplementedError
 
     def _send(self, link: Link, transaction: int = 0, read_only: bool = False) -> None:
@@ -187,7 +191,7 @@
         raise NotImplementedError
 
     def _rejects(self, link: Link, writes: bool) -> bool:
-        """Return whether its holder would reject it or can't answer in time; then answer so."""
+        """Reject the statement if its holder would or can't answer in time; return whether so."""
         rejected = self._context.remote_admission.check(
             RemoteRequest(
                 link.peer,
@@ -243,7 +247,7 @@
         )
 
     def _apply_decision(self, decision: Decision, reason: str) -> None:
-        """Do what the rules say."""
+        """Carry out a decision of :mod:`forwarding_rules`."""
         match decision:
             case RetryNow():
                 self._context.remote_admission.forget(self._peer)
@@ -258,7 +262,7 @@
                 self._finish(self._lost_answer(may_have_persisted, reason))
 
     def _wait_for_holder(self, reason: str) -> None:
-        """Look for a holder again in a moment, or reject what can't be in time any more."""
+        """Schedule the next lookup of a holder, or reject the statement if it would be too late."""
         objective = self._route.objective_seconds * 1000
         match without_holder(self._context.clock.now, self._began_at, objective):
             case RetryLater():
@@ -267,7 +271,7 @@
                 self._reject(reason)
 
     def _reject(self, reason: str) -> None:
-        """Answer that nothing ran, and when to retry: no holder was found in time."""
+        """Answer that no holder was found in time and nothing ran, with a retry delay."""
         retry_after = self._context.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
         unknown = Forecast(0.0, 0.0)
         self._rejection = rejection(
@@ -276,7 +280,7 @@
         self._finish(busy(reason, retry_after))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.finish`."""
+        """End the statement with an answer; a pending call is cancelled."""
         self._finish(answer)
 
     def _finish(self, answer: Answer) -> None:
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -1,10 +1,10 @@
-"""The sender's side: single statements and transactions at the gateway that holds the connections.
+"""The sender's side of forwarding: single statements and transactions that run at a holder.
 
-A refusal promises the same as for work on own connections: the outcome of a write whose link was
-lost after it was sent is unknown; a transaction whose commit was not sent is aborted, since the
-holder can't commit what it was not asked to.
+Refusals mean the same as for work on own connections. A write whose link was lost after it was sent
+has an unknown outcome. A transaction whose commit was not sent is aborted, since the holder does
+not commit unless asked.
 
-Owns which transaction is open at which holder. Relies on :mod:`forwarding_rules` for the promises.
+Owns the holder of each open transaction. Relies on :mod:`forwarding_rules` for the refusals.
 """
 
 import msgspec
@@ -30,23 +30,23 @@
 
 
 class ForwardedWork(ForwardingContext):
-    """Statements of one service at whichever gateway holds its connections."""
+    """Work for one service that runs at the gateway that holds its connections."""
 
     __slots__ = ()
 
     def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
-        """See :meth:`rowanrail.gateway.work.ports.Work.single`."""
+        """Return a single statement of a session, not yet started."""
         return ForwardedStatement(self, route, session, writes)
 
     def transaction(
         self, route: Route, session: SessionValues, read_only: bool
     ) -> WorkInTransaction:
-        """See :meth:`rowanrail.gateway.work.ports.Work.transaction`."""
+        """Return a transaction of a session, not yet started."""
         return ForwardedTransaction(self, route, session, read_only)
 
 
 class ForwardedStatement(ForwardedCall):
-    """A single read or write; a read is asked for again elsewhere when its link is lost."""
+    """A single read or write; a read is retried at another gateway if its link is lost."""
 
     def __init__(
         self, context: ForwardedWork, route: Route, session: SessionValues, writes: bool
@@ -56,12 +56,12 @@
         self._local: SingleStatement | None = None
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.start`."""
+        """Run the statement; ``respond`` is called once with the answer."""
         self._begin(statement, respond)
         self._dispatch()
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.trace`."""
+        """Return how the statement ran, here or at its holder."""
         return super().trace() if self._local is None else self._local.trace()
 
     @property
@@ -76,10 +76,10 @@
         assert self._statement is not None
         if self._timer is not None:
             self._timer.cancel()
-        left = msgspec.structs.replace(
+        remaining = msgspec.structs.replace(
             self._route, timeout_seconds=max(self._time_left, 1.0) / 1000
         )
-        self._local = self._context.local.single(left, self._session, self._writes)
+        self._local = self._context.local.single(remaining, self._session, self._writes)
         self._local.start(self._statement, self._finish)
 
     def _on_outcome(self, outcome: Outcome) -> None:
@@ -94,20 +94,20 @@
                 self._call_id = 0
                 self._apply_decision(after_link_loss(self._sent_kind), reason)
             case Sampled() | Counted():
-                pass  # neither was asked for here
+                pass  # answers to other requests
 
     def _on_timeout(self) -> None:
         self._apply_decision(after_timeout(self._sent_kind, is_pending=self._call_id > 0), LATE)
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.SingleStatement.finish`."""
+        """End the statement with an answer, wherever it runs."""
         if self._local is not None:
             self._local.finish(answer)
         self._finish(answer)
 
 
 class ForwardedTransaction(ForwardedCall):
-    """A transaction that stays at the neighbour where its first statement ran."""
+    """A transaction; all its statements run at the gateway that ran the first one."""
 
     def __init__(
         self, context: ForwardedWork, route: Route, session: SessionValues, read_only: bool
@@ -115,11 +115,11 @@
         super().__init__(context, route, session)
         self._read_only = read_only
         self._wrote = False
-        self._number = 0  # 0 until its first statement was sent, and after its end
+        self._number = 0  # id on its link; 0 before its first statement is sent, and after its end
         self._local: WorkInTransaction | None = None
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.run`."""
+        """Run the next statement; ``respond`` is called once with the answer."""
         if self._local is not None:
             self._local.run(statement, respond)
             return
@@ -132,7 +132,7 @@
             self._dispatch()
 
     def trace(self) -> Trace:
-        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.trace`."""
+        """Return how the last statement ran, here or at its holder."""
         return super().trace() if self._local is None else self._local.trace()
 
     def _run_remotely(self, link: Link) -> None:
@@ -175,26 +175,26 @@
                 self._end_at_holder()
                 self._apply_decision(after_link_loss(self._sent_kind), reason)
             case Sampled() | Counted():
-                pass  # neither was asked for here
+                pass  # answers to other requests
 
     def _on_timeout(self) -> None:
         self._apply_decision(after_timeout(self._sent_kind, is_pending=self._call_id > 0), LATE)
         self.end()
 
     def end(self) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.end`."""
+        """End the transaction; what is still open is rolled back."""
         if self._local is not None:
             self._local.end()
         self._end_at_holder()
 
     def _end_at_holder(self) -> None:
-        """Have the neighbour roll back what it holds open."""
+        """Ask the holder to roll back the transaction if it is open."""
         number, self._number = self._number, 0
         if number and self._link is not None:
             self._link.notify(Rollback(number))
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`rowanrail.gateway.work.ports.WorkInTransaction.finish`."""
+        """End the running statement with an answer."""
         if self._local is not None:
             self._local.finish(answer)
         self._finish(answer)
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -1,8 +1,8 @@
-"""A gateway's connection to another gateway that holds a service's connections.
+"""The client side of a connection between gateways.
 
-Owns the calls that the other gateway has not answered, each with one outcome: answered, not run,
-or lost with the link. Relies on a transport that brings and takes messages (no I/O here) and on
-:mod:`liveness` for what silence means.
+Owns the pending calls; each gets exactly one outcome: answered, not run, or lost with the link.
+Relies on a transport that sends and delivers messages (no I/O here) and on :mod:`liveness` to
+detect a gateway that does not answer.
 """
 
 import enum
@@ -42,11 +42,11 @@
     "Sampled",
 ]
 
-LINK_CHECK_MS = 50.0  # chosen: between checks of a link that owes answers
+LINK_CHECK_MS = 50.0  # interval between liveness checks while calls are pending
 
 
 class LinkPort(Protocol):
-    """The transport below a link."""
+    """Port: the transport connection of a link."""
 
     def send(self, message: FromGateway) -> None:
         """Send a message."""
@@ -56,7 +56,7 @@
 
 
 class LinkState(enum.Enum):
-    """Where a link stands."""
+    """Lifecycle of a link."""
 
     OPENING = "opening"
     UP = "up"
@@ -66,28 +66,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Replied:
-    """The neighbour answered."""
+    """The neighbour answered a statement."""
 
     reply: Reply
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The neighbour ran nothing of it, and can't."""
+    """The neighbour did not run the call and can't."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """The link is gone: whether it was run is not known."""
+    """The link was lost or suspected; the call may have run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Sampled:
-    """The neighbour had the primary prove its position."""
+    """The neighbour returned a new sample of a primary."""
 
     instance: str
     position: Position
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Counted:
-    """The neighbour reported what the fleet's clients ask for, by tenant."""
+    """The neighbour returned the fleet's demand by tenant."""
 
     fleet: Report
 
@@ -106,12 +106,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingCall:
-    """What the neighbour owes an answer to.
+    """A call that the neighbour has not answered.
 
     Parameters
     ----------
+    on_outcome : callable
+        Called once with the outcome.
     may_persist : bool
-        Whether the database may keep something of it if it runs.
+        Whether the call, if it ran, may have committed something.
     """
 
     on_outcome: OnOutcome
@@ -119,7 +121,7 @@
 
 
 class Link:
-    """One connection to a neighbour, from its opening to its end; it is not used again.
+    """One connection to a neighbour; after its end it is not reused.
 
     Parameters
     ----------
@@ -128,7 +130,7 @@
     clock : Clock
         Time and timers.
     on_down : callable
-        Called once when the link is gone, with the reason.
+        Called once at the end of the link, with the reason.
     """
 
     __slots__ = (
@@ -167,28 +169,28 @@
 
     @property
     def state(self) -> LinkState:
-        """Where the link stands."""
+        """State of the link."""
         return self._state
 
     @property
     def is_suspect(self) -> bool:
-        """Whether the neighbour left a ping unanswered, so that new work goes elsewhere."""
+        """Whether the neighbour did not answer a ping, so that new work goes to other gateways."""
         return self._is_suspect
 
     @property
     def pending_calls(self) -> int:
-        """Number of calls without an answer."""
+        """Number of pending calls."""
         return len(self._calls)
 
-    # What the gateway asks
+    # Requests of the gateway
 
     def next_transaction_id(self) -> int:
-        """Return a number for a transaction, unique on this link."""
+        """Return a new id for a transaction, unique on this link."""
         self._last_transaction_id += 1
         return self._last_transaction_id
 
     def next_call_id(self) -> int:
-        """Return a number for a call, unique on this link."""
+        """Return a new id for a call, unique on this link."""
         self._last_call_id += 1
         return self._last_call_id
 
@@ -198,23 +200,25 @@
         on_outcome: OnOutcome,
         may_persist: bool = True,
     ) -> None:
-        """Send a statement, ask for a sample, or report what clients ask for.
+        """Send a request that has an answer.
 
         Parameters
         ----------
-        question : Run, SampleRequest or DemandReport
-            What is asked.
-        settle : callable
-            Gets the outcome once.
+        message : RunStatement, SampleRequest or DemandReport
+            The request; its ``call`` is a new id of this link.
+        on_outcome : callable
+            Called once with the outcome, unless the call is cancelled.
         may_persist : bool
-            Whether the database may keep something of it if it runs. What is not kept is given up
-            as soon as the neighbour is suspected, all else only when the link is lost.
+            Whether the call, if it runs, may commit something. If not, it fails as soon as the
+            neighbour is suspected; otherwise only when the link is lost.
         """
         if self._port is None or self._state is LinkState.DOWN:
             on_outcome(NotRun("the link is closed"))
             return
         if not self._calls:
-            self._last_heard = self._clock.now  # silence counts from the first answer that is owed
+            self._last_heard = (
+                self._clock.now
+            )  # the liveness timeout starts with the first pending call
             self._pinged_at = None
         self._calls[message.call] = _PendingCall(on_outcome, may_persist)
         self._port.send(message)
@@ -222,23 +226,23 @@
             self._timer = self._clock.call_in(LINK_CHECK_MS, self._check)
 
     def cancel(self, call: int) -> None:
-        """Forget a call, and have the neighbour forget it."""
+        """Cancel a call here and at the neighbour; it gets no outcome."""
         if self._calls.pop(call, None) is not None:
             self.notify(Cancel(call))
 
     def notify(self, message: FromGateway) -> None:
-        """Send what needs no answer."""
+        """Send a message that has no answer."""
         if self._port is not None and self._state is not LinkState.DOWN:
             self._port.send(message)
 
     def close(self, reason: str) -> None:
-        """Give the link up."""
+        """Close the link; pending calls are lost."""
         self._go_down(reason)
 
     # Events from the transport
 
     def opened(self, port: LinkPort) -> None:
-        """Note that the connection stands."""
+        """Start to use the connection that the transport has opened."""
         if self._state is not LinkState.OPENING:
             port.close()
             return
@@ -246,7 +250,7 @@
         self._state = LinkState.UP
 
     def receive(self, message: FromHolder) -> None:
-        """Take a message of the neighbour."""
+        """Handle a message of the neighbour."""
         self._last_heard = self._clock.now
         self._pinged_at = None
         self._is_suspect = False
@@ -266,10 +270,10 @@
                 pass
 
     def lost(self, reason: str) -> None:
-        """Note that the connection is gone, or never stood."""
+        """Handle the end of the connection, or the failure to open it."""
         self._go_down(reason)
 
-    # Inside
+    # Internals
 
     def _resolve(self, call: int, outcome: Outcome) -> None:
         pending = self._calls.pop(call, None)
@@ -277,7 +281,7 @@
             pending.on_outcome(outcome)
 
     def _check(self) -> None:
-        """Ask a silent neighbour whether it is there; suspect it, then give it up."""
+        """Ping, suspect or give up a neighbour that does not answer."""
         self._timer = None
         if self._state is LinkState.DOWN or not (self._calls or self._is_suspect):
             return
@@ -290,7 +294,7 @@
                 self.notify(Ping())
             case LivenessAction.SUSPECT:
                 self._is_suspect = True
-                self._fail_retryable_calls(f"no word for {since_heard_ms:.0f} ms")
+                self._fail_unpersisted_calls(f"no word for {since_heard_ms:.0f} ms")
             case LivenessAction.LOST:
                 self._go_down(f"no word for {since_heard_ms:.0f} ms")
                 return
@@ -302,12 +306,12 @@
         if self._timer is None and self._state is not LinkState.DOWN:
             self._timer = self._clock.call_in(LINK_CHECK_MS, self._check)
 
-    def _fail_retryable_calls(self, reason: str) -> None:
-        """Settle as lost the calls of which nothing is kept, and have the neighbour forget them."""
+    def _fail_unpersisted_calls(self, reason: str) -> None:
+        """Fail and cancel the calls that can't have committed anything."""
         given_up = [call for call, pending in self._calls.items() if not pending.may_persist]
         for call in given_up:
             pending = self._calls.pop(call, None)
-            if pending is not None:  # settling an earlier one may have ended it
+            if pending is not None:  # the outcome of an earlier call may have cancelled it
                 self.notify(Cancel(call))
                 pending.on_outcome(Lost(reason))
 
--- a/src/rowanrail/gateway/relay/liveness.py
+++ b/src/rowanrail/gateway/relay/liveness.py
@@ -50,7 +50,8 @@
     -------
     LivenessAction
         WAIT: do nothing. PING: send a ping. SUSPECT: send new work to other gateways, and fail the
-        calls that can safely run there. LOST: close the link, and fail all its calls.
+        calls that can't have committed anything, in time to run elsewhere. LOST: close the link,
+        and fail all its calls.
 
     Examples
     --------
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -1,12 +1,12 @@
-"""How gateways learn what a tenant's clients ask for at all of them.
+"""Exchange of tenants' demand between gateways, for quotas of the whole fleet.
 
-One gateway of a region, the meter, sums what the gateways of the region report and exchanges the
-sums with the meters of the other regions. No statement waits for it: what is known decides. A
-report is the whole count of a window, so that a lost one, or a meter that takes over, leaves
-nothing wrong.
+One gateway of a region, the aggregator, sums the reports of the region's gateways and exchanges the
+sums with the aggregators of other regions. Statements never wait for it: quotas are decided by what
+is known. A report has all counts of a window, so that a lost report or a new aggregator causes no
+lasting error.
 
-Owns when reports are due. Relies on ``tenants`` for the counts and the sums, and on
-:mod:`neighbours` and :mod:`detours` for who sums them.
+Owns the schedule of reports. Relies on ``tenants`` for the counts and sums, and on
+:mod:`neighbours` and :mod:`detours` for the choice of the aggregators.
 """
 
 import secrets
@@ -26,14 +26,14 @@
 
 __all__ = ["Metering"]
 
-# Between checks for a burst, which is reported before its turn. A burst of four times a limit fills
-# what is tolerated beyond it in 0.3 s; two regions learn of it after two checks and 40 ms.
+# Interval between checks for a burst, which is reported early. A burst of four times a limit uses
+# up the tolerance beyond it in 0.3 s; two regions learn of it after two checks and 40 ms.
 BURST_CHECK_MS = 75.0
-INCARNATION_BYTES = 4  # two lives of a gateway within 8 s are alike once in 4e9
+INCARNATION_BYTES = 4  # two incarnations within 8 s collide with probability 1 in 4e9
 
 
 class Metering:
-    """Reports this gateway's demand, and sums that of others where this gateway is the meter.
+    """Reports this gateway's demand, and sums that of its region if it is the aggregator.
 
     Parameters
     ----------
@@ -48,9 +48,9 @@
     detours : Detours
         Gateways of other regions.
     guard : QuotaGuard
-        Counts here, and decides.
+        Counts the demand at this gateway, and enforces quotas.
     book : DemandBook
-        Sums what others reported to this gateway.
+        Sums the reports of other gateways.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._due_at = clock.now + REPORT_MS
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start the periodic reports."""
         self._clock.call_in(BURST_CHECK_MS, self._tick)
 
     def _tick(self) -> None:
@@ -94,23 +94,23 @@
                 message = DemandReport(link.next_call_id(), self._incarnation, report)
                 link.request(message, self._on_outcome, may_persist=False)
             case NoHolder():
-                pass  # the guard sees by the age of what it knows that it is alone
+                pass  # the guard sees by the age of its data that no aggregator is reached
 
     def forward_to_aggregator(self, message: DemandReport) -> None:
-        """Pass on to the meter of this region what another region reported to this gateway.
+        """Forward another region's report to the aggregator of this region.
 
-        Other regions know of a few gateways of each region, and take the first that they reach for
-        its meter. While the network is split that may be another one.
+        Other regions know only a few gateways of this one, and send reports to the first that they
+        reach. During a network partition that may not be the aggregator.
         """
         if message.is_forwarded:
-            return  # two that take each other for the meter would go on for ever
+            return  # two gateways that take each other for the aggregator would loop
         holder = self._neighbours.hashed_holder(DEMAND_AGGREGATOR)
         if isinstance(holder, HeldRemotely):
             link = holder.link
-            passed_on = msgspec.structs.replace(
+            forwarded = msgspec.structs.replace(
                 message, call=link.next_call_id(), is_forwarded=True
             )
-            link.request(passed_on, lambda outcome: None, may_persist=False)
+            link.request(forwarded, lambda outcome: None, may_persist=False)
 
     def _on_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Counted):
--- a/src/rowanrail/gateway/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -1,8 +1,8 @@
-"""The gateways with which this one shares connections, and the links to them.
+"""The gateways that share connections with this one, and the links to them.
 
-Owns a link for each gateway that is wanted, opened when it is and again after a while when it was
-lost. Relies on :mod:`holder_choice` for which of them runs a service's statements, on
-:mod:`liveness` for when a lost one is tried again, and on a transport that opens connections.
+Owns one link per gateway, opened on demand and reopened after a backoff. Relies on
+:mod:`holder_choice` for the gateway that runs a service's statements, on :mod:`liveness` for the
+backoff, and on a transport that opens connections.
 """
 
 from abc import ABC, abstractmethod
@@ -26,32 +26,31 @@
 
 __all__ = ["LinkManager", "LinkOpener", "Neighbour", "Neighbours"]
 
-CONNECTED_HOLDERS = (
-    2  # gateways of an order that are kept connected, so that one can take over at once
-)
+CONNECTED_HOLDERS = 2  # a holder and the next gateway, which can take over at once
 
 
 @dataclass(frozen=True, slots=True)
 class Neighbour:
-    """A gateway of the same zone and the address at which it takes statements."""
+    """A gateway, and the address at which it accepts links."""
 
     name: str
     address: str
 
 
 class LinkOpener(ABC):
-    """Port: opens the connection below a link.
+    """Port: opens the transport connection of a link.
 
-    Implementations call ``link.opened``, then ``link.receive`` and ``link.lost``.
+    Implementations call ``link.opened``, then ``link.receive`` for each message and ``link.lost``
+    at the end; only ``link.lost`` if the connection can't be opened.
     """
 
     @abstractmethod
     def open(self, address: str, link: Link) -> None:
-        """Begin to open a connection."""
+        """Start to open a connection to an address (``host:port``)."""
 
 
 class _Peer:
-    """What is known of one neighbour."""
+    """The link and backoff of one neighbour."""
 
     __slots__ = ("backoff", "link", "neighbour")
 
@@ -62,7 +61,7 @@
 
 
 class LinkManager:
-    """Links to gateways, opened when they are wanted and again after a while when they are lost.
+    """Links to gateways, opened on demand and reopened after a backoff.
 
     Parameters
     ----------
@@ -85,11 +84,11 @@
 
     @property
     def names(self) -> list[str]:
-        """Names of the gateways that are known."""
+        """Names of the known gateways."""
         return list(self._peers)
 
     def set_neighbours(self, neighbours: Iterable[Neighbour]) -> None:
-        """Know these gateways and no others."""
+        """Replace the known gateways; close links to those that are gone or have moved."""
         known = {neighbour.name: neighbour for neighbour in neighbours}
         for name, peer in list(self._peers.items()):
             if known.get(name) != peer.neighbour:
@@ -101,7 +100,7 @@
                 self._peers[name] = _Peer(neighbour)
 
     def reach(self, name: str) -> HeldRemotely | NoHolder | None:
-        """Return where a gateway is reached, None if it counts as down; opens a link if needed."""
+        """Return the location of a gateway, None if it counts as down; open its link if needed."""
         peer = self._peers.get(name)
         if peer is None:
             return None
@@ -121,7 +120,7 @@
         self.on_link(link.peer, False, reason)
 
     def note_answer(self, link: Link) -> None:
-        """Note that a gateway answered: the next loss is waited out from the start."""
+        """Record an answer of a gateway: its backoff is reset."""
         peer = self._peers.get(link.peer)
         if peer is not None and peer.link is link and peer.backoff.note_answer():
             self.on_link(link.peer, True, "it answers")
@@ -134,7 +133,7 @@
 
 
 class Neighbours(LinkManager):
-    """Chooses where a service's statements run, and keeps the links for it.
+    """Locates the holders of shards in the own group, and keeps the links to them.
 
     Parameters
     ----------
@@ -158,12 +157,12 @@
         return self._name
 
     def set_neighbours(self, neighbours: Iterable[Neighbour]) -> None:
-        """Know the gateways of the zone; this one may be among them or not."""
+        """Replace the known gateways of the group; this one may be among them."""
         super().set_neighbours(n for n in neighbours if n.name != self._name)
         self._rankings.clear()
 
     def locate_holder(self, shard: Shard) -> HolderLocation:
-        """See :meth:`rowanrail.gateway.relay.forwarding.HolderLocator.locate_holder`."""
+        """Return the holder of a shard: by the plan, then by rendezvous hashing."""
         order = self._ranking(shard.key)
         planned = self.planned.local_holders(shard) if self.planned is not None else []
         if not planned:
@@ -173,7 +172,7 @@
         )
 
     def hashed_holder(self, key: str) -> HolderLocation:
-        """Return which gateway of the group holds something, by the hash."""
+        """Return the first available gateway of the group for a key, by rendezvous hashing."""
         return self._first_available(self._ranking(key))
 
     def _ranking(self, key: str) -> list[str]:
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -1,12 +1,11 @@
-"""The holder's side: statements that other gateways send, run on this gateway's connections.
+"""The holder's side of forwarding: runs other gateways' statements on its own connections.
 
-What the holder reports of a statement that has not run is certain: it runs nothing that it says it
-does not serve, and what its sender no longer waits for is ended. A transaction whose sender is gone
-is rolled back.
+A statement that is answered as not served has not run and never will. Statements that the sender
+cancels are ended, and transactions of a lost sender are rolled back.
 
 Owns the statements and transactions of each link. Relies on :mod:`serving_rules` for which of them
-run, on ``work`` to run them, on :mod:`terms` to read and answer them, and on the gateway for keys,
-samples and loads.
+run, on ``work`` to run them, on :mod:`message_mapping` to convert them, and on the gateway for
+keys, samples and loads.
 """
 
 from collections.abc import Callable
@@ -50,56 +49,60 @@
 
 __all__ = ["Holder", "HolderHost", "ServedLink"]
 
-IDLE_MARGIN_MS = 1000.0  # chosen: the client's own gateway ends an idle transaction before that
-IDLE_CHECK_MS = 1000.0  # chosen: between checks for transactions that have been idle for too long
+IDLE_MARGIN_MS = 1000.0  # the client's gateway ends an idle transaction this much earlier
+IDLE_CHECK_MS = 1000.0  # interval between checks for idle transactions
 
 Send = Callable[[FromHolder], None]
 
 
 class HolderHost(Protocol):
-    """What a holder needs of its gateway."""
+    """Port: what a holder needs of its gateway."""
 
     @property
     def stopping(self) -> bool:
         """Whether a planned stop has begun."""
 
     def local_work(self, service: str, is_detour: bool = False) -> LocalWork | None:
-        """Return the work on own connections, None if the service isn't known here.
+        """Return work on own connections, None if the service is not served here.
 
-        What comes on a detour is sent no further.
+        Work that arrived on a detour is not forwarded.
         """
 
     @property
     def demand(self) -> DemandBook:
-        """What clients of other gateways ask for."""
+        """Demand of other gateways' clients."""
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
-        """Return whether a neighbour's client may run statements, by the newest configuration.
+        """Return whether a neighbour's client may run statements, by the newer configuration.
 
         Parameters
         ----------
+        database : str
+            The name that the client connected to.
+        identity : ClientIdentity
+            The client's tenant and key.
         version : int
-            Of the configuration by which the neighbour took the client's key.
+            Version of the configuration by which the neighbour accepted the client's key.
         """
 
     def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
-        """Give a new sample of a service's primary, None if there is none in time."""
+        """Call ``give`` with a new sample of a service's primary, None if there is none in time."""
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
-        """Return what a tenant's statements of a service would wait here, None if nothing."""
+        """Return a service's load for a tenant's statements, None if they need not wait."""
 
     def idle_transaction_seconds(self) -> float:
-        """Return how long a transaction may be idle."""
+        """Return how many seconds a transaction may be idle."""
 
 
 @dataclass(slots=True)
 class _Transaction:
-    """A neighbour's transaction; its work begins with its first statement."""
+    """A transaction of a neighbour's client."""
 
     local: LocalWork
     work: WorkInTransaction
     session: SessionValues
-    call: int = 0  # of the statement that runs, 0 while it is idle
+    call: int = 0  # id of the running statement's call, 0 while idle
     idle_since: float = 0.0
 
 
@@ -111,7 +114,7 @@
 
 
 class Holder:
-    """All neighbours that this gateway runs statements for.
+    """Serves the links of all neighbours.
 
     Parameters
     ----------
@@ -123,9 +126,9 @@
     Attributes
     ----------
     on_statement : callable
-        Gets the shard to which each statement of a neighbour belongs.
+        Called with the shard of each statement that a neighbour sends.
     on_region_report : callable
-        Gets what another region reported of its clients' demand.
+        Called with each demand report of another region.
     """
 
     def __init__(self, host: HolderHost, clock: Clock) -> None:
@@ -138,12 +141,12 @@
 
     @property
     def open_transactions(self) -> int:
-        """Transactions of neighbours that are open here."""
+        """Number of neighbours' transactions that are open here."""
         return sum(link.open_transactions for link in self._links)
 
     @property
     def running_statements(self) -> int:
-        """Statements of neighbours that run here."""
+        """Number of neighbours' statements that are running here."""
         return sum(link.running_statements for link in self._links)
 
     def accept(self, send: Send) -> "ServedLink":
@@ -155,11 +158,11 @@
         return link
 
     def forget(self, link: "ServedLink") -> None:
-        """Forget a connection that is gone."""
+        """Remove a connection that has ended."""
         self._links.pop(link, None)
 
     def start(self) -> None:
-        """Begin to check for transactions that have been idle for too long."""
+        """Start the periodic check for idle transactions."""
         self.clock.call_in(IDLE_CHECK_MS, self._end_expired)
 
     def _end_expired(self) -> None:
@@ -169,12 +172,12 @@
         self.clock.call_in(IDLE_CHECK_MS, self._end_expired)
 
     def announce_leaving(self) -> None:
-        """Have the neighbours send new work elsewhere; what is open goes on."""
+        """Ask neighbours to send new work to other gateways; open transactions continue."""
         for link in self._links:
             link.send(Leaving())
 
     def end_idle_transactions(self) -> None:
-        """End the transactions that are idle."""
+        """Roll back all idle transactions."""
         for link in self._links:
             link.end_idle_since(self.clock.now)
 
@@ -185,7 +188,7 @@
     Parameters
     ----------
     holder : Holder
-        To which it belongs.
+        The holder to which it belongs.
     send : callable
         Sends a message to the neighbour.
     """
@@ -198,16 +201,16 @@
 
     @property
     def open_transactions(self) -> int:
-        """Transactions that are open."""
+        """Number of open transactions."""
         return len(self._transactions)
 
     @property
     def running_statements(self) -> int:
-        """Statements that run."""
+        """Number of running statements."""
         return len(self._singles) + sum(t.call > 0 for t in self._transactions.values())
 
     def receive(self, message: FromGateway) -> None:
-        """Take a message of the neighbour."""
+        """Handle a message of the neighbour."""
         if isinstance(message, RunStatement):
             self._holder.on_statement(Shard.of(message.service, message.tenant))
         match message:
@@ -225,7 +228,7 @@
                 self.send(Pong())
 
     def lost(self) -> None:
-        """End what nobody waits for any more: statements are given up, transactions rolled back."""
+        """Handle the end of the connection: cancel its statements, roll back its transactions."""
         self._holder.forget(self)
         for call in list(self._singles):
             self._drop(call)
@@ -276,7 +279,7 @@
         return self._holder.host.admits(run.database, identity, run.version)
 
     def _begin(self, run: RunStatement) -> None:
-        """Begin a single statement or a transaction, if its service is known here."""
+        """Start a single statement or a transaction, if its service is served here."""
         work = self._holder.host.local_work(run.service, run.is_detour)
         if work is None:
             self.send(NotServed(run.call, f"it does not serve {run.service} now"))
@@ -289,7 +292,7 @@
             self._run_single(work, run)
 
     def _refuse(self, run: RunStatement, refusal: Refusal, reason: str) -> None:
-        """Refuse a statement of which nothing may run, here or elsewhere."""
+        """Refuse a statement that must not run, here or at another gateway."""
         trace = Trace(run.service, Stage.ACCEPTED.value)
         self.send(build_reply(run, Answer(refusal=refusal, message=reason), None, trace))
 
@@ -336,7 +339,7 @@
             transaction.work.end()
 
     def end_idle_since(self, since: float) -> None:
-        """End the transactions that have been idle since a moment or longer."""
+        """Roll back the transactions that have been idle since ``since`` or longer."""
         for number, transaction in list(self._transactions.items()):
             if not transaction.call and transaction.idle_since <= since:
                 self._end(number)
--- a/src/rowanrail/gateway/relay/transport.py
+++ b/src/rowanrail/gateway/relay/transport.py
@@ -1,7 +1,7 @@
-"""Links over TCP: frames with a length before them, one connection for each pair of gateways.
+"""TCP transport of links: one connection per link, with length-prefixed frames.
 
-Owns sockets and frames. Relies on :mod:`link` and :mod:`serving` for what the messages mean; the
-only module here that does I/O.
+Owns sockets and framing; the only module of this package that does I/O. Relies on :mod:`link` and
+:mod:`serving` to handle messages.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
 __all__ = ["TcpHolderServer", "TcpLinkOpener"]
 
-LINK_CONNECT_SECONDS = 0.4  # eight round trips between regions; statements go elsewhere meanwhile
-MAX_LINK_FRAME_BYTES = 2 * 1024 * 1024  # a statement of 1 MiB and what goes with it
-# Chosen: unsent bytes at which a peer that does not read is given up, before memory is short.
+LINK_CONNECT_SECONDS = 0.4  # eight round trips between regions; work goes elsewhere meanwhile
+MAX_LINK_FRAME_BYTES = 2 * 1024 * 1024  # a statement of 1 MiB and its metadata
+# Unsent bytes above which the connection of a peer that does not read is closed, to bound memory.
 MAX_LINK_BACKLOG_BYTES = 8 * 1024 * 1024
 _LENGTH = struct.Struct("<I")
 
@@ -30,7 +30,7 @@
 
 
 class _Framed(asyncio.Protocol):
-    """Splits the stream into frames."""
+    """Base class of both ends: splits the byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = b""
@@ -57,22 +57,22 @@
             try:
                 self.take(frame)
             except msgspec.MsgspecError:
-                self.close()  # not our protocol; whoever waits learns that the link is lost
+                self.close()  # an invalid message; pending calls fail with the link
                 return
         self._buffer = buffer[start:]
 
     def take(self, frame: bytes) -> None:
-        """Take one frame.
+        """Handle one frame.
 
         Raises
         ------
         msgspec.MsgspecError
-            If it is none of the messages.
+            If the frame is not a valid message.
         """
         raise NotImplementedError
 
     def write(self, message: msgspec.Struct) -> None:
-        """Send a message; a peer that does not read is given up."""
+        """Send a message; abort the connection if too much is unsent."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -84,20 +84,20 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that wait until the peer, or the link, takes them."""
+        """Number of bytes in the write buffer."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return 0
         return transport.get_write_buffer_size()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.abort()
 
 
 class _LinkProtocol(_Framed):
-    """The gateway's end of a link."""
+    """The sender's end of a link."""
 
     def __init__(self, link: Link) -> None:
         super().__init__()
@@ -108,7 +108,7 @@
         self._link.opened(self)
 
     def send(self, message: FromGateway) -> None:
-        """See :meth:`rowanrail.gateway.relay.link.LinkPort.send`."""
+        """Send a message to the holder."""
         self.write(message)
 
     def take(self, frame: bytes) -> None:
@@ -125,7 +125,7 @@
         self._opening: set[asyncio.Task[None]] = set()
 
     def open(self, address: str, link: Link) -> None:
-        """See :meth:`LinkOpener.open`."""
+        """Start to open a connection to ``host:port``; ``link`` is told of the result."""
         task = asyncio.ensure_future(self._open(address, link))
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
@@ -167,12 +167,12 @@
 
 
 class TcpHolderServer:
-    """Takes the neighbours' links.
+    """Accepts the links of neighbours.
 
     Parameters
     ----------
     holder : Holder
-        Serves them.
+        Serves the links.
     """
 
     def __init__(self, holder: Holder) -> None:
@@ -182,7 +182,7 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of answers that wait for the links."""
+        """Number of unsent bytes on all links."""
         return sum(connection.unsent_bytes for connection in self.connections)
 
     async def start(self, address: str) -> None:
@@ -191,7 +191,7 @@
         Raises
         ------
         RowanrailError
-            If the address can't be used.
+            If it can't listen on the address.
         """
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
@@ -203,7 +203,7 @@
             raise listen_error(address, error) from error
 
     def close(self) -> None:
-        """Close all at once."""
+        """Stop listening and close all links at once."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -1,20 +1,21 @@
-"""Where a statement runs: here, at the holder of its group or of the member's region, on a detour.
+"""Routing of statements: to own connections, to a holder, or on a detour.
 
-Four rules, asked in this order:
+Four rules, in this order:
 
-1. Where the gateways of a zone or region share a service's connections, a client's statement runs
-   at the holder of its shard (:meth:`WorkRouter.work_for`). All the rest is the holder's affair.
-2. What came on a detour runs on own connections or not at all, so that nothing goes round in
-   circles; not where its sender may have better ones (:func:`detour_may_run`).
-3. A statement for a member of another region runs at the holder there, where one is reached.
-4. While this gateway gets no answer of a primary, statements for it run at a gateway that reaches
-   it, where one is known.
+1. If the gateways of a zone or region share a service's connections, a client's statement runs at
+   the holder of its shard (:meth:`WorkRouter.work_for`), which applies the other rules.
+2. A statement that arrived on a detour runs on own connections or not at all, so that there are no
+   forwarding loops. It is not run if its sender may have better connections
+   (:func:`detour_may_run`).
+3. A statement for a member of another region runs at the holder there, if that is reachable.
+4. While this gateway can't reach a primary, statements for it run at a gateway that reaches it, if
+   one is known.
 
-The first and the second are decided when a statement comes. The others are handed to the work on
-own connections, which asks when it has chosen a member, or found none.
+Rules 1 and 2 are applied when a statement arrives. Rules 3 and 4 are passed as callbacks to the
+work on own connections, which calls them when it has chosen a member, or found none.
 
-Owns no state. Relies on :mod:`neighbours` and :mod:`detours` for who is reached, on ``work`` for
-statements on own connections and on :mod:`forwarding` for those at other gateways.
+Owns no state. Relies on :mod:`neighbours` and :mod:`detours` for reachable gateways, on ``work``
+for statements on own connections and on :mod:`forwarding` for those at other gateways.
 """
 
 import functools
@@ -39,18 +40,18 @@
 
 
 def detour_may_run(is_regional: bool, primary_fails: bool) -> bool:
-    """Return whether a statement that came on a detour may run on connections of this gateway.
+    """Return whether a statement that arrived on a detour may run on own connections.
 
-    Where regions share, every region opens a few connections to each member, so that the sender of
-    a detour may reach a primary that this gateway does not. Elsewhere this gateway is the only one
-    of its zone that has any, and its own may reach the primary again in time.
+    If regions share connections, every region opens a few to each member, so that the sender may
+    reach a primary that this gateway does not. Otherwise only this gateway of its zone has
+    connections, which may reach the primary again in time.
 
     Parameters
     ----------
     is_regional : bool
         Whether the gateways of a region share the service's connections.
     primary_fails : bool
-        Whether this gateway gets no answer of the service's primary now.
+        Whether this gateway currently gets no answer from the service's primary.
 
     Examples
     --------
@@ -61,20 +62,20 @@
 
 
 class WorkRouter:
-    """Chooses among a gateway's own connections and those of others.
+    """Chooses between a gateway's own connections and those of other gateways.
 
     Parameters
     ----------
     locality : Locality
-        Where the gateway stands.
+        The gateway's zone and region.
     names : PreparedNames
-        Names under which it prepares shapes at members.
+        Names under which it prepares statements at members.
     scheduler : Scheduler
-        Time and timers, in seconds: for work on own connections.
+        Time and timers, in seconds, for work on own connections.
     link_outcome : LinkOutcome
-        Says what may be promised when a link is lost.
+        Policy for the answer when a link is lost.
     remote_admission : RemoteAdmission
-        Rejects what other holders would reject.
+        Rejects statements that other holders would reject.
     peers : Peers
         Gateways that share connections with this one, and those of other zones or regions.
     version : callable
@@ -101,7 +102,7 @@
         self._version = version
 
     def work_for(self, service: Service, tenant: str, local: LocalWork) -> Work:
-        """Return the work for a tenant's statements: here, or through a holder's connections."""
+        """Return the work for a tenant's statements: on own connections, or at a holder."""
         if self._neighbours is None or not service.share.is_shared:
             return local
         shard = Shard.of(service.spec.name, tenant)
@@ -110,9 +111,9 @@
         return self._forwarded(self._neighbours, service, local)
 
     def local_work(self, service: Service, is_detour: bool = False) -> LocalWork | None:
-        """Return work on own connections; None if the sender had better run it itself.
+        """Return work on own connections; None if the sender of a detour has to run it itself.
 
-        What comes on a detour is sent no further.
+        Work that arrived on a detour is not forwarded.
         """
         primary_fails = bool(service.primary.failing_since)
         if is_detour and not detour_may_run(service.share.is_regional, primary_fails):
@@ -132,9 +133,10 @@
     def _find_remote_holder(
         self, service: Service, tenant: str, instance: str
     ) -> ForwardedWork | None:
-        """Return work at the holder in a member's region, None if that is this one.
+        """Return work at the holder in a member's region.
 
-        Without a member's name the primary is meant. None, too, where no such holder is reached.
+        An empty ``instance`` means the primary. None if the member is in this region, or if no
+        holder there is reachable.
         """
         pool = service.pools.get(instance) if instance else service.primary_pool()
         if self._detours is None or pool is None or not service.is_remote(pool):
@@ -146,7 +148,7 @@
         return self._forwarded(RemoteHolder(self._detours, region), service, is_detour=True)
 
     def _find_detour(self, service: Service) -> ForwardedWork | None:
-        """Return work at a gateway that reaches a service's primary, if one is known."""
+        """Return work at a gateway that reaches a service's primary, None if none is known."""
         detours = self._detours
         if detours is None or not detours.knows_detour(service.spec.name):
             return None
@@ -172,13 +174,13 @@
         )
 
     def ask_for_samples(self, service: Service) -> None:
-        """Ask other gateways for a sample of a primary that this one gets none of."""
+        """Ask other gateways for a sample of a primary that this gateway does not reach."""
         if self._detours is None:
             return
         tracker = service.primary
 
-        def take(asked_at_ms: float, instance: str, position: Position) -> None:
+        def on_sample(asked_at_ms: float, instance: str, position: Position) -> None:
             tracker.note_reported(asked_at_ms / 1000, instance, position)
 
-        # Gateways that hold no connections yet are no help while the primary has none left.
-        self._detours.query_samples(service.spec.name, bool(tracker.failing_since), take)
+        # Gateways of the own zone have no connections yet; they can't help if the primary is full.
+        self._detours.query_samples(service.spec.name, bool(tracker.failing_since), on_sample)
