--- a/tests/relay/test_detour_rules.py
+++ b/tests/relay/test_detour_rules.py
@@ -1,4 +1,4 @@
-"""Whom a gateway asks that gets no sample of a primary, and which answer it goes by."""
+"""Choice of the gateways to ask for a sample of a primary, and of the detour."""
 
 import unittest
 
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -1,4 +1,4 @@
-"""Gateways that reach a primary help those that do not."""
+"""Detours: gateways that can't reach a primary use those that can."""
 
 import unittest
 
@@ -28,7 +28,7 @@
 
 
 class CutDriver(PlayedDriver):
-    """A gateway's path to the members, some of which it may not reach."""
+    """A driver that can't reach the members in ``cut``."""
 
     def __init__(self, members):
         super().__init__(members)
@@ -41,8 +41,8 @@
             super().open(address, service, instance, channel)
 
 
-class ZoneAlone:
-    """The one gateway of its zone, with its own path to the members."""
+class SingleGatewayZone:
+    """The only gateway of its zone, with its own network path to the members."""
 
     def __init__(self, world, name):
         self.clock = world.clock
@@ -69,8 +69,8 @@
         assert isinstance(session, Session)
         return PlayedClient(self, session)
 
-    def lose(self, member):
-        """Cut the path to a member, with all connections over it."""
+    def cut_path(self, member):
+        """Cut the path to a member, and close all connections to it."""
         self.driver.cut.add(member.instance)
         for pool in self.gateway.services["db"].pools.values():
             if pool.record.instance == member.instance:
@@ -84,7 +84,7 @@
         self.network = RelayNetwork(Clock(self.clock), lambda: 5.0)
         self.primary = PlayedMember("m1", True, "z1")
         self.members = [self.primary, PlayedMember("m2", False, "z2")]
-        self.zones = {name: ZoneAlone(self, name) for name in ("z1", "z2", "z3")}
+        self.zones = {name: SingleGatewayZone(self, name) for name in ("z1", "z2", "z3")}
         records = [member.record() for member in self.members]
         for name, zone in self.zones.items():
             others = {other: [Neighbour(other, other)] for other in self.zones if other != name}
@@ -92,10 +92,10 @@
         self.cut = self.zones["z2"]
         self.cut.client("orders").run("WRITE a 1", seconds=0.1)
         self.members[1].position = self.primary.position
-        self.cut.lose(self.primary)
+        self.cut.cut_path(self.primary)
 
     def run_until_served(self, text, database="orders"):
-        """Return the answer of a client that tries again as the refusal says, for 1.5 s at most."""
+        """Return the answer of a client that retries up to four times."""
         answer = Answer(refusal=Refusal.BUSY)
         for _ in range(5):
             client = self.cut.client(database)
@@ -132,7 +132,7 @@
         self.members[1].position = Position(1, floor.index)
         self.assertIsNone(client.run("READ c", seconds=0.3).refusal)
 
-    def test_nobody_is_asked_while_the_primary_is_reached(self):
+    def test_no_gateway_is_asked_while_the_primary_is_reached(self):
         calm = self.zones["z3"]
         for _ in range(5):
             calm.client("orders").run("WRITE a 1", seconds=0.1)
@@ -140,19 +140,19 @@
         self.assertFalse([link for link in self.network.links if link.ends[0] == "z3"])
 
     def test_the_detour_that_was_found_first_is_kept_and_logged_once(self):
-        # Seen in an incident: two gateways answered each question, so the detour changed each time.
+        # If two gateways answer each query, the detour must not switch between them.
         self.run_until_served("WRITE b 2")
         for number in range(5):
             self.cut.client("orders").ask(f"WRITE c {number}")
             self.clock.advance(0.2)
-        told = [
+        found_lines = [
             line for line in self.cut.log.written.decode().splitlines() if '"event":318' in line
         ]
-        self.assertEqual(len(told), 1)
+        self.assertEqual(len(found_lines), 1)
 
-    def test_a_primary_that_nobody_reaches_leads_to_refusals_in_time(self):
+    def test_a_primary_that_no_gateway_reaches_leads_to_refusals_in_time(self):
         for zone in self.zones.values():
-            zone.lose(self.primary)
+            zone.cut_path(self.primary)
         self.clock.advance(1.0)
         answer = self.cut.client("orders").run("WRITE b 2", seconds=0.4)
         self.assertEqual(answer.refusal, Refusal.BUSY)
--- a/tests/relay/test_forwarding.py
+++ b/tests/relay/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Statements that run on a neighbour's connections."""
+"""Statements and transactions that run on another gateway's connections."""
 
 import unittest
 
@@ -12,7 +12,7 @@
     def setUp(self):
         self.zone = PlayedZone()
 
-    def test_a_gateway_of_a_crowded_zone_opens_no_connections_of_its_own(self):
+    def test_a_gateway_that_shares_connections_opens_none_of_its_own(self):
         client = self.zone.last.client("reports")
         self.assertIsNone(client.run("READ a", seconds=0.1).refusal)
         self.assertEqual(self.zone.opened_by(self.zone.last), 0)
@@ -93,8 +93,7 @@
         self.assertEqual(self.zone.network.links[0].ends[1], self.zone.first.name)
 
     def test_reads_leave_a_silent_holder_while_they_can_be_in_time(self):
-        # Found on hb-subrail-large, scale-2: 57 % of the gateways were without power for 1.4 s,
-        # and what the others had sent to them waited for 0.7 s.
+        # Reads must not wait for the whole timeout of a holder that does not answer.
         client, other = self.zone.last.client("reports"), self.zone.last.client("reports")
         client.run("READ a", seconds=0.1)
         self.zone.network.frozen.add(self.zone.first.name)
@@ -114,10 +113,10 @@
         link = self.zone.network.links[0].link
         link.receive(Pong())
         self.assertFalse(link.is_suspect)
-        known = self.zone.opened_by(self.zone.second)
+        opened = self.zone.opened_by(self.zone.second)
         for _ in range(5):
             self.assertIsNone(client.run("READ c", seconds=0.1).refusal)
-        self.assertLessEqual(self.zone.opened_by(self.zone.second), known)
+        self.assertLessEqual(self.zone.opened_by(self.zone.second), opened)
 
     def test_a_slow_statement_at_a_holder_that_answers_pings_stays_there(self):
         client = self.zone.last.client("orders")
@@ -137,7 +136,7 @@
         self.assertEqual(client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
         self.assertEqual(self.zone.opened_by(self.zone.second), 0)
 
-    def test_a_process_that_was_stopped_itself_suspects_nobody(self):
+    def test_a_process_that_was_paused_suspects_no_gateway(self):
         client = self.zone.last.client("reports")
         client.run("READ a", seconds=0.1)
         self.zone.near.script = [None]
@@ -162,7 +161,7 @@
         self.assertIsNone(client.run("READ b", seconds=0.1).refusal)
         self.assertGreater(self.zone.opened_by(self.zone.second), 0)
 
-    def test_a_holder_without_a_configuration_is_no_reason_to_promise_wrongly(self):
+    def test_a_holder_without_a_configuration_leads_to_a_not_run_refusal(self):
         self.zone.first.gateway.services.clear()
         answer = self.zone.last.client("orders").run("WRITE a 1", seconds=1.0)
         self.assertIn(answer.refusal, NOT_RUN)
@@ -224,8 +223,7 @@
         self.assertEqual(self.client.session.state, SessionState.IDLE)
 
     def test_a_holder_that_ended_it_does_not_begin_it_anew(self):
-        # Found by the simulator (relayed-statements, seed 4006): its second statement came after
-        # its end at the holder, and ran in a transaction of its own there.
+        # A statement that arrives after its transaction was ended must not start a new one.
         self.begin("WRITE a 1")
         for link in self.zone.first.holder._links:
             link.end_idle_since(self.zone.relay_clock.now)
@@ -234,7 +232,7 @@
         self.assertEqual(self.zone.primary.texts(), ["WRITE a 1"])
 
     def test_at_a_silent_holder_it_is_aborted_in_time_to_begin_again(self):
-        # Not moved: its first statement may have run, and the others must run where that did.
+        # It can't move: its first statement may have run at the silent holder.
         self.zone.last.client("orders").run("READ warm", seconds=0.1)
         self.zone.primary.ran.clear()
         self.zone.near.ran.clear()
@@ -251,9 +249,9 @@
         self.begin("WRITE a 1")
         self.zone.network.frozen.add(self.zone.first.name)
         self.client.ask("COMMIT")
-        known = len(self.client.answers)
+        answered = len(self.client.answers)
         self.zone.clock.advance(0.4)
-        self.assertEqual(len(self.client.answers), known)
+        self.assertEqual(len(self.client.answers), answered)
         self.zone.clock.advance(0.4)
         self.assertEqual(self.client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
 
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -1,4 +1,4 @@
-"""What becomes of a statement whose holder is silent, leaves or is lost."""
+"""Decisions about forwarded statements whose holder does not answer, leaves or is lost."""
 
 import unittest
 
@@ -19,10 +19,10 @@
 
 
 class NotServedTest(unittest.TestCase):
-    def test_what_begins_may_begin_elsewhere(self):
+    def test_new_work_may_start_at_another_gateway(self):
         self.assertEqual(after_not_served(has_run=False), RetryLater())
 
-    def test_a_transaction_of_which_something_ran_is_aborted(self):
+    def test_a_transaction_that_has_run_a_statement_is_aborted(self):
         self.assertEqual(after_not_served(has_run=True), Refuse(Refusal.ABORTED))
 
 
@@ -38,11 +38,11 @@
 
 
 class TimeoutTest(unittest.TestCase):
-    def test_what_no_holder_has_is_rejected_as_not_run(self):
+    def test_a_statement_without_a_holder_is_rejected_as_not_run(self):
         for sent in Sent:
             self.assertEqual(after_timeout(sent, is_pending=False), RejectNotRun())
 
-    def test_what_a_holder_has_is_promised_nothing_that_is_not_certain(self):
+    def test_a_statement_at_a_holder_is_answered_by_what_is_certain(self):
         for sent, decision in (
             (Sent.READ, Refuse(Refusal.TIMEOUT)),
             (Sent.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
--- a/tests/relay/test_holder_choice.py
+++ b/tests/relay/test_holder_choice.py
@@ -1,4 +1,4 @@
-"""Which gateway of an order runs what needs a service's connections."""
+"""Choice of the first available gateway of an order."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 from tests.support.gateway import ManualClock
 
 
-class QuietPort:
+class NullPort:
     def send(self, message):
         pass
 
@@ -25,7 +25,7 @@
 
 class ChoiceTest(unittest.TestCase):
     def choose(self, states, connected):
-        """Return the choice, and the gateways that were asked for in turn."""
+        """Return the chosen holder, and the gateways that were reached, in order."""
         asked = []
 
         def reach(name):
@@ -38,7 +38,7 @@
         chosen, _ = self.choose({"a": None, "b": HeldLocally(), "c": NoHolder()}, 2)
         self.assertEqual(chosen, HeldLocally())
 
-    def test_no_more_are_connected_than_can_be_needed(self):
+    def test_no_more_gateways_are_connected_than_needed(self):
         _, asked = self.choose(dict.fromkeys("abcd", HeldLocally()), 2)
         self.assertEqual(asked, ["a", "b"])
         _, asked = self.choose({"a": None, "b": HeldLocally(), "c": HeldLocally()}, 1)
@@ -60,11 +60,11 @@
 
     def test_a_link_is_waited_for_and_then_used(self):
         self.assertEqual(location_via(self.link), NoHolder())
-        self.link.opened(QuietPort())
+        self.link.opened(NullPort())
         self.assertEqual(location_via(self.link), HeldRemotely(self.link))
 
     def test_a_gateway_that_is_leaving_counts_as_down(self):
-        self.link.opened(QuietPort())
+        self.link.opened(NullPort())
         self.link.receive(Leaving())
         self.assertEqual(self.link.state, LinkState.LEAVING)
         self.assertIsNone(location_via(self.link))
--- a/tests/relay/test_liveness.py
+++ b/tests/relay/test_liveness.py
@@ -1,4 +1,4 @@
-"""When another gateway is suspected and lost, and when its link is opened again."""
+"""Failure detection of other gateways, and the backoff of their links."""
 
 import unittest
 
@@ -14,13 +14,13 @@
 )
 
 
-class SilenceTest(unittest.TestCase):
-    def test_silence_alone_is_only_a_reason_to_ping(self):
+class AssessLivenessTest(unittest.TestCase):
+    def test_silence_alone_only_causes_a_ping(self):
         self.assertEqual(assess_liveness(PING_AFTER_MS - 1, None), LivenessAction.WAIT)
         for since_heard_ms in (PING_AFTER_MS, 60_000.0):
             self.assertEqual(assess_liveness(since_heard_ms, None), LivenessAction.PING)
 
-    def test_an_unanswered_ping_is_suspicion_then_loss(self):
+    def test_an_unanswered_ping_leads_to_suspicion_then_loss(self):
         for since_ping_ms, decision in (
             (0.0, LivenessAction.WAIT),
             (SUSPECT_AFTER_MS - 1, LivenessAction.WAIT),
@@ -31,7 +31,7 @@
             with self.subTest(since_ping_ms):
                 self.assertEqual(assess_liveness(60_000.0, since_ping_ms), decision)
 
-    def test_a_far_gateway_without_processor_time_is_not_suspected(self):
+    def test_a_remote_gateway_throttled_by_its_cpu_quota_is_not_suspected(self):
         round_trip, stopped = 50.0, 100.0
         self.assertEqual(assess_liveness(300.0, round_trip + stopped - 1), LivenessAction.WAIT)
 
--- a/tests/relay/test_placement.py
+++ b/tests/relay/test_placement.py
@@ -1,4 +1,4 @@
-"""Who holds a service's connections, and how many."""
+"""Rendezvous hashing, and limits on connections to a member."""
 
 import doctest
 import unittest
@@ -23,11 +23,11 @@
             for zones in (3, 6):
                 population = Population(100, zones)
                 limit = connection_limit(connections, population)
-                # each holder samples the primary on one connection more
+                # one more connection of each holder samples the primary
                 self.assertLessEqual(zones * (limit + 1), connections)
 
     def test_one_gateway_alone_stays_within_a_members_limit(self):
-        # Found in the metrics of a test: one gateway was allowed 72 connections of 40.
+        # Regression: the limit of a single gateway exceeded the member's connections.
         for connections in (5, 10, 40):
             self.assertLess(connection_limit(connections, Population(1, 1)), connections)
 
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -1,4 +1,4 @@
-"""Regions whose shards are held as a plan says: remote holders, and tenants' connections."""
+"""Holders by a plan where regions share connections."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class PlannedRegions(Regions):
-    """The plan names, in the primary's region, the gateway that the hash does not."""
+    """Two regions; plans name the gateway that rendezvous hashing does not choose."""
 
     def __init__(self):
         super().__init__()
@@ -25,7 +25,7 @@
         west[SHARD_OF_A.key] = ShardPlan([Holding(holder.name, share)], PlanCause.BUSY)
         return Plan(number, {"a": east, "b": west}, {holder.name: holder.name})
 
-    def tell(self, plan, *only):
+    def set_plan(self, plan, *only):
         for one in only or self.gateways.values():
             one.gateway.set_plan(plan)
         self.clock.advance(0.1)
@@ -41,13 +41,13 @@
         for _ in range(times):
             answer = self.world.client("orders").run("WRITE a 1", seconds=0.3)
             self.assertIsNone(answer.refusal, answer)
-            self.world.clock.advance(0.1)  # a link that was asked for opens
+            self.world.clock.advance(0.1)  # time for links to open
 
     def open_at(self, one):
         return one.gateway.services["db"].pools["m1"].connections.count
 
     def test_a_write_runs_at_the_holder_that_the_plan_names(self):
-        self.world.tell(self.world.plan(1, self.new))
+        self.world.set_plan(self.world.plan(1, self.new))
         self.write(3)
         self.assertGreater(self.open_at(self.new), 0)
         self.world.clock.advance(0.5)
@@ -55,8 +55,8 @@
         kept = [channel.tenant for channel in pool.connections.idle]
         self.assertNotIn("a", kept, "the hash's holder gives it up")
 
-    def test_a_planned_holder_that_is_lost_is_stood_in_for_by_the_hash(self):
-        self.world.tell(self.world.plan(1, self.new))
+    def test_a_lost_planned_holder_is_replaced_by_rendezvous_hashing(self):
+        self.world.set_plan(self.world.plan(1, self.new))
         self.write()
         del self.world.network.holders[self.new.name]
         for twin in self.world.network.links:
@@ -64,17 +64,17 @@
                 twin.break_off("reset")
         self.write()
 
-    def test_a_holder_that_did_not_hear_of_the_plan_runs_what_comes(self):
-        self.world.tell(self.world.plan(1, self.new), self.world.sender)
+    def test_a_holder_without_the_plan_runs_what_it_is_sent(self):
+        self.world.set_plan(self.world.plan(1, self.new), self.world.sender)
         self.write()
 
-    def test_a_sender_that_did_not_hear_of_the_plan_is_served_by_the_old_holder(self):
-        self.world.tell(self.world.plan(1, self.new), self.new, self.old)
+    def test_a_sender_without_the_plan_is_served_by_the_old_holder(self):
+        self.world.set_plan(self.world.plan(1, self.new), self.new, self.old)
         self.write()
 
     def test_a_plan_divides_the_regions_connections(self):
         even = self.old.gateway.services["db"].pools["m1"].connections.limit
-        self.world.tell(self.world.plan(1, self.new, share=0.2))
+        self.world.set_plan(self.world.plan(1, self.new, share=0.2))
         self.world.clock.advance(2.2)
         self.write()
         self.world.clock.advance(0.1)
@@ -82,7 +82,7 @@
         self.assertGreater(limit, even)
         self.assertLessEqual(limit, 30 - 3 - 6, "all shards of the region are held there")
 
-    def test_the_order_without_a_plan_is_that_of_the_hash(self):
+    def test_the_order_without_a_plan_is_that_of_rendezvous_hashing(self):
         neighbours = self.world.sender.gateway.peers.neighbours
         shard = Shard.of("db", "somebody")
         self.assertEqual(neighbours._ranking(shard.key), rank(shard.key, ["ga1", "ga2"]))
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -1,4 +1,4 @@
-"""Regions whose gateways hold the connections to the members there, for all tenants."""
+"""Regions that share connections: remote holders, tenants' connections and keys, metering."""
 
 import unittest
 
@@ -80,7 +80,7 @@
 
 
 class Regions:
-    """Two gateways in each of two regions; the primary stands in the second."""
+    """Two regions with two gateways each; the primary is in the second region."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -186,8 +186,8 @@
         self.world.clock.advance(3.0)
         self.assertGreaterEqual(self.service.pools["m1"].connections.count, 2)
 
-    def test_a_gateway_without_connections_looks_for_no_holders(self):
-        # Found in a day of 100 machines and 25 services: each gateway kept links to all others.
+    def test_a_gateway_without_connections_opens_no_links(self):
+        # Otherwise every gateway would keep links to all others.
         idle = next(
             one
             for one in self.world.gateways.values()
@@ -198,19 +198,18 @@
         self.assertEqual(len(idle.gateway.peers.neighbours.links), links)
         self.assertEqual(links, 0)
 
-    def test_a_gateway_that_stops_gives_its_connections_up(self):
+    def test_a_gateway_that_stops_closes_its_connections(self):
         self.world.holder.gateway.stopping = True
         self.world.clock.advance(0.3)
         self.assertNotIn(
             "a", [channel.tenant for channel in self.service.pools["m1"].connections.idle]
         )
 
-    def test_a_gateway_that_helped_out_gives_its_connections_up(self):
-        # Found on a played day: three gateways that had stood in while a primary was cut off
-        # kept 17 connections each, and its members were full for the rest of the day.
+    def test_a_gateway_that_served_a_detour_closes_its_connections(self):
+        # Otherwise members stay full of connections that were opened while a primary was cut off.
         names = rank(SHARD_OF_A.key, ["gb1", "gb2"])
         helper = self.world.gateways[names[1]]
-        helper.client("orders").run("WRITE a 1", seconds=0.2)  # its link to the holder is open
+        helper.client("orders").run("WRITE a 1", seconds=0.2)  # opens its link to the holder
         local = helper.gateway.local_work("db", is_detour=True)
         session = helper.client("orders").session
         answers = []
@@ -230,7 +229,7 @@
         self.world.client("orders", "key-of-b").run("WRITE a 1", seconds=0.2)
         self.assertEqual(len(self.world.wires_for(self.world.primary, "b")), 1)
 
-    def test_a_holder_that_knows_of_the_withdrawal_runs_nothing_for_the_key(self):
+    def test_a_holder_that_knows_of_the_revocation_runs_nothing_for_the_key(self):
         client = self.world.client("orders")
         self.world.configure(2, {"key-of-b": "b"}, only=self.world.holder)
         known = len(self.world.primary.texts())
@@ -239,7 +238,7 @@
         self.assertEqual(client.answers[-1].refusal, Refusal.DENIED)
         self.assertEqual(len(self.world.primary.texts()), known)
 
-    def test_a_holder_that_knows_of_the_withdrawal_ends_a_transaction(self):
+    def test_a_holder_that_knows_of_the_revocation_ends_a_transaction(self):
         client = self.world.client("orders")
         client.run("BEGIN")
         client.run("WRITE a 1", seconds=0.2)
@@ -248,7 +247,7 @@
         self.assertEqual(answer.refusal, Refusal.DENIED)
         self.assertNotIn("COMMIT", self.world.primary.texts())
 
-    def test_a_holder_behind_in_versions_takes_the_word_of_one_that_is_ahead(self):
+    def test_a_holder_with_an_older_configuration_trusts_a_newer_one(self):
         self.world.configure(2, {"key-of-a": "a", "key-of-c": "c"}, only=self.world.sender)
         answer = self.world.client("orders", "key-of-c").run("WRITE a 1", seconds=0.2)
         self.assertIsNone(answer.refusal, answer)
@@ -260,22 +259,21 @@
         self.world.configure(2, {"key-of-a": "a", "key-of-b": "b"}, rate=100.0, burst=100.0)
         self.world.clock.advance(2.0)
 
-    def ask(self, one, number):
+    def begin_statements(self, one, number):
         for _ in range(number):
             one.gateway.access.quota.begin("a")
 
     def fleet_at(self, one):
         return one.gateway.access.quota._counts["a"].fleet.begun
 
-    def test_each_gateway_learns_what_all_are_asked_for(self):
+    def test_each_gateway_learns_the_demand_of_the_fleet(self):
         for one, number in zip(self.world.gateways.values(), (5, 7, 11, 13), strict=True):
-            self.ask(one, number)
+            self.begin_statements(one, number)
         self.world.clock.advance(1.3)
         self.assertEqual([self.fleet_at(one) for one in self.world.gateways.values()], [36] * 4)
 
-    def test_a_region_that_takes_another_gateway_for_the_meter_is_heard_all_the_same(self):
-        # Seen on a played day: while the network was split, regions heard of a fifth of the fleet
-        # where half of it was in reach, since each sent its sums to a gateway that nobody asked.
+    def test_a_report_to_a_gateway_that_is_not_the_aggregator_is_forwarded(self):
+        # During a partition, a report that reaches the wrong gateway must get to the aggregator.
         _, other = rank(DEMAND_AGGREGATOR, ["gb1", "gb2"])
         for name in ("ga1", "ga2"):
             detours = self.world.gateways[name].gateway.peers.detours
@@ -283,22 +281,22 @@
                 detours._link_manager.reach(other)
             )
         for one, number in zip(self.world.gateways.values(), (5, 7, 11, 13), strict=True):
-            self.ask(one, number)
+            self.begin_statements(one, number)
         self.world.clock.advance(1.3)
         self.assertEqual([self.fleet_at(one) for one in self.world.gateways.values()], [36] * 4)
 
-    def test_another_gateway_takes_over_from_a_lost_meter(self):
+    def test_another_gateway_takes_over_from_a_lost_aggregator(self):
         names = rank(DEMAND_AGGREGATOR, ["ga1", "ga2"])
-        meter, other = (self.world.gateways[name] for name in names)
-        self.ask(other, 9)
+        aggregator, other = (self.world.gateways[name] for name in names)
+        self.begin_statements(other, 9)
         self.world.clock.advance(1.0)
-        del self.world.network.holders[meter.name]
+        del self.world.network.holders[aggregator.name]
         for twin in self.world.network.links:
-            if meter.name in twin.ends:
+            if aggregator.name in twin.ends:
                 twin.break_off("reset")
-        self.ask(other, 1)
+        self.begin_statements(other, 1)
         self.world.clock.advance(1.5)
-        # Nobody knows whether the fourth is lost or cut off: it may run as much as the three.
+        # The fourth gateway may be cut off: its demand is estimated from the other three.
         self.assertEqual(self.fleet_at(other), round(10 * 4 / 3))
         other.gateway.access.quota.set_population(3)
         self.world.clock.advance(0.5)
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -1,4 +1,4 @@
-"""What a sender rejects by itself, from what the holder reported with its answers."""
+"""Early rejection at the sender, by the load that holders report with their answers."""
 
 import unittest
 
@@ -20,11 +20,11 @@
 from tests.support.relay import PlayedZone
 
 
-def asked(**changes):
-    """Return a write with 800 ms to a holder 40 ms away."""
-    terms = {"peer": "g1", "service": "db", "tenant": "anna", "urgency": 1, "writes": True}
-    terms |= {"time_left": 800.0, "time_given": 800.0, "round_trip": 80.0}
-    return RemoteRequest(**(terms | changes))
+def remote_request(**changes):
+    """Return a write with a timeout of 800 ms and a round trip of 80 ms."""
+    fields = {"peer": "g1", "service": "db", "tenant": "anna", "urgency": 1, "writes": True}
+    fields |= {"time_left": 800.0, "time_given": 800.0, "round_trip": 80.0}
+    return RemoteRequest(**(fields | changes))
 
 
 class RemoteAdmissionTest(unittest.TestCase):
@@ -33,41 +33,43 @@
         self.remote_admission = RemoteAdmission(self.zone.relay_clock)
         self.remote_admission.note("g1", "db", "anna", ServiceLoad([0, 3000], [0, 0], 400))
 
-    def test_what_the_holder_would_refuse_is_not_sent(self):
-        rejected = self.remote_admission.check(asked())
+    def test_a_statement_that_the_holder_would_reject_is_not_sent(self):
+        rejected = self.remote_admission.check(remote_request())
         self.assertEqual(rejected.answer.refusal, Refusal.BUSY)
         self.assertRegex(rejected.answer.message, r"^g1 is crowded .*; retry in \d\.\d\d s$")
         self.assertEqual(rejected.rejection.cause, "holder-crowded")
         self.assertEqual(rejected.rejection.left, 800)
 
-    def test_what_is_more_urgent_or_only_reads_is_sent(self):
-        self.assertIsNone(self.remote_admission.check(asked(urgency=0)))
-        self.assertIsNone(self.remote_admission.check(asked(writes=False)))
+    def test_more_urgent_statements_and_reads_are_sent(self):
+        self.assertIsNone(self.remote_admission.check(remote_request(urgency=0)))
+        self.assertIsNone(self.remote_admission.check(remote_request(writes=False)))
 
     def test_another_tenant_s_statement_is_sent(self):
-        self.assertIsNone(self.remote_admission.check(asked(tenant="bob")))
+        self.assertIsNone(self.remote_admission.check(remote_request(tenant="bob")))
 
-    def test_who_has_returned_is_sent_since_the_holder_knows_its_place(self):
-        self.assertIsNone(self.remote_admission.check(asked(is_retry=True)))
+    def test_a_retry_is_sent_since_the_holder_gives_it_precedence(self):
+        self.assertIsNone(self.remote_admission.check(remote_request(is_retry=True)))
 
-    def test_what_has_no_time_for_the_way_is_not_sent_even_as_a_probe(self):
+    def test_a_statement_without_time_for_the_round_trip_is_not_sent_even_as_a_probe(self):
         self.zone.clock.advance(0.5)
-        rejected = self.remote_admission.check(asked(time_left=70.0))
+        rejected = self.remote_admission.check(remote_request(time_left=70.0))
         self.assertEqual(rejected.rejection.cause, "way-too-long")
 
     def test_a_probe_is_sent_each_tenth_of_a_second(self):
-        self.assertIsNotNone(self.remote_admission.check(asked()))
+        self.assertIsNotNone(self.remote_admission.check(remote_request()))
         self.zone.clock.advance(0.11)
-        self.assertIsNone(self.remote_admission.check(asked()))
-        self.assertIsNotNone(self.remote_admission.check(asked()))
+        self.assertIsNone(self.remote_admission.check(remote_request()))
+        self.assertIsNotNone(self.remote_admission.check(remote_request()))
 
-    def test_many_refused_at_one_moment_are_told_different_moments(self):
-        told = {self.remote_admission.check(asked()).rejection.return_in for _ in range(50)}
-        self.assertGreater(len(told), 40)
+    def test_statements_rejected_together_get_different_retry_times(self):
+        retry_times = {
+            self.remote_admission.check(remote_request()).rejection.return_in for _ in range(50)
+        }
+        self.assertGreater(len(retry_times), 40)
 
 
 class ZoneTest(unittest.TestCase):
-    """Three gateways: clients at ``last``, connections at ``first``."""
+    """Three gateways: clients are at ``last``, connections at ``first``."""
 
     def setUp(self):
         self.zone = PlayedZone()
@@ -77,7 +79,7 @@
         self.pool = self.zone.first.gateway.services["db"].pools["m1"]
 
     def fill(self):
-        """Have more wait at the holder than it can serve in the time of a statement."""
+        """Queue more statements at the holder than it can serve within their timeout."""
         for _ in range(30):
             self.pool.connections.leases.note(500.0)
         self.zone.primary.script = [None] * 500
@@ -85,14 +87,14 @@
             self.zone.last.client("orders").ask("WRITE b 2")
         self.zone.clock.advance(0.01)
 
-    def hear_load(self):
-        """Have the sender learn of it by an answer."""
+    def receive_load(self):
+        """Let the sender receive the holder's load with an answer."""
         self.client.ask("WRITE c 3")
         self.zone.clock.advance(0.05)
 
-    def test_the_second_hopeless_statement_is_refused_where_it_came(self):
+    def test_the_second_statement_that_cannot_be_in_time_is_rejected_by_the_sender(self):
         self.fill()
-        self.hear_load()
+        self.receive_load()
         self.assertEqual(self.client.answers[-1].refusal, Refusal.BUSY)
         held = self.zone.first.holder.running_statements
         other = self.zone.last.client("orders")
@@ -103,15 +105,15 @@
 
     def test_when_room_is_back_a_probe_learns_it(self):
         self.fill()
-        self.hear_load()
+        self.receive_load()
         self.zone.primary.script = []
-        self.zone.clock.advance(1.2)  # those who waited have left
+        self.zone.clock.advance(1.2)  # the queued statements have timed out
         for _ in range(60):
             self.pool.connections.leases.note(10.0)
         answers = [self.zone.last.client("orders").run("WRITE e 5", 0.2) for _ in range(3)]
         self.assertIsNone(answers[-1].refusal)
 
-    def test_a_begun_transaction_is_not_judged_by_it(self):
+    def test_a_transaction_that_has_begun_is_not_rejected(self):
         self.client.run("BEGIN")
         self.assertIsNone(self.client.run("WRITE a 2", seconds=0.3).refusal)
         self.fill()
@@ -122,16 +124,16 @@
         self.zone.primary.script = []
         self.assertIsNone(self.client.run("WRITE a 3", seconds=0.05).refusal)
 
-    def test_a_lost_holder_s_word_counts_for_nothing_at_the_next_one(self):
+    def test_the_load_of_a_lost_holder_is_discarded(self):
         self.fill()
-        self.hear_load()
+        self.receive_load()
         self.zone.kill(self.zone.first)
         self.zone.primary.script = []
         self.assertIsNone(self.client.run("WRITE f 6", seconds=0.5).refusal)
 
 
-class GivenUpTest(unittest.TestCase):
-    """What its client gave up while it waited at the holder isn't run there."""
+class CancelledTest(unittest.TestCase):
+    """A queued statement does not run at the holder once its client has closed its session."""
 
     def setUp(self):
         self.zone = PlayedZone()
@@ -166,8 +168,8 @@
         self.give_up("BEGIN", "WRITE given-up 1")
 
 
-class ReturnedTest(unittest.TestCase):
-    def test_who_goes_before_newcomers_is_known_at_the_holder(self):
+class RetryTest(unittest.TestCase):
+    def test_a_retry_is_marked_at_the_holder(self):
         session, held = SessionValues(), SessionValues()
         session.is_retrying = True
         route = Route("orders", "orders", "db", Consistency.PRIMARY, 1.0, 0.5)
@@ -181,19 +183,19 @@
 
 
 class RollingRestartTest(unittest.TestCase):
-    """Messages of a gateway that runs the release before, and to one."""
+    """Messages to and from a gateway of the previous release."""
 
     def test_a_reply_without_a_load_decodes(self):
         reply = Reply(1, [], b"", None, "", None, None, Trace("db", "sent"), ServiceLoad([1]))
         old = msgspec.msgpack.decode(msgspec.msgpack.encode(reply))
-        *shorter, _, _ = old  # neither a load nor doubts
-        shorter[-1] = shorter[-1][:-1]  # nor does its trace say why a statement was rejected
+        *shorter, _, _ = old  # without load and doubts
+        shorter[-1] = shorter[-1][:-1]  # and a trace without rejection
         decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(shorter), type=Reply)
         self.assertIsNone(decoded.load)
         self.assertEqual(decoded.doubts, {})
         self.assertIsNone(decoded.trace.rejection)
 
-    def test_what_an_older_gateway_does_not_know_is_passed_over(self):
+    def test_an_older_gateway_ignores_unknown_fields(self):
         class OldReply(msgspec.Struct, tag=11, array_like=True):
             call: int
             rows: list[bytes]
@@ -202,6 +204,6 @@
         decoded = msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=OldReply)
         self.assertEqual(decoded.call, 1)
 
-    def test_a_run_without_the_last_field_is_a_newcomer_s(self):
+    def test_a_run_without_the_last_field_is_no_retry(self):
         self.assertEqual(RunStatement.__struct_fields__[-1], "is_retry")
         self.assertIs(RunStatement.__struct_defaults__[-1], False)
--- a/tests/relay/test_remote_replicas.py
+++ b/tests/relay/test_remote_replicas.py
@@ -1,4 +1,4 @@
-"""Reads for which the members of the own region are too full run at another region's holder."""
+"""Reads run at another region's holder if the members of the own region are full."""
 
 import unittest
 
@@ -14,15 +14,15 @@
 
 class RemoteReplicaTest(unittest.TestCase):
     def setUp(self):
-        """Have the primary and a replica stand in region a, and a replica in region b."""
+        """Put the primary and a replica into region a, and a replica into region b."""
         self.world = world = Regions()
-        self.away = PlayedMember("m3", False, "b2")
-        self.away.position = world.primary.position
+        self.remote = PlayedMember("m3", False, "b2")
+        self.remote.position = world.primary.position
         world.primary.zone = "a2"
-        world.members.append(self.away)
+        world.members.append(self.remote)
         records = [member.record() for member in world.members]
         for name, one in world.gateways.items():
-            one.driver.members["m3:1"] = self.away
+            one.driver.members["m3:1"] = self.remote
             region = REGIONS[GATEWAYS[name]]
             groups = {
                 group: [Neighbour(n, n) for n, zone in GATEWAYS.items() if REGIONS[zone] == group]
@@ -43,7 +43,7 @@
     def test_a_read_goes_there_and_opens_no_connection_from_here(self):
         self.fill_the_own_region()
         self.assertIsNone(self.client.run("READ a", seconds=0.3).refusal)
-        self.assertEqual(self.away.texts()[-1], "READ a")
+        self.assertEqual(self.remote.texts()[-1], "READ a")
         for name in ("ga1", "ga2"):
             self.assertEqual(
                 self.service(self.world.gateways[name]).pools["m3"].connections.count, 0
@@ -51,16 +51,16 @@
 
     def test_a_transaction_that_only_reads_goes_there_with_all_its_statements(self):
         self.fill_the_own_region()
-        self.client.run("READ a", seconds=0.3)  # after it both are known to be full
+        self.client.run("READ a", seconds=0.3)  # afterwards both are known to be full
         self.client.run("BEGIN READ")
         for text in ("READ b", "READ c", "COMMIT"):
             self.assertIsNone(self.client.run(text, seconds=0.3).refusal, text)
-        self.assertEqual(self.away.texts()[-3:], ["READ b", "READ c", "COMMIT"])
+        self.assertEqual(self.remote.texts()[-3:], ["READ b", "READ c", "COMMIT"])
 
-    def test_reads_stay_at_home_while_there_is_room(self):
+    def test_reads_stay_in_the_region_while_there_is_room(self):
         for _ in range(5):
             self.assertIsNone(self.client.run("READ a", seconds=0.3).refusal)
-        self.assertEqual(self.away.texts(), [])
+        self.assertEqual(self.remote.texts(), [])
 
     def test_a_holder_there_that_is_lost_leaves_the_read_to_own_connections(self):
         self.fill_the_own_region()
@@ -73,7 +73,7 @@
 
 
 class DoubtsTest(unittest.TestCase):
-    """What one holder found out of a member reaches those that send to it with its answers."""
+    """A holder's answers tell senders which members it has reduced the weight of."""
 
     def setUp(self):
         self.world = Regions()
@@ -87,27 +87,27 @@
         (candidate,) = self.here.estimates.candidates({"m2": self.here.pools["m2"]}, wanted)
         return candidate.weight
 
-    def run_at_home(self):
+    def write_at_holder(self):
         answer = self.world.client("orders").run("WRITE a 1", seconds=0.3)
         self.assertIsNone(answer.refusal)
 
-    def test_it_comes_with_an_answer_and_takes_a_part_of_the_weight(self):
+    def test_it_comes_with_an_answer_and_reduces_the_weight(self):
         self.assertEqual(self.weight_here(), 1.0)
-        self.run_at_home()
+        self.write_at_holder()
         self.assertLess(self.weight_here(), 0.6)
         self.assertGreater(self.weight_here(), 0.2)
 
-    def test_it_ages(self):
-        self.run_at_home()
+    def test_it_decays(self):
+        self.write_at_holder()
         self.world.clock.advance(9)
         self.assertGreater(self.weight_here(), 0.95)
 
-    def test_it_is_not_told_on(self):
-        self.run_at_home()
+    def test_it_is_not_passed_on(self):
+        self.write_at_holder()
         self.assertEqual(self.here.estimates.weights.reduced(), {})
         self.assertEqual(list(self.there.estimates.weights.reduced()), ["m2"])
 
     def test_a_member_that_others_can_not_reach_still_serves_here(self):
-        self.run_at_home()
+        self.write_at_holder()
         self.world.client("reports").run("READ a", seconds=0.3)
         self.assertEqual(self.world.near.texts()[-1], "READ a")
--- a/tests/relay/test_serving_rules.py
+++ b/tests/relay/test_serving_rules.py
@@ -1,4 +1,4 @@
-"""What a holder does with a statement that another gateway sent."""
+"""Decisions of a holder about statements that another gateway sent."""
 
 import itertools
 import unittest
@@ -9,13 +9,13 @@
 
 
 class ArrivalTest(unittest.TestCase):
-    def test_a_transaction_that_was_ended_is_never_begun_in_the_middle(self):
+    def test_a_transaction_that_was_ended_is_never_resumed(self):
         for is_admitted, is_stopping in itertools.product(BOTH, BOTH):
             self.assertEqual(
                 decide_arrival(False, False, is_admitted, is_stopping), ArrivalDecision.ENDED
             )
 
-    def test_nothing_runs_for_a_withdrawn_key(self):
+    def test_nothing_runs_for_a_revoked_key(self):
         for is_open, is_stopping in itertools.product(BOTH, BOTH):
             decision = decide_arrival(is_open, True, False, is_stopping)
             self.assertEqual(decision, ArrivalDecision.DENIED)
