--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -16,14 +16,14 @@
 from rowanrail.model.statements import Refusal
 
 __all__ = [
-    "HOLDER_RETRY_AFTER_MS",
     "HOLDER_LOOKUP_INTERVAL_MS",
+    "HOLDER_RETRY_AFTER_MS",
+    "Decision",
     "LinkLost",
-    "RetryLater",
-    "RetryNow",
     "Refuse",
     "RejectNotRun",
-    "Decision",
+    "RetryLater",
+    "RetryNow",
     "after_link_loss",
     "after_not_served",
     "after_timeout",
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -36,8 +36,8 @@
     "LinkPort",
     "LinkState",
     "Lost",
-    "Outcome",
     "NotRun",
+    "Outcome",
     "Replied",
     "Sampled",
 ]
--- a/src/rowanrail/gateway/relay/message_mapping.py
+++ b/src/rowanrail/gateway/relay/message_mapping.py
@@ -21,10 +21,10 @@
     "OutgoingStatement",
     "answer_from",
     "apply_session_values",
-    "reply_margin",
     "build_reply",
-    "route_from",
     "build_run_message",
+    "reply_margin",
+    "route_from",
     "statement_from",
 ]
 
--- a/src/rowanrail/gateway/relay/messages.py
+++ b/src/rowanrail/gateway/relay/messages.py
@@ -19,7 +19,6 @@
 
 __all__ = [
     "Cancel",
-    "SampleRequest",
     "DemandReport",
     "DemandTotals",
     "FromGateway",
@@ -32,6 +31,7 @@
     "Rollback",
     "RunStatement",
     "SampleReply",
+    "SampleRequest",
 ]
 
 
--- a/src/rowanrail/placement/hashed.py
+++ b/src/rowanrail/placement/hashed.py
@@ -17,12 +17,12 @@
     "SHARDS",
     "Population",
     "Shard",
-    "rendezvous_score",
     "connection_limit",
     "even_share",
     "is_shared",
     "planned_limit",
     "rank",
+    "rendezvous_score",
     "shards_of",
 ]
 
