--- a/src/rowanrail/gateway/discovery/control_follower.py
+++ b/src/rowanrail/gateway/discovery/control_follower.py
@@ -36,7 +36,7 @@
     PROVISIONAL_TAKEN,
 )
 from rowanrail.gateway.services.locality import Locality
-from rowanrail.gateway.sessions.access import Access
+from rowanrail.gateway.sessions.access import AccessControl
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import TransportError
 from rowanrail.model.routing import ConfigurationFormat, RoutingConfiguration
@@ -62,7 +62,7 @@
 class DirectoryHost(Protocol):
     """What takes the news: the gateway."""
 
-    access: Access
+    access: AccessControl
 
     def apply(self, configuration: RoutingConfiguration, corrects: bool = False) -> bool:
         """Put a configuration in force, see :meth:`rowanrail.gateway.gateway.Gateway.apply`."""
@@ -200,7 +200,7 @@
         while not self._is_informed:
             try:
                 request = LoggedDirectoryRequest(
-                    self._make_report().sharing_group, takes_parts=True
+                    self._make_report().sharing_group, accepts_updates=True
                 )
                 reply = await self._network.call(address, request, ROUND_TRIP_SECONDS)
                 if isinstance(reply, LoggedDirectoryReply) and not self._is_informed:
@@ -257,7 +257,7 @@
         if not reply.current:
             self._note_lost(address, "it does not hold what the leader has committed")
             return False
-        self._gateway.access.hear_control(address)
+        self._gateway.access.note_control_up_to_date(address)
         if self._is_lost:
             self._is_lost = False
             self._decisions.note(CONTROL_REGAINED, peer=address)
@@ -269,9 +269,9 @@
             self._version,
             self._copy.revision,
             wait_seconds,
-            takes_parts=True,
-            wants_whole=self._copy.is_broken,
-            known_controls=self._controls.known_mark,
+            accepts_updates=True,
+            wants_full=self._copy.is_broken,
+            known_controls_checksum=self._controls.known_mark,
             known_plan=self._plan,
         )
         reply = await self._network.call(address, request, wait_seconds + ROUND_TRIP_SECONDS)
--- a/src/rowanrail/gateway/relay/forwarded_call.py
+++ b/src/rowanrail/gateway/relay/forwarded_call.py
@@ -39,12 +39,12 @@
 )
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.refusals import busy, rejection
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.refusals import busy_answer, rejection_record
 from rowanrail.kernel.clock import Clock, Timer
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
@@ -73,7 +73,7 @@
     ----------
     placement : HolderLocator
         Locates the gateway that runs them.
-    local : LocalWork
+    local : LocalExecutor
         Runs them if that is this gateway.
     clock : Clock
         Time and timers.
@@ -89,7 +89,7 @@
     """
 
     placement: HolderLocator
-    local: LocalWork
+    local: LocalExecutor
     clock: Clock
     link_outcome: LinkOutcome
     remote_admission: RemoteAdmission
@@ -107,7 +107,7 @@
         self._context = context
         self._route = route
         self._session = session
-        self._respond: Respond | None = None
+        self._respond: AnswerCallback | None = None
         self._statement: TypedStatement | None = None
         self._began_at = 0.0
         self._timer: Timer | None = None
@@ -138,7 +138,7 @@
     def _time_left(self) -> float:
         return self._began_at + self._route.timeout_seconds * 1000 - self._context.clock.now
 
-    def _begin(self, statement: TypedStatement, respond: Respond) -> None:
+    def _begin(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         self._statement = statement
         self._respond = respond
         self._holder_trace = None
@@ -150,7 +150,7 @@
         self._timer = self._context.clock.call_in(timeout, self._on_timeout)
 
     @property
-    def _sent_kind(self) -> Sent:
+    def _sent_kind(self) -> SentRequest:
         """Kind of the statement, for the rules."""
         raise NotImplementedError
 
@@ -233,7 +233,7 @@
         floor = self._session.floors.get(service)
         if reply.floor is not None and (floor is None or reply.floor > floor):
             self._session.floors[service] = reply.floor
-        self._context.local.note_doubts(reply.doubts)
+        self._context.local.note_reported_weights(reply.doubts)
         self._holder_trace = reply.trace
         self._context.remote_admission.note(
             self._peer, service, self._session.identity.tenant, reply.load
@@ -274,10 +274,10 @@
         """Answer that no holder was found in time and nothing ran, with a retry delay."""
         retry_after = self._context.remote_admission.retry_after(HOLDER_RETRY_AFTER_MS)
         unknown = Forecast(0.0, 0.0)
-        self._rejection = rejection(
+        self._rejection = rejection_record(
             RejectionCause.NO_PLACE, unknown, self._time_left, self._route.priority, retry_after
         )
-        self._finish(busy(reason, retry_after))
+        self._finish(busy_answer(reason, retry_after))
 
     def finish(self, answer: Answer) -> None:
         """End the statement with an answer; a pending call is cancelled."""
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -18,10 +18,10 @@
 from rowanrail.gateway.relay.link import Counted, Link, Lost, NotRun, Outcome, Replied, Sampled
 from rowanrail.gateway.relay.messages import Rollback
 from rowanrail.gateway.session_values import SessionValues, is_write
-from rowanrail.gateway.work.attempts import Sent
-from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
-from rowanrail.gateway.work.refusals import LATE
-from rowanrail.members.channel import Respond
+from rowanrail.gateway.work.attempts import SentRequest
+from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
+from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, StatementKind, TypedStatement
 from rowanrail.model.trace import Trace
@@ -34,13 +34,13 @@
 
     __slots__ = ()
 
-    def single(self, route: Route, session: SessionValues, writes: bool) -> SingleStatement:
+    def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
         """Return a single statement of a session, not yet started."""
         return ForwardedStatement(self, route, session, writes)
 
     def transaction(
         self, route: Route, session: SessionValues, read_only: bool
-    ) -> WorkInTransaction:
+    ) -> TransactionExecution:
         """Return a transaction of a session, not yet started."""
         return ForwardedTransaction(self, route, session, read_only)
 
@@ -53,9 +53,9 @@
     ) -> None:
         super().__init__(context, route, session)
         self._writes = writes
-        self._local: SingleStatement | None = None
+        self._local: AutocommitExecution | None = None
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run the statement; ``respond`` is called once with the answer."""
         self._begin(statement, respond)
         self._dispatch()
@@ -65,8 +65,8 @@
         return super().trace() if self._local is None else self._local.trace()
 
     @property
-    def _sent_kind(self) -> Sent:
-        return Sent.WRITE if self._writes else Sent.READ
+    def _sent_kind(self) -> SentRequest:
+        return SentRequest.WRITE if self._writes else SentRequest.READ
 
     def _run_remotely(self, link: Link) -> None:
         if not self._rejects(link, self._writes):
@@ -79,7 +79,7 @@
         remaining = msgspec.structs.replace(
             self._route, timeout_seconds=max(self._time_left, 1.0) / 1000
         )
-        self._local = self._context.local.single(remaining, self._session, self._writes)
+        self._local = self._context.local.autocommit(remaining, self._session, self._writes)
         self._local.start(self._statement, self._finish)
 
     def _on_outcome(self, outcome: Outcome) -> None:
@@ -97,7 +97,9 @@
                 pass  # answers to other requests
 
     def _on_timeout(self) -> None:
-        self._apply_decision(after_timeout(self._sent_kind, is_pending=self._call_id > 0), LATE)
+        self._apply_decision(
+            after_timeout(self._sent_kind, is_pending=self._call_id > 0), NO_ANSWER_MESSAGE
+        )
 
     def finish(self, answer: Answer) -> None:
         """End the statement with an answer, wherever it runs."""
@@ -116,9 +118,9 @@
         self._read_only = read_only
         self._wrote = False
         self._number = 0  # id on its link; 0 before its first statement is sent, and after its end
-        self._local: WorkInTransaction | None = None
+        self._local: TransactionExecution | None = None
 
-    def run(self, statement: TypedStatement, respond: Respond) -> None:
+    def run(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run the next statement; ``respond`` is called once with the answer."""
         if self._local is not None:
             self._local.run(statement, respond)
@@ -151,8 +153,8 @@
         self._local.run(statement, respond)
 
     @property
-    def _sent_kind(self) -> Sent:
-        return Sent.COMMIT if self._commits and self._wrote else Sent.IN_TRANSACTION
+    def _sent_kind(self) -> SentRequest:
+        return SentRequest.COMMIT if self._commits and self._wrote else SentRequest.IN_TRANSACTION
 
     @property
     def _commits(self) -> bool:
@@ -178,7 +180,9 @@
                 pass  # answers to other requests
 
     def _on_timeout(self) -> None:
-        self._apply_decision(after_timeout(self._sent_kind, is_pending=self._call_id > 0), LATE)
+        self._apply_decision(
+            after_timeout(self._sent_kind, is_pending=self._call_id > 0), NO_ANSWER_MESSAGE
+        )
         self.end()
 
     def end(self) -> None:
--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.work.attempts import Sent, unanswered
-from rowanrail.gateway.work.refusals import DEFER_SHARE
+from rowanrail.gateway.work.attempts import SentRequest, refusal_without_answer
+from rowanrail.gateway.work.refusals import DEFERRAL_FRACTION
 from rowanrail.model.statements import Refusal
 
 __all__ = [
@@ -69,15 +69,15 @@
 Decision = RetryNow | RetryLater | RejectNotRun | Refuse | LinkLost
 
 
-def may_persist(sent: Sent) -> bool:
+def may_persist(sent: SentRequest) -> bool:
     """Return whether the statement, if it ran, may have changed the database for good.
 
     Examples
     --------
-    >>> [sent.value for sent in Sent if may_persist(sent)]
+    >>> [sent.value for sent in SentRequest if may_persist(sent)]
     ['write', 'commit']
     """
-    return sent is Sent.WRITE or sent is Sent.COMMIT
+    return sent is SentRequest.WRITE or sent is SentRequest.COMMIT
 
 
 def after_not_served(has_run: bool) -> RetryLater | Refuse:
@@ -99,38 +99,38 @@
     return Refuse(Refusal.ABORTED) if has_run else RetryLater()
 
 
-def after_link_loss(sent: Sent) -> RetryNow | LinkLost:
+def after_link_loss(sent: SentRequest) -> RetryNow | LinkLost:
     """Return what to do if the link was lost while a call was pending.
 
     Examples
     --------
-    >>> after_link_loss(Sent.READ), after_link_loss(Sent.WRITE)
+    >>> after_link_loss(SentRequest.READ), after_link_loss(SentRequest.WRITE)
     (RetryNow(), LinkLost(may_persist=True))
     """
-    return RetryNow() if sent is Sent.READ else LinkLost(may_persist(sent))
+    return RetryNow() if sent is SentRequest.READ else LinkLost(may_persist(sent))
 
 
-def after_timeout(sent: Sent, is_pending: bool) -> RejectNotRun | Refuse | LinkLost:
+def after_timeout(sent: SentRequest, is_pending: bool) -> RejectNotRun | Refuse | LinkLost:
     """Return what to do when a statement's deadline has passed.
 
     Parameters
     ----------
-    sent : Sent
+    sent : SentRequest
         Kind of statement.
     is_pending : bool
         Whether it was sent to a holder that has not answered; if not, nothing ran.
 
     Examples
     --------
-    >>> after_timeout(Sent.WRITE, is_pending=True)
+    >>> after_timeout(SentRequest.WRITE, is_pending=True)
     Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
     """
     if not is_pending:
         return RejectNotRun()
     match sent:
-        case Sent.READ | Sent.WRITE:
-            return Refuse(unanswered(sent))
-        case Sent.IN_TRANSACTION | Sent.COMMIT:
+        case SentRequest.READ | SentRequest.WRITE:
+            return Refuse(refusal_without_answer(sent))
+        case SentRequest.IN_TRANSACTION | SentRequest.COMMIT:
             return LinkLost(may_persist(sent))
 
 
@@ -152,6 +152,6 @@
     >>> without_holder(1100.0, 1000.0, objective=200.0), without_holder(1131.0, 1000.0, 200.0)
     (RetryLater(), RejectNotRun())
     """
-    if now + HOLDER_LOOKUP_INTERVAL_MS > began + DEFER_SHARE * objective:
+    if now + HOLDER_LOOKUP_INTERVAL_MS > began + DEFERRAL_FRACTION * objective:
         return RejectNotRun()
     return RetryLater()
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -10,12 +10,12 @@
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.work.refusals import busy, rejection
+from rowanrail.gateway.work.refusals import busy_answer, rejection_record
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
-from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause, judge_sending
-from rowanrail.scheduling.load import Assumed, LoadBook, ServiceLoad, Subject
+from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause, decide_forwarding
+from rowanrail.scheduling.load import LoadEstimate, LoadSubject, PeerLoads, ServiceLoad
 from rowanrail.scheduling.retrying import RetryTimes
 
 __all__ = ["RejectedBySender", "RemoteAdmission", "RemoteRequest"]
@@ -79,12 +79,12 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        self._loads = LoadBook(clock)
+        self._loads = PeerLoads(clock)
         self._retry_times = RetryTimes(clock)
 
     def note(self, peer: str, service: str, tenant: str, load: ServiceLoad | None) -> None:
         """Record the load that a holder reported with its answer to a tenant's statement."""
-        self._loads.note(Subject(peer, service, tenant), load)
+        self._loads.note(LoadSubject(peer, service, tenant), load)
 
     def forget(self, peer: str) -> None:
         """Discard the loads of a holder whose link is lost."""
@@ -97,35 +97,37 @@
         than the round trip is always rejected. One that the holder has no room for is sent as a
         probe if none was sent for a while.
         """
-        subject = Subject(request.peer, request.service, request.tenant)
-        assumed = Assumed()
+        subject = LoadSubject(request.peer, request.service, request.tenant)
+        assumed = LoadEstimate()
         if not request.is_retry:
-            assumed = self._loads.assume(subject, request.urgency, request.writes)
-        decision = judge_sending(
+            assumed = self._loads.estimate(subject, request.urgency, request.writes)
+        decision = decide_forwarding(
             assumed.wait, request.round_trip, request.time_left, request.time_given
         )
         if not isinstance(decision, Reject):
             return None
-        is_crowded = decision.cause is RejectionCause.HOLDER_CROWDED
-        if is_crowded and self._loads.may_probe(subject):
+        is_crowded = decision.cause is RejectionCause.HOLDER_OVERLOADED
+        if is_crowded and self._loads.try_probe(subject):
             return None
         return self._reject(request, decision, assumed)
 
     def _reject(
-        self, request: RemoteRequest, decision: Reject, assumed: Assumed
+        self, request: RemoteRequest, decision: Reject, assumed: LoadEstimate
     ) -> RejectedBySender:
-        interval = 1000 / (SENDER_PACE_SHARE * assumed.pace) if assumed.pace else 0.0
+        interval = 1000 / (SENDER_PACE_SHARE * assumed.drain_rate) if assumed.drain_rate else 0.0
         retry_after = self._retry_times.next(
             decision.retry_after_ms, interval, (request.peer, request.urgency)
         )
         forecast = Forecast(assumed.wait, request.round_trip)
-        if decision.cause is RejectionCause.WAY_TOO_LONG:
+        if decision.cause is RejectionCause.ROUND_TRIP_TOO_LONG:
             reason = f"{request.time_left:.0f} ms are too short for the way to {request.peer}"
         else:
             reason = f"{request.peer} is crowded for {assumed.wait:.0f} ms"
         return RejectedBySender(
-            busy(reason, retry_after),
-            rejection(decision.cause, forecast, request.time_left, request.urgency, retry_after),
+            busy_answer(reason, retry_after),
+            rejection_record(
+                decision.cause, forecast, request.time_left, request.urgency, retry_after
+            ),
         )
 
     def retry_after(self, base: float) -> float:
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -36,8 +36,8 @@
 from rowanrail.gateway.relay.serving_rules import ArrivalDecision, decide_arrival
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.samples import PositionSample
 from rowanrail.model.statements import Answer, Refusal
@@ -62,7 +62,7 @@
     def stopping(self) -> bool:
         """Whether a planned stop has begun."""
 
-    def local_work(self, service: str, is_detour: bool = False) -> LocalWork | None:
+    def local_work(self, service: str, is_detour: bool = False) -> LocalExecutor | None:
         """Return work on own connections, None if the service is not served here.
 
         Work that arrived on a detour is not forwarded.
@@ -99,8 +99,8 @@
 class _Transaction:
     """A transaction of a neighbour's client."""
 
-    local: LocalWork
-    work: WorkInTransaction
+    local: LocalExecutor
+    work: TransactionExecution
     session: SessionValues
     call: int = 0  # id of the running statement's call, 0 while idle
     idle_since: float = 0.0
@@ -108,8 +108,8 @@
 
 @dataclass(slots=True)
 class _SingleStatement:
-    local: LocalWork
-    work: SingleStatement
+    local: LocalExecutor
+    work: AutocommitExecution
     session: SessionValues = field(default_factory=SessionValues)
 
 
@@ -296,10 +296,10 @@
         trace = Trace(run.service, Stage.ACCEPTED.value)
         self.send(build_reply(run, Answer(refusal=refusal, message=reason), None, trace))
 
-    def _run_single(self, work: LocalWork, run: RunStatement) -> None:
+    def _run_single(self, work: LocalExecutor, run: RunStatement) -> None:
         session = SessionValues()
         apply_session_values(session, run)
-        single = work.single(route_from(run), session, run.writes)
+        single = work.autocommit(route_from(run), session, run.writes)
         self._singles[run.call] = _SingleStatement(work, single, session)
         single.start(statement_from(run), lambda answer: self._answer_single(run, answer))
 
@@ -308,7 +308,7 @@
         if single is not None:
             floor = single.session.floors.get(run.service)
             load = self._holder.load_reporter.report(run.service, run.tenant)
-            doubts = single.local.doubts()
+            doubts = single.local.reduced_weights()
             self.send(build_reply(run, answer, floor, single.work.trace(), load, doubts))
 
     def _run_in_transaction(self, transaction: _Transaction, run: RunStatement) -> None:
@@ -329,7 +329,7 @@
             transaction.work.end()
         floor = transaction.session.floors.get(run.service)
         load = self._holder.load_reporter.report(run.service, run.tenant)
-        doubts = transaction.local.doubts()
+        doubts = transaction.local.reduced_weights()
         self.send(build_reply(run, answer, floor, transaction.work.trace(), load, doubts))
 
     def _end(self, number: int) -> None:
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -30,8 +30,8 @@
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import OtherGateways, Work
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.ports import OtherGateways, StatementExecutor
 from rowanrail.kernel.clock import Clock, Scheduler
 from rowanrail.model.position import Position
 from rowanrail.placement.hashed import Shard
@@ -101,7 +101,7 @@
         self._detours = peers.detours
         self._version = version
 
-    def work_for(self, service: Service, tenant: str, local: LocalWork) -> Work:
+    def work_for(self, service: Service, tenant: str, local: LocalExecutor) -> StatementExecutor:
         """Return the work for a tenant's statements: on own connections, or at a holder."""
         if self._neighbours is None or not service.share.is_shared:
             return local
@@ -110,7 +110,7 @@
             return local
         return self._forwarded(self._neighbours, service, local)
 
-    def local_work(self, service: Service, is_detour: bool = False) -> LocalWork | None:
+    def local_work(self, service: Service, is_detour: bool = False) -> LocalExecutor | None:
         """Return work on own connections; None if the sender of a detour has to run it itself.
 
         Work that arrived on a detour is not forwarded.
@@ -119,8 +119,8 @@
         if is_detour and not detour_may_run(service.share.is_regional, primary_fails):
             return None
         if is_detour or self._detours is None:
-            return LocalWork(service, self._names, self._scheduler)
-        return LocalWork(
+            return LocalExecutor(service, self._names, self._scheduler)
+        return LocalExecutor(
             service,
             self._names,
             self._scheduler,
@@ -158,11 +158,11 @@
         self,
         placement: HolderLocator,
         service: Service,
-        local: LocalWork | None = None,
+        local: LocalExecutor | None = None,
         is_detour: bool = False,
     ) -> ForwardedWork:
         if local is None:
-            local = LocalWork(service, self._names, self._scheduler)
+            local = LocalExecutor(service, self._names, self._scheduler)
         return ForwardedWork(
             placement,
             local,
@@ -180,7 +180,7 @@
         tracker = service.primary
 
         def on_sample(asked_at_ms: float, instance: str, position: Position) -> None:
-            tracker.note_reported(asked_at_ms / 1000, instance, position)
+            tracker.note_reported_position(asked_at_ms / 1000, instance, position)
 
         # Gateways of the own zone have no connections yet; they can't help if the primary is full.
         self._detours.query_samples(service.spec.name, bool(tracker.failing_since), on_sample)
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -2,7 +2,7 @@
 
 Owns the pools, the primary's tracker, what is known of the members and the share of their
 connections that belongs to this gateway; brings them together and lets time pass. The rules are
-:func:`rowanrail.scheduling.choice.choose` (which member serves a read),
+:func:`rowanrail.scheduling.choice.choose_member` (which member serves a read),
 :class:`.service_share.ServiceShare` (how many connections may be opened) and those of the
 pools and of the primary.
 """
@@ -15,7 +15,7 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.pool_loan import PoolLoan
 from rowanrail.gateway.services.locality import Locality
-from rowanrail.gateway.services.member_estimates import MemberEstimates, Wanted
+from rowanrail.gateway.services.member_estimates import MemberEstimates, ReadRequirements
 from rowanrail.gateway.services.member_probes import MemberProbes
 from rowanrail.gateway.services.service_share import ServiceShare
 from rowanrail.kernel.clock import Clock, Scheduler
@@ -26,13 +26,13 @@
 from rowanrail.model.routing import ServiceSpec
 from rowanrail.placement.hashed import Population, Shard
 from rowanrail.placement.planned import Allowance
-from rowanrail.scheduling.choice import choose
+from rowanrail.scheduling.choice import choose_member
 from rowanrail.scheduling.queue import tenant_weight
 from rowanrail.scheduling.retrying import RetryTimes
 from rowanrail.tenants.model import Tenant, Tenants
 
 IN_USE_SECONDS = 10.0  # without a statement for so long a primary need not be watched; chosen
-_ANY = Wanted()
+_ANY = ReadRequirements()
 
 
 class Service:
@@ -126,7 +126,7 @@
         return self._scheduler.time() - self.used_at < IN_USE_SECONDS
 
     @property
-    def is_due(self) -> bool:
+    def needs_tick(self) -> bool:
         """Whether time matters to it: it is used, holds connections, or its primary is looked for.
 
         Connections are opened only while it is used; that they are there is known from the last
@@ -151,16 +151,18 @@
 
     def primary_pool(self) -> MemberPool | None:
         """Return the pool of the member believed to lead."""
-        return self.pools.get(self.primary.believed)
+        return self.pools.get(self.primary.presumed_primary)
 
-    def choose(self, excluded: set[str], wanted: Wanted = _ANY) -> MemberPool | None:
+    def choose_member(
+        self, excluded: set[str], wanted: ReadRequirements = _ANY
+    ) -> MemberPool | None:
         """Return the member for a read that any member with a fresh log may serve."""
         pools = {
             instance: pool
             for instance, pool in self.pools.items()
             if instance not in excluded and not pool.record.leaving
         }
-        best = choose(self.estimates.candidates(pools, wanted), self._randomness)
+        best = choose_member(self.estimates.candidates(pools, wanted), self._randomness)
         return None if best is None else pools[best]
 
     def can_lend(self, instance: str) -> bool:
@@ -200,7 +202,7 @@
         """Let time pass."""
         self.primary.tick(self.in_use)
         if self.in_use:
-            self._probes.tick(self.pools, self.primary.believed, self.share.samplers)
+            self._probes.tick(self.pools, self.primary.presumed_primary, self.share.samplers)
         for pool in self.pools.values():
             pool.trim(self._is_kept)
         self._held_connections = self.has_connections
--- a/tests/coordination/test_reports.py
+++ b/tests/coordination/test_reports.py
@@ -5,7 +5,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rowanrail.coordination.duty import FailoverDuty
 from rowanrail.coordination.failover import (
     REPORT_LIVE_SECONDS,
     Action,
@@ -14,10 +13,11 @@
     decide,
     report_view,
 )
+from rowanrail.coordination.failover_controller import FailoverController
 from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS, Liveness
 from rowanrail.coordination.reports import ReportIndex
+from rowanrail.directory.health_filter import REPORTED_PROOF_MS, reportable_health
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.directory.reports import REPORTED_PROOF_MS, worth_reporting
 from rowanrail.model.members import MemberRecord, PrimaryHealth
 from rowanrail.model.position import Position
 
@@ -85,7 +85,7 @@
 
     def test_a_report_of_many_services_that_are_not_used_is_empty(self):
         seen = [PrimaryHealth(f"db{n}", "m1", -1, 0) for n in range(40)]
-        self.assertEqual(worth_reporting(seen), [])
+        self.assertEqual(reportable_health(seen), [])
 
     def test_a_report_replaces_the_earlier_one(self):
         index = ReportIndex()
@@ -131,7 +131,7 @@
     """The look that is spared would have led to waiting."""
 
     def duty(self, members, liveness):
-        return FailoverDuty(
+        return FailoverController(
             LeadingNode(), PlayedService(members, liveness), None, None, None, None, None
         )
 
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -14,7 +14,7 @@
     after_timeout,
     without_holder,
 )
-from rowanrail.gateway.work.attempts import Sent
+from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.model.statements import Refusal
 
 
@@ -28,26 +28,26 @@
 
 class LossTest(unittest.TestCase):
     def test_only_a_read_on_its_own_runs_again(self):
-        again = [sent for sent in Sent if after_link_loss(sent) == RetryNow()]
-        self.assertEqual(again, [Sent.READ])
+        again = [sent for sent in SentRequest if after_link_loss(sent) == RetryNow()]
+        self.assertEqual(again, [SentRequest.READ])
 
     def test_a_write_and_a_commit_may_be_kept_and_nothing_else(self):
-        self.assertEqual(after_link_loss(Sent.WRITE), LinkLost(may_persist=True))
-        self.assertEqual(after_link_loss(Sent.COMMIT), LinkLost(may_persist=True))
-        self.assertEqual(after_link_loss(Sent.IN_TRANSACTION), LinkLost(may_persist=False))
+        self.assertEqual(after_link_loss(SentRequest.WRITE), LinkLost(may_persist=True))
+        self.assertEqual(after_link_loss(SentRequest.COMMIT), LinkLost(may_persist=True))
+        self.assertEqual(after_link_loss(SentRequest.IN_TRANSACTION), LinkLost(may_persist=False))
 
 
 class TimeoutTest(unittest.TestCase):
     def test_a_statement_without_a_holder_is_rejected_as_not_run(self):
-        for sent in Sent:
+        for sent in SentRequest:
             self.assertEqual(after_timeout(sent, is_pending=False), RejectNotRun())
 
     def test_a_statement_at_a_holder_is_answered_by_what_is_certain(self):
         for sent, decision in (
-            (Sent.READ, Refuse(Refusal.TIMEOUT)),
-            (Sent.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
-            (Sent.IN_TRANSACTION, LinkLost(may_persist=False)),
-            (Sent.COMMIT, LinkLost(may_persist=True)),
+            (SentRequest.READ, Refuse(Refusal.TIMEOUT)),
+            (SentRequest.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
+            (SentRequest.IN_TRANSACTION, LinkLost(may_persist=False)),
+            (SentRequest.COMMIT, LinkLost(may_persist=True)),
         ):
             with self.subTest(sent):
                 self.assertEqual(after_timeout(sent, is_pending=True), decision)
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -153,7 +153,7 @@
         holder = self.world.holder
         holder.driver.cut.add("m1")
         service = holder.gateway.services["db"]
-        service.primary.belief.failing_since = self.world.clock.now
+        service.primary.state.failing_since = self.world.clock.now
         answer = self.world.client("orders").run("WRITE a 1", seconds=0.4)
         self.assertIsNone(answer.refusal, answer)
         self.assertGreater(
@@ -213,7 +213,7 @@
         local = helper.gateway.local_work("db", is_detour=True)
         session = helper.client("orders").session
         answers = []
-        single = local.single(routes()["orders"], session.values, True)
+        single = local.autocommit(routes()["orders"], session.values, True)
         single.start(statement("q1", "WRITE a 1"), answers.append)
         pool = helper.gateway.services["db"].pools["m1"]
         self.assertEqual([channel.tenant for channel in pool.connections.idle], ["a"])
