--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -31,7 +31,7 @@
         again = [sent for sent in SentRequest if after_link_loss(sent) == RetryNow()]
         self.assertEqual(again, [SentRequest.READ])
 
-    def test_a_write_and_a_commit_may_be_kept_and_nothing_else(self):
+    def test_only_a_write_and_a_commit_may_persist(self):
         self.assertEqual(after_link_loss(SentRequest.WRITE), LinkLost(may_persist=True))
         self.assertEqual(after_link_loss(SentRequest.COMMIT), LinkLost(may_persist=True))
         self.assertEqual(after_link_loss(SentRequest.IN_TRANSACTION), LinkLost(may_persist=False))
