--- a/src/rowanrail/cluster/data_folder.py
+++ b/src/rowanrail/cluster/data_folder.py
@@ -22,11 +22,11 @@
 
 FIRST_IDENTITY = "1"
 # Seconds for a node's answer whether it knows a system. Chosen.
-SYSTEM_CALL_SECONDS = 1.0
+SYSTEM_QUERY_TIMEOUT_SECONDS = 1.0
 # Seconds for a node's answer to a request for admission. Chosen.
-JOIN_CALL_SECONDS = 3.0
+JOIN_TIMEOUT_SECONDS = 3.0
 # Seconds between rounds of requests for admission. Chosen.
-JOIN_RETRY_SECONDS = 0.5
+JOIN_RETRY_INTERVAL_SECONDS = 0.5
 
 
 class StartupMode(enum.Enum):
@@ -50,15 +50,15 @@
         return next((node.address for node in self.nodes if node.name == self.name), "")
 
 
-def first_membership(owner: NodeConfig) -> Membership:
+def first_membership(config: NodeConfig) -> Membership:
     """Return the membership of a new system."""
     return Membership(
-        voters={f"{node.name}@{FIRST_IDENTITY}": node.address for node in owner.nodes}
+        voters={f"{node.name}@{FIRST_IDENTITY}": node.address for node in config.nodes}
     )
 
 
 async def open_data_folder(
-    owner: NodeConfig,
+    config: NodeConfig,
     storage: Storage,
     network: Network,
     randomness: random.Random,
@@ -71,17 +71,17 @@
     :raises StorageError: if the folder is damaged or belongs to another system or node.
     """
     identity = storage.identity()
-    may_bootstrap = identity is None and bootstrap and not await _system_exists(owner, network)
+    may_bootstrap = identity is None and bootstrap and not await _system_exists(config, network)
     match startup_mode(identity is not None, may_bootstrap):
         case StartupMode.RESTART:
             assert identity is not None
-            check_owner(identity, owner)
+            check_owner(identity, config)
         case StartupMode.BOOTSTRAP:
-            identity = Identity(owner.cluster, f"{owner.name}@{FIRST_IDENTITY}")
-            storage.create(identity, Snapshot(1, 1, first_membership(owner), b""))
+            identity = Identity(config.cluster, f"{config.name}@{FIRST_IDENTITY}")
+            storage.create(identity, Snapshot(1, 1, first_membership(config), b""))
         case StartupMode.JOIN:
             fresh = f"{randomness.getrandbits(48):012x}"
-            identity = Identity(owner.cluster, learner_first.identity(owner.name, fresh))
+            identity = Identity(config.cluster, learner_first.identity(config.name, fresh))
             emit(NODE_JOINING, node=identity.node)
             storage.create(identity, None)
     return identity
@@ -105,28 +105,28 @@
     return StartupMode.BOOTSTRAP if may_bootstrap else StartupMode.JOIN
 
 
-def check_owner(identity: Identity, owner: NodeConfig) -> None:
+def check_owner(identity: Identity, config: NodeConfig) -> None:
     """Check that a folder is the node's own.
 
     :raises StorageError: if it belongs to another system or node.
     """
     found = f"{identity.cluster}/{identity.node.split('@')[0]}"
-    wanted = f"{owner.cluster}/{owner.name}"
+    wanted = f"{config.cluster}/{config.name}"
     if found != wanted:
         raise StorageError(
             f"the folder belongs to {found}, the settings say {wanted}; name the right folder",
             step="open",
-            peer=owner.folder,
+            peer=config.folder,
         )
 
 
-async def _system_exists(owner: NodeConfig, network: Network) -> bool:
+async def _system_exists(config: NodeConfig, network: Network) -> bool:
     """Ask the other nodes whether any of them has accepted a configuration."""
-    for node in owner.nodes:
-        if node.name == owner.name:
+    for node in config.nodes:
+        if node.name == config.name:
             continue
         try:
-            reply = await network.call(node.address, ReportsRequest(), SYSTEM_CALL_SECONDS)
+            reply = await network.call(node.address, ReportsRequest(), SYSTEM_QUERY_TIMEOUT_SECONDS)
         except TransportError:
             continue  # a node that does not answer proves nothing either way
         if isinstance(reply, ReportsReply) and reply.version > 0:
@@ -135,22 +135,22 @@
 
 
 async def join_until_admitted(
-    owner: NodeConfig, identity: Identity, network: Network, is_member: asyncio.Event
+    config: NodeConfig, identity: Identity, network: Network, is_member: asyncio.Event
 ) -> None:
     """Ask the other nodes, one after the other, to be admitted, until it happens."""
     request = JoinRequest(
-        owner.name,
+        config.name,
         identity.node,
-        owner.address(),
-        owner.cluster,
+        config.address(),
+        config.cluster,
     )
     while not is_member.is_set():
-        for node in owner.nodes:
-            if node.name == owner.name or is_member.is_set():
+        for node in config.nodes:
+            if node.name == config.name or is_member.is_set():
                 continue
             try:
-                await network.call(node.address, request, JOIN_CALL_SECONDS)
+                await network.call(node.address, request, JOIN_TIMEOUT_SECONDS)
                 break
             except RowanrailError as error:
                 emit(JOIN_REFUSED, peer=node.name, error=error)
-        await asyncio.sleep(JOIN_RETRY_SECONDS)
+        await asyncio.sleep(JOIN_RETRY_INTERVAL_SECONDS)
--- a/src/rowanrail/cluster/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -16,8 +16,8 @@
 from rowanrail.consensus.raft_types import MembershipBusy
 from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
 
-LEARNER_BEHIND_ENTRIES = 10  # a learner this close to the log's end gets a vote; chosen
-LEARNER_CHECK_SECONDS = 0.2  # between checks for such a learner; chosen
+MAX_LEARNER_LAG = 10  # a learner this close to the log's end gets a vote; chosen
+LEARNER_CHECK_INTERVAL_SECONDS = 0.2  # between checks for such a learner; chosen
 
 
 def node_name(node: str) -> str:
@@ -65,7 +65,7 @@
     return Membership(voters, learners)
 
 
-def admit_one(
+def next_promotion(
     membership: Membership, match_of: Callable[[str], int], last_index: int
 ) -> Membership | None:
     """Return the next step by which a learner that is caught up gets a vote, None if there is none.
@@ -83,17 +83,17 @@
     Examples
     --------
     >>> membership = Membership({"a@1": "a:1", "b@1": "b:1"}, {"b@2": "b:1"})
-    >>> step = admit_one(membership, lambda node: 40, 45)
+    >>> step = next_promotion(membership, lambda node: 40, 45)
     >>> sorted(step.voters), sorted(step.learners)
     (['a@1'], ['b@2'])
-    >>> sorted(admit_one(step, lambda node: 40, 45).voters)
+    >>> sorted(next_promotion(step, lambda node: 40, 45).voters)
     ['a@1', 'b@2']
-    >>> admit_one(membership, lambda node: 0, 5) is None
+    >>> next_promotion(membership, lambda node: 0, 5) is None
     True
     """
     for learner in sorted(membership.learners):
         match = match_of(learner)
-        if match == 0 or last_index - match > LEARNER_BEHIND_ENTRIES:
+        if match == 0 or last_index - match > MAX_LEARNER_LAG:
             continue
         older = [node for node in membership.voters if node_name(node) == node_name(learner)]
         return without_voters(membership, older) if older else with_voter(membership, learner)
@@ -183,15 +183,15 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LEARNER_CHECK_SECONDS)
+            await asyncio.sleep(LEARNER_CHECK_INTERVAL_SECONDS)
             if self._node.raft.is_established_leader:
                 try:
-                    await self._promote_one()
+                    await self._promote_learner()
                 except (RowanrailError, MembershipBusy, NotLeaderError):
                     continue  # tried again at the next step, by whoever leads then
 
-    async def _promote_one(self) -> None:
+    async def _promote_learner(self) -> None:
         raft = self._node.raft
-        changed = admit_one(raft.membership, raft.match_of, raft.log.last_index)
+        changed = next_promotion(raft.membership, raft.match_of, raft.log.last_index)
         if changed is not None:
             await self._change(changed)
--- a/src/rowanrail/coordination/announcements.py
+++ b/src/rowanrail/coordination/announcements.py
@@ -13,20 +13,20 @@
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.model.members import MemberRecord
 
-__all__ = ["Announcements"]
+__all__ = ["AnnouncementHandler"]
 
-OCCUPANT_SILENT_SECONDS = 3.0  # more than two heartbeats of a member, which come each 1.2 s
+MEMBER_SILENCE_SECONDS = 3.0  # more than two heartbeats of a member, which come each 1.2 s
 
 
 @dataclass(slots=True)
-class _Claim:
+class _ReturningMember:
     """When a displaced member first announced itself again, and when last; seconds."""
 
     since: float
     heard_at: float
 
 
-class Announcements:
+class AnnouncementHandler:
     """Turns members' announcements into commands of the log, where they are news.
 
     Parameters
@@ -52,56 +52,56 @@
         self._liveness = liveness
         self._propose = propose
         self._now = now
-        self._claims: dict[str, _Claim] = {}
+        self._returning: dict[str, _ReturningMember] = {}
 
-    async def take(self, record: MemberRecord) -> None:
+    async def handle(self, record: MemberRecord) -> None:
         """Take what a member announces of itself.
 
         The log holds the sequence of a member's last change only, so that the newest one heard
         says whether an announcement is late. A late one counts only if the member is leaving.
         """
         is_late = self._liveness.is_late(record.instance, record.sequence) and not record.leaving
-        self._liveness.heartbeat(record.instance, record.sequence)
+        self._liveness.record_heartbeat(record.instance, record.sequence)
         if record.instance in self._state.displaced:
-            await self._take_displaced(record, is_late)
+            await self._handle_displaced(record, is_late)
         elif not is_late and self._state.needs_announcement(record):
             await self._propose(Announce(record))
 
-    async def end(self, instance: str) -> None:
+    async def handle_removal(self, instance: str) -> None:
         """Take a member's announcement that it has ended."""
         self._liveness.forget_member(instance)
-        self._claims.pop(instance, None)
+        self._returning.pop(instance, None)
         if not self._state.has_ended(instance):
             await self._propose(Remove(instance))
 
-    async def _take_displaced(self, record: MemberRecord, is_late: bool) -> None:
+    async def _handle_displaced(self, record: MemberRecord, is_late: bool) -> None:
         if record.leaving:
             # No earlier announcement may bring it back.
             await self._propose(Remove(record.instance))
-        elif not is_late and self._state.may_return(record) and self._is_place_free(record):
+        elif not is_late and self._state.may_readmit(record) and self._is_address_free(record):
             await self._propose(Readmit(record))
 
-    def _is_place_free(self, record: MemberRecord) -> bool:
+    def _is_address_free(self, record: MemberRecord) -> bool:
         """Return whether a displaced member sends heartbeats and the one at its address none.
 
         A heartbeat that a network cut delayed may arrive after its sender has ended and a new
         life of the member has registered at the address, and look newer than it is. Only a
         member that runs goes on to send them.
         """
-        occupant = self._state.occupant(record)
+        occupant = self._state.member_at_address(record)
         silent = self._liveness.heartbeat_ago(occupant.instance) if occupant else float("inf")
-        if min(self._claimed_seconds(record.instance), silent) < OCCUPANT_SILENT_SECONDS:
+        if min(self._returning_seconds(record.instance), silent) < MEMBER_SILENCE_SECONDS:
             return False
-        del self._claims[record.instance]
+        del self._returning[record.instance]
         return True
 
-    def _claimed_seconds(self, instance: str) -> float:
+    def _returning_seconds(self, instance: str) -> float:
         """Return for how long a displaced member has announced itself again, now included."""
         now = self._now()
-        claim = self._claims.get(instance)
-        if claim is None or now - claim.heard_at > OCCUPANT_SILENT_SECONDS:
+        claim = self._returning.get(instance)
+        if claim is None or now - claim.heard_at > MEMBER_SILENCE_SECONDS:
             displaced = self._state.displaced
-            self._claims = {i: kept for i, kept in self._claims.items() if i in displaced}
-            claim = self._claims[instance] = _Claim(now, now)
+            self._returning = {i: kept for i, kept in self._returning.items() if i in displaced}
+            claim = self._returning[instance] = _ReturningMember(now, now)
         claim.heard_at = now
         return now - claim.since
--- a/src/rowanrail/coordination/change_batch.py
+++ b/src/rowanrail/coordination/change_batch.py
@@ -11,11 +11,11 @@
 
 from rowanrail.kernel.clock import Clock, Timer
 
-__all__ = ["BATCH_MS", "ChangeBatch"]
+__all__ = ["BATCH_DELAY_MS", "ChangeBatch"]
 
 # After the first change that waits. A member that came is used this much later, beside the 1.2 s
 # between its heartbeats and about 0.1 s for the log.
-BATCH_MS = 250.0
+BATCH_DELAY_MS = 250.0
 
 
 class ChangeBatch:
@@ -41,7 +41,7 @@
         """The revision up to which gateways are told."""
         return min(self._released, self._revision)
 
-    def note(self, revision: int, urgent_revision: int) -> None:
+    def update(self, revision: int, urgent_revision: int) -> None:
         """Note what the state holds now.
 
         Parameters
@@ -55,9 +55,9 @@
         if urgent_revision > self._released:
             self._release()
         elif revision > self._released and self._timer is None:
-            self._timer = self._clock.call_in(BATCH_MS, self._end_wait)
+            self._timer = self._clock.call_in(BATCH_DELAY_MS, self._on_timer)
 
-    def _end_wait(self) -> None:
+    def _on_timer(self) -> None:
         self._release()
         self._on_release()
 
--- a/src/rowanrail/coordination/change_notes.py
+++ b/src/rowanrail/coordination/change_logger.py
@@ -19,10 +19,10 @@
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.kernel.decisions import DecisionLog
 
-__all__ = ["ChangeNotes"]
+__all__ = ["ChangeLogger"]
 
 
-class ChangeNotes:
+class ChangeLogger:
     """Compares what is so with what was logged last.
 
     Parameters
@@ -54,15 +54,15 @@
         self._revision = 0
         self._membership_index = 0
 
-    def compare(self) -> None:
+    def log_changes(self) -> None:
         """Log what changed since the last call."""
-        self._compare_storage()
-        self._compare_leader()
-        self._compare_version()
-        self._compare_directory()
-        self._compare_membership()
+        self._log_storage()
+        self._log_leader()
+        self._log_version()
+        self._log_directory()
+        self._log_membership()
 
-    def _compare_storage(self) -> None:
+    def _log_storage(self) -> None:
         failure = self._consensus.failure
         if (failure is not None) == self._has_failed:
             return
@@ -79,7 +79,7 @@
             revision=self._state.revision,
         )
 
-    def _compare_leader(self) -> None:
+    def _log_leader(self) -> None:
         raft = self._consensus.raft
         leader = (raft.leader, raft.term)
         if leader == self._leader:
@@ -92,14 +92,14 @@
         elif was_known:
             self._decisions.note(LEADER_LOST, term=raft.term)
 
-    def _compare_version(self) -> None:
+    def _log_version(self) -> None:
         version = self._state.version
         if version == self._version:
             return
         self._version = version
         self._decisions.note(VERSION_COMMITTED, version=version, index=self._consensus.applied)
 
-    def _compare_directory(self) -> None:
+    def _log_directory(self) -> None:
         state = self._state
         if state.revision == self._revision:
             return
@@ -113,7 +113,7 @@
             primaries=sorted(member.instance for member in members if member.primary),
         )
 
-    def _compare_membership(self) -> None:
+    def _log_membership(self) -> None:
         raft = self._consensus.raft
         if raft.log.membership_index == self._membership_index:
             return
--- a/src/rowanrail/coordination/changes.py
+++ b/src/rowanrail/coordination/changes.py
@@ -8,11 +8,11 @@
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
-__all__ = ["DirectoryChange", "GatewayStep", "MemberStep"]
+__all__ = ["DirectoryChange", "GatewayChange", "MemberChange"]
 
 
 @dataclass(frozen=True, slots=True)
-class MemberStep:
+class MemberChange:
     """One member before and after; None where it was not, or is no longer, known."""
 
     before: MemberRecord | None
@@ -33,7 +33,7 @@
         Examples
         --------
         >>> new = MemberRecord("m1", "db", "m1:1", "a", False, False, 3, 1)
-        >>> MemberStep(None, new).is_urgent, MemberStep(new, None).is_urgent
+        >>> MemberChange(None, new).is_urgent, MemberChange(new, None).is_urgent
         (False, True)
         """
         before, after = self.before, self.after
@@ -41,15 +41,15 @@
             return True
         if before is None:
             return after.primary or after.leaving
-        return _duty(before) != _duty(after)
+        return _routing_fields(before) != _routing_fields(after)
 
 
-def _duty(record: MemberRecord) -> tuple[bool, bool, str, str]:
+def _routing_fields(record: MemberRecord) -> tuple[bool, bool, str, str]:
     return record.primary, record.leaving, record.address, record.service
 
 
 @dataclass(frozen=True, slots=True)
-class GatewayStep:
+class GatewayChange:
     """One gateway before and after; None where it was not, or is no longer, known."""
 
     before: GatewayRecord | None
@@ -67,8 +67,8 @@
     """
 
     revision: int
-    members: list[MemberStep] = field(default_factory=list)
-    gateways: list[GatewayStep] = field(default_factory=list)
+    members: list[MemberChange] = field(default_factory=list)
+    gateways: list[GatewayChange] = field(default_factory=list)
 
     @property
     def is_urgent(self) -> bool:
--- a/src/rowanrail/coordination/daemon.py
+++ b/src/rowanrail/coordination/daemon.py
@@ -57,7 +57,7 @@
         registry.create("status-reader", protocol),
         registry.create("promoter", protocol, settings),
     )
-    server = await _serve_outside(node, settings, registry, decisions)
+    server = await _serve_external_api(node, settings, registry, decisions)
     decisions.note(NODE_STARTED, node=node.consensus.identity.node, term=node.consensus.raft.term)
     decisions.flush()
     asyncio.get_running_loop().add_signal_handler(
@@ -72,7 +72,7 @@
     decisions.flush()
 
 
-async def _serve_outside(
+async def _serve_external_api(
     node: Coordinator, settings: CoordinatorSettings, registry: Registry, decisions: DecisionLog
 ) -> HttpServer:
     """Serve the interface for operators and members, and the metrics if they are asked for."""
--- a/src/rowanrail/coordination/parts.py
+++ b/src/rowanrail/coordination/directory_updates.py
@@ -10,29 +10,29 @@
 from rowanrail.directory.messages import NO_REVISION, DirectoryUpdate, GatewayRecord
 from rowanrail.directory.update_encoding import encode_update
 
-__all__ = ["DirectoryParts", "PartCounts", "difference_since", "whole_for"]
+__all__ = ["UpdateCache", "UpdateCounts", "incremental_update", "full_update"]
 
 
 @dataclass(slots=True)
-class PartCounts:
+class UpdateCounts:
     """How many parts of one kind were sent, and their bytes."""
 
     answers: int = 0
     bytes: int = 0
 
-    def note(self, size: int) -> None:
+    def add(self, size: int) -> None:
         """Count one."""
         self.answers += 1
         self.bytes += size
 
 
 @dataclass(frozen=True, slots=True)
-class _MadePart:
-    packed: bytes
-    is_whole: bool
+class _EncodedUpdate:
+    data: bytes
+    is_full: bool
 
 
-class DirectoryParts:
+class UpdateCache:
     """What gateways are sent, made once for all of a group that know the same.
 
     Parameters
@@ -44,9 +44,9 @@
     def __init__(self, state: CoordinationState) -> None:
         self._state = state
         self._revision = -1
-        self._made: dict[tuple[str, int], _MadePart] = {}
-        self._wholes = PartCounts()
-        self._differences = PartCounts()
+        self._cache: dict[tuple[str, int], _EncodedUpdate] = {}
+        self._full = UpdateCounts()
+        self._incremental = UpdateCounts()
 
     @property
     def state(self) -> CoordinationState:
@@ -54,11 +54,11 @@
         return self._state
 
     @property
-    def counts(self) -> dict[str, PartCounts]:
+    def counts(self) -> dict[str, UpdateCounts]:
         """What was sent, by kind."""
-        return {"whole": self._wholes, "difference": self._differences}
+        return {"whole": self._full, "difference": self._incremental}
 
-    def packed(self, group: str, since: int) -> bytes:
+    def encoded(self, group: str, since: int) -> bytes:
         """Return what brings a group's gateways from a revision to the newest.
 
         Parameters
@@ -70,21 +70,21 @@
         """
         if self._state.revision != self._revision:
             self._revision = self._state.revision
-            self._made.clear()
-        made = self._made.get((group, since))
+            self._cache.clear()
+        made = self._cache.get((group, since))
         if made is None:
-            made = self._made[group, since] = self._make(group, since)
-        (self._wholes if made.is_whole else self._differences).note(len(made.packed))
-        return made.packed
+            made = self._cache[group, since] = self._build(group, since)
+        (self._full if made.is_full else self._incremental).add(len(made.data))
+        return made.data
 
-    def _make(self, group: str, since: int) -> _MadePart:
-        part = None if since == NO_REVISION else difference_since(self._state, group, since)
+    def _build(self, group: str, since: int) -> _EncodedUpdate:
+        part = None if since == NO_REVISION else incremental_update(self._state, group, since)
         if part is None:
-            return _MadePart(encode_update(whole_for(self._state, group)), is_whole=True)
-        return _MadePart(encode_update(part), is_whole=False)
+            return _EncodedUpdate(encode_update(full_update(self._state, group)), is_full=True)
+        return _EncodedUpdate(encode_update(part), is_full=False)
 
 
-def whole_for(state: CoordinationState, group: str) -> DirectoryUpdate:
+def full_update(state: CoordinationState, group: str) -> DirectoryUpdate:
     """Return the whole directory as a group's gateways know it."""
     return DirectoryUpdate(
         NO_REVISION,
@@ -97,9 +97,9 @@
     )
 
 
-def difference_since(state: CoordinationState, group: str, since: int) -> DirectoryUpdate | None:
+def incremental_update(state: CoordinationState, group: str, since: int) -> DirectoryUpdate | None:
     """Return what changed for a group's gateways since a revision, None if not remembered."""
-    touched = state.history.since(since, group)
+    touched = state.history.changes_since(since, group)
     if touched is None:
         return None
     part = DirectoryUpdate(since, state.history.digest(group), [])
@@ -112,15 +112,17 @@
     for name in touched.neighbours:
         neighbour = state.gateways.get(name)
         is_known = neighbour is not None and neighbour.sharing_group == group
-        _sort(name, neighbour if is_known else None, part.neighbours, part.removed_neighbours)
-    for name in touched.others:
+        _add_record(name, neighbour if is_known else None, part.neighbours, part.removed_neighbours)
+    for name in touched.remote_holders:
         holder = state.holders.get(name)
         is_known = holder is not None and holder.sharing_group != group
-        _sort(name, holder if is_known else None, part.remote_holders, part.removed_remote_holders)
+        _add_record(
+            name, holder if is_known else None, part.remote_holders, part.removed_remote_holders
+        )
     return part
 
 
-def _sort(
+def _add_record(
     name: str, record: GatewayRecord | None, present: list[GatewayRecord], gone: list[str]
 ) -> None:
     if record is None:
--- a/src/rowanrail/coordination/failover.py
+++ b/src/rowanrail/coordination/failover.py
@@ -13,16 +13,18 @@
 from rowanrail.model.members import MemberRecord, PrimaryHealth
 from rowanrail.model.position import Position
 
-FAILING_SECONDS = 0.25  # at one vantage point: a sample failed after 0.3 s, a second one nearly
-REPORT_LIVE_SECONDS = 2.5  # reports come each second; two and a half of them
-PROVED_LIVE_SECONDS = 1.8  # a report each second, and 0.6 s between samples of a calm service
-MINORITY_SECONDS = 0.7  # of failing, before a small minority that still reaches it is overruled
+MIN_FAILING_SECONDS = 0.25  # at one vantage point: a sample failed after 0.3 s, a second one nearly
+MAX_REPORT_AGE_SECONDS = 2.5  # reports come each second; two and a half of them
+MAX_PROOF_AGE_SECONDS = 1.8  # a report each second, and 0.6 s between samples of a calm service
+OVERRULE_MINORITY_SECONDS = (
+    0.7  # of failing, before a small minority that still reaches it is overruled
+)
 HEARTBEAT_SILENCE_SECONDS = 0.3  # a primary that was heard this short ago is not dead
 # The slowest promotion of the played sites takes 1 s; then it is ordered again.
-SETTLE_SECONDS = 2.5
-ANSWER_UNKNOWN_SECONDS = 1.6  # the promoter gives a call 1.5 s
-NEW_HOLDER_SECONDS = 1.0  # before it believes that no member leads: some may be unheard yet
-NEW_HOLDER_REPORTS_SECONDS = 0.6  # before it acts on reports; other nodes send it theirs at once
+PROMOTION_TIMEOUT_SECONDS = 2.5
+UNKNOWN_OUTCOME_SECONDS = 1.6  # the promoter gives a call 1.5 s
+NEW_LEADER_SECONDS = 1.0  # before it believes that no member leads: some may be unheard yet
+NEW_LEADER_REPORTS_SECONDS = 0.6  # before it acts on reports; other nodes send it theirs at once
 
 
 class MemberView(msgspec.Struct, frozen=True):
@@ -103,7 +105,7 @@
 
 def decide(view: ServiceView) -> Decision:
     """Return what to do about a service's primary."""
-    if view.attempt is not None and _is_unsettled(view, view.attempt):
+    if view.attempt is not None and _is_promotion_pending(view, view.attempt):
         return Decision(Action.WAIT, "a promotion is under way")
     reason = _reason_to_replace(view)
     if not reason:
@@ -112,7 +114,7 @@
         return Decision(Action.ASK_STATUSES, reason)
     if any(member.leads and not member.record.leaving for member in view.members):
         return Decision(Action.WAIT, "a member says that it leads")
-    if not _hears_every_acknowledged_commit(view):
+    if not _covers_acknowledged_commits(view):
         return Decision(Action.WAIT, "too few replicas answer to know all that was acknowledged")
     candidate = _best_candidate(view)
     if candidate is None:
@@ -120,12 +122,12 @@
     return Decision(Action.PROMOTE, reason, candidate)
 
 
-def _is_unsettled(view: ServiceView, attempt: AttemptView) -> bool:
+def _is_promotion_pending(view: ServiceView, attempt: AttemptView) -> bool:
     if any(m.record.instance == attempt.instance and m.record.primary for m in view.members):
         return False
     if attempt.accepted is False:
         return False
-    limit = SETTLE_SECONDS if attempt.accepted else ANSWER_UNKNOWN_SECONDS
+    limit = PROMOTION_TIMEOUT_SECONDS if attempt.accepted else UNKNOWN_OUTCOME_SECONDS
     return attempt.started_ago < limit
 
 
@@ -135,28 +137,28 @@
     if not view.members:
         return ""
     if not primaries:
-        return "no member leads" if view.holding_for > NEW_HOLDER_SECONDS else ""
+        return "no member leads" if view.holding_for > NEW_LEADER_SECONDS else ""
     if all(member.record.leaving for member in primaries):
         return "the primary is leaving"
-    if view.holding_for < NEW_HOLDER_REPORTS_SECONDS:
+    if view.holding_for < NEW_LEADER_REPORTS_SECONDS:
         return ""
     if min(member.heartbeat_ago for member in primaries) < HEARTBEAT_SILENCE_SECONDS:
         return ""
-    return _lost_by_reports(view, {member.record.instance for member in primaries})
+    return _reported_loss(view, {member.record.instance for member in primaries})
 
 
-def _lost_by_reports(view: ServiceView, primaries: set[str]) -> str:
-    live = [report for report in view.reports if report.age < REPORT_LIVE_SECONDS]
+def _reported_loss(view: ServiceView, primaries: set[str]) -> str:
+    live = [report for report in view.reports if report.age < MAX_REPORT_AGE_SECONDS]
     failing = [
         report
         for report in live
-        if report.failing_for >= FAILING_SECONDS and report.instance in primaries | {""}
+        if report.failing_for >= MIN_FAILING_SECONDS and report.instance in primaries | {""}
     ]
     if len(failing) < min(2, view.vantage_points):
         return ""
     shortest = min(report.failing_for + report.age for report in failing)
     # A proof that is older than the others' failures contradicts nothing.
-    contradicted_within = max(shortest, PROVED_LIVE_SECONDS)
+    contradicted_within = max(shortest, MAX_PROOF_AGE_SECONDS)
     serving = [
         report
         for report in live
@@ -166,12 +168,12 @@
     ]
     if not serving:
         return f"the primary is lost: {len(failing)} vantage points fail, none succeeds"
-    if len(failing) > 2 * len(serving) and shortest >= MINORITY_SECONDS:
+    if len(failing) > 2 * len(serving) and shortest >= OVERRULE_MINORITY_SECONDS:
         return f"the primary is lost to {len(failing)} of {len(failing) + len(serving)}"
     return ""
 
 
-def _hears_every_acknowledged_commit(view: ServiceView) -> bool:
+def _covers_acknowledged_commits(view: ServiceView) -> bool:
     """Return whether any set of replicas that acknowledged a commit has one that answered."""
     if not view.acknowledging_replicas:
         return True
--- a/src/rowanrail/coordination/failover_controller.py
+++ b/src/rowanrail/coordination/failover_controller.py
@@ -34,8 +34,10 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Command, CommandKind
 
-CHECK_SECONDS = 0.1  # between checks of all services; a failover gap grows by half of it on average
-OWN_SOURCE = "failover-duty"
+CHECK_INTERVAL_SECONDS = (
+    0.1  # between checks of all services; a failover gap grows by half of it on average
+)
+LOCAL_SOURCE = "failover-duty"
 
 
 class PromotionOutcome(enum.Enum):
@@ -86,12 +88,12 @@
         self._trackers: dict[str, PrimaryTracker] = {}
         self._attempts: dict[str, _PromotionAttempt] = {}
         self._waiting_reasons: dict[str, str] = {}
-        self._busy: set[str] = set()
+        self._in_progress: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._holding_since: float | None = None
+        self._leading_since: float | None = None
         self._known_revision = -1
         self._indexed_revision = -1
-        self._by_service: dict[str, list[MemberRecord]] = {}
+        self._members_by_service: dict[str, list[MemberRecord]] = {}
         self._reconciler = GatewayReconciler(
             service.state, service.liveness, service.propose, self._now
         )
@@ -107,29 +109,29 @@
             if task is not None:
                 task.cancel()
         self._reconciler.stop()
-        self._release()
+        self._reset()
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             self._decisions.flush()
             if not self._node.raft.is_established_leader:
-                self._release()
+                self._reset()
                 continue
-            if self._holding_since is None:
-                self._holding_since = self._now()
-            self._follow_directory()
+            if self._leading_since is None:
+                self._leading_since = self._now()
+            self._update_trackers()
             for name, tracker in self._trackers.items():
                 tracker.tick(in_use=True)
-                self._consider(name)
+                self._check_service(name)
             self._reconciler.tick()
 
     @staticmethod
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    def _release(self) -> None:
-        self._holding_since = None
+    def _reset(self) -> None:
+        self._leading_since = None
         self._known_revision = -1
         self._attempts.clear()
         for tracker in self._trackers.values():
@@ -140,12 +142,12 @@
         state = self._service.state
         if state.revision != self._indexed_revision:
             self._indexed_revision = state.revision
-            self._by_service = {}
+            self._members_by_service = {}
             for member in state.members.values():
-                self._by_service.setdefault(member.service, []).append(member)
-        return self._by_service.get(service, [])
+                self._members_by_service.setdefault(member.service, []).append(member)
+        return self._members_by_service.get(service, [])
 
-    def _follow_directory(self) -> None:
+    def _update_trackers(self) -> None:
         state = self._service.state
         if state.revision == self._known_revision:
             return
@@ -162,41 +164,43 @@
 
     # Deciding
 
-    def _consider(self, service: str) -> None:
-        if service in self._busy:
+    def _check_service(self, service: str) -> None:
+        if service in self._in_progress:
             return
-        if self._is_calm(service):
+        if self._is_healthy(service):
             self._waiting_reasons.pop(service, None)
             return
         decision = decide(self._view(service, {}))
         if decision.action is Action.WAIT:
             self._waiting_reasons.pop(service, None)
             return
-        self._busy.add(service)
-        task = asyncio.ensure_future(self._replace(service, decision))
+        self._in_progress.add(service)
+        task = asyncio.ensure_future(self._replace_primary(service, decision))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _is_calm(self, service: str) -> bool:
+    def _is_healthy(self, service: str) -> bool:
         """Return whether nothing speaks for a replacement of the primary, which is the usual case.
 
         It saves reading all gateways' reports; :func:`decide` would say wait as well.
         """
-        if self._trackers[service].failing_since or self._service.liveness.fails(service):
+        if self._trackers[service].failing_since or self._service.liveness.has_failure_report(
+            service
+        ):
             return False
         return any(member.primary and not member.leaving for member in self._members(service))
 
-    async def _replace(self, service: str, first: Decision) -> None:
+    async def _replace_primary(self, service: str, first: Decision) -> None:
         try:
             decision = await self._decide_with_statuses(service)
             if decision.action is Action.PROMOTE:
                 await self._promote(service, decision)
             else:
-                self._note_waiting(service, first.reason, decision.reason)
+                self._log_waiting(service, first.reason, decision.reason)
         except RowanrailError as error:
-            self._note_waiting(service, first.reason, str(error))
+            self._log_waiting(service, first.reason, str(error))
         finally:
-            self._busy.discard(service)
+            self._in_progress.discard(service)
 
     async def _decide_with_statuses(self, service: str) -> Decision:
         statuses = await self._queries.query(self._members(service), Command(CommandKind.STATUS))
@@ -208,7 +212,7 @@
             await self._queries.query(self._replicas(service), Command(CommandKind.RESUME))
         return decision
 
-    def _note_waiting(self, service: str, cause: str, reason: str) -> None:
+    def _log_waiting(self, service: str, cause: str, reason: str) -> None:
         if self._waiting_reasons.get(service) != reason:
             self._waiting_reasons[service] = reason
             self._decisions.note(PROMOTION_WAITS, service=service, cause=cause, reason=reason)
@@ -231,12 +235,12 @@
                 )
             )
         health = health_of(self._trackers[service], now)
-        own = report_view(OWN_SOURCE, health, age=0.0)
-        holding_since = now if self._holding_since is None else self._holding_since
+        own = report_view(LOCAL_SOURCE, health, age=0.0)
+        holding_since = now if self._leading_since is None else self._leading_since
         return ServiceView(
             service,
             members,
-            [own, *liveness.views(service)],
+            [own, *liveness.report_views(service)],
             self._attempt_view(service, now),
             now - holding_since,
             1 + liveness.gateway_count,
--- a/src/rowanrail/coordination/forwarding.py
+++ b/src/rowanrail/coordination/forwarding.py
@@ -9,21 +9,21 @@
 
 from rowanrail.directory.messages import GatewayReport
 
-__all__ = ["CENSUS_SECONDS", "ReportForwarding"]
+__all__ = ["KEEPALIVE_SECONDS", "ReportForwarding"]
 
 # Between reports that tell only that a gateway is there. The leader forgets one that it has not
 # heard for 12 s (FORGET_GATEWAY_SECONDS), so that two such reports may be lost.
-CENSUS_SECONDS = 4.0
+KEEPALIVE_SECONDS = 4.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Sent:
+class _ForwardedReport:
     """What was last sent on of one gateway, when in seconds, and to whom."""
 
     at: float
     leader: str
     had_content: bool
-    place: tuple[str, str, str]
+    location: tuple[str, str, str]
 
 
 class ReportForwarding:
@@ -40,22 +40,22 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._sent: dict[str, _Sent] = {}
+        self._sent: dict[str, _ForwardedReport] = {}
 
     def is_due(self, report: GatewayReport, leader: str) -> bool:
         """Return whether to send a report on to the leader, and take it as sent."""
-        place = (report.zone, report.relay_address, report.group)
+        location = (report.zone, report.relay_address, report.group)
         now = self._now()
         sent = self._sent.get(report.gateway)
         if (
             sent is not None
             and not _has_content(report)
             and not sent.had_content
-            and (sent.leader, sent.place) == (leader, place)
-            and now - sent.at < CENSUS_SECONDS
+            and (sent.leader, sent.location) == (leader, location)
+            and now - sent.at < KEEPALIVE_SECONDS
         ):
             return False
-        self._sent[report.gateway] = _Sent(now, leader, _has_content(report), place)
+        self._sent[report.gateway] = _ForwardedReport(now, leader, _has_content(report), location)
         return True
 
 
--- a/src/rowanrail/coordination/gateway_loads.py
+++ b/src/rowanrail/coordination/gateway_loads.py
@@ -16,31 +16,31 @@
 __all__ = ["GatewayLoads"]
 
 # Without a report a gateway's load counts no more; three spans.
-FORGET_LOAD_MS = 15_000.0
+LOAD_EXPIRY_MS = 15_000.0
 # Reporting for so long, a gateway may be given shards to hold: as long as demand has to last.
-SETTLED_MS = 20_000.0
-SLOW_SPANS = 2  # in succession make a gateway slow: one pause doesn't
-QUICK_SPANS = 4  # in succession make it quick again
+MIN_REPORTING_MS = 20_000.0
+SLOW_AFTER_SPANS = 2  # in succession make a gateway slow: one pause doesn't
+RECOVERED_AFTER_SPANS = 4  # in succession make it quick again
 
 
 @dataclass(slots=True)
-class _Reported:
+class _ReportedLoad:
     """What one gateway reported."""
 
     heard_since: float
     heard_at: float
     report: LoadReport
     own: deque[float] = field(default_factory=lambda: deque(maxlen=SPANS))
-    slow: deque[bool] = field(default_factory=lambda: deque(maxlen=QUICK_SPANS))
+    slow: deque[bool] = field(default_factory=lambda: deque(maxlen=RECOVERED_AFTER_SPANS))
     is_slow: bool = False
 
-    def take(self, report: LoadReport) -> None:
+    def add(self, report: LoadReport) -> None:
         self.report = report
         self.own.append(1000 * report.own / max(1, report.span))
         self.slow.append(report.is_slow)
-        if all(list(self.slow)[-SLOW_SPANS:]) and len(self.slow) >= SLOW_SPANS:
+        if all(list(self.slow)[-SLOW_AFTER_SPANS:]) and len(self.slow) >= SLOW_AFTER_SPANS:
             self.is_slow = True
-        elif len(self.slow) == QUICK_SPANS and not any(self.slow):
+        elif len(self.slow) == RECOVERED_AFTER_SPANS and not any(self.slow):
             self.is_slow = False
 
 
@@ -55,33 +55,33 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._reported: dict[str, _Reported] = {}
+        self._reported: dict[str, _ReportedLoad] = {}
 
-    def note(self, gateway: str, report: LoadReport | None) -> None:
+    def record(self, gateway: str, report: LoadReport | None) -> None:
         """Note what a gateway reported; a span that is reported again counts once."""
         now = self._now()
         reported = self._reported.get(gateway)
-        if reported is not None and now - reported.heard_at > FORGET_LOAD_MS:
+        if reported is not None and now - reported.heard_at > LOAD_EXPIRY_MS:
             reported = None
         if report is None:
             return
         if reported is None:
-            reported = self._reported[gateway] = _Reported(now, now, report)
-            reported.take(report)
+            reported = self._reported[gateway] = _ReportedLoad(now, now, report)
+            reported.add(report)
         elif report != reported.report or now - reported.heard_at > report.span / 2:
-            reported.take(report)
+            reported.add(report)
             reported.heard_at = now
 
-    def _fresh(self) -> dict[str, _Reported]:
-        limit = self._now() - FORGET_LOAD_MS
+    def _unexpired(self) -> dict[str, _ReportedLoad]:
+        limit = self._now() - LOAD_EXPIRY_MS
         fresh = {name: one for name, one in self._reported.items() if one.heard_at >= limit}
         self._reported = fresh
         return fresh
 
     def demand(self, gateways: Iterable[GatewayRecord]) -> dict[str, dict[str, PartDemand]]:
         """Return the sum of what gateways reported last, by group and shard."""
-        reported = self._fresh()
-        sums: dict[str, _GroupSum] = defaultdict(_GroupSum)
+        reported = self._unexpired()
+        sums: dict[str, _GroupDemand] = defaultdict(_GroupDemand)
         for gateway in gateways:
             known = reported.get(gateway.name)
             if known is not None:
@@ -90,21 +90,21 @@
 
     def loads(self, gateways: Iterable[GatewayRecord]) -> list[GatewayLoad]:
         """Return the load of each gateway that was heard a short while ago."""
-        fresh = self._fresh()
+        fresh = self._unexpired()
         return [self._load(g, fresh[g.name]) for g in gateways if g.name in fresh]
 
-    def _load(self, gateway: GatewayRecord, reported: _Reported) -> GatewayLoad:
+    def _load(self, gateway: GatewayRecord, reported: _ReportedLoad) -> GatewayLoad:
         return GatewayLoad(
             gateway.name,
             gateway.sharing_group,
             gateway.relay_address,
             sum(reported.own) / len(reported.own),
             reported.is_slow,
-            bool(gateway.relay_address) and self._now() - reported.heard_since >= SETTLED_MS,
+            bool(gateway.relay_address) and self._now() - reported.heard_since >= MIN_REPORTING_MS,
         )
 
 
-class _GroupSum:
+class _GroupDemand:
     """Statements a second in one group."""
 
     def __init__(self) -> None:
--- a/src/rowanrail/coordination/gateway_reconciler.py
+++ b/src/rowanrail/coordination/gateway_reconciler.py
@@ -16,7 +16,7 @@
 
 __all__ = ["GATEWAY_TIMEOUT_SECONDS", "GatewayReconciler", "gateway_changes"]
 
-COMPARE_SECONDS = 1.0  # between comparisons; reports of gateways come each second
+RECONCILE_INTERVAL_SECONDS = 1.0  # between comparisons; reports of gateways come each second
 # Missing for so long a gateway leaves the log. One that is silent for less may be alive with its
 # connections, and would be counted twice while it hands them over; chosen.
 GATEWAY_TIMEOUT_SECONDS = 8.0
@@ -87,33 +87,33 @@
         self._liveness = liveness
         self._propose = propose
         self._now = now
-        self._due = 0.0
+        self._next_check_at = 0.0
         self._missing_since: dict[str, float] = {}
         self._task: asyncio.Task[None] | None = None
 
     def tick(self) -> None:
         """Compare once in a while, as long as this node leads."""
         now = self._now()
-        if now < self._due or self._task is not None:
+        if now < self._next_check_at or self._task is not None:
             return
-        self._due = now + COMPARE_SECONDS
+        self._next_check_at = now + RECONCILE_INTERVAL_SECONDS
         heard = self._liveness.gateways()
         missing = [name for name in self._state.gateways if name not in heard]
         self._missing_since = {name: self._missing_since.get(name, now) for name in missing}
         seconds = {name: now - since for name, since in self._missing_since.items()}
         change = gateway_changes(heard, self._state.gateways, seconds)
         if change is not None:
-            self._task = asyncio.ensure_future(self._log(change))
+            self._task = asyncio.ensure_future(self._propose_change(change))
 
     def stop(self) -> None:
         """Stop."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _log(self, change: SetGateways) -> None:
+    async def _propose_change(self, change: SetGateways) -> None:
         try:
             await self._propose(change)
         except RowanrailError:
-            pass  # the gateways are compared with the log again after COMPARE_SECONDS
+            pass  # the gateways are compared with the log again after RECONCILE_INTERVAL_SECONDS
         finally:
             self._task = None
--- a/src/rowanrail/coordination/history.py
+++ b/src/rowanrail/coordination/history.py
@@ -7,25 +7,25 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rowanrail.coordination.changes import DirectoryChange, GatewayStep
+from rowanrail.coordination.changes import DirectoryChange, GatewayChange
 from rowanrail.directory.digests import Digest, RecordKind, combined_digest
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
-__all__ = ["REMEMBERED_CHANGES", "DirectoryHistory", "Touched"]
+__all__ = ["MAX_CHANGES", "DirectoryHistory", "ChangedNames"]
 
 # Changes. A gateway asks each second, and a start of 300 machines brings some 100 a second; one
 # that was cut off for longer gets the whole, which is smaller than so many differences.
-REMEMBERED_CHANGES = 500
+MAX_CHANGES = 500
 
 
 @dataclass(slots=True)
-class Touched:
+class ChangedNames:
     """Names of what was changed for one group of gateways, the latest first."""
 
     members: dict[str, None] = field(default_factory=dict)
     neighbours: dict[str, None] = field(default_factory=dict)
-    others: dict[str, None] = field(default_factory=dict)
+    remote_holders: dict[str, None] = field(default_factory=dict)
 
 
 class DirectoryHistory:
@@ -50,27 +50,27 @@
         gateways: Iterable[GatewayRecord] = (),
         holders: Iterable[GatewayRecord] = (),
     ) -> None:
-        self._first = revision
-        self._changes: deque[tuple[DirectoryChange, list[GatewayStep]]] = deque()
+        self._oldest_revision = revision
+        self._changes: deque[tuple[DirectoryChange, list[GatewayChange]]] = deque()
         self._members = Digest(RecordKind.MEMBER, members)
         self._neighbours: dict[str, Digest] = {}
         self._holders: dict[str, Digest] = {}
         for gateway in gateways:
-            self._count(RecordKind.NEIGHBOUR, GatewayStep(None, gateway))
+            self._update_digest(RecordKind.NEIGHBOUR, GatewayChange(None, gateway))
         for holder in holders:
-            self._count(RecordKind.REMOTE_HOLDER, GatewayStep(None, holder))
+            self._update_digest(RecordKind.REMOTE_HOLDER, GatewayChange(None, holder))
 
-    def note(self, change: DirectoryChange, holders: list[GatewayStep]) -> None:
+    def add(self, change: DirectoryChange, holders: list[GatewayChange]) -> None:
         """Remember a change, and what it changed among the holders."""
         self._changes.append((change, holders))
-        if len(self._changes) > REMEMBERED_CHANGES:
-            self._first = self._changes.popleft()[0].revision
+        if len(self._changes) > MAX_CHANGES:
+            self._oldest_revision = self._changes.popleft()[0].revision
         for member in change.members:
             self._members.replace(member.before, member.after)
         for gateway in change.gateways:
-            self._count(RecordKind.NEIGHBOUR, gateway)
+            self._update_digest(RecordKind.NEIGHBOUR, gateway)
         for holder in holders:
-            self._count(RecordKind.REMOTE_HOLDER, holder)
+            self._update_digest(RecordKind.REMOTE_HOLDER, holder)
 
     def digest(self, group: str) -> bytes:
         """Return the digest of the directory as the gateways of a group know it."""
@@ -79,18 +79,18 @@
         own = neighbours.value if neighbours is not None else 0
         return combined_digest(self._members.value, own, *others)
 
-    def since(self, revision: int, group: str) -> Touched | None:
+    def changes_since(self, revision: int, group: str) -> ChangedNames | None:
         """Return what a group's gateways don't know as of a revision; None if not remembered."""
-        if revision < self._first:
+        if revision < self._oldest_revision:
             return None
-        touched = Touched()
+        touched = ChangedNames()
         for change, holders in reversed(self._changes):
             if change.revision <= revision:
                 break
-            _touch(touched, change, holders, group)
+            _add_names(touched, change, holders, group)
         return touched
 
-    def _count(self, kind: RecordKind, step: GatewayStep) -> None:
+    def _update_digest(self, kind: RecordKind, step: GatewayChange) -> None:
         digests = self._neighbours if kind is RecordKind.NEIGHBOUR else self._holders
         if step.before is not None:
             digests[step.before.sharing_group].replace(step.before, None)
@@ -98,8 +98,8 @@
             digests.setdefault(step.after.sharing_group, Digest(kind)).replace(None, step.after)
 
 
-def _touch(
-    touched: Touched, change: DirectoryChange, holders: list[GatewayStep], group: str
+def _add_names(
+    touched: ChangedNames, change: DirectoryChange, holders: list[GatewayChange], group: str
 ) -> None:
     for member in change.members:
         touched.members[member.instance] = None
@@ -110,4 +110,4 @@
     for holder in holders:
         for record in (holder.before, holder.after):
             if record is not None and record.sharing_group != group:
-                touched.others[record.name] = None
+                touched.remote_holders[record.name] = None
--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from rowanrail.coordination.changes import DirectoryChange, GatewayStep, MemberStep
+from rowanrail.coordination.changes import DirectoryChange, GatewayChange, MemberChange
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 from rowanrail.placement.hashed import METER, claim, shards_of
@@ -36,33 +36,33 @@
         self._rank_all()
 
     @property
-    def groups(self) -> int:
+    def group_count(self) -> int:
         """Number of zones, or regions if those share connections, that have a gateway."""
         return len(self._groups)
 
     @property
     def records(self) -> list[GatewayRecord]:
         """The gateways that are first for something, by name."""
-        return [self._gateways[name] for name in sorted(self._held)]
+        return [self._gateways[name] for name in sorted(self._keys_held)]
 
     def get(self, name: str) -> GatewayRecord | None:
         """Return a gateway that is first for something, None for all others."""
-        return self._gateways.get(name) if name in self._held else None
+        return self._gateways.get(name) if name in self._keys_held else None
 
-    def apply(self, change: DirectoryChange) -> list[GatewayStep]:
+    def apply(self, change: DirectoryChange) -> list[GatewayChange]:
         """Take a change of members and gateways; return what it changed among the holders."""
-        before = {name: self._gateways[name] for name in self._held}
+        before = {name: self._gateways[name] for name in self._keys_held}
         for member in change.members:
-            self._count_services(member)
+            self._apply_member_change(member)
         for gateway in change.gateways:
-            self._move(gateway)
-        names = dict.fromkeys([*before, *self._held])
-        steps = [GatewayStep(before.get(name), self.get(name)) for name in names]
+            self._apply_gateway_change(gateway)
+        names = dict.fromkeys([*before, *self._keys_held])
+        steps = [GatewayChange(before.get(name), self.get(name)) for name in names]
         return [step for step in steps if step.before != step.after]
 
     # What is held
 
-    def _keys(self, service: str) -> list[str]:
+    def _keys_of(self, service: str) -> list[str]:
         if self._regional_gateways:
             return [shard.key for shard in shards_of(service)]
         return [service]
@@ -72,58 +72,60 @@
         self._groups: dict[str, set[str]] = {}
         for gateway in self._gateways.values():
             self._groups.setdefault(gateway.sharing_group, set()).add(gateway.name)
-        self._first: dict[str, dict[str, tuple[bytes, str]]] = {group: {} for group in self._groups}
-        self._held: Counter[str] = Counter()
-        keys = [key for service in self._services for key in self._keys(service)]
+        self._top_ranked: dict[str, dict[str, tuple[bytes, str]]] = {
+            group: {} for group in self._groups
+        }
+        self._keys_held: Counter[str] = Counter()
+        keys = [key for service in self._services for key in self._keys_of(service)]
         for group in self._groups:
             for key in [*keys, METER] if self._regional_gateways else keys:
-                self._rank(group, key)
+                self._rank_key(group, key)
 
-    def _rank(self, group: str, key: str) -> None:
-        self._set_first(group, key, max(claim(key, name) for name in self._groups[group]))
+    def _rank_key(self, group: str, key: str) -> None:
+        self._set_top_ranked(group, key, max(claim(key, name) for name in self._groups[group]))
 
-    def _set_first(self, group: str, key: str, to: tuple[bytes, str] | None) -> None:
+    def _set_top_ranked(self, group: str, key: str, to: tuple[bytes, str] | None) -> None:
         """Note which gateway is first for something in a group; None if there is none any more."""
-        before = self._first[group].pop(key, None)
+        before = self._top_ranked[group].pop(key, None)
         if before is not None:
-            self._held[before[1]] -= 1
-            if not self._held[before[1]]:
-                del self._held[before[1]]
+            self._keys_held[before[1]] -= 1
+            if not self._keys_held[before[1]]:
+                del self._keys_held[before[1]]
         if to is not None:
-            self._first[group][key] = to
-            self._held[to[1]] += 1
+            self._top_ranked[group][key] = to
+            self._keys_held[to[1]] += 1
 
     # Changes
 
-    def _count_services(self, step: MemberStep) -> None:
+    def _apply_member_change(self, step: MemberChange) -> None:
         if step.after is not None:
             self._services[step.after.service] += 1
             if self._services[step.after.service] == 1:
-                for key in self._keys(step.after.service):
+                for key in self._keys_of(step.after.service):
                     for group in self._groups:
-                        self._rank(group, key)
+                        self._rank_key(group, key)
         if step.before is not None:
             self._services[step.before.service] -= 1
             if not self._services[step.before.service]:
                 del self._services[step.before.service]
-                for key in self._keys(step.before.service):
+                for key in self._keys_of(step.before.service):
                     for group in self._groups:
-                        self._set_first(group, key, None)
+                        self._set_top_ranked(group, key, None)
 
-    def _move(self, step: GatewayStep) -> None:
+    def _apply_gateway_change(self, step: GatewayChange) -> None:
         regional = self._regional_gateways + _is_regional(step.after) - _is_regional(step.before)
         if bool(regional) != bool(self._regional_gateways):
-            self._replace(step)
+            self._update_record(step)
             self._rank_all()
             return
         self._regional_gateways = regional
         if step.before is not None:
             self._remove(step.before)
-        self._replace(step)
+        self._update_record(step)
         if step.after is not None:
             self._add(step.after)
 
-    def _replace(self, step: GatewayStep) -> None:
+    def _update_record(self, step: GatewayChange) -> None:
         if step.before is not None:
             del self._gateways[step.before.name]
         if step.after is not None:
@@ -132,27 +134,27 @@
     def _remove(self, gateway: GatewayRecord) -> None:
         group = gateway.sharing_group
         self._groups[group].discard(gateway.name)
-        held = [key for key, (_, name) in self._first[group].items() if name == gateway.name]
+        held = [key for key, (_, name) in self._top_ranked[group].items() if name == gateway.name]
         for key in held:
             if self._groups[group]:
-                self._rank(group, key)
+                self._rank_key(group, key)
             else:
-                self._set_first(group, key, None)
+                self._set_top_ranked(group, key, None)
         if not self._groups[group]:
-            del self._groups[group], self._first[group]
+            del self._groups[group], self._top_ranked[group]
 
     def _add(self, gateway: GatewayRecord) -> None:
         group = gateway.sharing_group
         if group not in self._groups:
             self._groups[group] = set()
-            self._first[group] = {}
+            self._top_ranked[group] = {}
         self._groups[group].add(gateway.name)
-        keys = [key for service in self._services for key in self._keys(service)]
+        keys = [key for service in self._services for key in self._keys_of(service)]
         for key in [*keys, METER] if self._regional_gateways else keys:
             mine = claim(key, gateway.name)
-            known = self._first[group].get(key)
+            known = self._top_ranked[group].get(key)
             if known is None or mine > known:
-                self._set_first(group, key, mine)
+                self._set_top_ranked(group, key, mine)
 
 
 def _is_regional(gateway: GatewayRecord | None) -> int:
--- a/src/rowanrail/coordination/liveness.py
+++ b/src/rowanrail/coordination/liveness.py
@@ -10,7 +10,7 @@
 from rowanrail.coordination.reports import ReportIndex
 from rowanrail.directory.messages import GatewayRecord, GatewayReport
 
-FORGET_GATEWAY_SECONDS = 12.0  # longer than a gateway takes to come back; links tell sooner
+GATEWAY_EXPIRY_SECONDS = 12.0  # longer than a gateway takes to come back; links tell sooner
 DIRECT_REPORT_SECONDS = 1.3  # a gateway that runs has reported since: it does so each second
 NEVER_SECONDS = 1e9  # an age that is above all limits
 
@@ -24,7 +24,7 @@
         self._sequences: dict[str, int] = {}
         self._reports = ReportIndex()
 
-    def heartbeat(self, instance: str, sequence: int) -> None:
+    def record_heartbeat(self, instance: str, sequence: int) -> None:
         """Note a heartbeat, unless it is one that came late."""
         if self.is_late(instance, sequence):
             return
@@ -45,11 +45,11 @@
         heard = self._heartbeats.get(instance)
         return NEVER_SECONDS if heard is None else self._now() - heard
 
-    def report(self, report: GatewayReport) -> None:
+    def record_report(self, report: GatewayReport) -> None:
         """Note a gateway's report."""
         self._reports.put(report, self._now())
 
-    def direct_reports(self) -> list[GatewayReport]:
+    def recent_direct_reports(self) -> list[GatewayReport]:
         """Return what gateways reported to this node itself a short while ago."""
         limit = self._now() - DIRECT_REPORT_SECONDS
         return [report for report, at in self._reports.reports if at >= limit and not report.hops]
@@ -61,7 +61,7 @@
 
     def gateways(self) -> dict[str, GatewayRecord]:
         """Return the gateways that were heard a short while ago, by name."""
-        limit = self._now() - FORGET_GATEWAY_SECONDS
+        limit = self._now() - GATEWAY_EXPIRY_SECONDS
         records: dict[str, GatewayRecord] = {}
         for report, at in self._reports.reports:
             if at < limit:
@@ -72,10 +72,10 @@
             )
         return records
 
-    def fails(self, service: str) -> bool:
+    def has_failure_report(self, service: str) -> bool:
         """Return whether any gateway says that a service's primary fails."""
-        return self._reports.fails(service)
+        return self._reports.has_failure_report(service)
 
-    def views(self, service: str) -> list[ReportView]:
+    def report_views(self, service: str) -> list[ReportView]:
         """Return what the gateways say of a service's primary."""
-        return self._reports.views(service, self._now())
+        return self._reports.report_views(service, self._now())
--- a/src/rowanrail/coordination/messages.py
+++ b/src/rowanrail/coordination/messages.py
@@ -12,11 +12,11 @@
 from rowanrail.rpc.codec import message
 
 
-class PutVerdict(enum.Enum):
+class PutOutcome(enum.Enum):
     """What became of a configuration."""
 
-    TAKEN = "taken"
-    HELD = "held"
+    ACCEPTED = "taken"
+    NOT_NEWER = "held"
 
 
 # Messages to the leader
@@ -34,7 +34,7 @@
 class PutReply(msgspec.Struct, frozen=True):
     """The configuration is durable on a majority, or a higher one is."""
 
-    verdict: PutVerdict
+    verdict: PutOutcome
     version: int
 
 
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -17,7 +17,7 @@
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.storage import Identity, Storage
-from rowanrail.coordination.change_notes import ChangeNotes
+from rowanrail.coordination.change_logger import ChangeLogger
 from rowanrail.coordination.failover_controller import FailoverController, Promoter
 from rowanrail.coordination.planner import PlanController
 from rowanrail.coordination.service import CoordinationService
@@ -33,11 +33,11 @@
 from rowanrail.rpc.network import Listener, Network
 
 CLUSTER = "gateways"
-ADMISSION_CHECK_SECONDS = 0.3  # between checks whether to ask for admission
+ADMISSION_CHECK_INTERVAL_SECONDS = 0.3  # between checks whether to ask for admission
 FIRST_ELECTION_SECONDS = 0.2  # at a start no leader's heartbeat is waited for
 REPEATED_ELECTION_SECONDS = 0.45  # above ten round trips between regions (0.4 s)
-ADMISSION_CALL_SECONDS = 1.0  # a commit at a slow disk fits in
-UNHEARD_SECONDS = 2.5  # more than five elections
+ADMISSION_TIMEOUT_SECONDS = 1.0  # a commit at a slow disk fits in
+LEADER_SILENCE_SECONDS = 2.5  # more than five elections
 
 
 class Coordinator:
@@ -71,12 +71,12 @@
         :raises StorageError: if the folder can't be used.
         """
         identity = await self._open_folder()
-        self._make_log(identity)
+        self._create_log(identity)
         settings = self._settings
         self._listener = await self._network.serve(settings.rpc_listen, self.service.handle)
         self.consensus.start()
         self.service.membership.start()
-        self._start_duties(driver, reader, promoter)
+        self._start_controllers(driver, reader, promoter)
         self._joining = asyncio.ensure_future(self._join_when_unheard(identity))
 
     async def _open_folder(self) -> Identity:
@@ -92,7 +92,7 @@
             owner, self._storage, self._network, self._random, guard, is_first
         )
 
-    def _make_log(self, identity: Identity) -> None:
+    def _create_log(self, identity: Identity) -> None:
         """Make the replicated state, the node of its log, and the service before both."""
         settings = self._settings
         monotonic = self._registry.create("control-guard", "version-monotonic")
@@ -104,12 +104,14 @@
         self.service.membership = VoterManager(
             self.consensus, CLUSTER, settings.voters, self.service.now
         )
-        self._notes = ChangeNotes(
+        self._change_logger = ChangeLogger(
             self.consensus, self.state, self._decisions, self.service.forward_reports
         )
         self.consensus.on_change = self._on_change
 
-    def _start_duties(self, driver: MemberDriver, reader: StatusReader, promoter: Promoter) -> None:
+    def _start_controllers(
+        self, driver: MemberDriver, reader: StatusReader, promoter: Promoter
+    ) -> None:
         """Begin what a node does while it leads: failover, and the plan of holders."""
         self.failover = FailoverController(
             self.consensus,
@@ -179,23 +181,23 @@
         name = self._settings.rpc_listen
         request = JoinRequest(name, identity.node, name, CLUSTER)
         while True:
-            await asyncio.sleep(ADMISSION_CHECK_SECONDS)
+            await asyncio.sleep(ADMISSION_CHECK_INTERVAL_SECONDS)
             raft = self.consensus.raft
             is_new = identity.node not in raft.membership.addresses()
-            unheard = raft.heard_seconds_ago(loop.time()) > UNHEARD_SECONDS
+            unheard = raft.heard_seconds_ago(loop.time()) > LEADER_SILENCE_SECONDS
             if raft.is_leader or not (is_new or unheard):
                 continue
             addresses = {*self._settings.peers, *raft.membership.addresses().values()} - {name}
             for address in sorted(addresses):
                 try:
-                    await self._network.call(address, request, ADMISSION_CALL_SECONDS)
+                    await self._network.call(address, request, ADMISSION_TIMEOUT_SECONDS)
                     break
                 except RowanrailError:
                     continue  # the next one is asked, and all again after a while
 
     def _on_change(self) -> None:
         self.service.notice_change()
-        self._notes.compare()
+        self._change_logger.log_changes()
 
     async def stop(self) -> None:
         """Stop serving."""
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -26,10 +26,12 @@
 
 __all__ = ["PlanController", "Planner"]
 
-ROUND_MS = 5000.0  # between checks; a gateway's span
-REST_MS = 20_000.0  # between changes of a shard, ten handovers; the lost are replaced at once
+CHECK_INTERVAL_MS = 5000.0  # between checks; a gateway's span
+CHANGE_COOLDOWN_MS = (
+    20_000.0  # between changes of a shard, ten handovers; the lost are replaced at once
+)
 
-_Demand = dict[str, dict[str, PartDemand]]
+_DemandByGroup = dict[str, dict[str, PartDemand]]
 
 
 class Planner:
@@ -60,13 +62,13 @@
         self._now = now
         self._window = DemandWindow()
         self._changed_at: dict[tuple[str, str], float] = {}
-        self.lasting: _Demand = {}
+        self.sustained_demand: _DemandByGroup = {}
 
-    def release(self) -> None:
+    def reset(self) -> None:
         """Forget what was measured: another node leads."""
         self._window.clear()
         self._changed_at.clear()
-        self.lasting = {}
+        self.sustained_demand = {}
 
     def check(self) -> Proposal:
         """Note the demand of a round, and return a better plan if there is one."""
@@ -74,13 +76,15 @@
         self._window.add(self._loads.demand(gateways))
         if not self._window.is_full:
             return Proposal()
-        self.lasting = self._window.lasting()
-        layout = self._layout(self.lasting)
+        self.sustained_demand = self._window.lasting()
+        layout = self._layout(self.sustained_demand)
         loads = self._loads.loads(gateways)
-        return propose(self.lasting, loads, layout, self._state.plan, self._recently_changed())
+        return propose(
+            self.sustained_demand, loads, layout, self._state.plan, self._recently_changed()
+        )
 
-    def note_changed(self, proposal: Proposal) -> None:
-        """Note that a proposal is in force: what it changed is left as it is for ``REST_MS``."""
+    def record_changes(self, proposal: Proposal) -> None:
+        """Record that a proposal is in force: its changes start their cooldown."""
         now = self._now()
         for change in proposal.changes:
             self._changed_at[change.group, change.key] = now
@@ -88,11 +92,11 @@
             self._changed_at["", shares.service] = now
 
     def _recently_changed(self) -> set[tuple[str, str]]:
-        limit = self._now() - REST_MS
+        limit = self._now() - CHANGE_COOLDOWN_MS
         self._changed_at = {shard: at for shard, at in self._changed_at.items() if at > limit}
         return set(self._changed_at)
 
-    def _layout(self, demand: _Demand) -> Layout:
+    def _layout(self, demand: _DemandByGroup) -> Layout:
         """Return the holders by the hash, for services that have demand or are in the plan."""
         state = self._state
         by_group: dict[str, list[str]] = {}
@@ -148,9 +152,9 @@
         self._task: asyncio.Task[None] | None = None
 
     @property
-    def demand(self) -> _Demand:
+    def demand(self) -> _DemandByGroup:
         """What is asked for lastingly, by group and shard; empty at nodes that don't lead."""
-        return self._planner.lasting
+        return self._planner.sustained_demand
 
     def start(self) -> None:
         """Begin."""
@@ -163,7 +167,7 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(ROUND_MS / 1000)
+            await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
             try:
                 await self.step()
             except RowanrailError as error:
@@ -178,7 +182,7 @@
             If it was not, or may not have been; the next check sees which plan is in force.
         """
         if not self._node.raft.is_established_leader:
-            self._planner.release()
+            self._planner.reset()
         elif not self._is_planned:
             await self._end()
         else:
@@ -198,10 +202,10 @@
         is_taken = await self._service.propose(SetPlan(plan.number, plan.groups, plan.addresses))
         if not is_taken:
             return  # another one came before it, which the next check starts from
-        self._planner.note_changed(proposal)
-        self._note(proposal)
+        self._planner.record_changes(proposal)
+        self._log_changes(proposal)
 
-    def _note(self, proposal: Proposal) -> None:
+    def _log_changes(self, proposal: Proposal) -> None:
         number = self._service.state.plan.number
         for change in proposal.changes:
             self._decisions.note(
--- a/src/rowanrail/coordination/policies.py
+++ b/src/rowanrail/coordination/policies.py
@@ -22,7 +22,7 @@
 class IncarnationCheck:
     """An instance of a member is announced once, in order, and ends once."""
 
-    def is_news(self, record: MemberRecord, known: MemberRecord | None, removed: bool) -> bool:
+    def is_update(self, record: MemberRecord, known: MemberRecord | None, removed: bool) -> bool:
         """Return whether an announcement says something new, and did not come late.
 
         :param known: what the same instance announced last.
--- a/src/rowanrail/coordination/replay.py
+++ b/src/rowanrail/coordination/replay.py
@@ -7,10 +7,10 @@
 from rowanrail.consensus.log import Log
 from rowanrail.coordination.state import CoordinationState
 
-__all__ = ["Replay"]
+__all__ = ["LogReplay"]
 
 
-class Replay:
+class LogReplay:
     """Replays a log, from where the last replay ended if the log up to there is the same.
 
     At a first start each gateway asks each control node, while the log grows with each member.
@@ -27,13 +27,13 @@
         self._term = 0
         self._index = 0
 
-    def state_of(self, log: Log) -> CoordinationState:
+    def replay(self, log: Log) -> CoordinationState:
         """Return the state after the last entry; it is to be read at once and not changed.
 
         Two logs whose entries at one index have the same term are the same up to there.
         """
         replayed = self._replayed
-        if replayed is None or self._is_replaced(log):
+        if replayed is None or self._has_diverged(log):
             entries = log.between(log.snapshot_index + 1, log.last_index)
             replayed = self._replayed = self._state.replayed(log.snapshot, entries)
         else:
@@ -42,6 +42,6 @@
         self._index, self._term = log.last_index, log.last_term
         return replayed
 
-    def _is_replaced(self, log: Log) -> bool:
+    def _has_diverged(self, log: Log) -> bool:
         is_held = log.snapshot_index <= self._index <= log.last_index
         return not is_held or log.term_of(self._index) != self._term
--- a/src/rowanrail/coordination/reports.py
+++ b/src/rowanrail/coordination/reports.py
@@ -58,11 +58,11 @@
         if not failing:
             self._failing.pop(service, None)
 
-    def fails(self, service: str) -> bool:
+    def has_failure_report(self, service: str) -> bool:
         """Return whether any gateway says that a service's primary fails."""
         return service in self._failing
 
-    def views(self, service: str, now: float) -> list[ReportView]:
+    def report_views(self, service: str, now: float) -> list[ReportView]:
         """Return what the gateways tell of a service's primary."""
         return [
             report_view(gateway, health, now - self._reports[gateway][1])
--- a/src/rowanrail/coordination/service.py
+++ b/src/rowanrail/coordination/service.py
@@ -15,8 +15,9 @@
 from rowanrail.consensus.errors import LeadershipLostError, NotLeaderError, SupersededError
 from rowanrail.consensus.messages import ConsensusMessage
 from rowanrail.consensus.node import CONSENSUS_MESSAGES, ConsensusNode
-from rowanrail.coordination.announcements import Announcements
+from rowanrail.coordination.announcements import AnnouncementHandler
 from rowanrail.coordination.commands import Command, PutDocument
+from rowanrail.coordination.directory_updates import UpdateCounts
 from rowanrail.coordination.forwarding import ReportForwarding
 from rowanrail.coordination.gateway_loads import GatewayLoads
 from rowanrail.coordination.liveness import Liveness
@@ -26,12 +27,11 @@
     DocumentRequest,
     Done,
     HeartbeatNotice,
+    PutOutcome,
     PutReply,
     PutRequest,
-    PutVerdict,
     RemoveRequest,
 )
-from rowanrail.coordination.parts import PartCounts
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.coordination.watches import Watches
 from rowanrail.directory.messages import (
@@ -44,9 +44,9 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.rpc.network import Network
 
-LEADER_CALL_SECONDS = 0.8  # within REQUEST_SECONDS, so that another leader can be asked
-REQUEST_SECONDS = 0.9  # callers go to the next node after 1 s of silence
-LEADER_CHECK_SECONDS = 0.05  # between checks for a leader; an election takes 0.1 to 0.5 s
+LEADER_TIMEOUT_SECONDS = 0.8  # within REQUEST_TIMEOUT_SECONDS, so that another leader can be asked
+REQUEST_TIMEOUT_SECONDS = 0.9  # callers go to the next node after 1 s of silence
+LEADER_CHECK_INTERVAL_SECONDS = 0.05  # between checks for a leader; an election takes 0.1 to 0.5 s
 
 
 class CoordinationService:
@@ -60,7 +60,7 @@
         self.membership = MembershipManager(node, "")
         self.liveness = Liveness(self.now)
         self.loads = GatewayLoads(lambda: self.now() * 1000)
-        self._announcements = Announcements(state, self.liveness, self.propose, self.now)
+        self._announcements = AnnouncementHandler(state, self.liveness, self.propose, self.now)
         self._network = network
         self._forwarding = ReportForwarding(self.now)
         self._watches = Watches(node, state, zone, self.now)
@@ -92,18 +92,18 @@
         if isinstance(request, DirectoryRequest):
             return await self._watch(request)
         if isinstance(request, HeartbeatNotice):
-            self.liveness.heartbeat(request.instance, request.sequence)
+            self.liveness.record_heartbeat(request.instance, request.sequence)
             return None
         if isinstance(request, GatewayReport):
-            self._note_report(request)
+            self._record_report(request)
             if not self.node.raft.is_leader and request.hops == 0:
                 self.notify_leader(msgspec.structs.replace(request, hops=1))
             return None
         return await self._serve(request)
 
-    def _note_report(self, report: GatewayReport) -> None:
-        self.liveness.report(report)
-        self.loads.note(report.gateway, report.load)
+    def _record_report(self, report: GatewayReport) -> None:
+        self.liveness.record_report(report)
+        self.loads.record(report.gateway, report.load)
 
     async def _serve(self, request: msgspec.Struct) -> msgspec.Struct:
         handler = self._handlers.get(type(request))
@@ -120,17 +120,17 @@
         :raises RowanrailError: if no leader served it in time; it may still take effect.
         """
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + REQUEST_SECONDS
+        deadline = loop.time() + REQUEST_TIMEOUT_SECONDS
         while True:
             try:
                 async with asyncio.timeout_at(deadline):
                     return await self._on_leader(request)
             except (RowanrailError, TimeoutError) as error:
-                if loop.time() + LEADER_CHECK_SECONDS >= deadline:
+                if loop.time() + LEADER_CHECK_INTERVAL_SECONDS >= deadline:
                     raise TransportError(
                         f"no majority of the control nodes answers ({error})", step="find leader"
                     ) from error
-            await asyncio.sleep(LEADER_CHECK_SECONDS)
+            await asyncio.sleep(LEADER_CHECK_INTERVAL_SECONDS)
 
     async def _on_leader(self, request: msgspec.Struct) -> msgspec.Struct:
         if self.node.raft.is_leader:
@@ -138,7 +138,7 @@
         leader = self.node.leader_address()
         if not leader:
             raise NotLeaderError("", type(request).__name__)
-        return await self._network.call(leader, request, LEADER_CALL_SECONDS)
+        return await self._network.call(leader, request, LEADER_TIMEOUT_SECONDS)
 
     def notify_leader(self, notice: msgspec.Struct) -> None:
         """Tell the leader something that no log needs to keep."""
@@ -148,7 +148,7 @@
 
     def forward_reports(self) -> None:
         """Tell a new leader what gateways said to this node before it led."""
-        for report in self.liveness.direct_reports():
+        for report in self.liveness.recent_direct_reports():
             self.notify_leader(msgspec.structs.replace(report, hops=1))
 
     # Requests at the leader
@@ -166,13 +166,13 @@
     async def _put(self, request: msgspec.Struct) -> msgspec.Struct:
         assert isinstance(request, PutRequest)
         if request.version <= self.state.version:
-            return self._held()
+            return self._not_newer_reply()
         reply = await self.propose(PutDocument(request.version, request.document))
         assert isinstance(reply, PutReply)
         return reply
 
-    def _held(self) -> PutReply:
-        return PutReply(PutVerdict.HELD, self.state.version)
+    def _not_newer_reply(self) -> PutReply:
+        return PutReply(PutOutcome.NOT_NEWER, self.state.version)
 
     async def _read_document(self, request: msgspec.Struct) -> msgspec.Struct:
         await self.node.read_barrier()
@@ -180,12 +180,12 @@
 
     async def _announce(self, request: msgspec.Struct) -> msgspec.Struct:
         assert isinstance(request, AnnounceRequest)
-        await self._announcements.take(request.record)
+        await self._announcements.handle(request.record)
         return Done()
 
     async def _remove(self, request: msgspec.Struct) -> msgspec.Struct:
         assert isinstance(request, RemoveRequest)
-        await self._announcements.end(request.instance)
+        await self._announcements.handle_removal(request.instance)
         return Done()
 
     async def _barrier(self, request: msgspec.Struct) -> msgspec.Struct:
@@ -204,7 +204,7 @@
         :raises RowanrailError: if there is no clear outcome; sending it again is safe.
         """
         if version <= self.state.version:
-            return self._held()  # what is applied here is durable on a majority
+            return self._not_newer_reply()  # what is applied here is durable on a majority
         reply = await self.request(PutRequest(version, document))
         assert isinstance(reply, PutReply)
         return reply
@@ -226,7 +226,7 @@
         if self.state.needs_announcement(record) or record.instance in self.state.displaced:
             await self.request(AnnounceRequest(record))
         elif self.node.raft.is_leader:
-            self.liveness.heartbeat(record.instance, record.sequence)
+            self.liveness.record_heartbeat(record.instance, record.sequence)
         else:
             self.notify_leader(HeartbeatNotice(record.instance, record.sequence))
         return "" if self.node.raft.is_leader else self.node.leader_address()
@@ -251,12 +251,12 @@
         return self._watches.is_current
 
     @property
-    def directory_counts(self) -> dict[str, PartCounts]:
+    def directory_counts(self) -> dict[str, UpdateCounts]:
         """How many directories were sent whole and by difference, and their bytes."""
         return self._watches.counts
 
     async def _watch(self, request: DirectoryRequest) -> DirectoryReply:
-        self._note_report(request.report)
+        self._record_report(request.report)
         if self._forwarding.is_due(request.report, self.node.leader_address()):
             self.notify_leader(msgspec.structs.replace(request.report, hops=1))
         return await self._watches.answer(request)
--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -9,7 +9,7 @@
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind, Snapshot
-from rowanrail.coordination.changes import DirectoryChange, GatewayStep, MemberStep
+from rowanrail.coordination.changes import DirectoryChange, GatewayChange, MemberChange
 from rowanrail.coordination.commands import (
     Announce,
     Command,
@@ -23,15 +23,15 @@
 )
 from rowanrail.coordination.history import DirectoryHistory
 from rowanrail.coordination.holders import RankedHolders
-from rowanrail.coordination.messages import PutReply, PutVerdict
+from rowanrail.coordination.messages import PutOutcome, PutReply
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 from rowanrail.scheduling.plan import NO_PLAN, Plan
 
-REMEMBERED_REMOVED = 2000  # identities; a late announcement of a removed member is seconds old
+MAX_REMOVED = 2000  # identities; a late announcement of a removed member is seconds old
 
-REMEMBERED_DISPLACED = 200  # records; a member that still runs announces itself within seconds
+MAX_DISPLACED = 200  # records; a member that still runs announces itself within seconds
 
 
 class StateSnapshot(msgspec.Struct, frozen=True):
@@ -132,17 +132,17 @@
         self._change = DirectoryChange(entry.index)
         if self._change_directory(command):
             self.revision = entry.index
-            self.history.note(self._change, self.holders.apply(self._change))
+            self.history.add(self._change, self.holders.apply(self._change))
             if self._change.is_urgent:
                 self.urgent_revision = entry.index
         return None
 
     def _put(self, command: PutDocument) -> PutReply:
         if not self._monotonic.accepts(self.version, command.version):
-            return PutReply(PutVerdict.HELD, self.version)
+            return PutReply(PutOutcome.NOT_NEWER, self.version)
         self.version = command.version
         self.document = command.document
-        return PutReply(PutVerdict.TAKEN, self.version)
+        return PutReply(PutOutcome.ACCEPTED, self.version)
 
     def _set_plan(self, command: SetPlan, index: int) -> bool:
         """Put a plan in force if it was worked out from the one that still is."""
@@ -171,32 +171,32 @@
             self.gateways.pop(name, None)
         for gateway in command.present:
             self.gateways[gateway.name] = gateway
-        steps = [GatewayStep(known, self.gateways.get(name)) for name, known in before.items()]
+        steps = [GatewayChange(known, self.gateways.get(name)) for name, known in before.items()]
         self._change.gateways = [step for step in steps if step.before != step.after]
         return bool(self._change.gateways)
 
     @property
     def groups(self) -> int:
         """Number of zones, or regions if those share connections, that have a gateway."""
-        return self.holders.groups
+        return self.holders.group_count
 
     def _announce(self, record: MemberRecord) -> bool:
         if not self.needs_announcement(record):
             return False
-        self._take_address(record)
+        self._assign_address(record)
         return True
 
     def _readmit(self, record: MemberRecord) -> bool:
-        if not self.may_return(record):
+        if not self.may_readmit(record):
             return False
         del self.displaced[record.instance]
         self.removed.pop(record.instance, None)
-        self._take_address(record)
+        self._assign_address(record)
         return True
 
-    def _take_address(self, record: MemberRecord) -> None:
+    def _assign_address(self, record: MemberRecord) -> None:
         """Add or replace a member; another one at its address is displaced."""
-        occupant = self.occupant(record)
+        occupant = self.member_at_address(record)
         if occupant is not None:
             self._drop_member(occupant.instance)
             self._remember_removed(occupant.instance)
@@ -207,17 +207,17 @@
         self._set_member(record)
 
     def _set_member(self, record: MemberRecord) -> None:
-        step = MemberStep(self.members.get(record.instance), record)
+        step = MemberChange(self.members.get(record.instance), record)
         self.members[record.instance] = record
         self._change.members.append(step)
 
     def _drop_member(self, instance: str) -> bool:
         record = self.members.pop(instance, None)
         if record is not None:
-            self._change.members.append(MemberStep(record, None))
+            self._change.members.append(MemberChange(record, None))
         return record is not None
 
-    def occupant(self, record: MemberRecord) -> MemberRecord | None:
+    def member_at_address(self, record: MemberRecord) -> MemberRecord | None:
         """Return the other member that is known at a member's address, if there is one."""
         for known in self.members.values():
             if known.address == record.address and known.instance != record.instance:
@@ -228,7 +228,7 @@
         """Return whether a member is gone for good; a displaced one may still return."""
         return instance in self.removed and instance not in self.displaced
 
-    def may_return(self, record: MemberRecord) -> bool:
+    def may_readmit(self, record: MemberRecord) -> bool:
         """Return whether a member was displaced and has announced itself since.
 
         One that was leaving, or announced its end, does not come back.
@@ -247,15 +247,15 @@
 
     def _remember_removed(self, instance: str) -> None:
         self.removed[instance] = None
-        if len(self.removed) > REMEMBERED_REMOVED:
+        if len(self.removed) > MAX_REMOVED:
             del self.removed[next(iter(self.removed))]
 
     def _remember_displaced(self, record: MemberRecord) -> None:
         self.displaced[record.instance] = record
-        if len(self.displaced) > REMEMBERED_DISPLACED:
+        if len(self.displaced) > MAX_DISPLACED:
             del self.displaced[next(iter(self.displaced))]
 
     def needs_announcement(self, record: MemberRecord) -> bool:
         """Return whether a record says something new, and did not come late."""
         known = self.members.get(record.instance)
-        return self._incarnation.is_news(record, known, record.instance in self.removed)
+        return self._incarnation.is_update(record, known, record.instance in self.removed)
--- a/src/rowanrail/coordination/status_queries.py
+++ b/src/rowanrail/coordination/status_queries.py
@@ -14,8 +14,8 @@
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, Command
 
-ANSWER_SECONDS = 0.3  # six round trips between regions
-SILENT_PRIMARY_SECONDS = 0.15  # three ways there and back between regions: connect, start, status
+QUERY_TIMEOUT_SECONDS = 0.3  # six round trips between regions
+PRIMARY_GRACE_SECONDS = 0.15  # three ways there and back between regions: connect, start, status
 
 
 class StatusReply(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
         """Return the status in an answer, None if it holds none."""
 
 
-class _Round:
+class _QueryRound:
     """One question to several members at once.
 
     It ends when all have answered. The primary may well be dead, so that it is waited for only a
@@ -71,7 +71,7 @@
         if not self._outstanding:
             self._end()
         elif all(silent.primary for silent in self._outstanding.values()):
-            asyncio.get_running_loop().call_later(SILENT_PRIMARY_SECONDS, self._end)
+            asyncio.get_running_loop().call_later(PRIMARY_GRACE_SECONDS, self._end)
 
     def _end(self) -> None:
         if not self.done.done():
@@ -87,14 +87,14 @@
 
     async def query(self, records: list[MemberRecord], command: Command) -> dict[str, StatusReply]:
         """Return the statuses of the members that answered the command."""
-        asked = _Round(self._reader, records)
+        asked = _QueryRound(self._reader, records)
         channels = []
         for record in records:
             channel = asked.channel(record, command)
             channels.append(channel)
             self._driver.open(record.address, record.service, record.instance, channel)
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
                 await asked.done
         except TimeoutError:
             pass  # the members that did not answer are missing in the result
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -14,11 +14,13 @@
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
 
-STANDBY_BEHIND_ENTRIES = 50  # entries behind the leader; few beside what a restart misses
-SILENT_SECONDS = 2.0  # for which a voter is silent before a learner takes its vote; 4 elections
+MAX_STANDBY_LAG = 50  # entries behind the leader; few beside what a restart misses
+VOTER_SILENCE_SECONDS = (
+    2.0  # for which a voter is silent before a learner takes its vote; 4 elections
+)
 
 
-class NodeState(msgspec.Struct, frozen=True):
+class ReplicationProgress(msgspec.Struct, frozen=True):
     """What the leader knows of another node."""
 
     held: int
@@ -30,11 +32,11 @@
         """Whether the node holds nearly all of the log and answers."""
         if not self.held:
             return False  # it has confirmed nothing yet, however short the log is
-        return self.behind <= STANDBY_BEHIND_ENTRIES and self.silent_seconds < SILENT_SECONDS
+        return self.behind <= MAX_STANDBY_LAG and self.silent_seconds < VOTER_SILENCE_SECONDS
 
 
 def next_membership(
-    membership: Membership, target: int, state: Callable[[str], NodeState]
+    membership: Membership, target: int, state: Callable[[str], ReplicationProgress]
 ) -> Membership | None:
     """Return the next step towards ``target`` live voters, None if there is nothing to do."""
     ready = sorted(node for node in membership.learners if state(node).is_caught_up)
@@ -48,7 +50,9 @@
         return with_voter(membership, learner)
     silent = {node: state(node).silent_seconds for node in membership.voters}
     longest = max(silent, key=lambda node: silent[node])
-    return without_voters(membership, [longest]) if silent[longest] >= SILENT_SECONDS else None
+    return (
+        without_voters(membership, [longest]) if silent[longest] >= VOTER_SILENCE_SECONDS else None
+    )
 
 
 class VoterManager(MembershipManager):
@@ -61,15 +65,15 @@
         self._target = target
         self._clock = now
 
-    def _state(self, node: str) -> NodeState:
+    def _state(self, node: str) -> ReplicationProgress:
         raft = self._node.raft
         if node == self._node.identity.node:
-            return NodeState(raft.log.last_index, 0, 0.0)
+            return ReplicationProgress(raft.log.last_index, 0, 0.0)
         held = raft.match_of(node)
         behind = raft.log.last_index - held
-        return NodeState(held, behind, raft.answered_seconds_ago(node, self._clock()))
+        return ReplicationProgress(held, behind, raft.answered_seconds_ago(node, self._clock()))
 
-    async def _promote_one(self) -> None:
+    async def _promote_learner(self) -> None:
         changed = next_membership(self._node.raft.membership, self._target, self._state)
         if changed is not None:
             await self._change(changed)
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -12,8 +12,8 @@
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
 from rowanrail.coordination.change_batch import ChangeBatch
-from rowanrail.coordination.parts import DirectoryParts, PartCounts, whole_for
-from rowanrail.coordination.replay import Replay
+from rowanrail.coordination.directory_updates import UpdateCache, UpdateCounts, full_update
+from rowanrail.coordination.replay import LogReplay
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.directory.messages import (
     NO_REVISION,
@@ -27,11 +27,11 @@
 
 __all__ = ["Watches"]
 
-CURRENT_SECONDS = 1.5  # since the leader was heard; more than ten heartbeats
-MAXIMUM_HOLD_SECONDS = 3.0  # of a long poll, whatever is asked for
+CURRENT_MAX_AGE_SECONDS = 1.5  # since the leader was heard; more than ten heartbeats
+MAX_WAIT_SECONDS = 3.0  # of a long poll, whatever is asked for
 
 
-class _LoopTime:
+class _LoopTimers:
     """The running loop's timers beside the node's own steady time."""
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -69,39 +69,39 @@
         self._state = state
         self._zone = zone
         self._now = now
-        self._batch = ChangeBatch(Clock(_LoopTime(now)), self.notice_change)
-        self._parts = DirectoryParts(state)
-        self._replay = Replay(state)
-        self._held_parts = DirectoryParts(state)
+        self._batch = ChangeBatch(Clock(_LoopTimers(now)), self.notice_change)
+        self._updates = UpdateCache(state)
+        self._replay = LogReplay(state)
+        self._replayed_updates = UpdateCache(state)
         self._membership: Membership | None = None
         self._addresses: list[str] = []
-        self._mark = 0
+        self._controls_checksum = 0
         self._changed = asyncio.Event()
-        self._seen = (0, 0, 0, False)
+        self._notified = (0, 0, 0, False)
 
     @property
-    def counts(self) -> dict[str, PartCounts]:
+    def counts(self) -> dict[str, UpdateCounts]:
         """How many directories were sent whole and by difference, and their bytes."""
-        return self._parts.counts
+        return self._updates.counts
 
     @property
     def is_current(self) -> bool:
         """Whether this node held all that is committed a short while ago."""
-        return self._node.raft.current_seconds_ago(self._now()) < CURRENT_SECONDS
+        return self._node.raft.current_seconds_ago(self._now()) < CURRENT_MAX_AGE_SECONDS
 
     def notice_change(self) -> None:
         """Wake the waiting polls if something changed that gateways need to know."""
-        self._batch.note(self._state.revision, self._state.urgent_revision)
+        self._batch.update(self._state.revision, self._state.urgent_revision)
         state = self._state
         seen = (state.version, self._batch.released, state.plan.number, self.is_current)
-        if seen != self._seen:
-            self._seen = seen
+        if seen != self._notified:
+            self._notified = seen
             self._changed.set()
             self._changed = asyncio.Event()
 
     async def answer(self, request: DirectoryRequest) -> DirectoryReply:
         """Return what is newer than a gateway knows, at the latest when its wait is over."""
-        deadline = self._now() + min(request.wait_seconds, MAXIMUM_HOLD_SECONDS)
+        deadline = self._now() + min(request.wait_seconds, MAX_WAIT_SECONDS)
         while not self._may_answer(request):
             changed = self._changed
             try:
@@ -109,22 +109,24 @@
                     await changed.wait()
             except TimeoutError:
                 break
-        return self._directory(request)
+        return self._reply(request)
 
     async def answer_logged_directory(self, request: msgspec.Struct) -> msgspec.Struct:
         """Tell what the log holds; see :mod:`rowanrail.gateway.discovery.provisional`."""
         assert isinstance(request, LoggedDirectoryRequest)
         self._node.check_failure("tell what is held")  # the log in memory is not what is on disk
         log = self._node.raft.log
-        state = self._replay.state_of(log)
-        if self._held_parts.state is not state:
-            self._held_parts = DirectoryParts(state)
+        state = self._replay.replay(log)
+        if self._replayed_updates.state is not state:
+            self._replayed_updates = UpdateCache(state)
         if request.accepts_updates:
-            directory = self._plain(
-                state, True, self._held_parts.packed(request.group, NO_REVISION)
+            directory = self._base_reply(
+                state, True, self._replayed_updates.encoded(request.group, NO_REVISION)
             )
         else:
-            directory = self._with_all(self._plain(state, True), state, request.group, True)
+            directory = self._with_full_directory(
+                self._base_reply(state, True), state, request.group, True
+            )
         return LoggedDirectoryReply(
             self._node.raft.node,
             log.last_term,
@@ -140,42 +142,44 @@
         just started asks all nodes, and each answers once it is sure.
         """
         if self.is_current:
-            return self._has_news(request)
+            return self._has_newer(request)
         return request.known_version > 0 and request.known_revision >= 0
 
-    def _has_news(self, request: DirectoryRequest) -> bool:
+    def _has_newer(self, request: DirectoryRequest) -> bool:
         """Return whether there is something that a gateway needs to know now."""
         return (
-            self._wants_whole(request)
+            self._needs_full(request)
             or self._state.version > request.known_version
             or self._batch.released > request.known_revision
-            or self._has_plan(request)
+            or self._has_newer_plan(request)
         )
 
-    def _has_plan(self, request: DirectoryRequest) -> bool:
+    def _has_newer_plan(self, request: DirectoryRequest) -> bool:
         """Return whether there is a newer plan than a gateway has, if it takes plans."""
         known = request.known_plan
         return known is not None and self._state.plan.number > known
 
-    def _wants_whole(self, request: DirectoryRequest) -> bool:
+    def _needs_full(self, request: DirectoryRequest) -> bool:
         """Return whether a gateway needs everything, and this node is not behind it."""
         if request.known_revision < 0:
             return True
         return request.wants_full and self._state.revision >= request.known_revision
 
-    def _directory(self, request: DirectoryRequest) -> DirectoryReply:
+    def _reply(self, request: DirectoryRequest) -> DirectoryReply:
         state = self._state
         group = request.report.sharing_group
-        wants_full = self._wants_whole(request)
+        wants_full = self._needs_full(request)
         is_newer = state.version > request.known_version
         is_changed = wants_full or state.revision > request.known_revision
         if request.accepts_updates:
             since = NO_REVISION if wants_full else request.known_revision
-            part = self._parts.packed(group, since) if is_changed else b""
-            reply = self._plain(state, is_newer, part, request.known_controls_checksum)
+            part = self._updates.encoded(group, since) if is_changed else b""
+            reply = self._base_reply(state, is_newer, part, request.known_controls_checksum)
         else:
-            reply = self._with_all(self._plain(state, is_newer), state, group, is_changed)
-        plan = state.plan if self._has_plan(request) else None
+            reply = self._with_full_directory(
+                self._base_reply(state, is_newer), state, group, is_changed
+            )
+        plan = state.plan if self._has_newer_plan(request) else None
         return msgspec.structs.replace(reply, plan=plan)
 
     def _controls(self, known: int) -> list[str]:
@@ -184,10 +188,10 @@
         if self._membership is not membership:
             self._membership = membership
             self._addresses = sorted(membership.addresses().values())
-            self._mark = controls_checksum(self._addresses)
-        return [] if known == self._mark else self._addresses
+            self._controls_checksum = controls_checksum(self._addresses)
+        return [] if known == self._controls_checksum else self._addresses
 
-    def _plain(
+    def _base_reply(
         self,
         state: CoordinationState,
         is_newer: bool,
@@ -209,13 +213,13 @@
         )
 
     @staticmethod
-    def _with_all(
+    def _with_full_directory(
         reply: DirectoryReply, state: CoordinationState, group: str, is_changed: bool
     ) -> DirectoryReply:
         """Return a reply for a gateway of an earlier version, which takes no parts."""
         if not is_changed:
             return reply
-        whole = whole_for(state, group)
+        whole = full_update(state, group)
         return msgspec.structs.replace(
             reply,
             members=whole.members,
--- a/src/rowanrail/directory/health_filter.py
+++ b/src/rowanrail/directory/health_filter.py
@@ -13,7 +13,7 @@
 # Age of a proof up to which it is reported. A proof contradicts others who have failed for longer
 # than it is old. Those who fail report within 0.3 s and are decided on within seconds; a proof of
 # half a minute ago contradicts no report.
-REPORTED_PROOF_MS = 30_000
+MAX_PROOF_AGE_MS = 30_000
 
 
 def reportable_health(health: Iterable[PrimaryHealth]) -> list[PrimaryHealth]:
@@ -35,5 +35,5 @@
     ['db1', 'db3']
     """
     return [
-        one for one in health if one.failing_for_ms or 0 <= one.proved_ago_ms < REPORTED_PROOF_MS
+        one for one in health if one.failing_for_ms or 0 <= one.proved_ago_ms < MAX_PROOF_AGE_MS
     ]
--- a/src/rowanrail/directory/update_encoding.py
+++ b/src/rowanrail/directory/update_encoding.py
@@ -15,12 +15,12 @@
 
 # Of zlib. A directory of 300 machines (25 KB) becomes 2.9 KB in 0.10 ms, at level 1 3.6 KB in
 # 0.05 ms, at level 9 2.7 KB in 0.33 ms; each part is packed once for many gateways.
-PACK_LEVEL = 6
+COMPRESSION_LEVEL = 6
 
 
 def encode_update(part: DirectoryUpdate) -> bytes:
     """Return the bytes of a part as they are sent."""
-    return zlib.compress(msgspec.msgpack.encode(part), PACK_LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(part), COMPRESSION_LEVEL)
 
 
 def decode_update(packed: bytes) -> DirectoryUpdate:
--- a/tests/coordination/test_change_batch.py
+++ b/tests/coordination/test_change_batch.py
@@ -7,7 +7,7 @@
 
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
-from rowanrail.coordination.change_batch import BATCH_MS, ChangeBatch
+from rowanrail.coordination.change_batch import BATCH_DELAY_MS, ChangeBatch
 from rowanrail.coordination.commands import Announce, PutDocument, Remove, SetGateways
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
@@ -34,22 +34,22 @@
     def test_changes_that_may_wait_are_told_together_after_the_bound(self):
         begun = self.time.now
         for revision in range(1, 11):
-            self.batch.note(revision, 0)
+            self.batch.update(revision, 0)
             self.time.advance(0.02)
         self.assertEqual(self.batch.released, 0)
         self.time.advance(1.0)
-        self.assertEqual(self.released, [(round(begun * 1000 + BATCH_MS), 10)])
+        self.assertEqual(self.released, [(round(begun * 1000 + BATCH_DELAY_MS), 10)])
 
     def test_an_urgent_change_takes_along_what_waits(self):
-        self.batch.note(1, 0)
-        self.batch.note(2, 2)
+        self.batch.update(1, 0)
+        self.batch.update(2, 2)
         self.assertEqual(self.batch.released, 2)
         self.time.advance(1.0)
         self.assertEqual(self.released, [])
 
     def test_a_state_that_was_read_again_from_the_disk_is_told_as_far_as_it_goes(self):
-        self.batch.note(9, 9)
-        self.batch.note(4, 4)
+        self.batch.update(9, 9)
+        self.batch.update(4, 4)
         self.assertEqual(self.batch.released, 4)
 
 
@@ -95,7 +95,7 @@
         news = [Announce(member("m3")), Announce(member("m4")), SetGateways([gateway], [])]
         reply, seconds = await self.answered_after(*news)
         self.assertEqual((len(reply.members), reply.gateways), (4, 1))
-        self.assertGreaterEqual(seconds, BATCH_MS / 1000 - 0.01)
+        self.assertGreaterEqual(seconds, BATCH_DELAY_MS / 1000 - 0.01)
         self.assertLess(seconds, HOLD_SECONDS - 0.2)
 
     async def test_what_binds_is_told_at_once(self):
--- a/tests/coordination/test_differences.py
+++ b/tests/coordination/test_differences.py
@@ -10,7 +10,7 @@
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.coordination import history
 from rowanrail.coordination.commands import Announce, Remove, SetGateways
-from rowanrail.coordination.parts import difference_since, whole_for
+from rowanrail.coordination.directory_updates import full_update, incremental_update
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.directory.messages import (
     NO_REVISION,
@@ -91,7 +91,7 @@
 
 def seen(state, group):
     """Return what a group is to know of a state, in an order of its own."""
-    whole = whole_for(state, group)
+    whole = full_update(state, group)
     others = {}
     for gateway in whole.remote_holders:
         if gateway.relay_address:
@@ -146,11 +146,11 @@
                 await self.judge(follower, last)
                 self.assertEqual(follower.copy.revision, last.state.revision)
 
-        kept, history.REMEMBERED_CHANGES = history.REMEMBERED_CHANGES, remembered
+        kept, history.MAX_CHANGES = history.MAX_CHANGES, remembered
         try:
             asyncio.run(run())
         finally:
-            history.REMEMBERED_CHANGES = kept
+            history.MAX_CHANGES = kept
 
     async def judge(self, follower, node):
         before = follower.copy.revision
@@ -195,7 +195,7 @@
 
     async def test_a_gap_that_is_not_remembered_gets_the_whole(self):
         await self.follower.ask(self.node)
-        for sequence in range(2, history.REMEMBERED_CHANGES + 3):
+        for sequence in range(2, history.MAX_CHANGES + 3):
             self.log.append(Announce(member("m1", sequence, slots=sequence)))
         self.node.apply(self.log, len(self.log))
         self.assertEqual((await self.follower.ask(self.node)).base_revision, NO_REVISION)
@@ -263,15 +263,15 @@
         self.assertEqual(len(decode_update(held.directory.update).members), 8)
 
     def test_a_part_that_is_damaged_is_a_fault_of_the_transport(self):
-        packed = encode_update(whole_for(self.node.state, "a"))
+        packed = encode_update(full_update(self.node.state, "a"))
         for damaged in (packed[:-9], b"no part", encode_update(b"other")):
             with self.assertRaises(TransportError):
                 decode_update(damaged)
 
     def test_a_difference_from_before_the_history_is_none(self):
         self.node.install(ControlledNode().apply(self.log, len(self.log)))
-        self.assertIsNone(difference_since(self.node.state, "a", 8))
-        self.assertEqual(difference_since(self.node.state, "a", 9).members, [])
+        self.assertIsNone(incremental_update(self.node.state, "a", 8))
+        self.assertEqual(incremental_update(self.node.state, "a", 9).members, [])
 
 
 class NotedEvents:
--- a/tests/coordination/test_forwarding.py
+++ b/tests/coordination/test_forwarding.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from rowanrail.coordination.forwarding import CENSUS_SECONDS, ReportForwarding
-from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS
+from rowanrail.coordination.forwarding import KEEPALIVE_SECONDS, ReportForwarding
+from rowanrail.coordination.liveness import GATEWAY_EXPIRY_SECONDS
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.directory.messages import DirectoryRequest, GatewayReport
 from rowanrail.model.members import PrimaryHealth
@@ -34,7 +34,7 @@
     def test_a_gateway_that_tells_nothing_is_told_of_often_enough_to_be_known(self):
         due = self.sent(*[QUIET] * 9)
         self.assertEqual(due, [True, False, False, False] * 2 + [True])
-        self.assertLess(2 * CENSUS_SECONDS, FORGET_GATEWAY_SECONDS)
+        self.assertLess(2 * KEEPALIVE_SECONDS, GATEWAY_EXPIRY_SECONDS)
 
     def test_what_a_gateway_sees_is_told_each_time(self):
         self.assertEqual(self.sent(QUIET, FAILING, FAILING, FAILING), [True] * 4)
--- a/tests/coordination/test_gateway_reconciler.py
+++ b/tests/coordination/test_gateway_reconciler.py
@@ -7,11 +7,11 @@
 from rowanrail.coordination import gateway_reconciler
 from rowanrail.coordination.commands import SetGateways
 from rowanrail.coordination.gateway_reconciler import (
-    COMPARE_SECONDS,
     GATEWAY_TIMEOUT_SECONDS,
+    RECONCILE_INTERVAL_SECONDS,
     GatewayReconciler,
 )
-from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS, Liveness
+from rowanrail.coordination.liveness import GATEWAY_EXPIRY_SECONDS, Liveness
 from rowanrail.directory.messages import GatewayRecord, GatewayReport
 from rowanrail.kernel.errors import TransportError
 
@@ -46,9 +46,9 @@
     def hear(self, *records):
         for record in records:
             report = GatewayReport(record.name, record.zone, [], relay_address=record.relay_address)
-            self.liveness.report(report)
+            self.liveness.record_report(report)
 
-    async def compare(self, seconds=COMPARE_SECONDS):
+    async def compare(self, seconds=RECONCILE_INTERVAL_SECONDS):
         self.seconds += seconds
         self.reconciler.tick()
         await asyncio.sleep(0)
@@ -66,15 +66,15 @@
     async def test_it_compares_no_more_often_than_it_should(self):
         await self.compare()
         self.hear(FIRST)
-        await self.compare(COMPARE_SECONDS / 2)
+        await self.compare(RECONCILE_INTERVAL_SECONDS / 2)
         self.assertEqual(self.logged, [])
-        await self.compare(COMPARE_SECONDS / 2)
+        await self.compare(RECONCILE_INTERVAL_SECONDS / 2)
         self.assertEqual(len(self.logged), 1)
 
     async def test_a_gateway_leaves_the_log_when_it_has_been_missing_for_long(self):
         self.hear(FIRST, SECOND)
         await self.compare()
-        while self.seconds < 100.0 + FORGET_GATEWAY_SECONDS + GATEWAY_TIMEOUT_SECONDS:
+        while self.seconds < 100.0 + GATEWAY_EXPIRY_SECONDS + GATEWAY_TIMEOUT_SECONDS:
             self.hear(FIRST)
             await self.compare()
         self.assertNotIn("g2", [name for change in self.logged for name in change.absent])
--- a/tests/coordination/test_holders.py
+++ b/tests/coordination/test_holders.py
@@ -9,11 +9,11 @@
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.log import Log
 from rowanrail.consensus.messages import Entry, EntryKind, Membership, Snapshot
-from rowanrail.coordination.changes import DirectoryChange, GatewayStep
+from rowanrail.coordination.changes import DirectoryChange, GatewayChange
 from rowanrail.coordination.commands import Announce, Remove, SetGateways
 from rowanrail.coordination.holders import RankedHolders
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
-from rowanrail.coordination.replay import Replay
+from rowanrail.coordination.replay import LogReplay
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
@@ -93,12 +93,12 @@
         holders = RankedHolders([member], listed)
         (first,) = holders.records
         others = [gateway for gateway in listed if gateway is not first]
-        gone = DirectoryChange(2, gateways=[GatewayStep(others[0], None)])
+        gone = DirectoryChange(2, gateways=[GatewayChange(others[0], None)])
         self.assertEqual(holders.apply(gone), [])
-        gone = DirectoryChange(3, gateways=[GatewayStep(first, None)])
+        gone = DirectoryChange(3, gateways=[GatewayChange(first, None)])
         (second,) = RankedHolders([member], others[1:]).records
         self.assertCountEqual(
-            holders.apply(gone), [GatewayStep(first, None), GatewayStep(None, second)]
+            holders.apply(gone), [GatewayChange(first, None), GatewayChange(None, second)]
         )
 
 
@@ -109,7 +109,7 @@
         return Log(Snapshot(0, 0, Membership(), b""), listed)
 
     def replayed(self, replay, log):
-        return replay.state_of(log).snapshot()
+        return replay.replay(log).snapshot()
 
     def expected(self, log):
         return new_state().replayed(log.snapshot, log.between(1, log.last_index)).snapshot()
@@ -117,7 +117,7 @@
     def test_entries_that_another_leader_replaced_are_told_no_more(self):
         member = MemberRecord("m1", "db", "m1:1", "a", False, False, 3, 1)
         lost = msgspec.structs.replace(member, instance="m2", address="m2:1")
-        replay = Replay(new_state())
+        replay = LogReplay(new_state())
         log = self.log(entries([Announce(member), Announce(lost)]))
         self.assertEqual(self.replayed(replay, log), self.expected(log))
         log.truncate_from(2)
@@ -127,7 +127,7 @@
     @settings(max_examples=60, deadline=None)
     @given(st.lists(st.tuples(commands, st.integers(0, 3)), max_size=20))
     def test_any_growing_and_replacing_leads_to_the_state_of_the_whole_log(self, steps):
-        replay = Replay(new_state())
+        replay = LogReplay(new_state())
         log = self.log([])
         for term, (command, dropped) in enumerate(steps, 1):
             log.truncate_from(max(1, log.last_index + 1 - dropped))
--- a/tests/coordination/test_planner.py
+++ b/tests/coordination/test_planner.py
@@ -7,8 +7,8 @@
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.coordination.commands import Announce, SetGateways, SetPlan
-from rowanrail.coordination.gateway_loads import FORGET_LOAD_MS, GatewayLoads
-from rowanrail.coordination.planner import ROUND_MS, PlanController, Planner
+from rowanrail.coordination.gateway_loads import LOAD_EXPIRY_MS, GatewayLoads
+from rowanrail.coordination.planner import CHECK_INTERVAL_MS, PlanController, Planner
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
 from rowanrail.coordination.state import CoordinationState
@@ -115,19 +115,19 @@
                 report = LoadReport(SPAN, 10, name in self.slow, shards)
                 if name not in self.silent:
                     for book in self.books:
-                        book.note(name, report)
+                        book.record(name, report)
 
     def play(self, rounds, leader=0):
         """Let rounds pass; return what the leader proposed, and put it in force."""
         proposals = []
         for _ in range(rounds):
-            self.now += ROUND_MS
+            self.now += CHECK_INTERVAL_MS
             self.report()
             proposal = self.planners[leader].check()
             if proposal.plan is not None:
                 plan = proposal.plan
                 self.log.append(SetPlan(plan.number, plan.groups, plan.addresses))
-                self.planners[leader].note_changed(proposal)
+                self.planners[leader].record_changes(proposal)
                 proposals.append(proposal)
         return proposals
 
@@ -159,7 +159,7 @@
         self.fleet.slow = set(names("a"))
         for _ in range(3):
             for book in self.fleet.books:
-                book.note("a9", LoadReport(SPAN, 0, False, []))
+                book.record("a9", LoadReport(SPAN, 0, False, []))
             self.assertEqual(self.fleet.play(1), [], "nobody else bears it, and it is new")
 
     def test_clients_that_move_are_followed_once(self):
@@ -191,7 +191,7 @@
         self.fleet.play(SPANS + 2)
         lost = self.fleet.holder("a")
         self.fleet.silent.add(lost)
-        self.fleet.play(1 + int(FORGET_LOAD_MS / ROUND_MS) + 1)
+        self.fleet.play(1 + int(LOAD_EXPIRY_MS / CHECK_INTERVAL_MS) + 1)
         self.assertNotEqual(self.fleet.holder("a"), lost)
         self.fleet.silent.clear()
         after = self.fleet.holder("a")
@@ -231,13 +231,13 @@
         self.fleet.play(SPANS)
         plan = self.fleet.log.states[1].plan
         self.assertGreater(plan.number, 0)
-        self.fleet.planners[1].release()
+        self.fleet.planners[1].reset()
         self.assertEqual(self.fleet.play(12, leader=1), [])
         self.assertEqual(self.fleet.log.states[1].plan, plan)
 
     def test_of_two_leaders_with_different_plans_the_first_in_the_log_wins(self):
         self.fleet.play(SPANS - 1)
-        self.fleet.now += ROUND_MS
+        self.fleet.now += CHECK_INTERVAL_MS
         self.fleet.report()
         other = Planner(self.fleet.log.states[1], self.fleet.books[1], lambda: self.fleet.now)
         for _ in range(SPANS):
@@ -342,22 +342,22 @@
     def test_the_sum_of_a_group_is_what_its_gateways_told_last(self):
         for name, count in (("g1", 50), ("g2", 100), ("g1", 60)):
             self.now += 1000
-            self.book.note(name, LoadReport(5000, 0, False, [ShardLoad("db", count)]))
+            self.book.record(name, LoadReport(5000, 0, False, [ShardLoad("db", count)]))
         self.assertEqual(self.rate(), 32.0)
 
     def test_a_report_without_a_span_changes_nothing(self):
-        self.book.note("g1", LoadReport(5000, 0, False, [ShardLoad("db", 50)]))
-        self.book.note("g1", None)
+        self.book.record("g1", LoadReport(5000, 0, False, [ShardLoad("db", 50)]))
+        self.book.record("g1", None)
         self.assertEqual(self.rate(), 10.0)
 
     def test_a_gateway_that_is_not_heard_counts_no_more(self):
-        self.book.note("g1", LoadReport(5000, 0, False, [ShardLoad("db", 50)]))
-        self.now += FORGET_LOAD_MS + 1
+        self.book.record("g1", LoadReport(5000, 0, False, [ShardLoad("db", 50)]))
+        self.now += LOAD_EXPIRY_MS + 1
         self.assertEqual(self.book.demand(self.gateways), {})
         self.assertEqual(self.book.loads(self.gateways), [])
 
     def test_the_largest_tenant_of_a_part_is_summed_over_gateways(self):
         for name in ("g1", "g2"):
             shard = ShardLoad("db/1", 100, "large", 60)
-            self.book.note(name, LoadReport(5000, 0, False, [shard]))
+            self.book.record(name, LoadReport(5000, 0, False, [shard]))
         self.assertAlmostEqual(self.book.demand(self.gateways)["a"]["db/1"].largest, 0.6)
--- a/tests/coordination/test_reports.py
+++ b/tests/coordination/test_reports.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from rowanrail.coordination.failover import (
-    REPORT_LIVE_SECONDS,
+    MAX_REPORT_AGE_SECONDS,
     Action,
     MemberView,
     ServiceView,
@@ -14,9 +14,9 @@
     report_view,
 )
 from rowanrail.coordination.failover_controller import FailoverController
-from rowanrail.coordination.liveness import FORGET_GATEWAY_SECONDS, Liveness
+from rowanrail.coordination.liveness import GATEWAY_EXPIRY_SECONDS, Liveness
 from rowanrail.coordination.reports import ReportIndex
-from rowanrail.directory.health_filter import REPORTED_PROOF_MS, reportable_health
+from rowanrail.directory.health_filter import MAX_PROOF_AGE_MS, reportable_health
 from rowanrail.directory.messages import GatewayReport
 from rowanrail.model.members import MemberRecord, PrimaryHealth
 from rowanrail.model.position import Position
@@ -25,13 +25,13 @@
 HOLDING_SECONDS = 60.0
 # A proof that is left out contradicts nobody who fails for less than this; who fails for longer
 # was decided on long before.
-LONGEST_FAILING_MS = REPORTED_PROOF_MS - round(1000 * REPORT_LIVE_SECONDS) - 1
+LONGEST_FAILING_MS = MAX_PROOF_AGE_MS - round(1000 * MAX_REPORT_AGE_SECONDS) - 1
 
 health = st.builds(
     PrimaryHealth,
     st.sampled_from(SERVICES),
     st.sampled_from(["", "m1", "m2"]),
-    st.one_of(st.just(-1), st.integers(0, 4 * REPORTED_PROOF_MS)),
+    st.one_of(st.just(-1), st.integers(0, 4 * MAX_PROOF_AGE_MS)),
     st.one_of(st.just(0), st.integers(1, LONGEST_FAILING_MS)),
 )
 reports = st.builds(
@@ -78,7 +78,7 @@
             if one.service == "db1"
         ]
         members = [member("m1", leads, leaving), member("m2", False)]
-        told = index.views("db1", now)
+        told = index.report_views("db1", now)
         self.assertEqual(
             decide(view(members, told, len(index))), decide(view(members, whole, len(latest)))
         )
@@ -91,18 +91,18 @@
         index = ReportIndex()
         failing = PrimaryHealth("db1", "m1", 900, 300)
         index.put(GatewayReport("g1", "a", [failing]), 1.0)
-        self.assertTrue(index.fails("db1"))
+        self.assertTrue(index.has_failure_report("db1"))
         index.put(GatewayReport("g1", "a", []), 2.0)
-        self.assertFalse(index.fails("db1"))
-        self.assertEqual(index.views("db1", 2.0), [])
+        self.assertFalse(index.has_failure_report("db1"))
+        self.assertEqual(index.report_views("db1", 2.0), [])
 
     def test_a_gateway_that_is_silent_for_long_tells_nothing_more(self):
         time = [0.0]
         liveness = Liveness(lambda: time[0])
-        liveness.report(GatewayReport("g1", "a", [PrimaryHealth("db1", "m1", -1, 300)], 1))
-        time[0] = FORGET_GATEWAY_SECONDS + 1
+        liveness.record_report(GatewayReport("g1", "a", [PrimaryHealth("db1", "m1", -1, 300)], 1))
+        time[0] = GATEWAY_EXPIRY_SECONDS + 1
         self.assertEqual(liveness.gateways(), {})
-        self.assertEqual((liveness.gateway_count, liveness.fails("db1")), (0, False))
+        self.assertEqual((liveness.gateway_count, liveness.has_failure_report("db1")), (0, False))
 
 
 class PlayedState:
@@ -140,15 +140,15 @@
     def test_a_service_that_is_called_calm_needs_nothing(self, listed, first, second, leaving):
         liveness = Liveness(lambda: 1.0)
         for report, _ in listed:
-            liveness.report(report)
+            liveness.record_report(report)
         members = [member("m1", first, leaving), member("m2", second)]
         duty = self.duty(members, liveness)
         duty._trackers["db1"] = ServingTracker()
-        seen = view(members, liveness.views("db1"), liveness.gateway_count)
-        if duty._is_calm("db1"):
+        seen = view(members, liveness.report_views("db1"), liveness.gateway_count)
+        if duty._is_healthy("db1"):
             self.assertIs(decide(seen).action, Action.WAIT)
         elif any(one.primary and not one.leaving for one in members):
-            self.assertTrue(liveness.fails("db1"))
+            self.assertTrue(liveness.has_failure_report("db1"))
 
     async def test_members_are_those_of_the_newest_revision(self):
         duty = self.duty([member("m1", True)], Liveness(lambda: 1.0))
--- a/tests/coordination/test_state.py
+++ b/tests/coordination/test_state.py
@@ -13,10 +13,10 @@
     Remove,
     SetGateways,
 )
-from rowanrail.coordination.messages import PutVerdict
+from rowanrail.coordination.messages import PutOutcome
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.state import CoordinationState
-from rowanrail.coordination.voters import NodeState, next_membership
+from rowanrail.coordination.voters import ReplicationProgress, next_membership
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
@@ -41,13 +41,13 @@
         return self.state.apply(Entry(1, self.index, EntryKind.COMMAND, data))
 
     def test_the_highest_version_wins(self):
-        self.assertIs(self.apply(PutDocument(7, b"seven")).verdict, PutVerdict.TAKEN)
-        self.assertIs(self.apply(PutDocument(5, b"five")).verdict, PutVerdict.HELD)
+        self.assertIs(self.apply(PutDocument(7, b"seven")).verdict, PutOutcome.ACCEPTED)
+        self.assertIs(self.apply(PutDocument(5, b"five")).verdict, PutOutcome.NOT_NEWER)
         self.assertEqual((self.state.version, self.state.document), (7, b"seven"))
 
     def test_other_content_under_the_held_version_changes_nothing(self):
         self.apply(PutDocument(7, b"first"))
-        self.assertIs(self.apply(PutDocument(7, b"second")).verdict, PutVerdict.HELD)
+        self.assertIs(self.apply(PutDocument(7, b"second")).verdict, PutOutcome.NOT_NEWER)
         self.assertEqual(self.state.document, b"first")
 
     def test_a_plain_heartbeat_needs_no_entry(self):
@@ -144,7 +144,7 @@
         self.held = {}
 
     def state(self, node):
-        return NodeState(self.held.get(node, 20), 0, self.silent.get(node, 0.0))
+        return ReplicationProgress(self.held.get(node, 20), 0, self.silent.get(node, 0.0))
 
     def next(self, voters, learners, target=3):
         membership = Membership(dict.fromkeys(voters, "x"), dict.fromkeys(learners, "x"))
