--- a/src/rowanrail/coordination/changes.py
+++ b/src/rowanrail/coordination/changes.py
@@ -1,6 +1,6 @@
-"""What one entry of the log changed in the directory of members and gateways.
+"""Changes that one log entry makes to the directory of members and gateways.
 
-Plain values, made while a command is applied; history, holders and watches go by them.
+The state collects them while it applies a command; history, holders and watches consume them.
 """
 
 from dataclasses import dataclass, field
@@ -13,22 +13,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """One member before and after; None where it was not, or is no longer, known."""
+    """A member's record before and after; None if it was added or removed."""
 
     before: MemberRecord | None
     after: MemberRecord | None
 
     @property
     def instance(self) -> str:
-        """The member whose record it is."""
+        """The member's instance id."""
         record = self.after or self.before
         return record.instance if record is not None else ""
 
     @property
     def is_urgent(self) -> bool:
-        """Whether statements may fail, or run at the wrong member, until gateways know.
+        """Whether statements may fail or reach the wrong member until gateways know of it.
 
-        A member that comes and is no primary only adds room.
+        A new replica only adds capacity.
 
         Examples
         --------
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayChange:
-    """One gateway before and after; None where it was not, or is no longer, known."""
+    """A gateway's record before and after; None if it was added or removed."""
 
     before: GatewayRecord | None
     after: GatewayRecord | None
@@ -58,12 +58,12 @@
 
 @dataclass(slots=True)
 class DirectoryChange:
-    """All that one entry of the log changed.
+    """All changes of one log entry.
 
     Parameters
     ----------
     revision : int
-        Place of the entry in the log.
+        The entry's log index.
     """
 
     revision: int
@@ -72,5 +72,5 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether gateways are told at once; see :mod:`rowanrail.coordination.change_batch`."""
+        """Whether gateways are notified at once; see :mod:`rowanrail.coordination.change_batch`."""
         return any(step.is_urgent for step in self.members)
--- a/src/rowanrail/coordination/failover.py
+++ b/src/rowanrail/coordination/failover.py
@@ -1,9 +1,9 @@
-"""The decision to replace a primary, apart from any I/O.
+"""The decision to replace a primary, without I/O.
 
-A view of one service goes in, a decision comes out; ``failover_controller.py`` carries it out.
-A primary counts as lost only when every vantage point that can tell agrees: the gateways
-that used it, the holder's own samples, and its heartbeats. One frozen gateway, a cut zone or
-a deaf replica is no lost primary.
+:func:`decide` maps a view of one service to a decision, which
+:mod:`rowanrail.coordination.failover_controller` carries out. A primary is lost only if all its
+observers agree: the gateways that use it, the leader's own samples, and its heartbeats. A frozen
+gateway, a zone cut off by the network or an unresponsive replica doesn't cause a failover.
 """
 
 import enum
@@ -13,27 +13,27 @@
 from rowanrail.model.members import MemberRecord, PrimaryHealth
 from rowanrail.model.position import Position
 
-MIN_FAILING_SECONDS = 0.25  # at one vantage point: a sample failed after 0.3 s, a second one nearly
-MAX_REPORT_AGE_SECONDS = 2.5  # reports come each second; two and a half of them
-MAX_PROOF_AGE_SECONDS = 1.8  # a report each second, and 0.6 s between samples of a calm service
-OVERRULE_MINORITY_SECONDS = (
-    0.7  # of failing, before a small minority that still reaches it is overruled
-)
-HEARTBEAT_SILENCE_SECONDS = 0.3  # a primary that was heard this short ago is not dead
-# The slowest promotion of the played sites takes 1 s; then it is ordered again.
-PROMOTION_TIMEOUT_SECONDS = 2.5
-UNKNOWN_OUTCOME_SECONDS = 1.6  # the promoter gives a call 1.5 s
-NEW_LEADER_SECONDS = 1.0  # before it believes that no member leads: some may be unheard yet
-NEW_LEADER_REPORTS_SECONDS = 0.6  # before it acts on reports; other nodes send it theirs at once
+MIN_FAILING_SECONDS = 0.25  # a shorter failure at a vantage point doesn't count
+MAX_REPORT_AGE_SECONDS = 2.5  # gateways report every second
+MAX_PROOF_AGE_SECONDS = 1.8  # exceeds the report interval (1 s) and a sampling interval (0.6 s)
+# All failing vantage points must fail for this long to overrule a minority that succeeds.
+OVERRULE_MINORITY_SECONDS = 0.7
+HEARTBEAT_SILENCE_SECONDS = 0.3  # a primary with a newer heartbeat is alive
+PROMOTION_TIMEOUT_SECONDS = 2.5  # until an accepted promotion without effect is ordered again
+UNKNOWN_OUTCOME_SECONDS = 1.6  # exceeds the promoter's call timeout of 1.5 s
+# After taking over, a leader waits this long before it concludes that no member is primary.
+NEW_LEADER_SECONDS = 1.0
+# After taking over, a leader waits this long for the reports that other nodes forward.
+NEW_LEADER_REPORTS_SECONDS = 0.6
 
 
 class MemberView(msgspec.Struct, frozen=True):
-    """A member as the holder sees it; ages in seconds.
+    """A member as the leader sees it; ages in seconds.
 
-    :param heartbeat_ago: since its last heartbeat, as far as the holder knows.
-    :param leads: what its last status said; None if it did not answer one.
-    :param term: the newest term that it knows of, by that status.
-    :param received: its log's last position by that status.
+    :param heartbeat_ago: time since the last heartbeat that reached the leader.
+    :param leads: whether its last status says that it is primary; None without a status.
+    :param term: the newest term that it knows, from that status.
+    :param received: the last position of its log, from that status.
     """
 
     record: MemberRecord
@@ -44,7 +44,12 @@
 
 
 class ReportView(msgspec.Struct, frozen=True):
-    """What one vantage point says of the primary; ages in seconds."""
+    """What one vantage point reports of the primary; ages in seconds.
+
+    :param proved_ago: time since its last proof that the primary serves; negative without one.
+    :param failing_for: for how long the primary has failed; 0 if it doesn't.
+    :param age: age of the report.
+    """
 
     source: str
     instance: str
@@ -54,15 +59,15 @@
 
 
 def report_view(source: str, health: PrimaryHealth, age: float) -> ReportView:
-    """Return what a vantage point said ``age`` seconds ago."""
+    """Return the view for a report that a vantage point made ``age`` seconds ago."""
     proved_ago = health.proved_ago_ms / 1000 if health.proved_ago_ms >= 0 else -1.0
     return ReportView(source, health.instance, proved_ago, health.failing_for_ms / 1000, age)
 
 
 class AttemptView(msgspec.Struct, frozen=True):
-    """The last promotion that this holder asked for.
+    """The last promotion that this leader ordered.
 
-    :param accepted: whether the platform took the order; None if it gave no answer.
+    :param accepted: whether the platform accepted the order; None without an answer.
     """
 
     instance: str
@@ -71,10 +76,14 @@
 
 
 class ServiceView(msgspec.Struct, frozen=True):
-    """All that decides about one service.
-
-    :param acknowledging_replicas: replicas that hold a commit before it is acknowledged.
-    :param vantage_points: how many gateways and holders could tell.
+    """The input to :func:`decide` for one service.
+
+    :param attempt: the last promotion; None if there was none.
+    :param holding_for: for how many seconds this node has been the established leader.
+    :param vantage_points: number of gateways, plus one for the leader.
+    :param acknowledging_replicas: number of replicas that must hold a commit before it is
+        acknowledged.
+    :param statuses_fresh: whether the members were just asked for their statuses.
     """
 
     service: str
@@ -88,7 +97,7 @@
 
 
 class Action(enum.Enum):
-    """What to do."""
+    """What the failover controller does next."""
 
     WAIT = "wait"
     ASK_STATUSES = "ask-statuses"
@@ -96,7 +105,7 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """An action with its reason."""
+    """An action with its reason, and the member to promote if there is one."""
 
     action: Action
     reason: str
@@ -104,7 +113,7 @@
 
 
 def decide(view: ServiceView) -> Decision:
-    """Return what to do about a service's primary."""
+    """Return whether to wait, to ask members for their statuses, or to promote a member."""
     if view.attempt is not None and _is_promotion_pending(view, view.attempt):
         return Decision(Action.WAIT, "a promotion is under way")
     reason = _reason_to_replace(view)
@@ -132,7 +141,7 @@
 
 
 def _reason_to_replace(view: ServiceView) -> str:
-    """Return why the primary is to be replaced; empty if it is not."""
+    """Return why the primary must be replaced; empty if it need not be."""
     primaries = [member for member in view.members if member.record.primary]
     if not view.members:
         return ""
@@ -157,7 +166,7 @@
     if len(failing) < min(2, view.vantage_points):
         return ""
     shortest = min(report.failing_for + report.age for report in failing)
-    # A proof that is older than the others' failures contradicts nothing.
+    # A proof from before the others' failures doesn't contradict them.
     contradicted_within = max(shortest, MAX_PROOF_AGE_SECONDS)
     serving = [
         report
@@ -174,7 +183,7 @@
 
 
 def _covers_acknowledged_commits(view: ServiceView) -> bool:
-    """Return whether any set of replicas that acknowledged a commit has one that answered."""
+    """Return whether each set of replicas that may have acknowledged a commit has an answer."""
     if not view.acknowledging_replicas:
         return True
     replicas = [member for member in view.members if not member.record.primary]
@@ -183,9 +192,9 @@
 
 
 def _best_candidate(view: ServiceView) -> str | None:
-    """Return the member whose log goes furthest in the newest term that any member reports.
+    """Return the member with the longest log among those in the newest reported term.
 
-    A member that knows only of an older term may hold commits that a promotion undid.
+    A member in an older term may hold commits that a later promotion discarded.
     """
     answered = [member for member in view.members if member.received is not None]
     newest = max((member.term for member in answered), default=0)
--- a/src/rowanrail/coordination/forwarding.py
+++ b/src/rowanrail/coordination/forwarding.py
@@ -1,7 +1,7 @@
-"""Which reports of gateways a control node that doesn't lead passes on to the leader.
+"""Selects the gateway reports that a follower forwards to the leader.
 
-Owns what was passed on last of each gateway; it leaves out reports that say nothing new, since they
-are most of a control node's bytes.
+Remembers what was last forwarded for each gateway, and drops reports without news: they would be
+most of a control node's traffic.
 """
 
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 
 __all__ = ["KEEPALIVE_SECONDS", "ReportForwarding"]
 
-# Between reports that tell only that a gateway is there. The leader forgets one that it has not
-# heard for 12 s (FORGET_GATEWAY_SECONDS), so that two such reports may be lost.
+# Between forwarded reports without content. The leader forgets a gateway after 12 s of silence
+# (GATEWAY_EXPIRY_SECONDS), so that two in a row may be lost.
 KEEPALIVE_SECONDS = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class _ForwardedReport:
-    """What was last sent on of one gateway, when in seconds, and to whom."""
+    """The last report that was forwarded for one gateway; ``at`` in seconds."""
 
     at: float
     leader: str
@@ -27,15 +27,15 @@
 
 
 class ReportForwarding:
-    """Leaves out reports that tell the leader nothing new.
+    """Drops reports that tell the leader nothing new.
 
-    Most gateways most of the time have neither a proof nor a failure to report; a report is sent
-    at once if the one before had any.
+    Most reports have neither a proof nor a failure. One without content that follows one with
+    content is forwarded at once.
 
     Parameters
     ----------
     now : callable
-        Returns the steady time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -43,7 +43,7 @@
         self._sent: dict[str, _ForwardedReport] = {}
 
     def is_due(self, report: GatewayReport, leader: str) -> bool:
-        """Return whether to send a report on to the leader, and take it as sent."""
+        """Return whether to forward a report to the leader; if so, record it as forwarded."""
         location = (report.zone, report.relay_address, report.group)
         now = self._now()
         sent = self._sent.get(report.gateway)
@@ -60,5 +60,5 @@
 
 
 def _has_content(report: GatewayReport) -> bool:
-    """Return whether a report has views of primaries, or the load by which holders are planned."""
+    """Return whether a report has views of primaries, or load that the planner uses."""
     return bool(report.services) or report.load is not None
--- a/src/rowanrail/coordination/policies.py
+++ b/src/rowanrail/coordination/policies.py
@@ -1,6 +1,6 @@
-"""Guards of the control nodes for gateways, as plug-ins of kind ``coordination-guard``.
+"""Safety checks of the control nodes for gateways: plug-ins of kind ``coordination-guard``.
 
-Each carries one guarantee, which a test can remove to show that it is needed.
+Each enforces one guarantee, so that a test can disable it to show that it is needed.
 """
 
 import msgspec
@@ -11,22 +11,22 @@
 
 @register("coordination-guard", "fencing-token")
 class FencingToken:
-    """Each order to promote has a token of its own, higher than all before it."""
+    """Gives each promotion a unique, increasing fencing token."""
 
     def token(self, log_index: int) -> int:
-        """Return the token of the order whose intent is the log entry of this index."""
+        """Return the token of the promotion whose intent has this log index."""
         return log_index
 
 
 @register("coordination-guard", "incarnation")
 class IncarnationCheck:
-    """An instance of a member is announced once, in order, and ends once."""
+    """Accepts announcements of an instance in order, and none after its removal."""
 
     def is_update(self, record: MemberRecord, known: MemberRecord | None, removed: bool) -> bool:
-        """Return whether an announcement says something new, and did not come late.
+        """Return whether an announcement is newer than the known record and differs from it.
 
-        :param known: what the same instance announced last.
-        :param removed: whether that instance has ended.
+        :param known: the last announcement of the same instance, if any.
+        :param removed: whether that instance was removed.
         """
         if removed:
             return False
@@ -34,6 +34,6 @@
             return True
         if record.sequence <= known.sequence:
             return False
-        # Members warm up with each heartbeat, which must cost the log nothing.
+        # These fields change with each heartbeat, which must not add an entry to the log.
         unchanged = {"sequence": known.sequence, "cold_ms": known.cold_ms}
         return msgspec.structs.replace(record, **unchanged) != known
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -1,9 +1,8 @@
-"""Which control nodes vote: a target number, lost voters replaced by standbys.
+"""Keeps the number of voters at its target and replaces lost voters with standbys.
 
-A node beyond the target stays a learner, caught up and ready. Once a voter has been silent
-for a while and such a learner stands by, the voter goes and the learner takes its place, in
-two steps that each change one voter. A voter that was replaced though it lives
-rejoins as a learner.
+Nodes beyond the target stay learners. When a voter has been silent for a while and a learner is
+caught up, the voter is removed and the learner promoted, in two steps that each change one voter.
+A voter that was replaced while still alive rejoins as a learner.
 """
 
 from collections.abc import Callable
@@ -14,14 +13,16 @@
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
 
-MAX_STANDBY_LAG = 50  # entries behind the leader; few beside what a restart misses
-VOTER_SILENCE_SECONDS = (
-    2.0  # for which a voter is silent before a learner takes its vote; 4 elections
-)
+MAX_STANDBY_LAG = 50  # entries behind the leader at which a learner still counts as caught up
+VOTER_SILENCE_SECONDS = 2.0  # until a learner may replace a silent voter: about four elections
 
 
 class ReplicationProgress(msgspec.Struct, frozen=True):
-    """What the leader knows of another node."""
+    """How far a node has replicated the leader's log.
+
+    :param held: index up to which it is known to hold the log; 0 if it has confirmed nothing.
+    :param behind: number of entries that it lacks.
+    """
 
     held: int
     behind: int
@@ -29,16 +30,16 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the node holds nearly all of the log and answers."""
+        """Whether the node holds nearly all of the log and answers the leader."""
         if not self.held:
-            return False  # it has confirmed nothing yet, however short the log is
+            return False  # nothing is confirmed yet, even if the log is short
         return self.behind <= MAX_STANDBY_LAG and self.silent_seconds < VOTER_SILENCE_SECONDS
 
 
 def next_membership(
     membership: Membership, target: int, state: Callable[[str], ReplicationProgress]
 ) -> Membership | None:
-    """Return the next step towards ``target`` live voters, None if there is nothing to do."""
+    """Return the next membership towards ``target`` live voters; None if no change is needed."""
     ready = sorted(node for node in membership.learners if state(node).is_caught_up)
     if not ready:
         return None
@@ -56,7 +57,7 @@
 
 
 class VoterManager(MembershipManager):
-    """Carries out :func:`next_membership` while its node leads."""
+    """Applies :func:`next_membership` while its node leads."""
 
     def __init__(
         self, node: ConsensusNode, cluster: str, target: int, now: Callable[[], float]
