--- a/src/rowanrail/coordination/announcements.py
+++ b/src/rowanrail/coordination/announcements.py
@@ -1,8 +1,8 @@
-"""How the leader handles members' announcements: changes, late ones, ends, returns.
+"""Handles members' announcements at the leader: changes, removals, readmission.
 
-A member is displaced when another instance announces itself at its address. Owns which displaced
-members go on to announce themselves. Relies on the state for what the log
-holds, on :mod:`liveness` for heartbeats, and on the log to make a change durable.
+A member is displaced when another instance announces itself at its address. Tracks the displaced
+members that still announce themselves. Relies on the state for what the log holds, on
+:mod:`liveness` for heartbeats, and on the log to make a change durable.
 """
 
 from collections.abc import Awaitable, Callable
@@ -15,30 +15,30 @@
 
 __all__ = ["AnnouncementHandler"]
 
-MEMBER_SILENCE_SECONDS = 3.0  # more than two heartbeats of a member, which come each 1.2 s
+MEMBER_SILENCE_SECONDS = 3.0  # more than two heartbeat intervals of 1.2 s
 
 
 @dataclass(slots=True)
 class _ReturningMember:
-    """When a displaced member first announced itself again, and when last; seconds."""
+    """When a displaced member announced itself again, first and last; in seconds."""
 
     since: float
     heard_at: float
 
 
 class AnnouncementHandler:
-    """Turns members' announcements into commands of the log, where they are news.
+    """Proposes commands for announcements that change the state.
 
     Parameters
     ----------
     state : CoordinationState
-        What the log holds.
+        The replicated state.
     liveness : Liveness
-        Gets the heartbeats.
+        Records the heartbeats.
     propose : callable
-        Makes a command durable.
+        Appends a command to the log and waits until it is applied.
     now : callable
-        Returns the steady time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -55,10 +55,10 @@
         self._returning: dict[str, _ReturningMember] = {}
 
     async def handle(self, record: MemberRecord) -> None:
-        """Take what a member announces of itself.
+        """Handle a member's announcement, which also counts as a heartbeat.
 
-        The log holds the sequence of a member's last change only, so that the newest one heard
-        says whether an announcement is late. A late one counts only if the member is leaving.
+        The log holds only the sequence of a member's last change; whether an announcement is late
+        is judged by the newest sequence heard. A late one counts only if the member is leaving.
         """
         is_late = self._liveness.is_late(record.instance, record.sequence) and not record.leaving
         self._liveness.record_heartbeat(record.instance, record.sequence)
@@ -68,7 +68,7 @@
             await self._propose(Announce(record))
 
     async def handle_removal(self, instance: str) -> None:
-        """Take a member's announcement that it has ended."""
+        """Handle a member's announcement that it has ended."""
         self._liveness.forget_member(instance)
         self._returning.pop(instance, None)
         if not self._state.has_ended(instance):
@@ -76,17 +76,16 @@
 
     async def _handle_displaced(self, record: MemberRecord, is_late: bool) -> None:
         if record.leaving:
-            # No earlier announcement may bring it back.
+            # Removed for good, so that a delayed earlier announcement can't readmit it.
             await self._propose(Remove(record.instance))
         elif not is_late and self._state.may_readmit(record) and self._is_address_free(record):
             await self._propose(Readmit(record))
 
     def _is_address_free(self, record: MemberRecord) -> bool:
-        """Return whether a displaced member sends heartbeats and the one at its address none.
+        """Return whether a displaced member sends heartbeats and the one at its address doesn't.
 
-        A heartbeat that a network cut delayed may arrive after its sender has ended and a new
-        life of the member has registered at the address, and look newer than it is. Only a
-        member that runs goes on to send them.
+        A heartbeat delayed by a network partition may arrive after its sender has ended and a new
+        instance has taken the address, and seem to be new. Only a running member keeps sending.
         """
         occupant = self._state.member_at_address(record)
         silent = self._liveness.heartbeat_ago(occupant.instance) if occupant else float("inf")
@@ -96,7 +95,7 @@
         return True
 
     def _returning_seconds(self, instance: str) -> float:
-        """Return for how long a displaced member has announced itself again, now included."""
+        """Return for how long a displaced member has announced itself again; update its times."""
         now = self._now()
         claim = self._returning.get(instance)
         if claim is None or now - claim.heard_at > MEMBER_SILENCE_SECONDS:
--- a/src/rowanrail/coordination/change_batch.py
+++ b/src/rowanrail/coordination/change_batch.py
@@ -1,10 +1,10 @@
-"""Batching of change notices: which revision of the directory gateways are told of now.
+"""Batches directory changes before gateways are notified.
 
-At a start, members and gateways come by hundreds within seconds, and each change would wake each
-gateway's long poll. Changes that can wait are sent together; a member that leaves or is
-gone, another primary and a new configuration are sent at once, with what waited.
+At startup, hundreds of members and gateways register within seconds, and each change would wake
+each gateway's long poll. Changes that can wait are sent together; a member that leaves or is
+removed, another primary and a new configuration are sent at once, with all that waits.
 
-Owns the revision that is released and the timer of a batch; relies on ``kernel.clock``.
+Owns the released revision and the timer of a batch; relies on ``kernel.clock``.
 """
 
 from collections.abc import Callable
@@ -13,20 +13,20 @@
 
 __all__ = ["BATCH_DELAY_MS", "ChangeBatch"]
 
-# After the first change that waits. A member that came is used this much later, beside the 1.2 s
-# between its heartbeats and about 0.1 s for the log.
+# After the first change of a batch. A new member is used this much later, in addition to its
+# heartbeat interval of 1.2 s and the commit.
 BATCH_DELAY_MS = 250.0
 
 
 class ChangeBatch:
-    """Knows up to which revision gateways are to be told.
+    """Tracks the revision up to which gateways are notified.
 
     Parameters
     ----------
     clock : Clock
         Time and timers.
     on_release : callable
-        Called when a wait is over.
+        Called when the delay of a batch is over.
     """
 
     def __init__(self, clock: Clock, on_release: Callable[[], None]) -> None:
@@ -38,18 +38,18 @@
 
     @property
     def released(self) -> int:
-        """The revision up to which gateways are told."""
+        """The revision up to which gateways are notified."""
         return min(self._released, self._revision)
 
     def update(self, revision: int, urgent_revision: int) -> None:
-        """Note what the state holds now.
+        """Take over the state's revisions; release them or start a batch.
 
         Parameters
         ----------
         revision : int
-            Place in the log of the last change of members or gateways.
+            Log index of the last change of members or gateways.
         urgent_revision : int
-            Place in the log of the last change that does not wait.
+            Log index of the last change that must not wait.
         """
         self._revision = revision
         if urgent_revision > self._released:
--- a/src/rowanrail/coordination/change_logger.py
+++ b/src/rowanrail/coordination/change_logger.py
@@ -1,7 +1,7 @@
-"""Log lines of a control node about what changed: leader, versions, directory, voters, disk.
+"""Logs changes of a control node: leader, configuration, directory, voters, storage.
 
-Owns what was logged last, so that each change is logged once; relies on the node of the replicated
-log and on the state for what is so now.
+Keeps what it logged last, so that each change is logged once. Relies on the consensus node and the
+state for the present values.
 """
 
 from collections.abc import Callable
@@ -23,18 +23,18 @@
 
 
 class ChangeLogger:
-    """Compares what is so with what was logged last.
+    """Logs the differences between the present state and what was logged last.
 
     Parameters
     ----------
     consensus : ConsensusNode
         The node of the replicated log.
     state : CoordinationState
-        What its committed entries lead to.
+        The state after its committed entries.
     decisions : DecisionLog
-        Gets the lines.
+        Writes the log lines.
     on_leader : callable
-        Called when a leader becomes known.
+        Called when another leader becomes known.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._membership_index = 0
 
     def log_changes(self) -> None:
-        """Log what changed since the last call."""
+        """Log all changes since the last call."""
         self._log_storage()
         self._log_leader()
         self._log_version()
--- a/src/rowanrail/coordination/commands.py
+++ b/src/rowanrail/coordination/commands.py
@@ -1,4 +1,4 @@
-"""Commands in the log of the control nodes; each node applies them in the order of the log."""
+"""Commands of the replicated log; each control node applies them in log order."""
 
 import msgspec
 
@@ -8,41 +8,41 @@
 
 
 class PutDocument(msgspec.Struct, frozen=True, tag="document"):
-    """A configuration under the operator's own version; ``document`` is compressed (zlib)."""
+    """Store a configuration under the operator's version; ``document`` is compressed (zlib)."""
 
     version: int
     document: bytes
 
 
 class Announce(msgspec.Struct, frozen=True, tag="announce"):
-    """A member came, or changed something that others must know."""
+    """Add a member, or update its record."""
 
     record: MemberRecord
 
 
 class Remove(msgspec.Struct, frozen=True, tag="remove"):
-    """A member has ended, as it announced itself."""
+    """Remove a member that announced its end."""
 
     instance: str
 
 
 class Readmit(msgspec.Struct, frozen=True, tag="readmit"):
-    """A displaced member gets its address back: the one that displaced it is silent."""
+    """Return its address to a displaced member, since the one that displaced it is silent."""
 
     record: MemberRecord
 
 
 class SetGateways(msgspec.Struct, frozen=True, tag="gateways"):
-    """Gateways that came or moved, and the names of those that are gone."""
+    """Add or update the gateways in ``present``, and remove those named in ``absent``."""
 
     present: list[GatewayRecord]
     absent: list[str]
 
 
 class IntendPromotion(msgspec.Struct, frozen=True, tag="promotion"):
-    """The holder of the failover duty is about to promote a member.
+    """Record that the leader is about to promote a member.
 
-    The entry's place in the log is the order's fencing token: it only grows, whichever node leads.
+    The entry's log index is the fencing token of the promotion: it increases across leaders.
     """
 
     service: str
@@ -51,9 +51,9 @@
 
 
 class SetPlan(msgspec.Struct, frozen=True, tag="plan"):
-    """Holders of services' connections, in place of the plan ``base`` if that is still in force.
+    """Replace the plan of connection holders, if the plan ``base`` is still in force.
 
-    The entry's place in the log is the number of the plan.
+    The entry's log index becomes the plan's number.
     """
 
     base: int
@@ -65,7 +65,7 @@
 
 
 class Promotion(msgspec.Struct, frozen=True):
-    """The last promotion of a service that was decided."""
+    """The last promotion of a service in the log, with its fencing token."""
 
     instance: str
     token: int
--- a/src/rowanrail/coordination/history.py
+++ b/src/rowanrail/coordination/history.py
@@ -1,6 +1,6 @@
-"""Which records of the directory changed since a revision, as far back as is remembered.
+"""The latest changes of the directory, from which incremental updates are made.
 
-Owns that memory and the digests of each group's whole directory; the state notes each change here.
+Keeps them up to a limit, and the digest of each group's full directory; the state adds each change.
 """
 
 from collections import deque
@@ -14,14 +14,13 @@
 
 __all__ = ["MAX_CHANGES", "DirectoryHistory", "ChangedNames"]
 
-# Changes. A gateway asks each second, and a start of 300 machines brings some 100 a second; one
-# that was cut off for longer gets the whole, which is smaller than so many differences.
+# A gateway that lacks more changes gets the full directory, which is then the smaller update.
 MAX_CHANGES = 500
 
 
 @dataclass(slots=True)
 class ChangedNames:
-    """Names of what was changed for one group of gateways, the latest first."""
+    """Names of the records that changed for one group of gateways, the latest first."""
 
     members: dict[str, None] = field(default_factory=dict)
     neighbours: dict[str, None] = field(default_factory=dict)
@@ -29,18 +28,18 @@
 
 
 class DirectoryHistory:
-    """The latest changes of the directory, and digests of what each group knows of it.
+    """The latest changes of the directory, and the digest of each group's view of it.
 
     Parameters
     ----------
     revision : int
-        From which on changes are remembered.
+        The revision after which changes are kept.
     members : iterable of MemberRecord
         All members as of that revision.
     gateways : iterable of GatewayRecord
-        All gateways.
+        All gateways as of that revision.
     holders : iterable of GatewayRecord
-        Those of them that hold connections; see :mod:`rowanrail.coordination.holders`.
+        The gateways that hold connections; see :mod:`rowanrail.coordination.holders`.
     """
 
     def __init__(
@@ -61,7 +60,7 @@
             self._update_digest(RecordKind.REMOTE_HOLDER, GatewayChange(None, holder))
 
     def add(self, change: DirectoryChange, holders: list[GatewayChange]) -> None:
-        """Remember a change, and what it changed among the holders."""
+        """Add a change of the directory and the resulting changes of holders."""
         self._changes.append((change, holders))
         if len(self._changes) > MAX_CHANGES:
             self._oldest_revision = self._changes.popleft()[0].revision
@@ -73,14 +72,14 @@
             self._update_digest(RecordKind.REMOTE_HOLDER, holder)
 
     def digest(self, group: str) -> bytes:
-        """Return the digest of the directory as the gateways of a group know it."""
+        """Return the digest of the full directory as a group's gateways see it."""
         neighbours = self._neighbours.get(group)
         others = (digest.value for known, digest in self._holders.items() if known != group)
         own = neighbours.value if neighbours is not None else 0
         return combined_digest(self._members.value, own, *others)
 
     def changes_since(self, revision: int, group: str) -> ChangedNames | None:
-        """Return what a group's gateways don't know as of a revision; None if not remembered."""
+        """Return what changed for a group after a revision; None if that is not kept any more."""
         if revision < self._oldest_revision:
             return None
         touched = ChangedNames()
@@ -90,12 +89,12 @@
             _add_names(touched, change, holders, group)
         return touched
 
-    def _update_digest(self, kind: RecordKind, step: GatewayChange) -> None:
+    def _update_digest(self, kind: RecordKind, change: GatewayChange) -> None:
         digests = self._neighbours if kind is RecordKind.NEIGHBOUR else self._holders
-        if step.before is not None:
-            digests[step.before.sharing_group].replace(step.before, None)
-        if step.after is not None:
-            digests.setdefault(step.after.sharing_group, Digest(kind)).replace(None, step.after)
+        if change.before is not None:
+            digests[change.before.sharing_group].replace(change.before, None)
+        if change.after is not None:
+            digests.setdefault(change.after.sharing_group, Digest(kind)).replace(None, change.after)
 
 
 def _add_names(
--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -1,7 +1,7 @@
-"""Which gateways hold services' connections in their groups, kept up to date change by change.
+"""The gateways that hold services' connections in their groups, updated incrementally.
 
-To rank all gateways for all services costs 7.5 ms at 300 gateways and 40 services, and grows with
-both; one change moves only what the gateway that came or went is first for.
+Ranking all gateways for all services grows with both numbers; a change of one gateway affects only
+the keys for which it ranks first.
 """
 
 from collections import Counter
@@ -16,9 +16,10 @@
 
 
 class RankedHolders:
-    """The first gateway of each group for each thing that is held; see ``placement.rank``.
+    """The top-ranked gateway of each group for each key; see :mod:`rowanrail.placement.hashed`.
 
-    Where regions share, the gateway that sums tenants' demand for its region is one of them.
+    A key is a service, or one of its shards if regions share connections. With regions, the
+    gateway that sums tenants' demand for its region (``METER``) is ranked too.
 
     Parameters
     ----------
@@ -37,30 +38,30 @@
 
     @property
     def group_count(self) -> int:
-        """Number of zones, or regions if those share connections, that have a gateway."""
+        """Number of zones, or of regions that share connections, that have a gateway."""
         return len(self._groups)
 
     @property
     def records(self) -> list[GatewayRecord]:
-        """The gateways that are first for something, by name."""
+        """The gateways that rank first for any key, sorted by name."""
         return [self._gateways[name] for name in sorted(self._keys_held)]
 
     def get(self, name: str) -> GatewayRecord | None:
-        """Return a gateway that is first for something, None for all others."""
+        """Return a gateway that ranks first for any key, None for all others."""
         return self._gateways.get(name) if name in self._keys_held else None
 
     def apply(self, change: DirectoryChange) -> list[GatewayChange]:
-        """Take a change of members and gateways; return what it changed among the holders."""
+        """Apply a change of members and gateways; return the resulting changes of holders."""
         before = {name: self._gateways[name] for name in self._keys_held}
         for member in change.members:
             self._apply_member_change(member)
         for gateway in change.gateways:
             self._apply_gateway_change(gateway)
         names = dict.fromkeys([*before, *self._keys_held])
-        steps = [GatewayChange(before.get(name), self.get(name)) for name in names]
-        return [step for step in steps if step.before != step.after]
+        holders = [GatewayChange(before.get(name), self.get(name)) for name in names]
+        return [holder for holder in holders if holder.before != holder.after]
 
-    # What is held
+    # Ranking
 
     def _keys_of(self, service: str) -> list[str]:
         if self._regional_gateways:
@@ -85,7 +86,7 @@
         self._set_top_ranked(group, key, max(claim(key, name) for name in self._groups[group]))
 
     def _set_top_ranked(self, group: str, key: str, to: tuple[bytes, str] | None) -> None:
-        """Note which gateway is first for something in a group; None if there is none any more."""
+        """Set the top-ranked gateway of a key in a group; None removes the key."""
         before = self._top_ranked[group].pop(key, None)
         if before is not None:
             self._keys_held[before[1]] -= 1
@@ -97,39 +98,41 @@
 
     # Changes
 
-    def _apply_member_change(self, step: MemberChange) -> None:
-        if step.after is not None:
-            self._services[step.after.service] += 1
-            if self._services[step.after.service] == 1:
-                for key in self._keys_of(step.after.service):
+    def _apply_member_change(self, change: MemberChange) -> None:
+        if change.after is not None:
+            self._services[change.after.service] += 1
+            if self._services[change.after.service] == 1:
+                for key in self._keys_of(change.after.service):
                     for group in self._groups:
                         self._rank_key(group, key)
-        if step.before is not None:
-            self._services[step.before.service] -= 1
-            if not self._services[step.before.service]:
-                del self._services[step.before.service]
-                for key in self._keys_of(step.before.service):
+        if change.before is not None:
+            self._services[change.before.service] -= 1
+            if not self._services[change.before.service]:
+                del self._services[change.before.service]
+                for key in self._keys_of(change.before.service):
                     for group in self._groups:
                         self._set_top_ranked(group, key, None)
 
-    def _apply_gateway_change(self, step: GatewayChange) -> None:
-        regional = self._regional_gateways + _is_regional(step.after) - _is_regional(step.before)
+    def _apply_gateway_change(self, change: GatewayChange) -> None:
+        regional = (
+            self._regional_gateways + _is_regional(change.after) - _is_regional(change.before)
+        )
         if bool(regional) != bool(self._regional_gateways):
-            self._update_record(step)
+            self._update_record(change)
             self._rank_all()
             return
         self._regional_gateways = regional
-        if step.before is not None:
-            self._remove(step.before)
-        self._update_record(step)
-        if step.after is not None:
-            self._add(step.after)
-
-    def _update_record(self, step: GatewayChange) -> None:
-        if step.before is not None:
-            del self._gateways[step.before.name]
-        if step.after is not None:
-            self._gateways[step.after.name] = step.after
+        if change.before is not None:
+            self._remove(change.before)
+        self._update_record(change)
+        if change.after is not None:
+            self._add(change.after)
+
+    def _update_record(self, change: GatewayChange) -> None:
+        if change.before is not None:
+            del self._gateways[change.before.name]
+        if change.after is not None:
+            self._gateways[change.after.name] = change.after
 
     def _remove(self, gateway: GatewayRecord) -> None:
         group = gateway.sharing_group
