--- a/src/rowanrail/cluster/__init__.py
+++ b/src/rowanrail/cluster/__init__.py
@@ -1,5 +1,4 @@
-"""The shell of a node of the replicated log, whatever the log decides.
+"""Cluster membership of control nodes: startup, admission and removal.
 
-Owns a node's data folder at its start, admission and removal of nodes, and the messages for that.
-Relies on ``consensus`` for the log itself; both kinds of control nodes use it.
+Shared by both kinds of control nodes; relies on ``consensus`` for the replicated log.
 """
--- a/src/rowanrail/cluster/data_folder.py
+++ b/src/rowanrail/cluster/data_folder.py
@@ -1,7 +1,7 @@
-"""Opening a control node's data folder: first start, restart, or joining as a new node.
+"""Startup of a control node from its data folder: bootstrap, restart, or joining as a new node.
 
-For both kinds of control nodes, at their start. Owns nothing once the folder is open; relies on the
-storage for what the folder holds and on the other nodes for whether there is a system already.
+Shared by both kinds of control nodes. Relies on the storage for the folder's contents, and on the
+other nodes for whether a system already exists.
 """
 
 import asyncio
@@ -21,16 +21,13 @@
 from rowanrail.rpc.network import Network
 
 FIRST_IDENTITY = "1"
-# Seconds for a node's answer whether it knows a system. Chosen.
-SYSTEM_QUERY_TIMEOUT_SECONDS = 1.0
-# Seconds for a node's answer to a request for admission. Chosen.
-JOIN_TIMEOUT_SECONDS = 3.0
-# Seconds between rounds of requests for admission. Chosen.
-JOIN_RETRY_INTERVAL_SECONDS = 0.5
+SYSTEM_QUERY_TIMEOUT_SECONDS = 1.0  # for a node's answer whether it knows a system
+JOIN_TIMEOUT_SECONDS = 3.0  # for a node's answer to a request for admission
+JOIN_RETRY_INTERVAL_SECONDS = 0.5  # between rounds of requests for admission
 
 
 class StartupMode(enum.Enum):
-    """How a node begins."""
+    """How a node starts."""
 
     RESTART = "restart"  # with the identity in its folder
     BOOTSTRAP = "bootstrap"  # as one of the first nodes of a new system
@@ -38,7 +35,10 @@
 
 
 class NodeConfig(msgspec.Struct, frozen=True):
-    """Whose folder it should be, and the nodes that a new system begins with."""
+    """A node's system and name, and the first nodes of a new system.
+
+    :param folder: path of the data folder, named in errors.
+    """
 
     cluster: str
     name: str
@@ -46,12 +46,12 @@
     folder: str = ""
 
     def address(self) -> str:
-        """Return the node's own address."""
+        """Return the node's own address, empty if it isn't among ``nodes``."""
         return next((node.address for node in self.nodes if node.name == self.name), "")
 
 
 def first_membership(config: NodeConfig) -> Membership:
-    """Return the membership of a new system."""
+    """Return the membership of a new system, in which all first nodes vote."""
     return Membership(
         voters={f"{node.name}@{FIRST_IDENTITY}": node.address for node in config.nodes}
     )
@@ -65,9 +65,9 @@
     learner_first: LearnerFirst,
     bootstrap: bool,
 ) -> Identity:
-    """Return the identity of the folder, setting the folder up if it is empty.
+    """Return the identity in the data folder, setting up an empty folder.
 
-    :param bootstrap: set up a new system, unless another node already knows one.
+    :param bootstrap: start a new system, unless another node already knows one.
     :raises StorageError: if the folder is damaged or belongs to another system or node.
     """
     identity = storage.identity()
@@ -88,17 +88,17 @@
 
 
 def startup_mode(has_identity: bool, may_bootstrap: bool) -> StartupMode:
-    """Return how a node begins.
+    """Return how a node starts.
 
-    A folder that was emptied gets a new identity: the votes that the node gave before are gone, so
-    that it may not vote under its old one.
+    A node whose folder was emptied has lost its votes, so that it must not vote under its former
+    identity: it joins under a new one.
 
     Parameters
     ----------
     has_identity : bool
         Whether the folder holds an identity.
     may_bootstrap : bool
-        Whether the operator asks for a new system and no node that answers knows one.
+        Whether the operator requests a new system and no node that answers knows one.
     """
     if has_identity:
         return StartupMode.RESTART
@@ -106,7 +106,7 @@
 
 
 def check_owner(identity: Identity, config: NodeConfig) -> None:
-    """Check that a folder is the node's own.
+    """Check that a folder belongs to the node.
 
     :raises StorageError: if it belongs to another system or node.
     """
@@ -121,14 +121,14 @@
 
 
 async def _system_exists(config: NodeConfig, network: Network) -> bool:
-    """Ask the other nodes whether any of them has accepted a configuration."""
+    """Return whether any other node reports a configuration version."""
     for node in config.nodes:
         if node.name == config.name:
             continue
         try:
             reply = await network.call(node.address, ReportsRequest(), SYSTEM_QUERY_TIMEOUT_SECONDS)
         except TransportError:
-            continue  # a node that does not answer proves nothing either way
+            continue  # a node that does not answer tells nothing
         if isinstance(reply, ReportsReply) and reply.version > 0:
             return True
     return False
@@ -137,7 +137,7 @@
 async def join_until_admitted(
     config: NodeConfig, identity: Identity, network: Network, is_member: asyncio.Event
 ) -> None:
-    """Ask the other nodes, one after the other, to be admitted, until it happens."""
+    """Request admission from the other nodes in turn until ``is_member`` is set."""
     request = JoinRequest(
         config.name,
         identity.node,
--- a/src/rowanrail/cluster/events.py
+++ b/src/rowanrail/cluster/events.py
@@ -1,6 +1,6 @@
 """Log events of a control node that joins a cluster (numbers 120 and 123).
 
-For both kinds of control nodes. Owns the numbers and fields, which operators' tools know.
+Shared by both kinds of control nodes. Operators' tools read the numbers and fields.
 """
 
 from rowanrail.kernel.events import Level, define
@@ -17,5 +17,5 @@
     123,
     Level.WARNING,
     "joining through {peer} failed: {error}",
-    "The node tries the next peer. If it stays: start a majority of the others.",
+    "The node tries the next peer. If it persists, start a majority of the others.",
 )
--- a/src/rowanrail/cluster/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -1,9 +1,8 @@
 """Admission and removal of control nodes, one at a time, through the log.
 
-For the services of both kinds of control nodes. Owns nothing but the task that gives learners their
-vote; the rules above it are pure. Relies on the node for the membership in force and its changes.
-A node with an empty data folder is a new node, whatever its name. It joins as a learner, is brought
-up to date, takes the place of an older node of the same name, and only then gets a vote.
+Shared by both kinds of control nodes. A node with an empty data folder is a new node, whatever its
+name. It joins as a learner, replicates the log, replaces an older node of the same name, and only
+then gets a vote. Relies on the consensus node for the membership and its changes.
 """
 
 import asyncio
@@ -16,30 +15,30 @@
 from rowanrail.consensus.raft_types import MembershipBusy
 from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
 
-MAX_LEARNER_LAG = 10  # a learner this close to the log's end gets a vote; chosen
-LEARNER_CHECK_INTERVAL_SECONDS = 0.2  # between checks for such a learner; chosen
+MAX_LEARNER_LAG = 10  # entries behind the log's end at which a learner gets a vote
+LEARNER_CHECK_INTERVAL_SECONDS = 0.2  # between checks for a learner to promote
 
 
 def node_name(node: str) -> str:
-    """Return the name in a node id (``name@identity``)."""
+    """Return the name part of a node id (``name@identity``)."""
     return node.split("@")[0]
 
 
 def without_voters(membership: Membership, nodes: Collection[str]) -> Membership:
-    """Return a membership in which some nodes no longer vote."""
+    """Return a membership without some of its voters."""
     voters = {node: a for node, a in membership.voters.items() if node not in nodes}
     return Membership(voters, dict(membership.learners))
 
 
 def with_voter(membership: Membership, learner: str) -> Membership:
-    """Return a membership in which a learner votes."""
+    """Return a membership with a learner promoted to voter."""
     voters = {**membership.voters, learner: membership.learners[learner]}
     learners = {node: a for node, a in membership.learners.items() if node != learner}
     return Membership(voters, learners)
 
 
 def with_learner(membership: Membership, name: str, node: str, address: str) -> Membership:
-    """Return a membership with a new learner, in the place of others of the name.
+    """Return a membership with a new learner, in place of other learners of its name.
 
     Examples
     --------
@@ -68,15 +67,15 @@
 def next_promotion(
     membership: Membership, match_of: Callable[[str], int], last_index: int
 ) -> Membership | None:
-    """Return the next step by which a learner that is caught up gets a vote, None if there is none.
+    """Return the next step in promoting a learner that has caught up, None if there is none.
 
-    An older node of the same name goes first: each step changes the voters by one name, so that
-    any two majorities of successive memberships overlap.
+    An older voter of the same name is removed first. Each step changes one voter, so that the
+    majorities of successive memberships overlap.
 
     Parameters
     ----------
     match_of : callable
-        Returns up to which index a node is known to hold the log; 0 if it has confirmed nothing.
+        Returns the index up to which a node is known to hold the log; 0 if none is confirmed.
     last_index : int
         Index of the log's last entry.
 
@@ -101,7 +100,15 @@
 
 
 class MembershipManager:
-    """Carries out membership changes while its node leads."""
+    """Admits, promotes and removes nodes while its own node leads.
+
+    Parameters
+    ----------
+    node : ConsensusNode
+        Holds the membership and commits its changes.
+    cluster : str
+        Name of the system; nodes of others are rejected.
+    """
 
     def __init__(self, node: ConsensusNode, cluster: str) -> None:
         self._node = node
@@ -109,11 +116,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to promote learners whenever this node leads."""
+        """Start to promote learners periodically while this node leads."""
         self._task = asyncio.ensure_future(self._run())
 
     async def stop(self) -> None:
-        """Stop."""
+        """Cancel the promotion of learners."""
         if self._task is not None:
             self._task.cancel()
 
@@ -136,7 +143,7 @@
         return self.view()
 
     async def nodes(self, request: NodesRequest) -> NodesReply:
-        """List the nodes, after removing one if the request asks for it.
+        """Return the nodes, after removing one if requested.
 
         :raises InvalidRequestError: if the node to remove is unknown or the last one.
         """
@@ -161,7 +168,7 @@
             raise RowanrailError("another membership change is under way", step="join") from error
 
     def view(self) -> NodesReply:
-        """Return the nodes as this node sees them."""
+        """Return this node's view of all nodes."""
         raft = self._node.raft
         now = asyncio.get_running_loop().time()
         views = []
@@ -188,7 +195,7 @@
                 try:
                     await self._promote_learner()
                 except (RowanrailError, MembershipBusy, NotLeaderError):
-                    continue  # tried again at the next step, by whoever leads then
+                    continue  # the leader retries at its next check
 
     async def _promote_learner(self) -> None:
         raft = self._node.raft
--- a/src/rowanrail/cluster/messages.py
+++ b/src/rowanrail/cluster/messages.py
@@ -1,7 +1,7 @@
-"""Messages between nodes of a replicated log: admission, removal, barriers, reports.
+"""Messages between control nodes: admission, removal, read barriers, proxies' reports.
 
-For both kinds of control nodes, and for the proxies' reports in them. Owns the messages' names and
-fields, which nodes of other versions know; relies on ``rpc.codec``.
+Shared by both kinds of control nodes. Nodes of other versions read the messages' names and fields,
+which must not change.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 
 
 class GroupReport(msgspec.Struct, frozen=True):
-    """What a proxy tells of one member of a group."""
+    """A proxy's view of one member of a group."""
 
     group: str
     member: str
@@ -25,10 +25,10 @@
 
 
 class ProxyReport(msgspec.Struct, frozen=True):
-    """What a control node knows of a proxy.
+    """A control node's view of a proxy.
 
     :param used: names of the groups to which it has, or may open, connections.
-    :param primary_reads: reads that a replica might have served, served by the primary.
+    :param primary_reads: reads served by the primary that a replica could have served.
     :param primary_only_reads: reads that the rules keep on the primary.
     """
 
@@ -46,7 +46,7 @@
 
 @message("ReportsRequest")
 class ReportsRequest(msgspec.Struct, frozen=True):
-    """Ask a control node for the proxies that it knows."""
+    """Request the proxies that a control node knows."""
 
 
 @message("ReportsReply")
@@ -60,19 +60,19 @@
 
 @message("BarrierRequest")
 class BarrierRequest(msgspec.Struct, frozen=True):
-    """Ask the leader for the newest accepted version."""
+    """Request an index that covers all accepted changes, for a consistent read."""
 
 
 @message("BarrierReply")
 class BarrierReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`BarrierRequest`: an index that holds all accepted changes."""
+    """Answer to :class:`BarrierRequest`: the state at this index has all accepted changes."""
 
     index: int
 
 
 @message("JoinRequest")
 class JoinRequest(msgspec.Struct, frozen=True):
-    """A node with an empty data folder asks to be admitted."""
+    """Request a node's admission as a learner."""
 
     name: str
     node: str
@@ -82,13 +82,16 @@
 
 @message("NodesRequest")
 class NodesRequest(msgspec.Struct, frozen=True):
-    """Ask for the control nodes, or change them (``add`` or ``remove`` by name)."""
+    """Request the list of control nodes, after removing the one named by ``remove`` if set."""
 
     remove: str = ""
 
 
 class NodeView(msgspec.Struct, frozen=True):
-    """One control node as the leader sees it."""
+    """The leader's view of one control node.
+
+    :param behind: number of log entries that it lacks.
+    """
 
     name: str
     node: str
--- a/src/rowanrail/cluster/policies.py
+++ b/src/rowanrail/cluster/policies.py
@@ -1,7 +1,7 @@
-"""Guard of versions, a plug-in of kind ``control-guard``.
+"""Version guard, a plug-in of kind ``control-guard``.
 
-For proxies, gateways and control nodes. Owns nothing: pure, so that the lab can take the guard
-away and find its guarantee broken.
+Used by proxies, gateways and control nodes. It is a plug-in so that the simulator can disable it
+and show that its guarantee then breaks.
 """
 
 from rowanrail.kernel.registry import register
@@ -9,7 +9,7 @@
 
 @register("control-guard", "version-monotonic")
 class VersionMonotonic:
-    """The version in force at a proxy only grows."""
+    """Accepts only increasing configuration versions."""
 
     def accepts(self, in_force: int, offered: int) -> bool:
         """Return whether the offered version may replace the one in force."""
--- a/src/rowanrail/directory/__init__.py
+++ b/src/rowanrail/directory/__init__.py
@@ -1,6 +1,5 @@
-"""What gateways and control nodes send each other: reports, and the directory of members.
+"""Reports of gateways to control nodes, and the directory of members that they get.
 
-Owns the messages between them, the digest of a whole directory, and the encoding of what changed
-in it. Relies on ``model`` for the records, on ``scheduling`` for loads and plans, and on ``rpc``
-for the frames.
+Defines the messages, the digest of a full directory, and the encoding of its updates. Relies on
+``model`` for the records, on ``scheduling`` for loads and plans, and on ``rpc`` for the frames.
 """
--- a/src/rowanrail/directory/digests.py
+++ b/src/rowanrail/directory/digests.py
@@ -1,9 +1,8 @@
-"""A digest of a whole directory that costs one hash for each record that changes.
+"""Incremental digest of a directory: one hash for each record that changes.
 
-It is the sum of the records' hashes modulo 2**128 (Bellare and Micciancio, 1997): the same for
-the same records in any order. It finds faults, not forgers; nodes and gateways trust each other.
-
-Owns the hash of a record. Relies on the records' encoding, which both sides share.
+The digest is the sum of the records' hashes modulo 2**128 (AdHash; Bellare and Micciancio, 1997),
+which doesn't depend on their order. It detects errors, not forgery: nodes and gateways trust each
+other. Both sides must encode records in the same way.
 """
 
 import enum
@@ -17,14 +16,14 @@
 
 __all__ = ["DIRECTORY_DIGEST_BYTES", "Digest", "RecordKind", "combined_digest", "record_hash"]
 
-DIRECTORY_DIGEST_BYTES = 16  # two different directories agree by chance once in 2**128
+DIRECTORY_DIGEST_BYTES = 16  # different directories collide with probability 2**-128
 _MODULUS = 1 << (8 * DIRECTORY_DIGEST_BYTES)
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 class RecordKind(enum.Enum):
-    """What a record is to the gateway that knows it."""
+    """Kind of a record from the view of the gateway that holds it; the value salts its hash."""
 
     MEMBER = b"member"
     NEIGHBOUR = b"neighbour"
@@ -32,21 +31,21 @@
 
 
 def record_hash(kind: RecordKind, record: MemberRecord | GatewayRecord) -> int:
-    """Return the number by which a record counts in a digest."""
+    """Return the hash that a record adds to a digest."""
     data = _encoder.encode(record)
     hashed = hashlib.blake2b(data, digest_size=DIRECTORY_DIGEST_BYTES, person=kind.value)
     return int.from_bytes(hashed.digest(), "big")
 
 
 class Digest:
-    """The sum over records that come and go.
+    """The sum of the hashes of records of one kind.
 
     Parameters
     ----------
     kind : RecordKind
-        What the records are.
+        Kind of all records.
     records : iterable of MemberRecord or GatewayRecord
-        Those of the beginning.
+        The initial records.
 
     Examples
     --------
@@ -67,7 +66,7 @@
 
     @property
     def value(self) -> int:
-        """The sum; those of different kinds may be added."""
+        """The sum; sums of different kinds may be added."""
         return self._sum
 
     def replace(
@@ -75,7 +74,7 @@
         before: MemberRecord | GatewayRecord | None,
         after: MemberRecord | GatewayRecord | None,
     ) -> None:
-        """Take away one record and add another; either may be missing."""
+        """Remove one record and add another; either may be None."""
         if before is not None:
             self._sum -= record_hash(self._kind, before)
         if after is not None:
@@ -84,5 +83,5 @@
 
 
 def combined_digest(*sums: int) -> bytes:
-    """Return the digest of several sums together, as it is sent."""
+    """Return the digest of several sums, in its encoded form."""
     return (sum(sums) % _MODULUS).to_bytes(DIRECTORY_DIGEST_BYTES, "big")
--- a/src/rowanrail/directory/health_filter.py
+++ b/src/rowanrail/directory/health_filter.py
@@ -1,7 +1,6 @@
-"""What of a gateway's view of the primaries is worth reporting to the control nodes.
+"""Selects the views of primaries that gateways report to the control nodes.
 
-For gateways, which leave out the rest, and for control nodes, which leave it out of reports of
-gateways of earlier versions. Owns nothing. Relies on ``model`` for the records.
+Gateways apply it to their reports; control nodes apply it to those of earlier gateways.
 """
 
 from collections.abc import Iterable
@@ -10,22 +9,20 @@
 
 __all__ = ["reportable_health"]
 
-# Age of a proof up to which it is reported. A proof contradicts others who have failed for longer
-# than it is old. Those who fail report within 0.3 s and are decided on within seconds; a proof of
-# half a minute ago contradicts no report.
+# A proof contradicts only failures that last longer than its age. Failures are reported and decided
+# on within seconds, so that an older proof has no effect.
 MAX_PROOF_AGE_MS = 30_000
 
 
 def reportable_health(health: Iterable[PrimaryHealth]) -> list[PrimaryHealth]:
-    """Return what has weight in a decision about a primary.
+    """Return the views that can influence a failover: recent proofs and failures.
 
-    Most gateways use few services, and where connections are shared most have none of their own:
-    of the others they have neither a proof nor a failure to report.
+    Most gateways use few services, and have neither for the others.
 
     Parameters
     ----------
     health : iterable of PrimaryHealth
-        What a gateway sees of all services.
+        A gateway's views of all services.
 
     Examples
     --------
--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -1,9 +1,7 @@
-"""Messages between gateways and control nodes: reports, polls of the directory, what logs hold.
+"""Messages between gateways and control nodes: reports, polls of the directory, logged state.
 
-Structs that are sent as arrays may have their fields renamed, not reordered; ``GatewayRecord`` is
-sent with its field names. The tag of a message is the string at its class.
-
-Owns the forms. Relies on ``model`` for the records and on ``scheduling`` for loads and plans.
+Fields of structs that are sent as arrays may be renamed but not reordered; ``GatewayRecord`` is
+sent with its field names. A message's tag is the string in its decorator.
 """
 
 import zlib
@@ -22,7 +20,7 @@
     Parameters
     ----------
     relay_address : str
-        ``IP:port`` at which it takes statements of its group's other gateways.
+        ``IP:port`` at which it accepts statements from other gateways.
     group : str
         The zone or region whose gateways share connections; empty for the zone.
     """
@@ -40,16 +38,16 @@
 
 @message("GatewayReport")
 class GatewayReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway sees; sent on to the leader.
+    """A gateway's views of primaries and its load; forwarded to the leader.
 
     Parameters
     ----------
     hops : int
-        1 once a control node has sent it on.
+        1 once a control node has forwarded it.
     group : str
         The zone or region whose gateways share connections; empty for the zone.
     load : LoadReport or None
-        What came to it in a span of time, None if that was reported before.
+        The gateway's load over one span, None if it was reported before.
     """
 
     gateway: str
@@ -66,22 +64,22 @@
         return self.group or self.zone
 
 
-NO_REVISION = (
-    -1
-)  # a revision below any that the log gives: of a gateway that knows no directory yet
+NO_REVISION = -1  # below all revisions of the log: the gateway has no directory yet
 
 
 class DirectoryUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """The directory as one group's gateways know it, or what changed of it.
+    """A full or incremental update of the directory for the gateways of one group.
 
     Parameters
     ----------
     base_revision : int
-        The revision from which it leads on; ``NO_REVISION`` if it holds everything.
+        The revision to which it applies; ``NO_REVISION`` for a full update.
     digest : bytes
-        Of the whole directory to which it leads, see :mod:`digests`.
-    removed_members : list of str
-        Instances that are known no more; likewise for the other two.
+        Digest of the full directory after the update, see :mod:`digests`.
+    members, neighbours, remote_holders : list
+        Records that were added or changed; see :class:`DirectoryReply`.
+    removed_members, removed_neighbours, removed_remote_holders : list of str
+        Instances, or names of gateways, that were removed.
     """
 
     base_revision: int
@@ -96,18 +94,18 @@
 
 @message("DirectoryRequest")
 class DirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask for what is newer than the gateway knows; the answer waits for it up to ``wait_seconds``.
+    """Long poll for what is newer than the gateway knows, for up to ``wait_seconds``.
 
     Parameters
     ----------
     accepts_updates : bool
         Whether the gateway understands ``update`` of the reply.
     wants_full : bool
-        Whether it needs the whole directory, of its revision or a later one.
+        Whether it needs a full update, of its own revision or a later one.
     known_controls_checksum : int
         See :func:`controls_checksum`.
     known_plan : int or None
-        Number of the plan of holders that the gateway has, None if its settings say ``hashed``.
+        Number of the gateway's plan of holders, None if its settings select ``hashed``.
     """
 
     report: GatewayReport
@@ -121,37 +119,36 @@
 
 
 def controls_checksum(controls: list[str]) -> int:
-    """Return a number by which a gateway says which control nodes it knows; 0 for none."""
+    """Return the checksum that tells which control nodes a gateway knows; 0 for none."""
     return zlib.crc32(" ".join(controls).encode())
 
 
 @message("DirectoryReply")
 class DirectoryReply(msgspec.Struct, frozen=True, array_like=True):
-    """What is newer.
+    """Answer to :class:`DirectoryRequest`: what is newer than the gateway knows.
 
     Parameters
     ----------
     current : bool
-        Whether this node held all that is committed a short while ago; else the gateway asks
-        another node.
+        Whether the node recently held all committed entries; if not, the gateway asks another.
     document : bytes
-        The configuration (compressed), empty if the known one is the newest.
+        The configuration (compressed with zlib), empty if the known one is the newest.
     members : list of MemberRecord or None
         All members, None if the known revision is the newest, or with ``update``.
     gateways : int
-        How many gateways there are, in ``zones`` zones (or regions that share).
+        Number of gateways in all ``zones`` zones, or regions that share connections.
     neighbours : list of GatewayRecord
-        The gateways of the asking gateway's group, with ``members``.
+        The gateways of the requesting gateway's group, with ``members``.
     controls : list of str
         Addresses of all control nodes; empty if the gateway knows them.
     zone : str
-        Of the answering node.
+        Zone of the answering node.
     remote_holders : list of GatewayRecord
         Gateways of other groups that hold connections there, with ``members``.
     update : bytes
-        A packed :class:`DirectoryUpdate` for gateways that take one; empty if there is nothing new.
+        An encoded :class:`DirectoryUpdate` for gateways that accept it; empty if nothing is new.
     plan : Plan or None
-        Of holders, None if the known one is the newest.
+        The plan of holders, None if the known one is the newest.
     """
 
     current: bool
@@ -171,7 +168,7 @@
 
 @message("HeldRequest")
 class LoggedDirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask, for a gateway that has just started, what a node's log holds, committed or not.
+    """Request the state after a node's whole log, committed or not, for a starting gateway.
 
     Parameters
     ----------
@@ -187,7 +184,7 @@
 
 @message("HeldReply")
 class LoggedDirectoryReply(msgspec.Struct, frozen=True, array_like=True):
-    """What a control node's log holds, whether or not it knows a leader.
+    """The state after a control node's whole log, whether or not there is a leader.
 
     Parameters
     ----------
@@ -198,9 +195,9 @@
     last_index : int
         Index of the log's last entry.
     voters : list of str
-        Ids of the nodes that vote, by the newest membership in the log.
+        Ids of the voters in the newest membership of the log.
     directory : DirectoryReply
-        The whole state after the last entry.
+        The state after the last entry.
     """
 
     node: str
--- a/src/rowanrail/directory/update_encoding.py
+++ b/src/rowanrail/directory/update_encoding.py
@@ -1,7 +1,4 @@
-"""Encoding of the part of the directory that a gateway is sent.
-
-Owns the compression. Relies on :mod:`messages` for the form.
-"""
+"""Encoding and compression of directory updates."""
 
 import zlib
 
@@ -10,26 +7,24 @@
 from rowanrail.directory.messages import DirectoryUpdate
 from rowanrail.kernel.errors import TransportError
 
-__all__ = ["encode_update", "decode_update"]
+__all__ = ["decode_update", "encode_update"]
 
 
-# Of zlib. A directory of 300 machines (25 KB) becomes 2.9 KB in 0.10 ms, at level 1 3.6 KB in
-# 0.05 ms, at level 9 2.7 KB in 0.33 ms; each part is packed once for many gateways.
-COMPRESSION_LEVEL = 6
+COMPRESSION_LEVEL = 6  # of zlib; each update is encoded once for many gateways
 
 
-def encode_update(part: DirectoryUpdate) -> bytes:
-    """Return the bytes of a part as they are sent."""
-    return zlib.compress(msgspec.msgpack.encode(part), COMPRESSION_LEVEL)
+def encode_update(update: DirectoryUpdate) -> bytes:
+    """Return the encoded and compressed update."""
+    return zlib.compress(msgspec.msgpack.encode(update), COMPRESSION_LEVEL)
 
 
 def decode_update(packed: bytes) -> DirectoryUpdate:
-    """Return the part that was packed.
+    """Return the update that was encoded.
 
     Raises
     ------
     TransportError
-        If the bytes are not whole, or hold no part.
+        If the bytes are incomplete, or are not an update.
     """
     try:
         return msgspec.msgpack.decode(zlib.decompress(packed), type=DirectoryUpdate)
