--- a/src/rowanrail/coordination/__init__.py
+++ b/src/rowanrail/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""Control nodes for gateways: numbered configuration, announced members, failover.
+"""Control nodes for gateways: versioned configuration, directory of members, failover.
 
-The replicated log is that of :mod:`rowanrail.consensus`; what it decides is here.
+They replicate their state by the log of :mod:`rowanrail.consensus`.
 """
--- a/src/rowanrail/coordination/daemon.py
+++ b/src/rowanrail/coordination/daemon.py
@@ -1,7 +1,7 @@
-"""The control program for gateways: one control node as a process.
+"""Process of a control node for gateways.
 
-Makes the ports (network, disk, drivers, outside API) from the registry, runs the node until a stop
-signal, and owns nothing else.
+Creates the plug-ins (network, drivers, external API) from the registry and runs the node until a
+stop signal.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
 
 
 class ExternalApi(ABC):
-    """Port: the interface for operators and members, a plug-in of kind ``outside-api``.
+    """HTTP interface for operators and members, a plug-in of kind ``outside-api``.
 
-    Made with the service, the settings and the decision log as its arguments.
+    Constructed with the service, the settings and the decision log.
     """
 
     @abstractmethod
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer a call."""
+        """Return the response to an HTTP request."""
 
 
 async def run_coordinator(settings: CoordinatorSettings) -> None:
@@ -75,7 +75,7 @@
 async def _serve_external_api(
     node: Coordinator, settings: CoordinatorSettings, registry: Registry, decisions: DecisionLog
 ) -> HttpServer:
-    """Serve the interface for operators and members, and the metrics if they are asked for."""
+    """Serve the HTTP interface for operators and members, and the metrics if configured."""
     service: CoordinationService = node.service
     api: ExternalApi = registry.create(
         "outside-api", settings.protocol, service, settings, decisions
--- a/src/rowanrail/coordination/directory_updates.py
+++ b/src/rowanrail/coordination/directory_updates.py
@@ -1,7 +1,7 @@
-"""The directory as it is sent to a group's gateways: whole, or what changed since a revision.
+"""Directory updates for the gateways of a group: full, or incremental since a revision.
 
-Owns the packed parts of the present revision, made once for all gateways that need the same. Relies
-on the state's history and on :mod:`rowanrail.directory.update_encoding`.
+Caches the encoded updates of the present revision for all gateways that need the same. Relies on
+the state's history and on :mod:`rowanrail.directory.update_encoding`.
 """
 
 from dataclasses import dataclass
@@ -10,18 +10,18 @@
 from rowanrail.directory.messages import NO_REVISION, DirectoryUpdate, GatewayRecord
 from rowanrail.directory.update_encoding import encode_update
 
-__all__ = ["UpdateCache", "UpdateCounts", "incremental_update", "full_update"]
+__all__ = ["UpdateCache", "UpdateCounts", "full_update", "incremental_update"]
 
 
 @dataclass(slots=True)
 class UpdateCounts:
-    """How many parts of one kind were sent, and their bytes."""
+    """Number of updates of one kind that were sent, and their total size in bytes."""
 
     answers: int = 0
     bytes: int = 0
 
     def add(self, size: int) -> None:
-        """Count one."""
+        """Count an update of ``size`` bytes."""
         self.answers += 1
         self.bytes += size
 
@@ -33,12 +33,12 @@
 
 
 class UpdateCache:
-    """What gateways are sent, made once for all of a group that know the same.
+    """Encodes each update once for all gateways of a group at the same revision.
 
     Parameters
     ----------
     state : CoordinationState
-        The directory and its history.
+        Holds the directory and its history.
     """
 
     def __init__(self, state: CoordinationState) -> None:
@@ -50,42 +50,42 @@
 
     @property
     def state(self) -> CoordinationState:
-        """The state whose directory is sent."""
+        """The state from which updates are made."""
         return self._state
 
     @property
     def counts(self) -> dict[str, UpdateCounts]:
-        """What was sent, by kind."""
+        """Counts of the updates that were sent, by kind."""
         return {"whole": self._full, "difference": self._incremental}
 
     def encoded(self, group: str, since: int) -> bytes:
-        """Return what brings a group's gateways from a revision to the newest.
+        """Return the encoded update from a revision to the present one.
 
         Parameters
         ----------
         group : str
             The zone or region whose gateways share connections.
         since : int
-            What the gateway holds; ``NO_REVISION`` if it needs everything.
+            The gateway's revision; ``NO_REVISION`` if it needs a full update.
         """
         if self._state.revision != self._revision:
             self._revision = self._state.revision
             self._cache.clear()
-        made = self._cache.get((group, since))
-        if made is None:
-            made = self._cache[group, since] = self._build(group, since)
-        (self._full if made.is_full else self._incremental).add(len(made.data))
-        return made.data
+        cached = self._cache.get((group, since))
+        if cached is None:
+            cached = self._cache[group, since] = self._build(group, since)
+        (self._full if cached.is_full else self._incremental).add(len(cached.data))
+        return cached.data
 
     def _build(self, group: str, since: int) -> _EncodedUpdate:
-        part = None if since == NO_REVISION else incremental_update(self._state, group, since)
-        if part is None:
+        update = None if since == NO_REVISION else incremental_update(self._state, group, since)
+        if update is None:
             return _EncodedUpdate(encode_update(full_update(self._state, group)), is_full=True)
-        return _EncodedUpdate(encode_update(part), is_full=False)
+        return _EncodedUpdate(encode_update(update), is_full=False)
 
 
 def full_update(state: CoordinationState, group: str) -> DirectoryUpdate:
-    """Return the whole directory as a group's gateways know it."""
+    """Return the full directory for the gateways of a group."""
     return DirectoryUpdate(
         NO_REVISION,
         state.history.digest(group),
@@ -98,28 +98,30 @@
 
 
 def incremental_update(state: CoordinationState, group: str, since: int) -> DirectoryUpdate | None:
-    """Return what changed for a group's gateways since a revision, None if not remembered."""
+    """Return what changed for a group since a revision; None if the history is too short."""
     touched = state.history.changes_since(since, group)
     if touched is None:
         return None
-    part = DirectoryUpdate(since, state.history.digest(group), [])
+    update = DirectoryUpdate(since, state.history.digest(group), [])
     for instance in touched.members:
         member = state.members.get(instance)
         if member is None:
-            part.removed_members.append(instance)
+            update.removed_members.append(instance)
         else:
-            part.members.append(member)
+            update.members.append(member)
     for name in touched.neighbours:
         neighbour = state.gateways.get(name)
         is_known = neighbour is not None and neighbour.sharing_group == group
-        _add_record(name, neighbour if is_known else None, part.neighbours, part.removed_neighbours)
+        _add_record(
+            name, neighbour if is_known else None, update.neighbours, update.removed_neighbours
+        )
     for name in touched.remote_holders:
         holder = state.holders.get(name)
         is_known = holder is not None and holder.sharing_group != group
         _add_record(
-            name, holder if is_known else None, part.remote_holders, part.removed_remote_holders
+            name, holder if is_known else None, update.remote_holders, update.removed_remote_holders
         )
-    return part
+    return update
 
 
 def _add_record(
--- a/src/rowanrail/coordination/failover_controller.py
+++ b/src/rowanrail/coordination/failover_controller.py
@@ -1,8 +1,8 @@
-"""The failover duty: the shell around :mod:`rowanrail.coordination.failover`.
+"""Automatic failover by the leader; the rules are in :mod:`rowanrail.coordination.failover`.
 
-Only an established leader holds the duty. It samples each primary itself, as one vantage
-point beside the gateways, asks statuses when a primary seems lost, makes its intent durable,
-and then asks the platform to promote, with the intent's place in the log as fencing token.
+Only an established leader replaces primaries. It samples each primary itself, in addition to the
+gateways' reports, and asks members for their statuses when a primary seems lost. It logs its
+intent before it orders the platform to promote; the intent's log index is the fencing token.
 """
 
 import asyncio
@@ -34,14 +34,12 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Command, CommandKind
 
-CHECK_INTERVAL_SECONDS = (
-    0.1  # between checks of all services; a failover gap grows by half of it on average
-)
+CHECK_INTERVAL_SECONDS = 0.1  # delays a failover by half of it on average
 LOCAL_SOURCE = "failover-duty"
 
 
 class PromotionOutcome(enum.Enum):
-    """What the platform said to an order to promote."""
+    """The platform's answer to a promotion order."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -49,11 +47,11 @@
 
 
 class Promoter(ABC):
-    """Port: asks the platform to make a member its service's primary."""
+    """Orders the platform to make a member its service's primary."""
 
     @abstractmethod
     async def promote(self, service: str, instance: str, token: int) -> PromotionOutcome:
-        """Send one order; without an answer it may still be carried out."""
+        """Send one promotion order; ``UNKNOWN`` means that it may still be carried out."""
 
 
 class _PromotionAttempt:
@@ -64,7 +62,27 @@
 
 
 class FailoverController:
-    """Watches the primaries while its node leads."""
+    """Checks the primaries of all services while its node leads, and replaces lost ones.
+
+    Parameters
+    ----------
+    node : ConsensusNode
+        Tells whether this node leads.
+    service : CoordinationService
+        Holds the replicated state and the gateways' reports.
+    driver : MemberDriver
+        Opens connections to members.
+    reader : StatusReader
+        Parses members' statuses.
+    promoter : Promoter
+        Sends promotion orders.
+    decisions : DecisionLog
+        Writes the log lines.
+    proof : LeadershipProof
+        Rule by which a sample proves that a member leads.
+    acknowledging_replicas : callable
+        Returns how many replicas of a service must hold a commit before it is acknowledged.
+    """
 
     def __init__(
         self,
@@ -100,11 +118,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin."""
+        """Start the periodic checks."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Stop."""
+        """Cancel the checks and all promotions under way."""
         for task in (self._task, *self._tasks):
             if task is not None:
                 task.cancel()
@@ -180,9 +198,9 @@
         task.add_done_callback(self._tasks.discard)
 
     def _is_healthy(self, service: str) -> bool:
-        """Return whether nothing speaks for a replacement of the primary, which is the usual case.
+        """Return whether there is no sign of a lost primary.
 
-        It saves reading all gateways' reports; :func:`decide` would say wait as well.
+        This is the usual case, in which :func:`decide` would wait; it saves reading all reports.
         """
         if self._trackers[service].failing_since or self._service.liveness.has_failure_report(
             service
@@ -260,9 +278,10 @@
     async def _pause_replicas(
         self, service: str, statuses: dict[str, StatusReply]
     ) -> dict[str, StatusReply]:
-        """Stop the replicas from receiving, so that nothing is acknowledged any more.
+        """Pause replication, so that no further commit is acknowledged; return new statuses.
 
-        What they hold then is all that ever was acknowledged. The promotion, or RESUME, ends it.
+        The paused replicas then hold every acknowledged commit. A promotion or RESUME ends the
+        pause.
         """
         newest = max((status.term for status in statuses.values()), default=0)
         command = Command(CommandKind.PAUSE, str(newest + 1))
--- a/src/rowanrail/coordination/gateway_loads.py
+++ b/src/rowanrail/coordination/gateway_loads.py
@@ -1,7 +1,7 @@
-"""The load that gateways report, as the leader's plan of holders reads it.
+"""Load that gateways report, as input to the planning of holders.
 
-Owns each gateway's latest spans and whether it is slow. It is soft state of one control node: a new
-leader begins without it. Relies on the reports of :mod:`rowanrail.directory.messages`.
+Keeps each gateway's latest reporting spans and whether it is slow, in memory only: a new leader
+starts without it. Relies on the reports of :mod:`rowanrail.directory.messages`.
 """
 
 from collections import defaultdict, deque
@@ -15,17 +15,15 @@
 
 __all__ = ["GatewayLoads"]
 
-# Without a report a gateway's load counts no more; three spans.
-LOAD_EXPIRY_MS = 15_000.0
-# Reporting for so long, a gateway may be given shards to hold: as long as demand has to last.
-MIN_REPORTING_MS = 20_000.0
-SLOW_AFTER_SPANS = 2  # in succession make a gateway slow: one pause doesn't
-RECOVERED_AFTER_SPANS = 4  # in succession make it quick again
+LOAD_EXPIRY_MS = 15_000.0  # after the last report; three reporting spans
+MIN_REPORTING_MS = 20_000.0  # before a gateway may be assigned shards; the demand window
+SLOW_AFTER_SPANS = 2  # consecutive slow spans that mark a gateway as slow; one may be a pause
+RECOVERED_AFTER_SPANS = 4  # consecutive normal spans that clear the mark
 
 
 @dataclass(slots=True)
 class _ReportedLoad:
-    """What one gateway reported."""
+    """The latest load reports of one gateway; times in milliseconds."""
 
     heard_since: float
     heard_at: float
@@ -45,12 +43,12 @@
 
 
 class GatewayLoads:
-    """Loads of all gateways.
+    """The reported loads of all gateways.
 
     Parameters
     ----------
     now : callable
-        Returns the steady time in milliseconds.
+        Returns the monotonic time in milliseconds.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -58,7 +56,7 @@
         self._reported: dict[str, _ReportedLoad] = {}
 
     def record(self, gateway: str, report: LoadReport | None) -> None:
-        """Note what a gateway reported; a span that is reported again counts once."""
+        """Record a gateway's load report; a span that is reported twice counts once."""
         now = self._now()
         reported = self._reported.get(gateway)
         if reported is not None and now - reported.heard_at > LOAD_EXPIRY_MS:
@@ -79,7 +77,7 @@
         return fresh
 
     def demand(self, gateways: Iterable[GatewayRecord]) -> dict[str, dict[str, PartDemand]]:
-        """Return the sum of what gateways reported last, by group and shard."""
+        """Return the demand that gateways reported last, summed by group and shard."""
         reported = self._unexpired()
         sums: dict[str, _GroupDemand] = defaultdict(_GroupDemand)
         for gateway in gateways:
@@ -89,7 +87,7 @@
         return {group: total.demand() for group, total in sums.items()}
 
     def loads(self, gateways: Iterable[GatewayRecord]) -> list[GatewayLoad]:
-        """Return the load of each gateway that was heard a short while ago."""
+        """Return the load of each gateway whose last report has not expired."""
         fresh = self._unexpired()
         return [self._load(g, fresh[g.name]) for g in gateways if g.name in fresh]
 
@@ -105,7 +103,7 @@
 
 
 class _GroupDemand:
-    """Statements a second in one group."""
+    """Sums the statements per second of one group, by shard and tenant."""
 
     def __init__(self) -> None:
         self._rates: dict[str, float] = defaultdict(float)
--- a/src/rowanrail/coordination/gateway_reconciler.py
+++ b/src/rowanrail/coordination/gateway_reconciler.py
@@ -1,8 +1,8 @@
-"""Which gateways there are: the leader compares those it hears with those in the log.
+"""Reconciles the gateways in the log with those that report to the leader.
 
-Gateways share the members' connections by what the log says, so that each gateway must know of the
-others; one that is gone must leave the log, or its share lies idle. Owns since when gateways of
-the log have been missing; relies on :mod:`liveness` for what was heard and on the log for the rest.
+Gateways share the members' connections according to the log. A new gateway must be added to it, and
+one that is gone removed, or its share stays unused. Tracks since when each gateway in the log has
+been silent; relies on :mod:`liveness` for the reports.
 """
 
 import asyncio
@@ -16,9 +16,9 @@
 
 __all__ = ["GATEWAY_TIMEOUT_SECONDS", "GatewayReconciler", "gateway_changes"]
 
-RECONCILE_INTERVAL_SECONDS = 1.0  # between comparisons; reports of gateways come each second
-# Missing for so long a gateway leaves the log. One that is silent for less may be alive with its
-# connections, and would be counted twice while it hands them over; chosen.
+RECONCILE_INTERVAL_SECONDS = 1.0  # gateways report every second
+# A gateway missing for this long is removed. One silent for less may still run and hold its
+# connections, whose share would then be used twice.
 GATEWAY_TIMEOUT_SECONDS = 8.0
 
 
@@ -27,20 +27,20 @@
     known: Mapping[str, GatewayRecord],
     missing_seconds: Mapping[str, float],
 ) -> SetGateways | None:
-    """Return what the log lacks of the gateways that there are, None if nothing.
+    """Return the command that brings the log up to date, None if it is.
 
     Parameters
     ----------
     heard : mapping of str to GatewayRecord
-        Gateways that reported a short while ago, by name.
+        Gateways that reported recently, by name.
     known : mapping of str to GatewayRecord
-        Gateways in the log.
+        Gateways in the log, by name.
     missing_seconds : mapping of str to float
-        For how long gateways of the log have not been heard.
+        For how long each missing gateway of the log has not reported.
 
     Notes
     -----
-    A leader that hears no gateway at all is cut off itself and takes none for gone.
+    A leader that hears no gateway at all is cut off itself, so that it removes none.
 
     Examples
     --------
@@ -62,18 +62,18 @@
 
 
 class GatewayReconciler:
-    """Keeps the gateways of the log in step with those that are heard.
+    """Proposes to add gateways that report and to remove those that stay silent.
 
     Parameters
     ----------
     state : CoordinationState
-        What the log holds.
+        The replicated state.
     liveness : Liveness
-        Which gateways were heard.
+        Tells which gateways reported recently.
     propose : callable
-        Makes a command durable.
+        Appends a command to the log and waits until it is applied.
     now : callable
-        Returns the steady time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def tick(self) -> None:
-        """Compare once in a while, as long as this node leads."""
+        """Reconcile if the interval is over; called only while this node leads."""
         now = self._now()
         if now < self._next_check_at or self._task is not None:
             return
@@ -106,7 +106,7 @@
             self._task = asyncio.ensure_future(self._propose_change(change))
 
     def stop(self) -> None:
-        """Stop."""
+        """Cancel a proposal under way."""
         if self._task is not None:
             self._task.cancel()
 
@@ -114,6 +114,6 @@
         try:
             await self._propose(change)
         except RowanrailError:
-            pass  # the gateways are compared with the log again after RECONCILE_INTERVAL_SECONDS
+            pass  # retried after RECONCILE_INTERVAL_SECONDS
         finally:
             self._task = None
--- a/src/rowanrail/coordination/gauges.py
+++ b/src/rowanrail/coordination/gauges.py
@@ -1,11 +1,11 @@
-"""Metrics of a control node, read from its parts when a scrape asks for them."""
+"""Metrics of a control node, read when they are scraped."""
 
 from rowanrail.coordination.node import Coordinator
 from rowanrail.kernel.metrics import Reading
 
 
 def gauges(node: Coordinator) -> list[Reading]:
-    """Return term, log, versions, members and the latest promotion of each service."""
+    """Return all readings: consensus, configuration, directory, plan and promotions."""
     raft = node.consensus.raft
     state = node.state
     readings: list[Reading] = [
@@ -32,7 +32,7 @@
 
 
 def _plan_gauges(node: Coordinator) -> list[Reading]:
-    """Return the plan of holders: its number, and what each shard is asked for at the leader."""
+    """Return the plan's number, each holder's share, and the demand of each shard at the leader."""
     plan = node.state.plan
     readings: list[Reading] = [("plan_number", {}, plan.number)]
     for group, shards in plan.groups.items():
--- a/src/rowanrail/coordination/messages.py
+++ b/src/rowanrail/coordination/messages.py
@@ -1,7 +1,7 @@
 """Messages between control nodes: requests to the leader, their replies, and heartbeats.
 
-Owns the forms; those between gateways and control nodes are in
-:mod:`rowanrail.directory.messages`, the commands of the log in :mod:`commands`.
+Messages between gateways and control nodes are in :mod:`rowanrail.directory.messages`, commands of
+the log in :mod:`commands`.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class PutOutcome(enum.Enum):
-    """What became of a configuration."""
+    """Outcome of a request to store a configuration."""
 
     ACCEPTED = "taken"
     NOT_NEWER = "held"
@@ -24,7 +24,7 @@
 
 @message("PutRequest")
 class PutRequest(msgspec.Struct, frozen=True):
-    """Accept a configuration."""
+    """Store a configuration; ``document`` is compressed (zlib)."""
 
     version: int
     document: bytes
@@ -32,7 +32,7 @@
 
 @message("PutReply")
 class PutReply(msgspec.Struct, frozen=True):
-    """The configuration is durable on a majority, or a higher one is."""
+    """The configuration, or one of the same or a higher version, is durable on a majority."""
 
     verdict: PutOutcome
     version: int
@@ -40,12 +40,12 @@
 
 @message("DocumentRequest")
 class DocumentRequest(msgspec.Struct, frozen=True):
-    """Read the newest configuration, confirmed by a majority."""
+    """Request the newest configuration, confirmed by a majority."""
 
 
 @message("DocumentReply")
 class DocumentReply(msgspec.Struct, frozen=True):
-    """The newest configuration; version 0 if there is none."""
+    """Answer to :class:`DocumentRequest`; version 0 if there is no configuration."""
 
     version: int
     document: bytes
@@ -53,26 +53,26 @@
 
 @message("AnnounceRequest")
 class AnnounceRequest(msgspec.Struct, frozen=True):
-    """Make what a member announced durable."""
+    """Record a member's announcement in the log."""
 
     record: MemberRecord
 
 
 @message("RemoveRequest")
 class RemoveRequest(msgspec.Struct, frozen=True):
-    """Make a member's end durable."""
+    """Record in the log that a member has ended."""
 
     instance: str
 
 
 @message("Done")
 class Done(msgspec.Struct, frozen=True):
-    """The request was carried out."""
+    """Empty answer to a request that was carried out."""
 
 
 @message("HeartbeatNotice")
 class HeartbeatNotice(msgspec.Struct, frozen=True, array_like=True):
-    """A member whose record did not change is alive."""
+    """Tell the leader that a member with an unchanged record is alive."""
 
     instance: str
     sequence: int
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -1,8 +1,8 @@
-"""One control node for gateways, apart from its process.
+"""A control node for gateways, without its process.
 
-Makes, starts and stops its parts: the folder, the replicated log, the service, and the duties of a
-leader. Owns the order in which they start and the requests for admission of a node that no leader
-speaks to; relies on ``cluster`` and ``consensus``.
+Creates, starts and stops its components: the data folder, the replicated log, the service, and the
+leader's failover and planning. Requests admission when no leader contacts the node. Relies on
+``cluster`` and ``consensus``.
 """
 
 import asyncio
@@ -33,15 +33,15 @@
 from rowanrail.rpc.network import Listener, Network
 
 CLUSTER = "gateways"
-ADMISSION_CHECK_INTERVAL_SECONDS = 0.3  # between checks whether to ask for admission
-FIRST_ELECTION_SECONDS = 0.2  # at a start no leader's heartbeat is waited for
+ADMISSION_CHECK_INTERVAL_SECONDS = 0.3
+FIRST_ELECTION_SECONDS = 0.2  # shorter than later ones: after a start there is no leader to hear
 REPEATED_ELECTION_SECONDS = 0.45  # above ten round trips between regions (0.4 s)
-ADMISSION_TIMEOUT_SECONDS = 1.0  # a commit at a slow disk fits in
-LEADER_SILENCE_SECONDS = 2.5  # more than five elections
+ADMISSION_TIMEOUT_SECONDS = 1.0  # allows for a commit on a slow disk
+LEADER_SILENCE_SECONDS = 2.5  # before a member requests admission; more than five elections
 
 
 class Coordinator:
-    """Opens the folder, serves gateways and control nodes, and takes part in the log."""
+    """Takes part in the replicated log and serves gateways and other control nodes."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self._configuration: RoutingConfiguration | None = None
 
     async def start(self, driver: MemberDriver, reader: StatusReader, promoter: Promoter) -> None:
-        """Open the folder and begin to serve.
+        """Open the data folder and start to serve.
 
         :raises StorageError: if the folder can't be used.
         """
@@ -80,7 +80,7 @@
         self._joining = asyncio.ensure_future(self._join_when_unheard(identity))
 
     async def _open_folder(self) -> Identity:
-        """Return the identity of the node's folder, setting an empty one up."""
+        """Return the identity in the node's data folder, setting up an empty folder."""
         settings = self._settings
         nodes = [NodeAddress(address, address) for address in settings.peers]
         is_first = settings.bootstrap and settings.rpc_listen in settings.peers
@@ -93,7 +93,7 @@
         )
 
     def _create_log(self, identity: Identity) -> None:
-        """Make the replicated state, the node of its log, and the service before both."""
+        """Create the replicated state, the consensus node, and the service that uses them."""
         settings = self._settings
         monotonic = self._registry.create("control-guard", "version-monotonic")
         fence = self._registry.create("coordination-guard", "fencing-token")
@@ -112,7 +112,7 @@
     def _start_controllers(
         self, driver: MemberDriver, reader: StatusReader, promoter: Promoter
     ) -> None:
-        """Begin what a node does while it leads: failover, and the plan of holders."""
+        """Start failover and the planning of holders, which act while this node leads."""
         self.failover = FailoverController(
             self.consensus,
             self.service,
@@ -131,17 +131,17 @@
         self.planning.start()
 
     def _acknowledging_replicas(self, service: str) -> int:
-        """Return how many replicas the configuration wants to hold a commit."""
+        """Return how many replicas must hold a commit before it is acknowledged."""
         spec = self._spec(service)
         return spec.acknowledging_replicas if spec else 0
 
     def _connections(self, service: str) -> int:
-        """Return how many connections a member of a service takes, 0 if that is not known."""
+        """Return how many connections a member of a service accepts, 0 if unknown."""
         spec = self._spec(service)
         return spec.connections if spec else 0
 
     def _spec(self, service: str) -> ServiceSpec | None:
-        """Return what the newest configuration says of a service."""
+        """Return a service's entry in the newest configuration, None if there is none."""
         if self._parsed_version != self.state.version:
             self._parsed_version = self.state.version
             parsed = self._format.parse(zlib.decompress(self.state.document))
@@ -172,10 +172,10 @@
         )
 
     async def _join_when_unheard(self, identity: Identity) -> None:
-        """Ask to be admitted whenever no leader speaks to this node for a while.
+        """Request admission while this node is not a member, or hears no leader.
 
-        A new node is no member yet; one that was replaced while it was cut off no longer is.
-        For a member that is merely cut off, asking changes nothing.
+        A new node isn't a member yet; one that was replaced while it was cut off no longer is.
+        For a member that is only cut off, the request has no effect.
         """
         loop = asyncio.get_running_loop()
         name = self._settings.rpc_listen
@@ -193,14 +193,14 @@
                     await self._network.call(address, request, ADMISSION_TIMEOUT_SECONDS)
                     break
                 except RowanrailError:
-                    continue  # the next one is asked, and all again after a while
+                    continue  # with the next address; all are tried again at the next check
 
     def _on_change(self) -> None:
         self.service.notice_change()
         self._change_logger.log_changes()
 
     async def stop(self) -> None:
-        """Stop serving."""
+        """Stop all components and flush the decision log."""
         if self._joining is not None:
             self._joining.cancel()
         self.failover.stop()
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -1,7 +1,7 @@
-"""The leader's plan of holders: the shell around :mod:`rowanrail.scheduling.planner`.
+"""Planning of holders by the leader; the rules are in :mod:`rowanrail.scheduling.planner`.
 
-Spans of demand and the times of changes are soft state of the node that leads; the plan itself is
-in the log, so that the next leader goes on from it.
+The demand window and the times of changes are kept in the leader's memory only; the plan is in the
+log, so that the next leader continues from it.
 """
 
 import asyncio
@@ -26,27 +26,26 @@
 
 __all__ = ["PlanController", "Planner"]
 
-CHECK_INTERVAL_MS = 5000.0  # between checks; a gateway's span
-CHANGE_COOLDOWN_MS = (
-    20_000.0  # between changes of a shard, ten handovers; the lost are replaced at once
-)
+CHECK_INTERVAL_MS = 5000.0  # a gateway's reporting span
+# Between changes of a shard: the time of ten handovers. Lost holders are replaced at once.
+CHANGE_COOLDOWN_MS = 20_000.0
 
 _DemandByGroup = dict[str, dict[str, PartDemand]]
 
 
 class Planner:
-    """Checks the demand once a round, and says what the plan should be.
+    """Tracks the demand and proposes improvements of the plan.
 
     Parameters
     ----------
     state : CoordinationState
-        What the log holds: members, gateways, the plan in force.
+        Holds the members, the gateways and the plan in force.
     loads : GatewayLoads
-        What gateways reported.
+        The loads that gateways reported.
     now : callable
-        Returns the steady time in milliseconds.
+        Returns the monotonic time in milliseconds.
     connections : callable
-        Returns how many connections a member of a service takes, 0 if that is not known.
+        Returns how many connections a member of a service accepts, 0 if unknown.
     """
 
     def __init__(
@@ -65,13 +64,13 @@
         self.sustained_demand: _DemandByGroup = {}
 
     def reset(self) -> None:
-        """Forget what was measured: another node leads."""
+        """Discard the measured demand and the times of changes, since this node doesn't lead."""
         self._window.clear()
         self._changed_at.clear()
         self.sustained_demand = {}
 
     def check(self) -> Proposal:
-        """Note the demand of a round, and return a better plan if there is one."""
+        """Add the present demand to the window; propose a better plan if there is one."""
         gateways = list(self._state.gateways.values())
         self._window.add(self._loads.demand(gateways))
         if not self._window.is_full:
@@ -97,7 +96,7 @@
         return set(self._changed_at)
 
     def _layout(self, demand: _DemandByGroup) -> Layout:
-        """Return the holders by the hash, for services that have demand or are in the plan."""
+        """Return the default holders, by hash, of services with demand or in the plan."""
         state = self._state
         by_group: dict[str, list[str]] = {}
         for gateway in state.gateways.values():
@@ -118,20 +117,20 @@
 
 
 class PlanController:
-    """Plans while its node leads, and has the log hold what is planned.
+    """Checks the plan periodically while its node leads, and proposes better ones to the log.
 
     Parameters
     ----------
     node : ConsensusNode
-        Says whether this node leads.
+        Tells whether this node leads.
     service : CoordinationService
-        Makes plans durable.
+        Appends plans to the log.
     decisions : DecisionLog
-        Gets a line for each change, with its cause.
+        Writes a line for each change, with its cause.
     is_planned : bool
-        Whether holders are planned; else a plan that is in force is ended.
+        Whether holders are planned; otherwise a plan in force is ended.
     connections : callable
-        Returns how many connections a member of a service takes, 0 if that is not known.
+        Returns how many connections a member of a service accepts, 0 if unknown.
     """
 
     def __init__(
@@ -153,15 +152,15 @@
 
     @property
     def demand(self) -> _DemandByGroup:
-        """What is asked for lastingly, by group and shard; empty at nodes that don't lead."""
+        """The sustained demand by group and shard; empty on nodes that don't lead."""
         return self._planner.sustained_demand
 
     def start(self) -> None:
-        """Begin."""
+        """Start the periodic checks."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Stop."""
+        """Cancel the checks."""
         if self._task is not None:
             self._task.cancel()
 
@@ -174,12 +173,13 @@
                 self._decisions.note(PLAN_NOT_LOGGED, reason=str(error))
 
     async def step(self) -> None:
-        """Check once, and have a better plan logged.
+        """Check the plan once, and append a better one to the log.
 
         Raises
         ------
         RowanrailError
-            If it was not, or may not have been; the next check sees which plan is in force.
+            If the plan was not, or may not have been, committed. The next check starts from the
+            plan that is in force then.
         """
         if not self._node.raft.is_established_leader:
             self._planner.reset()
@@ -201,7 +201,7 @@
             return
         is_taken = await self._service.propose(SetPlan(plan.number, plan.groups, plan.addresses))
         if not is_taken:
-            return  # another one came before it, which the next check starts from
+            return  # another plan was committed first; the next check starts from it
         self._planner.record_changes(proposal)
         self._log_changes(proposal)
 
--- a/src/rowanrail/coordination/replay.py
+++ b/src/rowanrail/coordination/replay.py
@@ -1,7 +1,6 @@
-"""The state to which a control node's whole log leads, committed or not.
+"""The state after a control node's whole log, including uncommitted entries.
 
-Owns a second state beside the committed one, for gateways that start while no leader is known.
-Relies on the rules of :mod:`state`, whose own state it doesn't change.
+Keeps a second state beside the committed one, for gateways that start while no leader is known.
 """
 
 from rowanrail.consensus.log import Log
@@ -11,14 +10,14 @@
 
 
 class LogReplay:
-    """Replays a log, from where the last replay ended if the log up to there is the same.
+    """Replays a log incrementally while its replayed entries stay the same.
 
-    At a first start each gateway asks each control node, while the log grows with each member.
+    When a system starts, each gateway asks each control node while each member adds entries.
 
     Parameters
     ----------
     state : CoordinationState
-        Gives the rules by which entries are applied; it is not changed.
+        Provides the guards by which entries are applied; it is not changed.
     """
 
     def __init__(self, state: CoordinationState) -> None:
@@ -28,9 +27,9 @@
         self._index = 0
 
     def replay(self, log: Log) -> CoordinationState:
-        """Return the state after the last entry; it is to be read at once and not changed.
+        """Return the state after the last entry; valid until the next call, and read-only.
 
-        Two logs whose entries at one index have the same term are the same up to there.
+        Logs whose entries at an index have the same term are equal up to that index.
         """
         replayed = self._replayed
         if replayed is None or self._has_diverged(log):
--- a/src/rowanrail/coordination/reports.py
+++ b/src/rowanrail/coordination/reports.py
@@ -1,7 +1,4 @@
-"""The gateways' reports of primaries at the leader, by service.
-
-Owns the latest report of each gateway. Relies on :mod:`failover` for the view of one report.
-"""
+"""Index by service of the gateways' latest reports of primaries."""
 
 from rowanrail.coordination.failover import ReportView, report_view
 from rowanrail.directory.health_filter import reportable_health
@@ -14,8 +11,7 @@
 class ReportIndex:
     """The latest report of each gateway, by service.
 
-    A leader checks each service ten times a second, and each gateway reports each second: a check
-    doesn't go through all reports.
+    A leader checks each service ten times a second, which would be slow over all reports.
     """
 
     def __init__(self) -> None:
@@ -28,11 +24,11 @@
 
     @property
     def reports(self) -> list[tuple[GatewayReport, float]]:
-        """All reports, each with the moment at which it came, in seconds."""
+        """All reports, each with its arrival time in seconds."""
         return list(self._reports.values())
 
     def put(self, report: GatewayReport, at: float) -> None:
-        """Take a report, which replaces the gateway's earlier one."""
+        """Add a report that arrived at ``at`` seconds; it replaces the gateway's earlier one."""
         self.drop(report.gateway)
         self._reports[report.gateway] = (report, at)
         for health in reportable_health(report.services):
@@ -41,7 +37,7 @@
                 self._failing.setdefault(health.service, set()).add(report.gateway)
 
     def drop(self, gateway: str) -> None:
-        """Forget a gateway's report."""
+        """Remove a gateway's report, if there is one."""
         known = self._reports.pop(gateway, None)
         if known is None:
             return
@@ -59,11 +55,11 @@
             self._failing.pop(service, None)
 
     def has_failure_report(self, service: str) -> bool:
-        """Return whether any gateway says that a service's primary fails."""
+        """Return whether any gateway reports that a service's primary fails."""
         return service in self._failing
 
     def report_views(self, service: str, now: float) -> list[ReportView]:
-        """Return what the gateways tell of a service's primary."""
+        """Return all gateways' views of a service's primary."""
         return [
             report_view(gateway, health, now - self._reports[gateway][1])
             for gateway, health in self._by_service.get(service, {}).items()
--- a/src/rowanrail/coordination/service.py
+++ b/src/rowanrail/coordination/service.py
@@ -1,8 +1,8 @@
-"""The service of one control node: configuration, members, watches of gateways.
+"""Request handling of a control node: configuration, members, watches of gateways.
 
-Answers gateways, other control nodes and the outside API; passes to the leader what only the leader
-may do. Owns the liveness and loads that gateways report; relies on the replicated state and its
-node, and on the network for calls to the leader.
+Answers gateways, other control nodes and the external API, and forwards to the leader what only it
+may do. Owns the liveness and loads that gateways report; relies on the replicated state, the
+consensus node, and the network for calls to the leader.
 """
 
 import asyncio
@@ -44,13 +44,13 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.rpc.network import Network
 
-LEADER_TIMEOUT_SECONDS = 0.8  # within REQUEST_TIMEOUT_SECONDS, so that another leader can be asked
-REQUEST_TIMEOUT_SECONDS = 0.9  # callers go to the next node after 1 s of silence
-LEADER_CHECK_INTERVAL_SECONDS = 0.05  # between checks for a leader; an election takes 0.1 to 0.5 s
+LEADER_TIMEOUT_SECONDS = 0.8  # below REQUEST_TIMEOUT_SECONDS, so that another leader can be tried
+REQUEST_TIMEOUT_SECONDS = 0.9  # callers try the next node after 1 s
+LEADER_CHECK_INTERVAL_SECONDS = 0.05  # short against an election of 0.1 to 0.5 s
 
 
 class CoordinationService:
-    """Handles messages of gateways and control nodes, and what the outside asks."""
+    """Handles messages of gateways and control nodes, and calls of the external API."""
 
     def __init__(
         self, node: ConsensusNode, state: CoordinationState, network: Network, zone: str = ""
@@ -78,13 +78,13 @@
 
     @staticmethod
     def now() -> float:
-        """Return the steady time in seconds."""
+        """Return the monotonic time in seconds."""
         return asyncio.get_running_loop().time()
 
     # Messages
 
     async def handle(self, request: msgspec.Struct) -> msgspec.Struct | None:
-        """Answer a message from another process."""
+        """Handle a message from another process; return the answer, None to a notice."""
         if isinstance(request, CONSENSUS_MESSAGES):
             consensus: ConsensusMessage = request
             self.node.receive(consensus)
@@ -112,10 +112,9 @@
         return await handler(request)
 
     async def request(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Have a request served by the leader, waiting a moment for one.
+        """Have the leader serve a request, retrying while there is none.
 
-        Every request may be repeated: a version that is held, or a record that is known,
-        changes nothing.
+        All requests are idempotent: a version that is not newer, or a known record, has no effect.
 
         :raises RowanrailError: if no leader served it in time; it may still take effect.
         """
@@ -141,13 +140,13 @@
         return await self._network.call(leader, request, LEADER_TIMEOUT_SECONDS)
 
     def notify_leader(self, notice: msgspec.Struct) -> None:
-        """Tell the leader something that no log needs to keep."""
+        """Send the leader a message that is not logged, if another node is known to lead."""
         leader = self.node.leader_address()
         if leader and not self.node.raft.is_leader:
             self._network.notify(leader, notice)
 
     def forward_reports(self) -> None:
-        """Tell a new leader what gateways said to this node before it led."""
+        """Send a new leader the recent reports that gateways sent to this node."""
         for report in self.liveness.recent_direct_reports():
             self.notify_leader(msgspec.structs.replace(report, hops=1))
 
@@ -156,7 +155,7 @@
     async def propose(self, command: Command) -> object:
         """Append a command and return its result once it is committed and applied.
 
-        :raises RowanrailError: if it was not, or may not have been.
+        :raises RowanrailError: if it was not, or may not have been, committed.
         """
         try:
             return await self.node.propose(msgspec.msgpack.encode(command))
@@ -196,15 +195,15 @@
         assert isinstance(request, JoinRequest)
         return await self.membership.join(request)
 
-    # What the outside asks of any node
+    # Calls of the external API, at any node
 
     async def put(self, version: int, document: bytes) -> PutReply:
-        """Accept a configuration under the operator's version.
+        """Store a configuration under the operator's version.
 
-        :raises RowanrailError: if there is no clear outcome; sending it again is safe.
+        :raises RowanrailError: if the outcome is unknown; sending it again is safe.
         """
         if version <= self.state.version:
-            return self._not_newer_reply()  # what is applied here is durable on a majority
+            return self._not_newer_reply()  # an applied version is durable on a majority
         reply = await self.request(PutRequest(version, document))
         assert isinstance(reply, PutReply)
         return reply
@@ -219,9 +218,9 @@
         return reply
 
     async def announce(self, record: MemberRecord) -> str:
-        """Take a member's announcement; return the address for its later ones, if another.
+        """Handle a member's announcement; return the leader's address if this node isn't it.
 
-        :raises RowanrailError: if it is new and could not be made durable.
+        :raises RowanrailError: if it changes the record and was not committed.
         """
         if self.state.needs_announcement(record) or record.instance in self.state.displaced:
             await self.request(AnnounceRequest(record))
@@ -232,9 +231,9 @@
         return "" if self.node.raft.is_leader else self.node.leader_address()
 
     async def remove(self, instance: str) -> None:
-        """Take a member's announcement that it has ended.
+        """Handle a member's announcement that it has ended.
 
-        :raises RowanrailError: if it could not be made durable.
+        :raises RowanrailError: if it was not committed.
         """
         if not self.state.has_ended(instance):
             await self.request(RemoveRequest(instance))
@@ -242,17 +241,17 @@
     # Watches
 
     def notice_change(self) -> None:
-        """Wake the watches if something changed that gateways wait for."""
+        """Wake the waiting watches if something changed that gateways need to know."""
         self._watches.notice_change()
 
     @property
     def is_current(self) -> bool:
-        """Whether this node held all that is committed a short while ago."""
+        """Whether this node recently held all committed entries."""
         return self._watches.is_current
 
     @property
     def directory_counts(self) -> dict[str, UpdateCounts]:
-        """How many directories were sent whole and by difference, and their bytes."""
+        """Counts of the full and incremental updates that were sent."""
         return self._watches.counts
 
     async def _watch(self, request: DirectoryRequest) -> DirectoryReply:
--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -1,7 +1,7 @@
 """The replicated state: configuration, members, gateways, promotions, plan of holders.
 
-A function of the log alone: each node that applied the same entries holds the same state. Owns the
-snapshot's form; relies on the commands and on guards that each carry one guarantee.
+It depends on the log alone: all nodes that applied the same entries hold the same state. Defines
+the snapshot's format; relies on the commands and on the guards of :mod:`policies`.
 """
 
 import msgspec
@@ -29,13 +29,13 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.scheduling.plan import NO_PLAN, Plan
 
-MAX_REMOVED = 2000  # identities; a late announcement of a removed member is seconds old
+MAX_REMOVED = 2000  # instances kept to reject late announcements, which are only seconds old
 
-MAX_DISPLACED = 200  # records; a member that still runs announces itself within seconds
+MAX_DISPLACED = 200  # records kept for readmission; a running member announces within seconds
 
 
 class StateSnapshot(msgspec.Struct, frozen=True):
-    """The whole state, as it stands in a snapshot."""
+    """The whole state, as stored in a snapshot."""
 
     version: int
     document: bytes
@@ -54,10 +54,10 @@
 class CoordinationState(StateMachine):
     """Applies the log's commands.
 
-    ``revision`` is the place in the log of the last change of members or gateways. It is the
-    same on every node, so that a gateway can compare what different nodes tell it.
-    ``urgent_revision`` is the place of the last change of which gateways are told at once; what
-    a snapshot brought may have been one.
+    ``revision`` is the log index of the last change of members or gateways. It is the same on all
+    nodes, so that gateways can compare the directories of different nodes. ``urgent_revision`` is
+    the index of the last change of which gateways are notified at once; it is set to ``revision``
+    after a snapshot, which may contain such a change.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         )
 
     def replayed(self, snapshot: Snapshot | None, entries: list[Entry]) -> "CoordinationState":
-        """Return a state of its own to which a log leads, committed or not."""
+        """Return a new state after a snapshot and entries, committed or not."""
         replayed = CoordinationState(self._monotonic, self._incarnation, self._fence)
         if snapshot is not None:
             replayed.restore(snapshot.data)
@@ -95,7 +95,7 @@
         return replayed
 
     def snapshot(self) -> bytes:
-        """See :meth:`StateMachine.snapshot`."""
+        """Return the whole state, encoded as :class:`StateSnapshot`."""
         saved = StateSnapshot(
             self.version,
             self.document,
@@ -110,14 +110,14 @@
         return msgspec.msgpack.encode(saved)
 
     def restore(self, data: bytes) -> None:
-        """See :meth:`StateMachine.restore`."""
-        if data:  # the snapshot that a new system begins with is empty
+        """Replace the state by that of a snapshot."""
+        if data:  # the first snapshot of a new system is empty
             self._restore(msgspec.msgpack.decode(data, type=StateSnapshot))
         else:
             self._restore(EMPTY_STATE)
 
     def apply(self, entry: Entry) -> object:
-        """See :meth:`StateMachine.apply`."""
+        """Apply a committed entry and return the result of its command, if it has one."""
         if entry.kind is not EntryKind.COMMAND:
             return None
         command = msgspec.msgpack.decode(entry.data, type=Command)
@@ -145,7 +145,7 @@
         return PutReply(PutOutcome.ACCEPTED, self.version)
 
     def _set_plan(self, command: SetPlan, index: int) -> bool:
-        """Put a plan in force if it was worked out from the one that still is."""
+        """Replace the plan if the new one is based on the plan in force; return whether it was."""
         if command.base != self.plan.number:
             return False
         self.plan = Plan(index, command.groups, command.addresses)
@@ -195,7 +195,7 @@
         return True
 
     def _assign_address(self, record: MemberRecord) -> None:
-        """Add or replace a member; another one at its address is displaced."""
+        """Add or update a member; displace another one at its address."""
         occupant = self.member_at_address(record)
         if occupant is not None:
             self._drop_member(occupant.instance)
@@ -218,27 +218,27 @@
         return record is not None
 
     def member_at_address(self, record: MemberRecord) -> MemberRecord | None:
-        """Return the other member that is known at a member's address, if there is one."""
+        """Return the other member at a member's address, None if there is none."""
         for known in self.members.values():
             if known.address == record.address and known.instance != record.instance:
                 return known
         return None
 
     def has_ended(self, instance: str) -> bool:
-        """Return whether a member is gone for good; a displaced one may still return."""
+        """Return whether a member was removed for good; a displaced one may be readmitted."""
         return instance in self.removed and instance not in self.displaced
 
     def may_readmit(self, record: MemberRecord) -> bool:
-        """Return whether a member was displaced and has announced itself since.
+        """Return whether a record is a later announcement of a displaced member.
 
-        One that was leaving, or announced its end, does not come back.
+        A member that leaves, or announced its end, is not readmitted.
         """
         known = self.displaced.get(record.instance)
         return known is not None and record.sequence > known.sequence and not record.leaving
 
     def _demote_others(self, record: MemberRecord) -> None:
-        # A service has one primary: the last one announced in the log replaced the one before,
-        # which may be cut off and unable to announce that it no longer leads.
+        # A service has one primary. The former one may be cut off and unable to announce that it
+        # no longer leads.
         for known in list(self.members.values()):
             if known.instance == record.instance:
                 continue
@@ -256,6 +256,6 @@
             del self.displaced[next(iter(self.displaced))]
 
     def needs_announcement(self, record: MemberRecord) -> bool:
-        """Return whether a record says something new, and did not come late."""
+        """Return whether a record is newer than the known one and differs from it."""
         known = self.members.get(record.instance)
         return self._incarnation.is_update(record, known, record.instance in self.removed)
--- a/src/rowanrail/coordination/status_queries.py
+++ b/src/rowanrail/coordination/status_queries.py
@@ -1,7 +1,7 @@
-"""Status questions of the failover duty to members, each on a connection of its own.
+"""Status queries of the failover controller to members, each on its own connection.
 
-Owns how long members are waited for. Relies on the driver of ``members`` for connections and on a
-reader for what a status answer means.
+Owns the timeouts. Relies on the driver of ``members`` for connections and on a reader to parse
+answers.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 from rowanrail.model.statements import Answer, Command
 
 QUERY_TIMEOUT_SECONDS = 0.3  # six round trips between regions
-PRIMARY_GRACE_SECONDS = 0.15  # three ways there and back between regions: connect, start, status
+PRIMARY_GRACE_SECONDS = 0.15  # three round trips between regions: connect, start, status
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """A member's status, parsed by the driver."""
+    """A member's status: whether it is primary, the newest term it knows, its log's end."""
 
     leads: bool
     term: int
@@ -27,18 +27,18 @@
 
 
 class StatusReader(ABC):
-    """Port: how a status answer of a member reads."""
+    """Parses the status answers of members."""
 
     @abstractmethod
     def read(self, answer: Answer) -> StatusReply | None:
-        """Return the status in an answer, None if it holds none."""
+        """Return the status in an answer, None if it has none."""
 
 
 class _QueryRound:
-    """One question to several members at once.
+    """One command sent to several members at once.
 
-    It ends when all have answered. The primary may well be dead, so that it is waited for only a
-    little longer than the replicas.
+    It ends when all have answered. The primary may be dead, so that after the last replica's
+    answer it is waited for only ``PRIMARY_GRACE_SECONDS``.
     """
 
     def __init__(self, reader: StatusReader, records: list[MemberRecord]) -> None:
@@ -50,7 +50,7 @@
             self.done.set_result(None)
 
     def channel(self, record: MemberRecord, command: Command) -> Channel:
-        """Return the connection that asks one member."""
+        """Return the channel that sends the command to one member."""
 
         def on_answer(answer: Answer) -> None:
             status = self._reader.read(answer)
@@ -79,7 +79,7 @@
 
 
 class StatusQueries:
-    """Asks members, and leaves out those that do not answer in time."""
+    """Sends commands to members and collects the statuses that arrive in time."""
 
     def __init__(self, driver: MemberDriver, reader: StatusReader) -> None:
         self._driver = driver
@@ -97,7 +97,7 @@
             async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
                 await asked.done
         except TimeoutError:
-            pass  # the members that did not answer are missing in the result
+            pass  # members that did not answer are missing in the result
         for channel in channels:
             channel.close()
         return dict(asked.statuses)
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -1,7 +1,8 @@
-"""Long polls of gateways: what a control node tells them of its state, and when.
+"""Long polls of gateways for the configuration, the directory and the plan.
 
-Owns the polls that wait. Relies on :mod:`change_batch` for when a change is sent, on
-:mod:`parts` for its encoding, and on the log's node for whether this node is sure of its state.
+Owns the waiting polls. Relies on :mod:`change_batch` for when a change is sent, on
+:mod:`directory_updates` for its encoding, and on the consensus node for whether the state is
+current.
 """
 
 import asyncio
@@ -28,17 +29,17 @@
 __all__ = ["Watches"]
 
 CURRENT_MAX_AGE_SECONDS = 1.5  # since the leader was heard; more than ten heartbeats
-MAX_WAIT_SECONDS = 3.0  # of a long poll, whatever is asked for
+MAX_WAIT_SECONDS = 3.0  # of a long poll, whatever the request asks for
 
 
 class _LoopTimers:
-    """The running loop's timers beside the node's own steady time."""
+    """The running loop's timers with the node's own monotonic time."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
 
     def time(self) -> float:
-        """Return the steady time in seconds."""
+        """Return the monotonic time in seconds."""
         return self._now()
 
     @staticmethod
@@ -48,18 +49,18 @@
 
 
 class Watches:
-    """Answers gateways that wait for what is newer than what they know.
+    """Answers gateways once there is something newer than they know.
 
     Parameters
     ----------
     node : ConsensusNode
-        The log, and whether the node is sure of it.
+        Provides the log, and whether the node is current.
     state : CoordinationState
-        What the log's committed entries lead to.
+        The state after the committed entries.
     zone : str
-        Of the node.
+        The node's zone.
     now : callable
-        Returns the steady time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -81,12 +82,12 @@
 
     @property
     def counts(self) -> dict[str, UpdateCounts]:
-        """How many directories were sent whole and by difference, and their bytes."""
+        """Counts of the full and incremental updates that were sent."""
         return self._updates.counts
 
     @property
     def is_current(self) -> bool:
-        """Whether this node held all that is committed a short while ago."""
+        """Whether this node recently held all committed entries."""
         return self._node.raft.current_seconds_ago(self._now()) < CURRENT_MAX_AGE_SECONDS
 
     def notice_change(self) -> None:
@@ -100,7 +101,7 @@
             self._changed = asyncio.Event()
 
     async def answer(self, request: DirectoryRequest) -> DirectoryReply:
-        """Return what is newer than a gateway knows, at the latest when its wait is over."""
+        """Return what is newer than the gateway knows, at the latest when its wait is over."""
         deadline = self._now() + min(request.wait_seconds, MAX_WAIT_SECONDS)
         while not self._may_answer(request):
             changed = self._changed
@@ -112,7 +113,11 @@
         return self._reply(request)
 
     async def answer_logged_directory(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Tell what the log holds; see :mod:`rowanrail.gateway.discovery.provisional`."""
+        """Return the state after the whole log, committed or not.
+
+        Gateways use it to start without a leader; see
+        :mod:`rowanrail.gateway.discovery.provisional`.
+        """
         assert isinstance(request, LoggedDirectoryRequest)
         self._node.check_failure("tell what is held")  # the log in memory is not what is on disk
         log = self._node.raft.log
@@ -138,15 +143,15 @@
     def _may_answer(self, request: DirectoryRequest) -> bool:
         """Return whether to answer before the request's wait is over.
 
-        A gateway that follows a node which is not sure goes on to the next one; one that has
-        just started asks all nodes, and each answers once it is sure.
+        A node that isn't current answers a running gateway at once, so that it asks another node.
+        A gateway that has just started asks all nodes, and each answers once it is current.
         """
         if self.is_current:
             return self._has_newer(request)
         return request.known_version > 0 and request.known_revision >= 0
 
     def _has_newer(self, request: DirectoryRequest) -> bool:
-        """Return whether there is something that a gateway needs to know now."""
+        """Return whether there is something newer that the gateway must know now."""
         return (
             self._needs_full(request)
             or self._state.version > request.known_version
@@ -155,12 +160,12 @@
         )
 
     def _has_newer_plan(self, request: DirectoryRequest) -> bool:
-        """Return whether there is a newer plan than a gateway has, if it takes plans."""
+        """Return whether the gateway uses plans and there is a newer one."""
         known = request.known_plan
         return known is not None and self._state.plan.number > known
 
     def _needs_full(self, request: DirectoryRequest) -> bool:
-        """Return whether a gateway needs everything, and this node is not behind it."""
+        """Return whether the gateway needs a full update and this node is not behind it."""
         if request.known_revision < 0:
             return True
         return request.wants_full and self._state.revision >= request.known_revision
@@ -173,8 +178,8 @@
         is_changed = wants_full or state.revision > request.known_revision
         if request.accepts_updates:
             since = NO_REVISION if wants_full else request.known_revision
-            part = self._updates.encoded(group, since) if is_changed else b""
-            reply = self._base_reply(state, is_newer, part, request.known_controls_checksum)
+            update = self._updates.encoded(group, since) if is_changed else b""
+            reply = self._base_reply(state, is_newer, update, request.known_controls_checksum)
         else:
             reply = self._with_full_directory(
                 self._base_reply(state, is_newer), state, group, is_changed
@@ -183,7 +188,7 @@
         return msgspec.structs.replace(reply, plan=plan)
 
     def _controls(self, known: int) -> list[str]:
-        """Return all control nodes, none if a gateway knows them."""
+        """Return the addresses of all control nodes, none if the gateway knows them."""
         membership = self._node.raft.membership
         if self._membership is not membership:
             self._membership = membership
@@ -195,7 +200,7 @@
         self,
         state: CoordinationState,
         is_newer: bool,
-        part: bytes = b"",
+        update: bytes = b"",
         known_controls_checksum: int = 0,
     ) -> DirectoryReply:
         return DirectoryReply(
@@ -209,14 +214,14 @@
             neighbours=[],
             controls=self._controls(known_controls_checksum),
             zone=self._zone,
-            update=part,
+            update=update,
         )
 
     @staticmethod
     def _with_full_directory(
         reply: DirectoryReply, state: CoordinationState, group: str, is_changed: bool
     ) -> DirectoryReply:
-        """Return a reply for a gateway of an earlier version, which takes no parts."""
+        """Return a reply with plain records, for an earlier gateway that accepts no updates."""
         if not is_changed:
             return reply
         whole = full_update(state, group)
