--- a/src/rowanrail/coordination/failover_controller.py
+++ b/src/rowanrail/coordination/failover_controller.py
@@ -280,8 +280,8 @@
     ) -> dict[str, StatusReply]:
         """Pause replication, so that no further commit is acknowledged; return new statuses.
 
-        The paused replicas then hold every acknowledged commit. A promotion or RESUME ends the
-        pause.
+        What the replicas hold while paused is all that was ever acknowledged. A promotion or
+        RESUME ends the pause.
         """
         newest = max((status.term for status in statuses.values()), default=0)
         command = Command(CommandKind.PAUSE, str(newest + 1))
