--- a/src/rowanrail/coordination/status_queries.py
+++ b/src/rowanrail/coordination/status_queries.py
@@ -87,17 +87,17 @@
 
     async def query(self, records: list[MemberRecord], command: Command) -> dict[str, StatusReply]:
         """Return the statuses of the members that answered the command."""
-        asked = _QueryRound(self._reader, records)
+        query_round = _QueryRound(self._reader, records)
         channels = []
         for record in records:
-            channel = asked.channel(record, command)
+            channel = query_round.channel(record, command)
             channels.append(channel)
             self._driver.open(record.address, record.service, record.instance, channel)
         try:
             async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
-                await asked.done
+                await query_round.done
         except TimeoutError:
             pass  # members that did not answer are missing in the result
         for channel in channels:
             channel.close()
-        return dict(asked.statuses)
+        return dict(query_round.statuses)
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -37,10 +37,18 @@
 
 
 def next_membership(
-    membership: Membership, target: int, state: Callable[[str], ReplicationProgress]
+    membership: Membership, target: int, progress: Callable[[str], ReplicationProgress]
 ) -> Membership | None:
-    """Return the next membership towards ``target`` live voters; None if no change is needed."""
-    ready = sorted(node for node in membership.learners if state(node).is_caught_up)
+    """Return the next membership towards ``target`` live voters; None if no change is needed.
+
+    Parameters
+    ----------
+    target : int
+        The number of voters to keep.
+    progress : callable
+        Returns a node's replication progress.
+    """
+    ready = sorted(node for node in membership.learners if progress(node).is_caught_up)
     if not ready:
         return None
     learner = ready[0]
@@ -49,7 +57,7 @@
         return without_voters(membership, replaced[:1])
     if len(membership.voters) < target:
         return with_voter(membership, learner)
-    silent = {node: state(node).silent_seconds for node in membership.voters}
+    silent = {node: progress(node).silent_seconds for node in membership.voters}
     longest = max(silent, key=lambda node: silent[node])
     return (
         without_voters(membership, [longest]) if silent[longest] >= VOTER_SILENCE_SECONDS else None
@@ -64,17 +72,17 @@
     ) -> None:
         super().__init__(node, cluster)
         self._target = target
-        self._clock = now
+        self._now = now
 
-    def _state(self, node: str) -> ReplicationProgress:
+    def _progress(self, node: str) -> ReplicationProgress:
         raft = self._node.raft
         if node == self._node.identity.node:
             return ReplicationProgress(raft.log.last_index, 0, 0.0)
         held = raft.match_of(node)
         behind = raft.log.last_index - held
-        return ReplicationProgress(held, behind, raft.answered_seconds_ago(node, self._clock()))
+        return ReplicationProgress(held, behind, raft.answered_seconds_ago(node, self._now()))
 
     async def _promote_learner(self) -> None:
-        changed = next_membership(self._node.raft.membership, self._target, self._state)
+        changed = next_membership(self._node.raft.membership, self._target, self._progress)
         if changed is not None:
             await self._change(changed)
