--- a/src/rowanrail/coordination/holders.py
+++ b/src/rowanrail/coordination/holders.py
@@ -10,7 +10,7 @@
 from rowanrail.coordination.changes import DirectoryChange, GatewayChange, MemberChange
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
-from rowanrail.placement.hashed import METER, claim, shards_of
+from rowanrail.placement.hashed import DEMAND_AGGREGATOR, rendezvous_score, shards_of
 
 __all__ = ["RankedHolders"]
 
@@ -19,7 +19,7 @@
     """The top-ranked gateway of each group for each key; see :mod:`rowanrail.placement.hashed`.
 
     A key is a service, or one of its shards if regions share connections. With regions, the
-    gateway that sums tenants' demand for its region (``METER``) is ranked too.
+    gateway that sums tenants' demand for its region (``DEMAND_AGGREGATOR``) is ranked too.
 
     Parameters
     ----------
@@ -79,11 +79,13 @@
         self._keys_held: Counter[str] = Counter()
         keys = [key for service in self._services for key in self._keys_of(service)]
         for group in self._groups:
-            for key in [*keys, METER] if self._regional_gateways else keys:
+            for key in [*keys, DEMAND_AGGREGATOR] if self._regional_gateways else keys:
                 self._rank_key(group, key)
 
     def _rank_key(self, group: str, key: str) -> None:
-        self._set_top_ranked(group, key, max(claim(key, name) for name in self._groups[group]))
+        self._set_top_ranked(
+            group, key, max(rendezvous_score(key, name) for name in self._groups[group])
+        )
 
     def _set_top_ranked(self, group: str, key: str, to: tuple[bytes, str] | None) -> None:
         """Set the top-ranked gateway of a key in a group; None removes the key."""
@@ -153,8 +155,8 @@
             self._top_ranked[group] = {}
         self._groups[group].add(gateway.name)
         keys = [key for service in self._services for key in self._keys_of(service)]
-        for key in [*keys, METER] if self._regional_gateways else keys:
-            mine = claim(key, gateway.name)
+        for key in [*keys, DEMAND_AGGREGATOR] if self._regional_gateways else keys:
+            mine = rendezvous_score(key, gateway.name)
             known = self._top_ranked[group].get(key)
             if known is None or mine > known:
                 self._set_top_ranked(group, key, mine)
--- a/src/rowanrail/coordination/planner.py
+++ b/src/rowanrail/coordination/planner.py
@@ -21,8 +21,8 @@
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.placement.hashed import Shard, rank, shards_of
-from rowanrail.scheduling.demand import DemandWindow, PartDemand
-from rowanrail.scheduling.planner import Layout, Proposal, propose
+from rowanrail.scheduling.demand import DemandWindow, ShardDemand
+from rowanrail.scheduling.planner import Layout, Proposal, propose_plan
 
 __all__ = ["PlanController", "Planner"]
 
@@ -30,7 +30,7 @@
 # Between changes of a shard: the time of ten handovers. Lost holders are replaced at once.
 CHANGE_COOLDOWN_MS = 20_000.0
 
-_DemandByGroup = dict[str, dict[str, PartDemand]]
+_DemandByGroup = dict[str, dict[str, ShardDemand]]
 
 
 class Planner:
@@ -75,10 +75,10 @@
         self._window.add(self._loads.demand(gateways))
         if not self._window.is_full:
             return Proposal()
-        self.sustained_demand = self._window.lasting()
+        self.sustained_demand = self._window.median()
         layout = self._layout(self.sustained_demand)
         loads = self._loads.loads(gateways)
-        return propose(
+        return propose_plan(
             self.sustained_demand, loads, layout, self._state.plan, self._recently_changed()
         )
 
@@ -227,7 +227,7 @@
                 service=shares.service,
                 group=shares.group,
                 part=shares.key,
-                factor=round(shares.short, 2),
+                factor=round(shares.growth, 2),
                 shares=self._shares_of(shares.service),
             )
 
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -53,7 +53,7 @@
         ("connections_limit", labels, connections.limit),
         ("connections_leased", labels, len(connections.leases)),
         ("concurrency_limit", labels, pool.concurrency.value),
-        ("under_way", labels, connections.under_way),
+        ("under_way", labels, connections.in_flight),
         ("queue_longest_wait_seconds", labels, pool.queue.longest_wait(1000 * now_seconds) / 1000),
     ]
     for urgency, length in pool.queue.lengths.items():
@@ -66,7 +66,7 @@
 def _estimate_gauges(
     labels: dict[str, str], instance: str, estimates: MemberEstimates
 ) -> list[Reading]:
-    weight = estimates.weights.own(instance)
+    weight = estimates.weights.local_weight(instance)
     return [
         ("member_weight", labels | {"reason": weight.reason}, weight.value),
         ("member_queue_seconds", labels, estimates.queue_seconds(instance)),
@@ -114,8 +114,8 @@
     readings: list[Reading] = [
         ("links", {"state": state.value}, states.count(state)) for state in LinkState
     ]
-    readings.append(("link_calls_owed", {}, sum(link.owed for link in neighbours.links)))
-    readings.append(("detours", {}, detours.found))
-    readings.append(("held_statements", {}, holder.running))
+    readings.append(("link_calls_owed", {}, sum(link.pending_calls for link in neighbours.links)))
+    readings.append(("detours", {}, detours.known_detours))
+    readings.append(("held_statements", {}, holder.running_statements))
     readings.append(("held_transactions", {}, holder.open_transactions))
     return readings
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -21,16 +21,16 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.policies import LinkOutcome
-from rowanrail.gateway.relay.forwarding import ForwardedWork, Placement
-from rowanrail.gateway.relay.holder_choice import HeldAt, HeldHere
+from rowanrail.gateway.relay.forwarding import ForwardedWork, HolderLocator
+from rowanrail.gateway.relay.holder_choice import HeldLocally, HeldRemotely
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.relay.remote_holder import RemoteHolder
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import OtherGateways, Work
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.ports import OtherGateways, StatementExecutor
 from rowanrail.kernel.clock import Clock, Scheduler
 from rowanrail.model.position import Position
 from rowanrail.placement.hashed import Shard
@@ -100,16 +100,16 @@
         self._detours = peers.detours
         self._version = version
 
-    def work_for(self, service: Service, tenant: str, local: LocalWork) -> Work:
+    def work_for(self, service: Service, tenant: str, local: LocalExecutor) -> StatementExecutor:
         """Return the work for a tenant's statements: here, or through a holder's connections."""
         if self._neighbours is None or not service.share.is_shared:
             return local
         shard = Shard.of(service.spec.name, tenant)
-        if isinstance(self._neighbours.where_held(shard), HeldHere):
+        if isinstance(self._neighbours.locate_holder(shard), HeldLocally):
             return local
         return self._forwarded(self._neighbours, service, local)
 
-    def local_work(self, service: Service, is_detour: bool = False) -> LocalWork | None:
+    def local_work(self, service: Service, is_detour: bool = False) -> LocalExecutor | None:
         """Return work on own connections; None if the sender had better run it itself.
 
         What comes on a detour is sent no further.
@@ -118,8 +118,8 @@
         if is_detour and not detour_may_run(service.share.is_regional, primary_fails):
             return None
         if is_detour or self._detours is None:
-            return LocalWork(service, self._names, self._scheduler)
-        return LocalWork(
+            return LocalExecutor(service, self._names, self._scheduler)
+        return LocalExecutor(
             service,
             self._names,
             self._scheduler,
@@ -141,7 +141,7 @@
             return None
         region = self._locality.region_of(pool.record.zone)
         shard = Shard.of(service.spec.name, tenant)
-        if not isinstance(self._detours.holder_in(region, shard), HeldAt):
+        if not isinstance(self._detours.holder_in(region, shard), HeldRemotely):
             return None
         return self._forwarded(RemoteHolder(self._detours, region), service, is_detour=True)
 
@@ -154,13 +154,13 @@
 
     def _forwarded(
         self,
-        placement: Placement,
+        placement: HolderLocator,
         service: Service,
-        local: LocalWork | None = None,
+        local: LocalExecutor | None = None,
         is_detour: bool = False,
     ) -> ForwardedWork:
         if local is None:
-            local = LocalWork(service, self._names, self._scheduler)
+            local = LocalExecutor(service, self._names, self._scheduler)
         return ForwardedWork(
             placement,
             local,
@@ -178,7 +178,7 @@
         tracker = service.primary
 
         def take(asked_at_ms: float, instance: str, position: Position) -> None:
-            tracker.note_reported(asked_at_ms / 1000, instance, position)
+            tracker.note_reported_position(asked_at_ms / 1000, instance, position)
 
         # Gateways that hold no connections yet are no help while the primary has none left.
-        self._detours.ask(service.spec.name, bool(tracker.failing_since), take)
+        self._detours.query_samples(service.spec.name, bool(tracker.failing_since), take)
--- a/src/rowanrail/placement/hashed.py
+++ b/src/rowanrail/placement/hashed.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 
 __all__ = [
-    "METER",
+    "DEMAND_AGGREGATOR",
     "MINIMUM_CONNECTIONS",
     "SHARDS",
     "Population",
     "Shard",
-    "claim",
+    "rendezvous_score",
     "connection_limit",
     "even_share",
     "is_shared",
@@ -43,9 +43,10 @@
 # 250 KB a second, and a statement takes about 1.7 KB of it each way, so that one holder would be
 # choked by 150 statements a second, which a primary's region gets while replicas lag.
 SHARDS = 3
-ROUNDING = 0.01  # connections that a share may lack by the rounding of its digits
-METER = "tenants' demand"  # ranked like a service: the gateway that sums it for a region, the meter
-SMALLEST_OWN_SHARE = 3  # chosen: connections a gateway, below which a zone shares one gateway's
+ROUNDING_TOLERANCE = 0.01  # connections that a share may lack by the rounding of its digits
+# Key by which a region's gateways are ranked for summing the region's tenant demand.
+DEMAND_AGGREGATOR = "tenants' demand"
+MIN_OWN_CONNECTIONS = 3  # chosen: connections a gateway, below which a zone shares one gateway's
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +130,7 @@
         return False  # nobody has a neighbour to share with
     if population.is_regional:
         return True  # connections belong to tenants: the fewer hold them, the fewer are opened
-    return (connections - RESERVED_CONNECTIONS) // population.gateways < SMALLEST_OWN_SHARE
+    return (connections - RESERVED_CONNECTIONS) // population.gateways < MIN_OWN_CONNECTIONS
 
 
 def connection_limit(
@@ -223,7 +224,7 @@
     divided = connections - RESERVED_CONNECTIONS - samplers
     if population.is_regional:
         divided -= SUCCESSOR_CONNECTIONS
-    return max(MINIMUM_CONNECTIONS, int(divided * share + ROUNDING))
+    return max(MINIMUM_CONNECTIONS, int(divided * share + ROUNDING_TOLERANCE))
 
 
 def rank(service: str, gateways: Iterable[str]) -> list[str]:
@@ -244,16 +245,16 @@
     >>> rank("orders", [name for name in order if name != order[1]]) == [order[0], order[2]]
     True
     """
-    return sorted(gateways, key=lambda name: claim(service, name), reverse=True)
+    return sorted(gateways, key=lambda name: rendezvous_score(service, name), reverse=True)
 
 
-def claim(service: str, gateway: str) -> tuple[bytes, str]:
+def rendezvous_score(service: str, gateway: str) -> tuple[bytes, str]:
     """Return by what a gateway is compared with others for a service; the highest comes first.
 
     Examples
     --------
     >>> names = ["a", "b", "c"]
-    >>> max(claim("orders", name) for name in names)[1] == rank("orders", names)[0]
+    >>> max(rendezvous_score("orders", name) for name in names)[1] == rank("orders", names)[0]
     True
     """
     weight = hashlib.blake2b(f"{gateway}/{service}".encode(), digest_size=8).digest()
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Refusal
-from rowanrail.placement.hashed import METER, Population, Shard, rank
+from rowanrail.placement.hashed import DEMAND_AGGREGATOR, Population, Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.relay.test_detours import CutDriver
@@ -71,7 +71,7 @@
         self.gateway.start()
         self.metering.start()
         holder = world.network.holders[name] = Holder(self.gateway, clock)
-        holder.on_region = self.metering.pass_on
+        holder.on_region_report = self.metering.forward_to_aggregator
 
     def client(self, database, key="key-of-a"):
         session = self.gateway.open_session(database, key)
@@ -153,7 +153,7 @@
         holder = self.world.holder
         holder.driver.cut.add("m1")
         service = holder.gateway.services["db"]
-        service.primary.belief.failing_since = self.world.clock.now
+        service.primary.state.failing_since = self.world.clock.now
         answer = self.world.client("orders").run("WRITE a 1", seconds=0.4)
         self.assertIsNone(answer.refusal, answer)
         self.assertGreater(
@@ -214,7 +214,7 @@
         local = helper.gateway.local_work("db", is_detour=True)
         session = helper.client("orders").session
         answers = []
-        single = local.single(routes()["orders"], session.values, True)
+        single = local.autocommit(routes()["orders"], session.values, True)
         single.start(statement("q1", "WRITE a 1"), answers.append)
         pool = helper.gateway.services["db"].pools["m1"]
         self.assertEqual([channel.tenant for channel in pool.connections.idle], ["a"])
@@ -276,11 +276,11 @@
     def test_a_region_that_takes_another_gateway_for_the_meter_is_heard_all_the_same(self):
         # Seen on a played day: while the network was split, regions heard of a fifth of the fleet
         # where half of it was in reach, since each sent its sums to a gateway that nobody asked.
-        _, other = rank(METER, ["gb1", "gb2"])
+        _, other = rank(DEMAND_AGGREGATOR, ["gb1", "gb2"])
         for name in ("ga1", "ga2"):
             detours = self.world.gateways[name].gateway.peers.detours
-            detours.hashed_holder_in = lambda group, key, detours=detours: detours._keeper.reach(
-                other
+            detours.hashed_holder_in = lambda group, key, detours=detours: (
+                detours._link_manager.reach(other)
             )
         for one, number in zip(self.world.gateways.values(), (5, 7, 11, 13), strict=True):
             self.ask(one, number)
@@ -288,7 +288,7 @@
         self.assertEqual([self.fleet_at(one) for one in self.world.gateways.values()], [36] * 4)
 
     def test_another_gateway_takes_over_from_a_lost_meter(self):
-        names = rank(METER, ["ga1", "ga2"])
+        names = rank(DEMAND_AGGREGATOR, ["ga1", "ga2"])
         meter, other = (self.world.gateways[name] for name in names)
         self.ask(other, 9)
         self.world.clock.advance(1.0)
