--- a/src/rowanrail/coordination/change_notes.py
+++ b/src/rowanrail/coordination/change_logger.py
@@ -1,7 +1,7 @@
-"""Log lines of a control node about what changed: leader, versions, directory, voters, disk.
+"""Logs changes of a control node: leader, configuration, directory, voters, storage.
 
-Owns what was logged last, so that each change is logged once; relies on the node of the replicated
-log and on the state for what is so now.
+Keeps what it logged last, so that each change is logged once. Relies on the consensus node and the
+state for the present values.
 """
 
 from collections.abc import Callable
@@ -19,22 +19,22 @@
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.kernel.decisions import DecisionLog
 
-__all__ = ["ChangeNotes"]
+__all__ = ["ChangeLogger"]
 
 
-class ChangeNotes:
-    """Compares what is so with what was logged last.
+class ChangeLogger:
+    """Logs the differences between the present state and what was logged last.
 
     Parameters
     ----------
     consensus : ConsensusNode
         The node of the replicated log.
     state : CoordinationState
-        What its committed entries lead to.
+        The state after its committed entries.
     decisions : DecisionLog
-        Gets the lines.
+        Writes the log lines.
     on_leader : callable
-        Called when a leader becomes known.
+        Called when another leader becomes known.
     """
 
     def __init__(
@@ -54,15 +54,15 @@
         self._revision = 0
         self._membership_index = 0
 
-    def compare(self) -> None:
-        """Log what changed since the last call."""
-        self._compare_storage()
-        self._compare_leader()
-        self._compare_version()
-        self._compare_directory()
-        self._compare_membership()
+    def log_changes(self) -> None:
+        """Log all changes since the last call."""
+        self._log_storage()
+        self._log_leader()
+        self._log_version()
+        self._log_directory()
+        self._log_membership()
 
-    def _compare_storage(self) -> None:
+    def _log_storage(self) -> None:
         failure = self._consensus.failure
         if (failure is not None) == self._has_failed:
             return
@@ -79,7 +79,7 @@
             revision=self._state.revision,
         )
 
-    def _compare_leader(self) -> None:
+    def _log_leader(self) -> None:
         raft = self._consensus.raft
         leader = (raft.leader, raft.term)
         if leader == self._leader:
@@ -92,14 +92,14 @@
         elif was_known:
             self._decisions.note(LEADER_LOST, term=raft.term)
 
-    def _compare_version(self) -> None:
+    def _log_version(self) -> None:
         version = self._state.version
         if version == self._version:
             return
         self._version = version
         self._decisions.note(VERSION_COMMITTED, version=version, index=self._consensus.applied)
 
-    def _compare_directory(self) -> None:
+    def _log_directory(self) -> None:
         state = self._state
         if state.revision == self._revision:
             return
@@ -113,7 +113,7 @@
             primaries=sorted(member.instance for member in members if member.primary),
         )
 
-    def _compare_membership(self) -> None:
+    def _log_membership(self) -> None:
         raft = self._consensus.raft
         if raft.log.membership_index == self._membership_index:
             return
