--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -10,7 +10,7 @@
 from rowanrail.gateway.events import KEY_UNKNOWN, KEY_WITHDRAWN, OVER_QUOTA, ROUTE_MISSING
 from rowanrail.gateway.policies import KeyCheck
 from rowanrail.gateway.sessions.session import Session
-from rowanrail.gateway.work.refusals import busy_answer, limit_retry_after_ms
+from rowanrail.gateway.work.refusals import busy_answer, quota_retry_after_ms
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.routing import RoutingConfiguration
@@ -25,7 +25,7 @@
 
 __all__ = ["AccessControl"]
 
-UNKNOWN_URGENCY = 1  # of a database whose route has gone
+DEFAULT_URGENCY = 1  # of a database whose route has gone
 
 
 class AccessControl:
@@ -48,14 +48,14 @@
     ) -> None:
         self._clock = clock
         self._decisions = decisions
-        self._followed = ""
-        self._heard_at: float | None = None
+        self._control_peer = ""
+        self._control_confirmed_at: float | None = None
         self._key_check = key_check
         self._quota = QuotaGuard(clock, terms)
         self._demand = DemandBook(clock)
         self._configuration: RoutingConfiguration | None = None
         self._retrying_clients = RetryingClients(clock)
-        self._over_limit = 0
+        self._quota_rejections = 0
         self.on_rejection: Callable[[str, int, float], None] = lambda *rejection: None
 
     @property
@@ -82,13 +82,17 @@
 
     def note_control_up_to_date(self, peer: str) -> None:
         """Note that a control node said that it holds all that is committed."""
-        self._followed = peer
-        self._heard_at = self._clock.now
+        self._control_peer = peer
+        self._control_confirmed_at = self._clock.now
 
     @property
     def control_age(self) -> float | None:
         """Milliseconds since a control node last said so, None before the first one did."""
-        return None if self._heard_at is None else self._clock.now - self._heard_at
+        return (
+            None
+            if self._control_confirmed_at is None
+            else self._clock.now - self._control_confirmed_at
+        )
 
     def refuse_unknown_database(self, database: str) -> Answer:
         """Return the refusal of a database that no route names, and log what it rests on."""
@@ -97,7 +101,7 @@
             ROUTE_MISSING,
             database=database,
             version=self.version,
-            control=self._followed,
+            control=self._control_peer,
             heard_ms=None if age is None else round(age),
         )
         return Answer(refusal=Refusal.UNKNOWN_DATABASE, message=f"no route for {database}")
@@ -152,8 +156,8 @@
         over = self._quota.begin(session.identity.tenant, urgency)
         if over is None:
             return None
-        self._over_limit += 1
-        retry_after_ms = limit_retry_after_ms(self._over_limit, over.wait)
+        self._quota_rejections += 1
+        retry_after_ms = quota_retry_after_ms(self._quota_rejections, over.wait)
         self._decisions.note(
             OVER_QUOTA,
             session=session.label,
@@ -174,14 +178,14 @@
     def _urgency(self, session: Session) -> int:
         known = self._configuration
         route = known.routes.get(session.database) if known is not None else None
-        return UNKNOWN_URGENCY if route is None else route.priority
+        return DEFAULT_URGENCY if route is None else route.priority
 
     # Clients that retry
 
     def note_rejected(self, session: Session, rejection: Rejection | None) -> None:
         """Remember that a session's client was rejected, and when it was told to retry."""
         if rejection is None:
-            self._remember(session, 0.0)
+            self._note_retrying_client(session, 0.0)
             return
         cause, urgency = rejection.cause, rejection.urgency
         self._note_rejection(session, cause, urgency, rejection.return_in)
@@ -189,15 +193,17 @@
     def _note_rejection(
         self, session: Session, cause: str, urgency: int, retry_after_ms: float
     ) -> None:
-        self._remember(session, retry_after_ms)
+        self._note_retrying_client(session, retry_after_ms)
         self.on_rejection(cause, urgency, retry_after_ms)
 
-    def _remember(self, session: Session, retry_after_ms: float) -> None:
-        self._retrying_clients.note(_label(session), retry_after_ms, session.values.rejections + 1)
+    def _note_retrying_client(self, session: Session, retry_after_ms: float) -> None:
+        self._retrying_clients.note(
+            _retry_label(session), retry_after_ms, session.values.rejections + 1
+        )
 
-    def note_return(self, session: Session) -> None:
-        """See :meth:`rowanrail.gateway.sessions.session.SessionAccess.note_return`."""
-        times = self._retrying_clients.claim(_label(session))
+    def note_retry(self, session: Session) -> None:
+        """See :meth:`rowanrail.gateway.sessions.session.SessionAccess.note_retry`."""
+        times = self._retrying_clients.claim(_retry_label(session))
         session.values.rejections = times
         session.values.is_retrying = times >= GOES_FIRST_AFTER
 
@@ -206,6 +212,6 @@
         self._quota.note_not_run(session.identity.tenant)
 
 
-def _label(session: Session) -> Label:
+def _retry_label(session: Session) -> Label:
     identity = session.identity
     return client_label(identity.tenant, session.database, identity.key, session.label)
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -26,8 +26,8 @@
 )
 from rowanrail.tenants.model import ClientIdentity
 
-MAXIMUM_VALUES = 200  # bounds the memory of a session; clients set a few
-_DONE = Answer()
+MAX_SESSION_VALUES = 200  # bounds the memory of a session; clients set a few
+_SUCCESS = Answer()
 
 
 class SessionAccess(Protocol):
@@ -36,7 +36,7 @@
     def refuse_over_quota(self, session: "Session") -> Answer | None:
         """Count an operation of a session's tenant, or return why it may not begin now."""
 
-    def note_return(self, session: "Session") -> None:
+    def note_retry(self, session: "Session") -> None:
         """Tell a session whether its client was rejected and retries when it was told to."""
 
     def note_not_run(self, session: "Session") -> None:
@@ -159,11 +159,11 @@
             self._end_transaction()
             self._refuse(Refusal.DENIED, "the key was withdrawn")
         elif self.state is SessionState.FAILED:
-            self._in_failed(statement)
+            self._execute_in_failed(statement)
         elif statement.kind in (StatementKind.READ, StatementKind.WRITE, StatementKind.EXECUTE):
-            self._work(statement)
+            self._execute_data(statement)
         else:
-            self._control(statement)
+            self._execute_control(statement)
 
     def _finish(self, answer: Answer) -> None:
         respond, self._respond = self._respond, None
@@ -173,7 +173,7 @@
             return
         if self.state is SessionState.TRANSACTION and not self.closed:
             self._idle_timer = self._host.clock.call_later(
-                self._host.idle_transaction_seconds(), self._idle_for_too_long
+                self._host.idle_transaction_seconds(), self._on_idle_timeout
             )
         seconds = self._host.clock.time() - self._received_at
         self._host.outcomes.note(self, statement, answer, seconds, operation)
@@ -182,11 +182,11 @@
     def _refuse(self, refusal: Refusal, message: str) -> None:
         self._finish(Answer(refusal=refusal, message=message))
 
-    def _in_failed(self, statement: TypedStatement) -> None:
+    def _execute_in_failed(self, statement: TypedStatement) -> None:
         reason, self._abort_reason = self._abort_reason, ""
         if statement.kind is StatementKind.ROLLBACK:
             self._end_transaction()
-            self._finish(_DONE)
+            self._finish(_SUCCESS)
         elif statement.kind is StatementKind.COMMIT:
             self._end_transaction()
             self._refuse(Refusal.ABORTED, reason or "the transaction had failed")
@@ -195,7 +195,7 @@
         else:
             self._refuse(Refusal.INVALID, "the transaction failed; end it first")
 
-    def _control(self, statement: TypedStatement) -> None:
+    def _execute_control(self, statement: TypedStatement) -> None:
         kind = statement.kind
         if kind is StatementKind.SET:
             self._set(statement)
@@ -205,36 +205,38 @@
             if self.values.prepared.pop(statement.name, None) is None:
                 self._refuse(Refusal.UNKNOWN_NAME, f"nothing is prepared as {statement.name}")
             else:
-                self._finish(_DONE)
+                self._finish(_SUCCESS)
         elif kind in (StatementKind.BEGIN, StatementKind.BEGIN_READ):
             self._begin(statement)
         elif self._transaction is None:
             if kind is StatementKind.ROLLBACK:
-                self._finish(_DONE)
+                self._finish(_SUCCESS)
             else:
                 self._refuse(Refusal.INVALID, "no transaction is open")
         elif kind is StatementKind.ROLLBACK:
             self._end_transaction()
-            self._finish(_DONE)
+            self._finish(_SUCCESS)
         else:
             self._operation = self._transaction
-            self._transaction.run(statement, self._committed)
+            self._transaction.run(statement, self._on_commit_answer)
 
     def _set(self, statement: TypedStatement) -> None:
         values = self.values.values
-        if len(values) >= MAXIMUM_VALUES and statement.name not in values:
-            self._refuse(Refusal.TOO_LARGE, f"a session holds at most {MAXIMUM_VALUES} values")
+        if len(values) >= MAX_SESSION_VALUES and statement.name not in values:
+            self._refuse(Refusal.TOO_LARGE, f"a session holds at most {MAX_SESSION_VALUES} values")
             return
         values[statement.name] = statement.value
-        self._finish(_DONE)
+        self._finish(_SUCCESS)
 
     def _prepare(self, statement: TypedStatement) -> None:
         prepared = self.values.prepared
-        if len(prepared) >= MAXIMUM_VALUES and statement.name not in prepared:
-            self._refuse(Refusal.TOO_LARGE, f"a session prepares at most {MAXIMUM_VALUES} names")
+        if len(prepared) >= MAX_SESSION_VALUES and statement.name not in prepared:
+            self._refuse(
+                Refusal.TOO_LARGE, f"a session prepares at most {MAX_SESSION_VALUES} names"
+            )
             return
         prepared[statement.name] = (statement.writes, statement.value)
-        self._finish(_DONE)
+        self._finish(_SUCCESS)
 
     def _begin(self, statement: TypedStatement) -> None:
         if self._transaction is not None:
@@ -244,55 +246,55 @@
         if isinstance(found, Answer):
             self._finish(found)
             return
-        if not self._may_begin():
+        if not self._is_admitted():
             return
         route, work = found
         read_only = statement.kind is StatementKind.BEGIN_READ
         self._transaction = work.transaction(route, self.values, read_only)
         self.state = SessionState.TRANSACTION
-        self._finish(_DONE)
+        self._finish(_SUCCESS)
 
-    def _work(self, statement: TypedStatement) -> None:
+    def _execute_data(self, statement: TypedStatement) -> None:
         if statement.kind is StatementKind.EXECUTE and statement.name not in self.values.prepared:
             self._refuse(Refusal.UNKNOWN_NAME, f"nothing is prepared as {statement.name}")
             return
         if self._transaction is not None:
             self._operation = self._transaction
-            self._transaction.run(statement, self._transaction_answered)
+            self._transaction.run(statement, self._on_transaction_answer)
             return
         found = self._host.route(self.database, self.identity.tenant)
         if isinstance(found, Answer):
             self._finish(found)
             return
-        if not self._may_begin():
+        if not self._is_admitted():
             return
         route, work = found
         operation = work.autocommit(route, self.values, is_write(statement, self.values))
         self._operation = operation
-        operation.start(statement, self._single_answered)
+        operation.start(statement, self._on_autocommit_answer)
 
-    def _may_begin(self) -> bool:
+    def _is_admitted(self) -> bool:
         """Count an operation of the tenant; over its limit it is answered, and False returned."""
         access = self._host.access
-        access.note_return(self)
+        access.note_retry(self)
         over = access.refuse_over_quota(self)
         if over is not None:
             self._finish(over)
         return over is None
 
-    def _single_answered(self, answer: Answer) -> None:
+    def _on_autocommit_answer(self, answer: Answer) -> None:
         if answer.refusal in NOT_RUN:
             self._host.access.note_not_run(self)
         self._finish(answer)
 
     # Transactions
 
-    def _transaction_answered(self, answer: Answer) -> None:
+    def _on_transaction_answer(self, answer: Answer) -> None:
         if answer.refusal is not None:
             self.state = SessionState.FAILED
         self._finish(answer)
 
-    def _committed(self, answer: Answer) -> None:
+    def _on_commit_answer(self, answer: Answer) -> None:
         self._transaction = None
         self.state = SessionState.IDLE
         self._finish(answer)
@@ -303,7 +305,7 @@
         if transaction is not None:
             transaction.end()
 
-    def _idle_for_too_long(self) -> None:
+    def _on_idle_timeout(self) -> None:
         self._idle_timer = None
         self.abort("the transaction rested for too long")
 
--- a/src/rowanrail/gateway/work/attempts.py
+++ b/src/rowanrail/gateway/work/attempts.py
@@ -12,22 +12,22 @@
 from rowanrail.scheduling.admission import Forecast
 
 __all__ = [
-    "BUSY_RETRIES",
-    "ERROR_ATTEMPTS",
-    "MINIMUM_ATTEMPT_SECONDS",
-    "OPEN_ATTEMPT_SECONDS",
-    "PROMPT_SHARE",
-    "READ_ATTEMPTS",
-    "READ_ATTEMPT_LATENCIES",
-    "READ_ATTEMPT_SHARE",
+    "MAX_BUSY_RETRIES",
+    "MAX_READ_FAILURES",
+    "MIN_READ_ATTEMPT_SECONDS",
+    "FIRST_CONNECTION_TIMEOUT_SECONDS",
+    "QUEUE_WAIT_FRACTION",
+    "MAX_READ_ATTEMPTS",
+    "READ_ATTEMPT_LATENCY_FACTOR",
+    "READ_ATTEMPT_FRACTION",
     "ReadStep",
-    "MEMBER_RETRY_SECONDS",
+    "RETRY_INTERVAL_SECONDS",
     "SentRequest",
     "WriteStep",
-    "answer_limit_seconds",
-    "busy_pause_seconds",
+    "read_attempt_timeout_seconds",
+    "busy_retry_delay_seconds",
     "has_attempts_left",
-    "is_prompt",
+    "can_meet_objective",
     "may_retry_in_transaction",
     "client_refusal",
     "step_after_read",
@@ -37,28 +37,28 @@
 
 # Of the objective: a read goes elsewhere rather than wait for longer, which leaves as much for its
 # run. Chosen.
-PROMPT_SHARE = 0.5
+QUEUE_WAIT_FRACTION = 0.5
 # Of the objective, after which a silent member is given up for a read: leaves 0.4 of it for the
 # next member. Chosen.
-READ_ATTEMPT_SHARE = 0.6
+READ_ATTEMPT_FRACTION = 0.6
 # Usual latencies of the member, after which the same happens if that is sooner. Chosen.
-READ_ATTEMPT_LATENCIES = 8
+READ_ATTEMPT_LATENCY_FACTOR = 8
 # Seconds that a member has at the least: the slowest reads take that long, also on a calm day.
-MINIMUM_ATTEMPT_SECONDS = 0.4
+MIN_READ_ATTEMPT_SECONDS = 0.4
 # Seconds for the first connection to a member: after a loss of power members still count the
 # connections of gateways that are gone and open none for 3 s; reads that waited for them in turn
 # came too late.
-OPEN_ATTEMPT_SECONDS = 0.15
+FIRST_CONNECTION_TIMEOUT_SECONDS = 0.15
 # Members asked for one read before it begins anew with a new floor: twice each of three members.
-READ_ATTEMPTS = 6
+MAX_READ_ATTEMPTS = 6
 # Members that may fail a read before its client gets the error. Members in good health fail part
 # of their requests; one that three members fail is taken for a fault of the read itself. Chosen.
-ERROR_ATTEMPTS = 3
+MAX_READ_FAILURES = 3
 # Times that a statement of a transaction is sent again after the member had no slot for it: after
 # 20, 40 and 60 ms, when slots have come free.
-BUSY_RETRIES = 3
+MAX_BUSY_RETRIES = 3
 # Seconds between two tries of what could not run: about a round trip inside a region.
-MEMBER_RETRY_SECONDS = 0.02
+RETRY_INTERVAL_SECONDS = 0.02
 
 
 class ReadStep(enum.Enum):
@@ -87,7 +87,7 @@
     COMMIT = "commit"  # of a transaction that wrote: may have been committed
 
 
-def answer_limit_seconds(objective_seconds: float, usual_seconds: float) -> float:
+def read_attempt_timeout_seconds(objective_seconds: float, usual_seconds: float) -> float:
     """Return how long a member may take to answer a read before it is given up.
 
     Protects readers from a member that takes work and leaves it unanswered, without giving up one
@@ -102,16 +102,16 @@
 
     Examples
     --------
-    >>> answer_limit_seconds(objective_seconds=1.0, usual_seconds=0.01)
+    >>> read_attempt_timeout_seconds(objective_seconds=1.0, usual_seconds=0.01)
     0.4
-    >>> answer_limit_seconds(objective_seconds=1.0, usual_seconds=0.2)
+    >>> read_attempt_timeout_seconds(objective_seconds=1.0, usual_seconds=0.2)
     0.6
     """
-    usual = max(MINIMUM_ATTEMPT_SECONDS, READ_ATTEMPT_LATENCIES * usual_seconds)
-    return min(READ_ATTEMPT_SHARE * objective_seconds, usual)
+    usual = max(MIN_READ_ATTEMPT_SECONDS, READ_ATTEMPT_LATENCY_FACTOR * usual_seconds)
+    return min(READ_ATTEMPT_FRACTION * objective_seconds, usual)
 
 
-def is_prompt(forecast: Forecast, objective_seconds: float, waited_ms: float) -> bool:
+def can_meet_objective(forecast: Forecast, objective_seconds: float, waited_ms: float) -> bool:
     """Return whether a member has room soon enough for an answer within the objective.
 
     Parameters
@@ -125,12 +125,15 @@
 
     Examples
     --------
-    >>> is_prompt(Forecast(wait=150, run=10), objective_seconds=0.4, waited_ms=50)
+    >>> can_meet_objective(Forecast(wait=150, run=10), objective_seconds=0.4, waited_ms=50)
     True
-    >>> is_prompt(Forecast(wait=160, run=10), objective_seconds=0.4, waited_ms=50)
+    >>> can_meet_objective(Forecast(wait=160, run=10), objective_seconds=0.4, waited_ms=50)
     False
     """
-    return forecast.has_room or forecast.wait <= PROMPT_SHARE * objective_seconds * 1000 - waited_ms
+    return (
+        forecast.has_room
+        or forecast.wait <= QUEUE_WAIT_FRACTION * objective_seconds * 1000 - waited_ms
+    )
 
 
 def has_attempts_left(attempts: int) -> bool:
@@ -138,7 +141,7 @@
 
     After the last one the read begins anew, with a new floor and all members.
     """
-    return attempts <= READ_ATTEMPTS
+    return attempts <= MAX_READ_ATTEMPTS
 
 
 def step_after_read(refusal: Refusal, failures: int, from_primary: bool) -> ReadStep:
@@ -169,7 +172,7 @@
         case Refusal.BEHIND:
             # If the primary lacks the floor commits were rolled back, and the sample is void.
             return ReadStep.NEW_SAMPLE if from_primary else ReadStep.PRIMARY
-        case Refusal.FAILED if failures >= ERROR_ATTEMPTS:
+        case Refusal.FAILED if failures >= MAX_READ_FAILURES:
             return ReadStep.ANSWER
     return ReadStep.NEXT_MEMBER
 
@@ -209,12 +212,14 @@
     retries : int
         How often this statement was sent again so far.
     """
-    return refusal is Refusal.BUSY and state is SessionState.TRANSACTION and retries < BUSY_RETRIES
+    return (
+        refusal is Refusal.BUSY and state is SessionState.TRANSACTION and retries < MAX_BUSY_RETRIES
+    )
 
 
-def busy_pause_seconds(retries: int) -> float:
+def busy_retry_delay_seconds(retries: int) -> float:
     """Return how long to wait before the given retry (1 for the first) of a busy statement."""
-    return MEMBER_RETRY_SECONDS * retries
+    return RETRY_INTERVAL_SECONDS * retries
 
 
 def refusal_without_answer(sent: SentRequest) -> Refusal:
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -26,30 +26,30 @@
         """Begin."""
         self.statement = statement
         self.begin_statement(respond)
-        self._find_primary()
+        self._acquire_primary()
 
-    def _find_primary(self) -> None:
-        self.acquire_primary(self._find_primary, self._with_channel)
+    def _acquire_primary(self) -> None:
+        self.acquire_primary(self._acquire_primary, self._on_connection)
 
-    def move_to(self, work: StatementExecutor | None) -> bool:
-        """See :meth:`Operation.move_to`."""
-        return self._hand_to(work, self.statement, writes=True)
+    def forward_to(self, work: StatementExecutor | None) -> bool:
+        """See :meth:`Operation.forward_to`."""
+        return self._forward(work, self.statement, writes=True)
 
-    def _with_channel(self, channel: Channel | None, answer: Answer) -> None:
+    def _on_connection(self, channel: Channel | None, answer: Answer) -> None:
         if channel is None:
             self.service.primary.note_refused_connection(answer)
-            self.retry_later(self._find_primary, busy_answer(answer.message))
+            self.retry_later(self._acquire_primary, busy_answer(answer.message))
             return
         commands = self.service.policies.state_replay.commands(channel, self.session)
         commands += commands_for(self.statement, None, channel, self.session, self.names)
-        self.send(commands, self._answered)
+        self.send(commands, self._on_answer)
 
     @property
-    def kind(self) -> str:
-        """See :meth:`Operation.kind`."""
+    def latency_class(self) -> str:
+        """See :meth:`Operation.latency_class`."""
         return f"{self.route.name} writes"
 
-    def _answered(self, answer: Answer) -> None:
+    def _on_answer(self, answer: Answer) -> None:
         if self.respond is None:
             self.release()
             return
@@ -70,7 +70,7 @@
             case WriteStep.ANSWER:
                 self.finish(answer)
             case WriteStep.RETRY:
-                self.retry_later(self._find_primary, answer)
+                self.retry_later(self._acquire_primary, answer)
             case WriteStep.UNKNOWN:
                 refusal = refusal_without_answer(SentRequest.WRITE)
                 self.finish(Answer(refusal=refusal, message="the connection was lost"))
@@ -78,7 +78,7 @@
     def on_timeout(self) -> None:
         """See :meth:`Operation.on_timeout`."""
         if self.channel is None:
-            self.refuse_unplaced(busy_answer(NO_ANSWER_MESSAGE))
+            self.refuse_deferred(busy_answer(NO_ANSWER_MESSAGE))
             return
         self.finish(
             Answer(refusal=refusal_without_answer(SentRequest.WRITE), message=NO_ANSWER_MESSAGE)
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -12,7 +12,10 @@
 from rowanrail.gateway.pools.queued_request import QueuedRequest
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work.attempts import OPEN_ATTEMPT_SECONDS, answer_limit_seconds
+from rowanrail.gateway.work.attempts import (
+    FIRST_CONNECTION_TIMEOUT_SECONDS,
+    read_attempt_timeout_seconds,
+)
 from rowanrail.gateway.work.statement import Statement
 from rowanrail.kernel.clock import Scheduler, Timer
 from rowanrail.members.channel import Channel, Respond
@@ -24,7 +27,7 @@
 
 # Reads, writes and commits. A member begins and ends a transaction without a slot, so that the
 # time of such an answer says nothing of its queue.
-SLOT_TAKERS = frozenset({CommandKind.STATEMENT, CommandKind.EXECUTE})
+SLOT_COMMANDS = frozenset({CommandKind.STATEMENT, CommandKind.EXECUTE})
 
 
 class Stage(enum.Enum):
@@ -55,7 +58,7 @@
 
     # What differs between kinds of work
 
-    def entry(self) -> QueueEntry:
+    def queue_entry(self) -> QueueEntry:
         """Return the statement's entry for a wait queue: its urgency, tenant and deadline."""
         raise NotImplementedError
 
@@ -63,35 +66,37 @@
         """Go on at another member, after one that gave no connection."""
         raise NotImplementedError
 
-    def past_deadline(self, pool: MemberPool) -> None:
+    def on_deadline_unreachable(self, pool: MemberPool) -> None:
         """Go elsewhere, or reject, what would get a connection too late."""
         raise NotImplementedError
 
     # The time of an attempt
 
-    def limit_opening(self) -> None:
+    def limit_connection_wait(self) -> None:
         """Wait only a short while for the first connection to a member."""
         pool = self.pool
         if self._queued is not None and pool is not None and not pool.connections.established:
-            self._limit_attempt(OPEN_ATTEMPT_SECONDS)
+            self._limit_attempt(FIRST_CONNECTION_TIMEOUT_SECONDS)
 
-    def limit_answer(self) -> None:
+    def limit_answer_time(self) -> None:
         """Give the member up for a read if its answer takes much longer than usual."""
         assert self.pool is not None
         objective = self.route.objective_seconds
-        self._limit_attempt(answer_limit_seconds(objective, self.pool.forecasts.latency / 1000))
+        self._limit_attempt(
+            read_attempt_timeout_seconds(objective, self.pool.forecasts.latency / 1000)
+        )
 
     def _limit_attempt(self, seconds: float) -> None:
-        self.end_attempt()
-        self._attempt_timer = self.clock.call_later(seconds, self._give_up_member)
+        self.stop_attempt_timer()
+        self._attempt_timer = self.clock.call_later(seconds, self._on_attempt_timeout)
 
-    def end_attempt(self) -> None:
+    def stop_attempt_timer(self) -> None:
         """Note that the member answered, or that the statement is over."""
         timer, self._attempt_timer = self._attempt_timer, None
         if timer is not None:
             timer.cancel()
 
-    def _give_up_member(self) -> None:
+    def _on_attempt_timeout(self) -> None:
         self._attempt_timer = None
         if self.pool is None or self.respond is None:
             return
@@ -105,7 +110,7 @@
     def stop_timers(self) -> None:
         """See :meth:`Statement.stop_timers`."""
         super().stop_timers()
-        self.end_attempt()
+        self.stop_attempt_timer()
 
     # The wait queue
 
@@ -120,18 +125,18 @@
             self.channel = channel
             take(channel, answer)
 
-        self.end_attempt()  # its limit is the limit of the member before
+        self.stop_attempt_timer()  # its limit is the limit of the member before
         self.pool = pool
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
-        entry, values = self.entry(), self.session.values
+        entry, values = self.queue_entry(), self.session.values
         self._queued = QueuedRequest(pool, entry, values, respond, self._expired)
         self._queued.start()
 
     def _expired(self) -> None:
         self._queued = None
         if self.pool is not None:
-            self.past_deadline(self.pool)
+            self.on_deadline_unreachable(self.pool)
 
     def _leave_queue(self) -> None:
         """Wait no longer for a connection."""
@@ -139,8 +144,8 @@
         if queued is not None:
             queued.leave()
 
-    def let_go(self, answer: Answer) -> None:
-        """See :meth:`Statement.let_go`."""
+    def withdraw_requests(self, answer: Answer) -> None:
+        """See :meth:`Statement.withdraw_requests`."""
         self._leave_queue()
 
     # The connection
@@ -154,7 +159,7 @@
             if answer.refusal is not None and not channel.closed:
                 channel.close()  # the session's values are not as promised on this connection
 
-        pool, takes_slot = self.pool, commands[-1].kind in SLOT_TAKERS
+        pool, takes_slot = self.pool, commands[-1].kind in SLOT_COMMANDS
         sent_at = self.clock.time()
 
         def settle(answer: Answer) -> None:
--- a/src/rowanrail/gateway/work/freshness.py
+++ b/src/rowanrail/gateway/work/freshness.py
@@ -12,10 +12,10 @@
 
 # Of the staleness: age of a sample at which the next one is asked for, so that it is there before
 # the one at hand is too old. Chosen.
-PREFETCH_SHARE = 0.5
+PREFETCH_FRACTION = 0.5
 
 
-def oldest_sample(route: Route, arrived_at: float) -> float:
+def earliest_sample_time(route: Route, arrived_at: float) -> float:
     """Return since when a sample must have been asked for to serve a read of the route; seconds.
 
     A sample that was asked for before that may lack a commit that the read has to see.
@@ -25,20 +25,20 @@
     return arrived_at - route.staleness_seconds
 
 
-def wants_next_sample(route: Route, age_seconds: float) -> bool:
+def should_prefetch(route: Route, age_seconds: float) -> bool:
     """Return whether the sample at hand is old enough to ask for the next one.
 
     Never for reads of the primary, each of which needs one that was asked for after it came.
     """
     if route.consistency is Consistency.PRIMARY:
         return False
-    return age_seconds > PREFETCH_SHARE * route.staleness_seconds
+    return age_seconds > PREFETCH_FRACTION * route.staleness_seconds
 
 
-def prefetch(service: Service, route: Route, now: float) -> None:
+def prefetch_sample(service: Service, route: Route, now: float) -> None:
     """Ask for the next sample before the one at hand is too old."""
     sample = service.primary.sample
-    if sample is not None and wants_next_sample(route, now - sample.asked_at):
+    if sample is not None and should_prefetch(route, now - sample.asked_at):
         service.primary.request_sample()
 
 
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -8,7 +8,7 @@
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
 from rowanrail.gateway.work.autocommit_read import AutocommitRead
 from rowanrail.gateway.work.autocommit_write import AutocommitWrite
-from rowanrail.gateway.work.ports import NO_OTHERS, AutocommitExecution, OtherGateways
+from rowanrail.gateway.work.ports import NO_OTHER_GATEWAYS, AutocommitExecution, OtherGateways
 from rowanrail.gateway.work.transaction import Transaction
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.model.routing import Route
@@ -38,7 +38,7 @@
         service: Service,
         names: PreparedNames,
         clock: Scheduler,
-        others: OtherGateways = NO_OTHERS,
+        others: OtherGateways = NO_OTHER_GATEWAYS,
     ) -> None:
         self._service = service
         self._names = names
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -12,10 +12,10 @@
 from rowanrail.gateway.services.member_estimates import Wanted
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
-from rowanrail.gateway.work.attempts import is_prompt
+from rowanrail.gateway.work.attempts import can_meet_objective
 from rowanrail.gateway.work.connected import ConnectedStatement, Stage
 from rowanrail.gateway.work.ports import (
-    NO_OTHERS,
+    NO_OTHER_GATEWAYS,
     AutocommitExecution,
     OtherGateways,
     StatementExecutor,
@@ -57,20 +57,20 @@
         session: SessionValues,
         names: PreparedNames,
         clock: Scheduler,
-        others: OtherGateways = NO_OTHERS,
+        others: OtherGateways = NO_OTHER_GATEWAYS,
     ) -> None:
         super().__init__(service, route, session, clock)
         self.names = names
-        self.others = others
+        self.other_gateways = others
         self.attempts = 0
         self.floor: Position | None = None  # what a member's log must hold
-        self.remote: AutocommitExecution | TransactionExecution | None = None
+        self.remote_execution: AutocommitExecution | TransactionExecution | None = None
         service.used_at = clock.time()
 
     def trace(self) -> Trace:
         """Return what decided about the statement so far."""
-        if self.remote is not None:
-            return self.remote.trace()
+        if self.remote_execution is not None:
+            return self.remote_execution.trace()
         now = self.clock.time()
         tracker = self.service.primary
         failing = tracker.failing_since
@@ -90,50 +90,52 @@
         self.attempts = 0
         super().begin_statement(respond)
 
-    def on_deferral_over(self) -> None:
+    def on_deferral_end(self) -> None:
         """Reject what could not run so far if the primary is lost, or has no connection left."""
         tracker = self.service.primary
         trouble = primary_unavailable_reason(tracker.failing_since, tracker.is_crowded)
         if self.channel is not None or not trouble:
             return
-        tracker.forget(self.floor_callback())
+        tracker.forget(self.sample_callback())
         self.reject(RejectionCause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
 
-    def floor_callback(self) -> Callable[[Position | None], None] | None:
+    def sample_callback(self) -> Callable[[Position | None], None] | None:
         """Return what waits for a sample of the primary, if anything does."""
         return None
 
-    def let_go(self, answer: Answer) -> None:
-        """See :meth:`Statement.let_go`."""
-        if self.remote is not None:
-            self.remote.finish(answer)  # nothing, if the answer is its own
-        super().let_go(answer)
+    def withdraw_requests(self, answer: Answer) -> None:
+        """See :meth:`Statement.withdraw_requests`."""
+        if self.remote_execution is not None:
+            self.remote_execution.finish(answer)  # nothing, if the answer is its own
+        super().withdraw_requests(answer)
 
     # Other gateways
 
-    def hand_over(self, statement: TypedStatement, writes: bool) -> bool:
+    def forward_to_detour(self, statement: TypedStatement, writes: bool) -> bool:
         """Have a gateway that reaches the primary run a statement of which nothing was sent.
 
         Returns False if no such gateway is known.
         """
-        return self._hand_to(self.others.find_detour(), statement, writes)
+        return self._forward(self.other_gateways.find_detour(), statement, writes)
 
-    def hand_to_holder(self, statement: TypedStatement, writes: bool, instance: str = "") -> bool:
+    def forward_to_holder(
+        self, statement: TypedStatement, writes: bool, instance: str = ""
+    ) -> bool:
         """Have the gateway run it that holds the connections to a member of another region.
 
         That is the primary if none is named. Returns False if the member is in this region, or
         that gateway is not known.
         """
-        holder = self.others.find_remote_holder(self.tenant, instance)
-        return self._hand_to(holder, statement, writes)
+        holder = self.other_gateways.find_remote_holder(self.tenant, instance)
+        return self._forward(holder, statement, writes)
 
-    def _hand_to(
+    def _forward(
         self, work: StatementExecutor | None, statement: TypedStatement, writes: bool
     ) -> bool:
         if work is None:
             return False
-        remote = work.autocommit(self.route_left(), self.session, writes)
-        self.remote = remote
+        remote = work.autocommit(self.route_with_remaining_time(), self.session, writes)
+        self.remote_execution = remote
         self.stop_timers()
         remote.start(statement, self.finish)
         return True
@@ -152,25 +154,25 @@
         """
         self.stage = Stage.WAITS_FOR_PRIMARY
         tracker, pool = self.service.primary, self.service.primary_pool()
-        if self.move_to(self.others.find_remote_holder(self.tenant, "")):
+        if self.forward_to(self.other_gateways.find_remote_holder(self.tenant, "")):
             return
-        if tracker.failing_since and self.move_to(self.others.find_detour()):
+        if tracker.failing_since and self.forward_to(self.other_gateways.find_detour()):
             return
-        if self.reject_long_lost():
+        if self.refuse_if_primary_long_lost():
             return
         if pool is None or pool.is_failing:
             tracker.request_sample()
             self.retry_later(again, busy_answer("no primary is known"))
-        elif not self.may_wait_at(pool):
+        elif not self.can_wait_at(pool):
             self.reject_crowded(pool)
         else:
             self.acquire(pool, take)
 
-    def move_to(self, work: StatementExecutor | None) -> bool:
+    def forward_to(self, work: StatementExecutor | None) -> bool:
         """Have another gateway run what writes, if one is named; return whether it does."""
         raise NotImplementedError
 
-    def reject_long_lost(self) -> bool:
+    def refuse_if_primary_long_lost(self) -> bool:
         """Refuse at once what needs a primary that has been lost for long; return whether it was.
 
         A successor would have been found by then, so that this gateway is probably cut off from
@@ -185,8 +187,8 @@
 
     # Admission
 
-    def entry(self) -> QueueEntry:
-        """See :meth:`ConnectedStatement.entry`."""
+    def queue_entry(self) -> QueueEntry:
+        """See :meth:`ConnectedStatement.queue_entry`."""
         deadline = self.arrived_at + self.route.timeout_seconds
         return QueueEntry(
             self.route.priority,
@@ -197,53 +199,53 @@
             is_retrying=self.session.is_retrying,
         )
 
-    def past_deadline(self, pool: MemberPool) -> None:
-        """See :meth:`ConnectedStatement.past_deadline`."""
-        if not self.try_roomier(pool):
+    def on_deadline_unreachable(self, pool: MemberPool) -> None:
+        """See :meth:`ConnectedStatement.on_deadline_unreachable`."""
+        if not self.try_less_loaded_member(pool):
             self.reject_crowded(pool, RejectionCause.PAST_DEADLINE)
 
-    def may_wait_at(self, pool: MemberPool) -> bool:
+    def can_wait_at(self, pool: MemberPool) -> bool:
         """Return whether the statement can still be served at a member."""
-        forecast = pool.forecasts.of(self.entry())
+        forecast = pool.forecasts.of(self.queue_entry())
         certain = pool.forecasts.errors.of(self.route.priority).certain_share
-        verdict = judge_arriving(forecast, self.time_left_ms, self.time_given_ms, certain)
+        verdict = judge_arriving(forecast, self.remaining_ms, self.timeout_ms, certain)
         return isinstance(verdict, Admit)
 
-    def is_prompt(self, pool: MemberPool) -> bool:
+    def can_meet_objective(self, pool: MemberPool) -> bool:
         """Return whether a member has room soon enough for an answer within the objective."""
-        forecast = pool.forecasts.of(self.entry())
-        waited = self.time_given_ms - self.time_left_ms
-        return is_prompt(forecast, self.route.objective_seconds, waited)
+        forecast = pool.forecasts.of(self.queue_entry())
+        waited = self.timeout_ms - self.remaining_ms
+        return can_meet_objective(forecast, self.route.objective_seconds, waited)
 
     # Choice
 
     @property
-    def kind(self) -> str:
+    def latency_class(self) -> str:
         """Which statements take about as long as this one."""
         return self.route.name
 
-    def wanted(self) -> Wanted:
+    def read_requirements(self) -> Wanted:
         """Return what the read asks of a member."""
-        return Wanted(self.kind, self.entry(), self.floor)
+        return Wanted(self.latency_class, self.queue_entry(), self.floor)
 
     def note_answer(self, answer: Answer) -> None:
         """Have the choice of members learn from an answer to what was sent last."""
         estimates = self.service.estimates
-        estimates.note_answer(self.member, self.kind, answer, self.sent_at, self.floor)
+        estimates.note_answer(self.member, self.latency_class, answer, self.sent_at, self.floor)
 
-    def roomier(self, excluded: set[str]) -> MemberPool | None:
+    def find_pool_with_capacity(self, excluded: set[str]) -> MemberPool | None:
         """Return the member for a read that has room soon, else one where it can be served."""
-        for is_enough in (self.is_prompt, self.may_wait_at):
+        for is_enough in (self.can_meet_objective, self.can_wait_at):
             pools = self.service.pools.items()
             crowded = {instance for instance, pool in pools if not is_enough(pool)}
-            found = self.service.choose(excluded | crowded, self.wanted())
+            found = self.service.choose(excluded | crowded, self.read_requirements())
             if found is not None:
                 return found
         return None
 
-    def prompt_or_roomier(self, pool: MemberPool, excluded: set[str]) -> MemberPool | None:
-        """Return a member if it is prompt, else a roomier one; without one, reject the read."""
-        found = pool if self.is_prompt(pool) else self.roomier(excluded)
+    def pool_with_capacity(self, pool: MemberPool, excluded: set[str]) -> MemberPool | None:
+        """Return a member if it is prompt, else a less loaded one; without one, reject the read."""
+        found = pool if self.can_meet_objective(pool) else self.find_pool_with_capacity(excluded)
         if found is None:
             self.reject_crowded(pool)
         return found
@@ -254,10 +256,10 @@
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
-        forecast = pool.forecasts.of(self.entry())
+        forecast = pool.forecasts.of(self.queue_entry())
         reason = f"{self.member} is crowded for {forecast.wait:.0f} ms"
-        self.reject(cause, reason, retry_after_base(forecast.wait, self.time_given_ms), forecast)
+        self.reject(cause, reason, retry_after_base(forecast.wait, self.timeout_ms), forecast)
 
-    def try_roomier(self, pool: MemberPool) -> bool:
+    def try_less_loaded_member(self, pool: MemberPool) -> bool:
         """Go to a better member than one, if there is any; return whether it did."""
         return False
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -16,7 +16,7 @@
 from rowanrail.model.trace import Trace
 
 __all__ = [
-    "NO_OTHERS",
+    "NO_OTHER_GATEWAYS",
     "OtherGateways",
     "AutocommitExecution",
     "StatementExecutor",
@@ -24,7 +24,7 @@
 ]
 
 
-class _Traced(Protocol):
+class _Execution(Protocol):
     """Work that can say how far it came, and that ends when its client leaves."""
 
     def trace(self) -> Trace:
@@ -34,14 +34,14 @@
         """Give the statement's answer, once."""
 
 
-class AutocommitExecution(_Traced, Protocol):
+class AutocommitExecution(_Execution, Protocol):
     """A read or write on its own."""
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
         """Begin; ``respond`` gets the answer once."""
 
 
-class TransactionExecution(_Traced, Protocol):
+class TransactionExecution(_Execution, Protocol):
     """A transaction, from its first statement to its end."""
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
@@ -88,4 +88,4 @@
     find_remote_holder: Callable[[str, str], StatementExecutor | None] = _no_remote_holder
 
 
-NO_OTHERS = OtherGateways()
+NO_OTHER_GATEWAYS = OtherGateways()
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -6,7 +6,7 @@
 :mod:`rowanrail.scheduling.retrying` for the spreading of retries.
 """
 
-from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
+from rowanrail.gateway.work.attempts import RETRY_INTERVAL_SECONDS
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause
@@ -15,19 +15,19 @@
 __all__ = [
     "DEFERRAL_FRACTION",
     "NO_ANSWER_MESSAGE",
-    "LIMIT_RETRY_AFTER_MS",
-    "LIMIT_SPREAD_FACTOR",
+    "MIN_QUOTA_RETRY_AFTER_MS",
+    "QUOTA_RETRY_SPREAD_FACTOR",
     "PRIMARY_RETRY_AFTER_MS",
-    "SHORTEST_LEFT_SECONDS",
+    "MIN_REMAINING_SECONDS",
     "busy_answer",
-    "defer_seconds",
+    "deferral_seconds",
     "rejection_of_deferred",
-    "left_seconds",
-    "limit_retry_after_ms",
-    "may_defer",
+    "remaining_seconds",
+    "quota_retry_after_ms",
+    "has_time_to_retry",
     "primary_unavailable_reason",
     "rejection_record",
-    "shortest_retry_after_ms",
+    "base_retry_after_ms",
 ]
 
 # Of the objective: how long a statement waits for a primary, since until then a successor may
@@ -38,33 +38,33 @@
 # promoting a successor after they were deferred.
 PRIMARY_RETRY_AFTER_MS = 1000.0
 # Milliseconds, told at the least to clients over a tenant's limit: two steps of its count.
-LIMIT_RETRY_AFTER_MS = 200.0
+MIN_QUOTA_RETRY_AFTER_MS = 200.0
 # Their times are spread from the one that follows from the limit to this many times it, so that
 # those who were rejected at one step of the count don't retry at one step. Chosen.
-LIMIT_SPREAD_FACTOR = 2.0
+QUOTA_RETRY_SPREAD_FACTOR = 2.0
 # Seconds that a statement is left at the least when it is handed on: one that is out of time still
 # gets its answer.
-SHORTEST_LEFT_SECONDS = 0.001
+MIN_REMAINING_SECONDS = 0.001
 NO_ANSWER_MESSAGE = "no answer in time"
 
 _NO_PRIMARY = Reject(RejectionCause.NO_PRIMARY, PRIMARY_RETRY_AFTER_MS)
 _NO_PLACE = Reject(RejectionCause.NO_PLACE, 0.0)
 
 
-def defer_seconds(objective_seconds: float) -> float:
+def deferral_seconds(objective_seconds: float) -> float:
     """Return how long after its arrival a statement that nothing can run is deferred.
 
     Examples
     --------
-    >>> defer_seconds(objective_seconds=0.5)
+    >>> deferral_seconds(objective_seconds=0.5)
     0.35
     """
     return DEFERRAL_FRACTION * objective_seconds
 
 
-def may_defer(now_seconds: float, defer_until_seconds: float) -> bool:
+def has_time_to_retry(now_seconds: float, defer_until_seconds: float) -> bool:
     """Return whether there is time for another try, a retry interval from now."""
-    return now_seconds + MEMBER_RETRY_SECONDS <= defer_until_seconds
+    return now_seconds + RETRY_INTERVAL_SECONDS <= defer_until_seconds
 
 
 def primary_unavailable_reason(failing_since_seconds: float, is_crowded: bool) -> str:
@@ -106,12 +106,12 @@
     return _NO_PLACE if has_primary else _NO_PRIMARY
 
 
-def shortest_retry_after_ms(base_ms: float) -> float:
+def base_retry_after_ms(base_ms: float) -> float:
     """Return the Retry-After that a rejection starts from; 0 if nothing speaks for a time."""
     return max(base_ms, SHORTEST_RETRY_AFTER_MS)
 
 
-def limit_retry_after_ms(number: int, wait_ms: float) -> float:
+def quota_retry_after_ms(number: int, wait_ms: float) -> float:
     """Return the Retry-After of the ``number``-th client that is over a tenant's limit.
 
     Parameters
@@ -121,16 +121,16 @@
 
     Examples
     --------
-    >>> [round(limit_retry_after_ms(number, wait_ms=0)) for number in range(3)]
+    >>> [round(quota_retry_after_ms(number, wait_ms=0)) for number in range(3)]
     [200, 324, 247]
     """
-    soonest = max(LIMIT_RETRY_AFTER_MS, wait_ms)
-    return spread(number, soonest, LIMIT_SPREAD_FACTOR * soonest)
+    soonest = max(MIN_QUOTA_RETRY_AFTER_MS, wait_ms)
+    return spread(number, soonest, QUOTA_RETRY_SPREAD_FACTOR * soonest)
 
 
-def left_seconds(whole_seconds: float, waited_seconds: float) -> float:
+def remaining_seconds(whole_seconds: float, waited_seconds: float) -> float:
     """Return the seconds that are left to the gateway that a statement is handed to."""
-    return max(SHORTEST_LEFT_SECONDS, whole_seconds - waited_seconds)
+    return max(MIN_REMAINING_SECONDS, whole_seconds - waited_seconds)
 
 
 def busy_answer(message: str, retry_after_ms: float | None = None) -> Answer:
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -11,15 +11,15 @@
 
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
+from rowanrail.gateway.work.attempts import RETRY_INTERVAL_SECONDS
 from rowanrail.gateway.work.refusals import (
+    base_retry_after_ms,
     busy_answer,
-    defer_seconds,
-    left_seconds,
-    may_defer,
+    deferral_seconds,
+    has_time_to_retry,
     rejection_of_deferred,
     rejection_record,
-    shortest_retry_after_ms,
+    remaining_seconds,
 )
 from rowanrail.kernel.clock import Scheduler, Timer
 from rowanrail.members.channel import Respond
@@ -55,7 +55,7 @@
         self.route = route
         self.session = session
         self.clock = clock
-        self.timer: Timer | None = None
+        self.timeout_timer: Timer | None = None
         self.deferral_timer: Timer | None = None
         self.respond: Respond | None = None
         self.arrived_at = 0.0
@@ -67,59 +67,59 @@
         return self.session.identity.tenant
 
     @property
-    def defer_until(self) -> float:
+    def deferral_deadline(self) -> float:
         """Moment, in seconds, until which a statement that no member could run is deferred."""
-        return self.arrived_at + defer_seconds(self.route.objective_seconds)
+        return self.arrived_at + deferral_seconds(self.route.objective_seconds)
 
     @property
-    def time_given_ms(self) -> float:
+    def timeout_ms(self) -> float:
         """Milliseconds that the statement was given."""
         return self.route.timeout_seconds * 1000
 
     @property
-    def time_left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Milliseconds until the statement's time is over."""
-        return self.time_given_ms - (self.clock.time() - self.arrived_at) * 1000
+        return self.timeout_ms - (self.clock.time() - self.arrived_at) * 1000
 
     def begin_statement(self, respond: Respond) -> None:
         """Take a statement and start its clock."""
         self.respond = respond
         self.arrived_at = self.clock.time()
         self.rejection = None
-        self.timer = self.clock.call_later(self.route.timeout_seconds, self.on_timeout)
-        limit = defer_seconds(self.route.objective_seconds)
-        self.deferral_timer = self.clock.call_later(limit, self.on_deferral_over)
+        self.timeout_timer = self.clock.call_later(self.route.timeout_seconds, self.on_timeout)
+        limit = deferral_seconds(self.route.objective_seconds)
+        self.deferral_timer = self.clock.call_later(limit, self.on_deferral_end)
 
     def on_timeout(self) -> None:
         """Answer when the statement's time is over."""
         raise NotImplementedError
 
-    def on_deferral_over(self) -> None:
+    def on_deferral_end(self) -> None:
         """Reject what could not run so far, if it can not soon."""
         raise NotImplementedError
 
-    def route_left(self) -> Route:
+    def route_with_remaining_time(self) -> Route:
         """Return the route with the time that is left of the statement's."""
         waited = self.clock.time() - self.arrived_at
         return msgspec.structs.replace(
             self.route,
-            timeout_seconds=left_seconds(self.route.timeout_seconds, waited),
-            objective_seconds=left_seconds(self.route.objective_seconds, waited),
+            timeout_seconds=remaining_seconds(self.route.timeout_seconds, waited),
+            objective_seconds=remaining_seconds(self.route.objective_seconds, waited),
         )
 
     def retry_later(self, function: Callable[[], None], answer: Answer) -> None:
         """Try again in a moment, or give the refusal if its deferral is over."""
-        if not may_defer(self.clock.time(), self.defer_until):
-            self.refuse_unplaced(answer)
+        if not has_time_to_retry(self.clock.time(), self.deferral_deadline):
+            self.refuse_deferred(answer)
             return
 
         def again() -> None:
             if self.respond is not None:
                 function()
 
-        self.clock.call_later(MEMBER_RETRY_SECONDS, again)
+        self.clock.call_later(RETRY_INTERVAL_SECONDS, again)
 
-    def refuse_unplaced(self, answer: Answer) -> None:
+    def refuse_deferred(self, answer: Answer) -> None:
         """Refuse what no member took; as busy it is rejected, with its Retry-After."""
         tracker = self.service.primary
         has_primary = bool(tracker.believed) and not tracker.failing_since
@@ -145,25 +145,25 @@
         """
         urgency = self.route.priority
         retry_after = self.service.retry_times.next(
-            shortest_retry_after_ms(base_ms), forecast.interval, (cause, urgency)
+            base_retry_after_ms(base_ms), forecast.interval, (cause, urgency)
         )
-        self.rejection = rejection_record(cause, forecast, self.time_left_ms, urgency, retry_after)
+        self.rejection = rejection_record(cause, forecast, self.remaining_ms, urgency, retry_after)
         self.finish(busy_answer(reason, retry_after))
 
     def stop_timers(self) -> None:
         """Forget the statement's time: it has its answer, or another gateway runs it."""
-        for timer in (self.timer, self.deferral_timer):
+        for timer in (self.timeout_timer, self.deferral_timer):
             if timer is not None:
                 timer.cancel()
-        self.timer = self.deferral_timer = None
+        self.timeout_timer = self.deferral_timer = None
 
     def finish(self, answer: Answer) -> None:
         """Give the statement's answer, once."""
         respond, self.respond = self.respond, None
         self.stop_timers()
         if respond is not None:
-            self.let_go(answer)
+            self.withdraw_requests(answer)
             respond(answer)
 
-    def let_go(self, answer: Answer) -> None:
+    def withdraw_requests(self, answer: Answer) -> None:
         """Withdraw what pools or other gateways were asked for: the statement has its answer."""
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -17,14 +17,14 @@
 )
 from rowanrail.gateway.work.attempts import (
     SentRequest,
-    busy_pause_seconds,
+    busy_retry_delay_seconds,
     client_refusal,
     may_retry_in_transaction,
     refusal_without_answer,
 )
 from rowanrail.gateway.work.commands import commands_for
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.freshness import note_commit, oldest_sample, prefetch
+from rowanrail.gateway.work.freshness import earliest_sample_time, note_commit, prefetch_sample
 from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.ports import OtherGateways, StatementExecutor, TransactionExecution
 from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE, busy_answer
@@ -63,105 +63,107 @@
         self.read_only = read_only
         self.wrote = False
         self.failed = False
-        self._begun_at = clock.time()
-        self._begun = False
+        self._freshness_reference = clock.time()
+        self._has_begun = False
         self._excluded: set[str] = set()
         self._busy_retries = 0
-        self._reclaimed_for = ""
-        self._moved: TransactionExecution | None = None
+        self._reclaim_reason = ""
+        self._forwarded: TransactionExecution | None = None
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
         """Run a read, a write or the commit."""
-        if self._moved is not None:
-            self._moved.run(statement, respond)
+        if self._forwarded is not None:
+            self._forwarded.run(statement, respond)
             return
         self.statement = statement
         self._busy_retries = 0
         self.begin_statement(respond)
         if self.pool is not None:
             self.pool.connections.idle_transactions.remove(self)
-        if self._reclaimed_for:
+        if self._reclaim_reason:
             self.failed = True
-            self.finish(Answer(refusal=Refusal.ABORTED, message=self._reclaimed_for))
+            self.finish(Answer(refusal=Refusal.ABORTED, message=self._reclaim_reason))
         elif self.read_only and is_write(statement, self.session):
             self.failed = True
             self.end()
             self.finish(Answer(refusal=Refusal.NOT_PRIMARY, message="the transaction only reads"))
-        elif self._begun:
+        elif self._has_begun:
             self._run_statement()
         else:
             self._begin()
 
     @property
-    def kind(self) -> str:
-        """See :meth:`Operation.kind`."""
+    def latency_class(self) -> str:
+        """See :meth:`Operation.latency_class`."""
         return self.route.name if self.read_only else f"{self.route.name} transactions"
 
     @property
-    def _sent(self) -> SentRequest:
+    def _sent_request(self) -> SentRequest:
         """What was sent last; it decides what the client is told if the answer is lost."""
         commits = self.statement.kind is StatementKind.COMMIT and self.wrote
         return SentRequest.COMMIT if commits else SentRequest.IN_TRANSACTION
 
-    def floor_callback(self) -> Callable[[Position | None], None] | None:
-        """See :meth:`Operation.floor_callback`."""
-        return self._with_floor
+    def sample_callback(self) -> Callable[[Position | None], None] | None:
+        """See :meth:`Operation.sample_callback`."""
+        return self._on_floor
 
     # The beginning at a member
 
     def _begin(self) -> None:
         if not self.read_only:
-            self.acquire_primary(self._begin, self._with_channel)
+            self.acquire_primary(self._begin, self._on_connection)
             return
-        if self.route.consistency is Consistency.PRIMARY and self.move_to(
-            self.others.find_remote_holder(self.tenant, "")
+        if self.route.consistency is Consistency.PRIMARY and self.forward_to(
+            self.other_gateways.find_remote_holder(self.tenant, "")
         ):
             return
         self.stage = Stage.WAITS_FOR_SAMPLE
-        since = oldest_sample(self.route, self._begun_at)
-        prefetch(self.service, self.route, self.clock.time())
-        if self.service.primary.can_give(since) or not self.reject_long_lost():
-            self.service.primary.need(since, self._with_floor)
+        since = earliest_sample_time(self.route, self._freshness_reference)
+        prefetch_sample(self.service, self.route, self.clock.time())
+        if self.service.primary.can_give(since) or not self.refuse_if_primary_long_lost():
+            self.service.primary.need(since, self._on_floor)
 
-    def _with_floor(self, position: Position | None) -> None:
+    def _on_floor(self, position: Position | None) -> None:
         if self.respond is None:
             return
         own = self.session.floors.get(self.service.spec.name, ORIGIN)
         self.floor = None if position is None else max(position, own)
-        pool = self.service.choose(self._excluded, self.wanted())
+        pool = self.service.choose(self._excluded, self.read_requirements())
         if position is None or pool is None:
             self._excluded.clear()
             self.retry_later(self._begin, busy_answer("no member can serve the transaction"))
             return
-        roomy = self.prompt_or_roomier(pool, self._excluded)
-        if roomy is None:
+        available = self.pool_with_capacity(pool, self._excluded)
+        if available is None:
             return
-        pool = roomy
-        if self.move_to(self.others.find_remote_holder(self.tenant, pool.record.instance)):
+        pool = available
+        if self.forward_to(
+            self.other_gateways.find_remote_holder(self.tenant, pool.record.instance)
+        ):
             return
         self.attempts += 1
-        self.acquire(pool, self._with_channel)
-        self.limit_opening()
+        self.acquire(pool, self._on_connection)
+        self.limit_connection_wait()
 
-    def move_to(self, work: StatementExecutor | None) -> bool:
+    def forward_to(self, work: StatementExecutor | None) -> bool:
         """Have another gateway run the transaction from its first statement, if one is named."""
         respond = self.respond
         if work is None or respond is None:
             return False
-        self._moved = work.transaction(self.route, self.session, self.read_only)
-        self.remote = self._moved
+        self._forwarded = work.transaction(self.route, self.session, self.read_only)
+        self.remote_execution = self._forwarded
         self.respond = None
         self.stop_timers()
-        self._moved.run(self.statement, respond)
+        self._forwarded.run(self.statement, respond)
         return True
 
     def finish(self, answer: Answer) -> None:
         """See :meth:`Operation.finish`."""
-        if self._moved is not None:
-            self._moved.finish(answer)
+        if self._forwarded is not None:
+            self._forwarded.finish(answer)
         super().finish(answer)
 
-    def _with_channel(self, channel: Channel | None, answer: Answer) -> None:
+    def _on_connection(self, channel: Channel | None, answer: Answer) -> None:
         if channel is None:
             if self.read_only:
                 self._exclude_member()
@@ -174,8 +176,8 @@
         commands.append(Command(kind, floor=self.floor))
         channel.in_transaction = True
         if self.read_only:
-            self.limit_answer()
-        self.send(commands, self._begin_answered)
+            self.limit_answer_time()
+        self.send(commands, self._on_begin_answer)
 
     def _exclude_member(self) -> None:
         if self.pool is not None:
@@ -186,22 +188,26 @@
         self._exclude_member()
         self._begin()
 
-    def try_roomier(self, pool: MemberPool) -> bool:
-        """See :meth:`Operation.try_roomier`."""
-        roomy = self.roomier(self._excluded | {pool.record.instance}) if self.read_only else None
-        if roomy is None or self.service.is_remote(roomy):
+    def try_less_loaded_member(self, pool: MemberPool) -> bool:
+        """See :meth:`Operation.try_less_loaded_member`."""
+        available = (
+            self.find_pool_with_capacity(self._excluded | {pool.record.instance})
+            if self.read_only
+            else None
+        )
+        if available is None or self.service.is_remote(available):
             return False
-        self.acquire(roomy, self._with_channel)
+        self.acquire(available, self._on_connection)
         return True
 
-    def _begin_answered(self, answer: Answer) -> None:
+    def _on_begin_answer(self, answer: Answer) -> None:
         assert self.pool is not None
-        self.end_attempt()
+        self.stop_attempt_timer()
         instance = self.pool.record.instance
         if answer.refusal is not None:
             self.note_answer(answer)
         if answer.refusal is None:
-            self._begun = True
+            self._has_begun = True
             if not self.read_only:
                 self.service.primary.note_proof(instance, self.sent_at, answer.position)
             if self.respond is None:
@@ -218,9 +224,9 @@
             self.service.primary.note_not_primary(instance)
         else:
             self._excluded.add(instance)
-        answer = _for_client(answer, SentRequest.IN_TRANSACTION)
+        answer = _client_answer(answer, SentRequest.IN_TRANSACTION)
         if answer.refusal is Refusal.BEHIND and instance == self.service.primary.believed:
-            self._begun_at = self.clock.time()
+            self._freshness_reference = self.clock.time()
         self.retry_later(self._begin, answer)
 
     # Statements
@@ -230,7 +236,7 @@
             commands = [
                 Command(CommandKind.STATEMENT, self.statement.text, self.statement.request_id)
             ]
-            self.send(commands, self._commit_answered)
+            self.send(commands, self._on_commit_answer)
             return
         assert self.channel is not None
         if is_write(self.statement, self.session):
@@ -238,11 +244,11 @@
         commands = replay_in_transaction(self.channel, self.session)
         commands += commands_for(self.statement, None, self.channel, self.session, self.names)
         if self.read_only:
-            self.limit_answer()
-        self.send(commands, self._statement_answered)
+            self.limit_answer_time()
+        self.send(commands, self._on_statement_answer)
 
-    def _statement_answered(self, answer: Answer) -> None:
-        self.end_attempt()
+    def _on_statement_answer(self, answer: Answer) -> None:
+        self.stop_attempt_timer()
         self.note_answer(answer)
         if answer.refusal is None:
             if self.read_only and self.pool is not None:
@@ -251,18 +257,18 @@
                 self.pool.note_idle(self)  # until its next statement, perhaps at once
             self.finish(answer)
             return
-        if self._retries(answer):
+        if self._schedule_busy_retry(answer):
             return
         self._fail(answer)
 
-    def _retries(self, answer: Answer) -> bool:
+    def _schedule_busy_retry(self, answer: Answer) -> bool:
         """Send the statement again in a moment if that may help; return whether it will be."""
         if self.respond is None or not may_retry_in_transaction(
             answer.refusal, answer.state, self._busy_retries
         ):
             return False
         self._busy_retries += 1
-        self.clock.call_later(busy_pause_seconds(self._busy_retries), self._retry_statement)
+        self.clock.call_later(busy_retry_delay_seconds(self._busy_retries), self._retry_statement)
         return True
 
     def _retry_statement(self) -> None:
@@ -282,9 +288,9 @@
             self.pool.note_error()
         self.failed = True
         self.end()
-        self.finish(_for_client(answer, SentRequest.IN_TRANSACTION))
+        self.finish(_client_answer(answer, SentRequest.IN_TRANSACTION))
 
-    def _commit_answered(self, answer: Answer) -> None:
+    def _on_commit_answer(self, answer: Answer) -> None:
         assert self.pool is not None
         instance = self.pool.record.instance
         if answer.refusal is None:
@@ -295,24 +301,24 @@
                 note_commit(self.service, self.session, instance, self.sent_at, answer.position)
             self.finish(answer)
             return
-        if self._retries(answer):
+        if self._schedule_busy_retry(answer):
             return
         if answer.refusal is Refusal.NOT_PRIMARY:
             self.service.primary.note_not_primary(instance)
         self.end()
-        self.finish(_for_client(answer, self._sent))
+        self.finish(_client_answer(answer, self._sent_request))
 
     # The end
 
     def reclaim(self, reason: str) -> None:
         """See :meth:`rowanrail.gateway.pools.idle_transactions.IdleTransaction.reclaim`."""
-        self._reclaimed_for = reason
+        self._reclaim_reason = reason
         self.end()
 
     def end(self) -> None:
         """Roll back at the member and give the connection back."""
-        if self._moved is not None:
-            self._moved.end()
+        if self._forwarded is not None:
+            self._forwarded.end()
             return
         if self.pool is not None:
             self.pool.connections.idle_transactions.remove(self)
@@ -341,16 +347,18 @@
 
     def on_timeout(self) -> None:
         """See :meth:`Operation.on_timeout`."""
-        self.service.primary.forget(self._with_floor)
+        self.service.primary.forget(self._on_floor)
         self.failed = True
         if self.channel is None:
-            self.refuse_unplaced(busy_answer(NO_ANSWER_MESSAGE))
+            self.refuse_deferred(busy_answer(NO_ANSWER_MESSAGE))
             return
-        self.finish(Answer(refusal=refusal_without_answer(self._sent), message=NO_ANSWER_MESSAGE))
+        self.finish(
+            Answer(refusal=refusal_without_answer(self._sent_request), message=NO_ANSWER_MESSAGE)
+        )
         self.discard()
 
 
-def _for_client(answer: Answer, sent: SentRequest) -> Answer:
+def _client_answer(answer: Answer, sent: SentRequest) -> Answer:
     """Return what the client is told of a member's refusal."""
     assert answer.refusal is not None
     refusal = client_refusal(answer.refusal, sent)
--- a/tests/gateway/test_statement_rules.py
+++ b/tests/gateway/test_statement_rules.py
@@ -18,42 +18,44 @@
 
 class FreshnessTest(unittest.TestCase):
     def test_a_read_accepts_a_sample_as_old_as_its_route_says(self):
-        self.assertEqual(freshness.oldest_sample(route(Consistency.BOUNDED), 10.0), 9.6)
+        self.assertEqual(freshness.earliest_sample_time(route(Consistency.BOUNDED), 10.0), 9.6)
 
     def test_a_read_of_the_primary_needs_one_asked_for_after_it_came(self):
-        self.assertEqual(freshness.oldest_sample(route(Consistency.PRIMARY), 10.0), 10.0)
-        self.assertFalse(freshness.wants_next_sample(route(Consistency.PRIMARY), 9.0))
+        self.assertEqual(freshness.earliest_sample_time(route(Consistency.PRIMARY), 10.0), 10.0)
+        self.assertFalse(freshness.should_prefetch(route(Consistency.PRIMARY), 9.0))
 
     def test_the_next_one_is_asked_for_at_half_of_the_staleness(self):
         ages = (0.2, 0.201)
-        wanted = [freshness.wants_next_sample(route(Consistency.BOUNDED), age) for age in ages]
+        wanted = [freshness.should_prefetch(route(Consistency.BOUNDED), age) for age in ages]
         self.assertEqual(wanted, [False, True])
 
 
 class AttemptTimeTest(unittest.TestCase):
     def test_a_member_that_is_usually_fast_still_gets_the_minimum(self):
         for usual in (0.0, 0.001, 0.05):
-            self.assertEqual(attempts.answer_limit_seconds(1.0, usual), 0.4)
+            self.assertEqual(attempts.read_attempt_timeout_seconds(1.0, usual), 0.4)
 
     def test_a_slow_member_gets_eight_of_its_usual_latencies(self):
-        self.assertEqual(attempts.answer_limit_seconds(2.0, 0.1), 0.8)
+        self.assertEqual(attempts.read_attempt_timeout_seconds(2.0, 0.1), 0.8)
 
     def test_no_member_gets_more_than_its_share_of_the_objective(self):
-        self.assertAlmostEqual(attempts.answer_limit_seconds(0.25, 0.0), 0.15)
-        self.assertAlmostEqual(attempts.answer_limit_seconds(1.0, 5.0), 0.6)
+        self.assertAlmostEqual(attempts.read_attempt_timeout_seconds(0.25, 0.0), 0.15)
+        self.assertAlmostEqual(attempts.read_attempt_timeout_seconds(1.0, 5.0), 0.6)
 
 
 class PromptTest(unittest.TestCase):
     def test_half_of_the_objective_may_pass_in_the_queue(self):
-        for wait, is_prompt in ((200.0, True), (200.1, False)):
-            self.assertIs(attempts.is_prompt(Forecast(wait, 10), 0.4, 0.0), is_prompt)
+        for wait, can_meet_objective in ((200.0, True), (200.1, False)):
+            self.assertIs(
+                attempts.can_meet_objective(Forecast(wait, 10), 0.4, 0.0), can_meet_objective
+            )
 
     def test_time_that_passed_already_counts(self):
-        self.assertTrue(attempts.is_prompt(Forecast(100.0, 10), 0.4, 100.0))
-        self.assertFalse(attempts.is_prompt(Forecast(100.1, 10), 0.4, 100.0))
+        self.assertTrue(attempts.can_meet_objective(Forecast(100.0, 10), 0.4, 100.0))
+        self.assertFalse(attempts.can_meet_objective(Forecast(100.1, 10), 0.4, 100.0))
 
     def test_a_member_with_room_is_prompt_however_late_it_is(self):
-        self.assertTrue(attempts.is_prompt(Forecast(900.0, 10, has_room=True), 0.4, 300.0))
+        self.assertTrue(attempts.can_meet_objective(Forecast(900.0, 10, has_room=True), 0.4, 300.0))
 
 
 class StepAfterReadTest(unittest.TestCase):
@@ -113,7 +115,7 @@
             self.assertFalse(attempts.may_retry_in_transaction(refusal, OPEN, 0))
 
     def test_pauses_grow_by_a_round_trip(self):
-        pauses = [round(attempts.busy_pause_seconds(n), 3) for n in (1, 2, 3)]
+        pauses = [round(attempts.busy_retry_delay_seconds(n), 3) for n in (1, 2, 3)]
         self.assertEqual(pauses, [0.02, 0.04, 0.06])
 
 
@@ -148,11 +150,11 @@
 
 class DeferTest(unittest.TestCase):
     def test_it_is_deferred_for_seven_tenths_of_the_objective(self):
-        self.assertAlmostEqual(refusals.defer_seconds(0.5), 0.35)
+        self.assertAlmostEqual(refusals.deferral_seconds(0.5), 0.35)
 
     def test_the_last_try_lies_within_that_time(self):
-        self.assertTrue(refusals.may_defer(0.0, 0.02))
-        self.assertFalse(refusals.may_defer(0.001, 0.02))
+        self.assertTrue(refusals.has_time_to_retry(0.0, 0.02))
+        self.assertFalse(refusals.has_time_to_retry(0.001, 0.02))
 
     def test_only_a_lost_or_full_primary_ends_it(self):
         self.assertEqual(refusals.primary_unavailable_reason(0.0, False), "")
@@ -161,8 +163,8 @@
         self.assertEqual(refusals.primary_unavailable_reason(0.0, True), full)
 
     def test_whoever_it_is_handed_on_to_has_some_time(self):
-        self.assertEqual(refusals.left_seconds(0.5, 0.25), 0.25)
-        self.assertEqual(refusals.left_seconds(0.5, 0.7), 0.001)
+        self.assertEqual(refusals.remaining_seconds(0.5, 0.25), 0.25)
+        self.assertEqual(refusals.remaining_seconds(0.5, 0.7), 0.001)
 
 
 class UnplacedTest(unittest.TestCase):
@@ -175,7 +177,7 @@
     def test_with_a_primary_they_retry_as_soon_as_may_be(self):
         verdict = refusals.rejection_of_deferred(Refusal.BUSY, has_primary=True)
         self.assertEqual((verdict.cause, verdict.retry_after_ms), (RejectionCause.NO_PLACE, 0.0))
-        shortest = refusals.shortest_retry_after_ms(verdict.retry_after_ms)
+        shortest = refusals.base_retry_after_ms(verdict.retry_after_ms)
         self.assertEqual(shortest, SHORTEST_RETRY_AFTER_MS)
 
     def test_a_refusal_that_says_more_is_passed_on(self):
@@ -187,7 +189,7 @@
 class LimitTest(unittest.TestCase):
     def test_clients_over_a_limit_are_spread_from_its_next_room_to_twice_that(self):
         for wait, soonest in ((0.0, 200.0), (150.0, 200.0), (900.0, 900.0)):
-            told = [refusals.limit_retry_after_ms(number, wait) for number in range(100)]
+            told = [refusals.quota_retry_after_ms(number, wait) for number in range(100)]
             self.assertEqual(min(told), soonest)
             self.assertLess(max(told), 2 * soonest)
             self.assertEqual(len(set(told)), len(told))
