--- a/src/rowanrail/gateway/work/__init__.py
+++ b/src/rowanrail/gateway/work/__init__.py
@@ -1,8 +1,8 @@
-"""How a statement runs at members: autocommit reads and writes, transactions.
+"""Execution of statements at members: autocommit reads and writes, and transactions.
 
-Owns a statement's time, its attempts and its one answer. The rules stand in ``attempts`` (how
-long, how often, what an answer of a member means), ``refusals`` (deferral, rejection, Retry-After)
-and ``freshness`` (floors); ``statement``, ``connected``, ``operation`` and the kinds of work ask
-them and act. Relies on ``gateway.services`` for a member and on ``gateway.pools`` for a
+The rules are pure functions in ``attempts`` (time limits, retries, what a member's answer means),
+``refusals`` (deferral, rejection, Retry-After) and ``freshness`` (floors of reads). The classes in
+``statement``, ``connected``, ``operation``, ``autocommit_read``, ``autocommit_write`` and
+``transaction`` apply them. ``gateway.services`` selects a member, ``gateway.pools`` provides the
 connection.
 """
--- a/src/rowanrail/gateway/work/attempts.py
+++ b/src/rowanrail/gateway/work/attempts.py
@@ -1,9 +1,7 @@
-"""Rules for the attempts of a statement at members: how long, how many, and what an answer means.
+"""Rules for the attempts of a statement at members: time limits, retries, and refusals.
 
-For the kinds of work (reads, writes, transactions), which ask here and do what the verdict says.
-Owns nothing: pure functions on plain values, in the unit that a name ends with. Relies on the
-promises of :class:`rowanrail.model.statements.Refusal`: nothing that may have run is called
-"not run".
+Pure functions on plain values; the suffix of a name gives its unit. A refusal in
+:data:`rowanrail.model.statements.NOT_RUN` is only returned for a statement that left no effect.
 """
 
 import enum
@@ -35,70 +33,67 @@
     "refusal_without_answer",
 ]
 
-# Of the objective: a read goes elsewhere rather than wait for longer, which leaves as much for its
-# run. Chosen.
+# Fraction of the latency objective that a read may wait in a member's queue before it is sent to
+# another member; the rest is left for its execution.
 QUEUE_WAIT_FRACTION = 0.5
-# Of the objective, after which a silent member is given up for a read: leaves 0.4 of it for the
-# next member. Chosen.
+# Fraction of the latency objective after which a read leaves a member that has not answered; the
+# rest is left for the next member.
 READ_ATTEMPT_FRACTION = 0.6
-# Usual latencies of the member, after which the same happens if that is sooner. Chosen.
+# Multiple of the member's usual latency after which a read leaves it, if that is sooner.
 READ_ATTEMPT_LATENCY_FACTOR = 8
-# Seconds that a member has at the least: the slowest reads take that long, also on a calm day.
+# Lower bound of the latency-based limit: reads without any fault can take that long.
 MIN_READ_ATTEMPT_SECONDS = 0.4
-# Seconds for the first connection to a member: after a loss of power members still count the
-# connections of gateways that are gone and open none for 3 s; reads that waited for them in turn
-# came too late.
+# Wait for the first connection to a member. After a power failure members still count the
+# connections of gateways that are gone, and may accept no new ones for a few seconds.
 FIRST_CONNECTION_TIMEOUT_SECONDS = 0.15
-# Members asked for one read before it begins anew with a new floor: twice each of three members.
+# Attempts of a read before it restarts with a new floor: each of three members twice.
 MAX_READ_ATTEMPTS = 6
-# Members that may fail a read before its client gets the error. Members in good health fail part
-# of their requests; one that three members fail is taken for a fault of the read itself. Chosen.
+# Failures of a read before its client gets the error. Healthy members fail some requests; a read
+# that fails at three members is assumed to be at fault itself.
 MAX_READ_FAILURES = 3
-# Times that a statement of a transaction is sent again after the member had no slot for it: after
-# 20, 40 and 60 ms, when slots have come free.
+# Retries of a statement in a transaction after the member had no free slot: after 20, 40 and 60 ms.
 MAX_BUSY_RETRIES = 3
-# Seconds between two tries of what could not run: about a round trip inside a region.
+# Delay before a statement that did not run is retried: about one round trip within a region.
 RETRY_INTERVAL_SECONDS = 0.02
 
 
 class ReadStep(enum.Enum):
-    """What follows a member's refusal of an autocommit read."""
+    """Next step after a member refused an autocommit read."""
 
-    ANSWER = "answer"  # the client gets it
+    ANSWER = "answer"  # pass the refusal on to the client
     NEXT_MEMBER = "next-member"
     NEW_SAMPLE = "new-sample"  # the primary itself lacks the floor
     PRIMARY = "primary"  # a replica lacks the floor
 
 
 class WriteStep(enum.Enum):
-    """What follows the primary's refusal of an autocommit write."""
+    """Next step after the primary refused an autocommit write."""
 
-    ANSWER = "answer"  # the client gets it
-    RETRY = "retry"  # nothing of it is kept: it is sent again in a moment
-    UNKNOWN = "unknown"  # it may have run: it is never sent again
+    ANSWER = "answer"  # pass the refusal on to the client
+    RETRY = "retry"  # it had no effect: send it again after a delay
+    UNKNOWN = "unknown"  # it may have run: never send it again
 
 
 class SentRequest(enum.Enum):
-    """What was sent to a member, by what its client may do if no answer comes."""
+    """Kind of a request sent to a member; determines the outcome if its answer is lost."""
 
-    READ = "read"  # on its own: runs anywhere, again and again
-    WRITE = "write"  # on its own: may have been committed
-    IN_TRANSACTION = "in-transaction"  # nothing of it is kept without a commit
-    COMMIT = "commit"  # of a transaction that wrote: may have been committed
+    READ = "read"  # autocommit: may run again at any member
+    WRITE = "write"  # autocommit: may have been committed
+    IN_TRANSACTION = "in-transaction"  # has no effect without a commit
+    COMMIT = "commit"  # of a transaction with writes: may have been committed
 
 
 def read_attempt_timeout_seconds(objective_seconds: float, usual_seconds: float) -> float:
-    """Return how long a member may take to answer a read before it is given up.
+    """Return how long a member may take to answer a read before another member is tried.
 
-    Protects readers from a member that takes work and leaves it unanswered, without giving up one
-    that is merely slow.
+    Detects a member that accepts requests without answering, and tolerates one that is only slow.
 
     Parameters
     ----------
     objective_seconds : float
-        Latency that the route asks for.
+        Latency objective of the route.
     usual_seconds : float
-        The member's usual latency; 0 if it has not answered yet, which leaves it the minimum.
+        Usual latency of the member; 0 if it has not answered yet, which gives the minimum.
 
     Examples
     --------
@@ -112,16 +107,16 @@
 
 
 def can_meet_objective(forecast: Forecast, objective_seconds: float, waited_ms: float) -> bool:
-    """Return whether a member has room soon enough for an answer within the objective.
+    """Return whether a member's queue is short enough to answer a read within the objective.
 
     Parameters
     ----------
     forecast : Forecast
-        What the read can expect at the member.
+        Expected wait and execution time of the read at the member.
     objective_seconds : float
-        Latency that the route asks for.
+        Latency objective of the route.
     waited_ms : float
-        Time that has passed since the read came.
+        Time since the read arrived.
 
     Examples
     --------
@@ -137,27 +132,27 @@
 
 
 def has_attempts_left(attempts: int) -> bool:
-    """Return whether a read may be tried at a member, this attempt counted.
+    """Return whether a read may make its ``attempts``-th attempt.
 
-    After the last one the read begins anew, with a new floor and all members.
+    Otherwise it restarts with a new floor and all members.
     """
     return attempts <= MAX_READ_ATTEMPTS
 
 
 def step_after_read(refusal: Refusal, failures: int, from_primary: bool) -> ReadStep:
-    """Return what follows a member's refusal of an autocommit read.
+    """Return the next step after a member refused an autocommit read.
 
-    A read changes nothing, so that another member may run it whatever became of it at this one.
-    Its client gets what would be the same anywhere (it is invalid, its time is over).
+    A read has no side effects, so any refusal allows another attempt, unless the result would be
+    the same at every member (invalid, or out of time).
 
     Parameters
     ----------
     refusal : Refusal
-        The member's.
+        The member's answer.
     failures : int
-        Members that failed the read, this one included.
+        Number of members that failed the read, including this one.
     from_primary : bool
-        Whether the member is the one that is believed to lead.
+        Whether the member is the believed primary.
 
     Examples
     --------
@@ -170,7 +165,7 @@
         case Refusal.TIMEOUT | Refusal.INVALID:
             return ReadStep.ANSWER
         case Refusal.BEHIND:
-            # If the primary lacks the floor commits were rolled back, and the sample is void.
+            # A primary behind the floor has lost commits, so the sample is invalid.
             return ReadStep.NEW_SAMPLE if from_primary else ReadStep.PRIMARY
         case Refusal.FAILED if failures >= MAX_READ_FAILURES:
             return ReadStep.ANSWER
@@ -178,9 +173,9 @@
 
 
 def step_after_write(refusal: Refusal) -> WriteStep:
-    """Return what follows the primary's refusal of an autocommit write.
+    """Return the next step after the primary refused an autocommit write.
 
-    Only what certainly did not run is sent again.
+    A write is retried only if it certainly did not run.
 
     Examples
     --------
@@ -200,17 +195,19 @@
 def may_retry_in_transaction(
     refusal: Refusal | None, state: SessionState | None, retries: int
 ) -> bool:
-    """Return whether a statement of a transaction is sent again on the same connection.
+    """Return whether a statement of a transaction may be retried on its connection.
 
-    Only if the member had no slot for it and says that the transaction is still open: what came
-    before it stands, and nothing of it has run.
+    This requires that the member had no free slot for it and reports the transaction as still open:
+    the statement did not run, and the earlier ones are intact.
 
     Parameters
     ----------
-    refusal, state : Refusal or None, SessionState or None
-        The member's answer; the state is None if the connection is lost.
+    refusal : Refusal or None
+        The member's answer.
+    state : SessionState or None
+        State of the transaction at the member; None if the connection is lost.
     retries : int
-        How often this statement was sent again so far.
+        Retries of this statement so far.
     """
     return (
         refusal is Refusal.BUSY and state is SessionState.TRANSACTION and retries < MAX_BUSY_RETRIES
@@ -218,12 +215,12 @@
 
 
 def busy_retry_delay_seconds(retries: int) -> float:
-    """Return how long to wait before the given retry (1 for the first) of a busy statement."""
+    """Return the delay before a retry (1 for the first) of a statement refused as busy."""
     return RETRY_INTERVAL_SECONDS * retries
 
 
 def refusal_without_answer(sent: SentRequest) -> Refusal:
-    """Return what the client is told of a statement whose answer did not come in time.
+    """Return the client's refusal for a request whose answer did not arrive in time.
 
     Examples
     --------
@@ -242,9 +239,9 @@
 
 
 def client_refusal(refusal: Refusal, sent: SentRequest) -> Refusal:
-    """Return what the client is told of a member's refusal, if the connection may be what was lost.
+    """Return the client's refusal for a member's refusal.
 
-    Other refusals are passed on as they are.
+    A lost connection is reported as a missing answer; other refusals are passed on unchanged.
 
     Examples
     --------
--- a/src/rowanrail/gateway/work/commands.py
+++ b/src/rowanrail/gateway/work/commands.py
@@ -1,7 +1,6 @@
-"""The commands that a statement becomes on a member's connection.
+"""Translation of a client's statement to commands on a member's connection.
 
-For the kinds of work. Owns nothing; a connection knows what is prepared on it, the session what its
-names stand for. Relies on a connection that has the session's values already, see
+The connection must have the session's values already, see
 :class:`rowanrail.gateway.policies.StateReplay`.
 """
 
@@ -20,16 +19,23 @@
     session: SessionValues,
     names: PreparedNames,
 ) -> list[Command]:
-    """Return the commands for a read or write, the statement's own last.
+    """Return the commands for a read or write; the statement's own command is the last one.
 
-    A shape that the connection does not know is prepared on it first, under the gateway's own name.
+    A prepared statement that the connection doesn't have yet is prepared first, under a name of the
+    gateway.
 
     Parameters
     ----------
+    statement : TypedStatement
+        The client's statement.
     floor : Position or None
-        What the member's log must hold for a read.
+        Log position that the member must have reached to run a read.
     channel : Channel
-        The connection; it is noted there what will be prepared.
+        The connection; its set of prepared names is updated.
+    session : SessionValues
+        Session whose prepared statements are resolved.
+    names : PreparedNames
+        The gateway's names of prepared statements.
     """
     if statement.kind is not StatementKind.EXECUTE:
         return [Command(CommandKind.STATEMENT, statement.text, statement.request_id, floor)]
--- a/src/rowanrail/gateway/work/freshness.py
+++ b/src/rowanrail/gateway/work/freshness.py
@@ -1,8 +1,7 @@
-"""Floors of reads: how new a sample of the primary's position must be, and a session's own.
+"""Floors of reads: the log position that a member must have reached to serve a read.
 
-For reads and transactions that only read. Owns nothing: the samples belong to the tracker
-of the primary, the floors to the session. Relies on samples that carry the moment at which they
-were asked for.
+A floor comes from a sample of the primary's position that is recent enough for the route, and from
+the session's own commits. A sample's age is counted from the moment at which it was requested.
 """
 
 from rowanrail.gateway.services.service import Service
@@ -10,15 +9,15 @@
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency, Route
 
-# Of the staleness: age of a sample at which the next one is asked for, so that it is there before
-# the one at hand is too old. Chosen.
+# Fraction of the route's staleness at which the next sample is requested, so that it arrives before
+# the current one expires.
 PREFETCH_FRACTION = 0.5
 
 
 def earliest_sample_time(route: Route, arrived_at: float) -> float:
-    """Return since when a sample must have been asked for to serve a read of the route; seconds.
+    """Return the earliest request time, in seconds, of a sample that may serve a read of the route.
 
-    A sample that was asked for before that may lack a commit that the read has to see.
+    An older sample may miss a commit that the read has to see.
     """
     if route.consistency is Consistency.PRIMARY:
         return arrived_at
@@ -26,9 +25,9 @@
 
 
 def should_prefetch(route: Route, age_seconds: float) -> bool:
-    """Return whether the sample at hand is old enough to ask for the next one.
+    """Return whether the current sample is old enough to request the next one.
 
-    Never for reads of the primary, each of which needs one that was asked for after it came.
+    Always False for reads of the primary, which need a sample requested after their own arrival.
     """
     if route.consistency is Consistency.PRIMARY:
         return False
@@ -36,7 +35,7 @@
 
 
 def prefetch_sample(service: Service, route: Route, now: float) -> None:
-    """Ask for the next sample before the one at hand is too old."""
+    """Request the next sample if the current one expires soon."""
     sample = service.primary.sample
     if sample is not None and should_prefetch(route, now - sample.asked_at):
         service.primary.request_sample()
@@ -49,7 +48,7 @@
     sent_at: float,
     position: Position | None,
 ) -> None:
-    """Raise the session's floor to its own commit, which also proves who leads."""
+    """Raise the session's floor to its own commit, which also proves who the primary is."""
     if position is None:
         return
     name = service.spec.name
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -1,7 +1,6 @@
-"""Work of sessions at members, through this gateway's own connections.
+"""Execution of statements on this gateway's own connections to members.
 
-For sessions of this gateway's clients and for statements that other gateways send here. Owns which
-kind of work a statement becomes; relies on :mod:`rowanrail.gateway.services` for the members.
+Used for the gateway's own clients and for statements that other gateways forward here.
 """
 
 from rowanrail.gateway.services.service import Service
@@ -17,18 +16,18 @@
 
 
 class LocalExecutor:
-    """Statements of one service on this gateway's own connections.
+    """Runs statements of one service on this gateway's own connections.
 
     Parameters
     ----------
     service : Service
-        The members.
+        The service's members.
     names : PreparedNames
-        Names under which this gateway prepares shapes at members.
+        The gateway's names of prepared statements.
     clock : Scheduler
         Time and timers.
     others : OtherGateways
-        Where they may run if not here.
+        Executors at other gateways, used if a member can't be reached from here.
     """
 
     __slots__ = ("_clock", "_names", "_others", "_service")
@@ -46,20 +45,20 @@
         self._others = others
 
     def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
-        """See :meth:`StatementExecutor.autocommit`."""
+        """Return the execution of one autocommit read or write; it isn't started yet."""
         kind = AutocommitWrite if writes else AutocommitRead
         return kind(self._service, route, session, self._names, self._clock, self._others)
 
     def transaction(self, route: Route, session: SessionValues, read_only: bool) -> Transaction:
-        """See :meth:`StatementExecutor.transaction`."""
+        """Return the execution of a transaction; it starts with its first statement."""
         return Transaction(
             self._service, route, session, self._names, self._clock, self._others, read_only
         )
 
     def reduced_weights(self) -> dict[str, int]:
-        """Return the members that lost weight here, and how much is left, in hundredths."""
+        """Return the members with reduced weight at this gateway, in hundredths of the full one."""
         return self._service.estimates.weights.reduced()
 
-    def note_reported_weights(self, doubts: dict[str, int]) -> None:
-        """Take the members that lost weight at another gateway, and how much is left there."""
-        self._service.estimates.weights.note_reported(doubts)
+    def note_reported_weights(self, reduced: dict[str, int]) -> None:
+        """Record the reduced weights that another gateway reported, in hundredths."""
+        self._service.estimates.weights.note_reported(reduced)
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -1,8 +1,8 @@
-"""Ports of work: where statements of a service run, whichever gateway that is at.
+"""Protocols of statement execution, at this gateway or at another one.
 
-For sessions, which don't know whether a statement runs here or at another gateway. Owns the
-protocols; :class:`rowanrail.gateway.work.local.LocalExecutor` and
-:class:`rowanrail.gateway.relay.forwarding.ForwardedWork` keep them.
+Sessions rely on these protocols alone. They are implemented by
+:class:`rowanrail.gateway.work.local.LocalExecutor` and
+:class:`rowanrail.gateway.relay.forwarding.ForwardedWork`.
 """
 
 from collections.abc import Callable
@@ -25,42 +25,42 @@
 
 
 class _Execution(Protocol):
-    """Work that can say how far it came, and that ends when its client leaves."""
+    """Execution that reports its progress, and that can be ended early."""
 
     def trace(self) -> Trace:
-        """Return what decided about the statement so far."""
+        """Return how far the statement has come, for the log."""
 
     def finish(self, answer: Answer) -> None:
-        """Give the statement's answer, once."""
+        """Answer the statement; ignored if it was answered before."""
 
 
 class AutocommitExecution(_Execution, Protocol):
-    """A read or write on its own."""
+    """Execution of one autocommit read or write."""
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
-        """Begin; ``respond`` gets the answer once."""
+        """Start the statement; ``respond`` is called once, with the answer."""
 
 
 class TransactionExecution(_Execution, Protocol):
-    """A transaction, from its first statement to its end."""
+    """Execution of a transaction, from its first statement to its end."""
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
         """Run a read, a write or the commit."""
 
     def end(self) -> None:
-        """Roll back, if it is open."""
+        """Roll the transaction back if it is open."""
 
 
 class StatementExecutor(Protocol):
-    """Where statements of one service run."""
+    """Runs statements of one service."""
 
     def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
-        """Return the work for one read or write."""
+        """Return the execution of one autocommit read or write; it isn't started yet."""
 
     def transaction(
         self, route: Route, session: SessionValues, read_only: bool
     ) -> TransactionExecution:
-        """Return the work for a transaction."""
+        """Return the execution of a transaction; it starts with its first statement."""
 
 
 def _no_detour() -> None:
@@ -73,15 +73,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherGateways:
-    """Where statements of one service may run if not on this gateway's connections.
+    """Finds executors at other gateways for statements of one service.
 
     Parameters
     ----------
     find_detour : callable
-        Returns work at a gateway that reaches the primary, None if none is known.
+        Returns an executor at a gateway that reaches the primary, None if none is known.
     find_remote_holder : callable
-        Gets a tenant and a member's instance, empty for the primary. Returns work at the gateway
-        that holds the tenant's connections to that member, None if the member is in this region.
+        Called with a tenant and a member's instance, empty for the primary. Returns an executor at
+        the gateway that holds the tenant's connections to that member, None if the member is in
+        this region.
     """
 
     find_detour: Callable[[], StatementExecutor | None] = _no_detour
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -1,9 +1,7 @@
-"""Rules for what can't run now: how long it is deferred, when it is rejected, when to retry.
+"""Rules for statements that can't run now: deferral, rejection, and the time to retry.
 
-For the kinds of work and for limits of tenants, which ask here and do what the verdict says. Owns
-nothing: pure functions on plain values, in the unit that a name ends with. Relies on
-:mod:`rowanrail.scheduling.admission` for the causes and on
-:mod:`rowanrail.scheduling.retrying` for the spreading of retries.
+Pure functions on plain values; the suffix of a name gives its unit. The causes are those of
+:mod:`rowanrail.scheduling.admission`, retries are spread by :mod:`rowanrail.scheduling.retrying`.
 """
 
 from rowanrail.gateway.work.attempts import RETRY_INTERVAL_SECONDS
@@ -30,20 +28,18 @@
     "base_retry_after_ms",
 ]
 
-# Of the objective: how long a statement waits for a primary, since until then a successor may
-# still serve it in time. With 0.24 in place of 0.7 callers got less on five of eight days with a
-# lost primary, the same on three (one run each).
+# Fraction of the latency objective for which a statement waits for a primary: until then a
+# successor may still serve it in time.
 DEFERRAL_FRACTION = 0.7
-# Milliseconds, told to clients while a primary is lost: about what is left of finding and
-# promoting a successor after they were deferred.
+# Retry-After while the primary is lost: about the rest of a failover after the deferral.
 PRIMARY_RETRY_AFTER_MS = 1000.0
-# Milliseconds, told at the least to clients over a tenant's limit: two steps of its count.
+# Lower bound of the Retry-After for clients over a tenant's limit: two intervals of its counter.
 MIN_QUOTA_RETRY_AFTER_MS = 200.0
-# Their times are spread from the one that follows from the limit to this many times it, so that
-# those who were rejected at one step of the count don't retry at one step. Chosen.
+# Retries over a limit are spread between the computed Retry-After and this multiple of it, so that
+# clients rejected in the same interval don't all retry in the same one.
 QUOTA_RETRY_SPREAD_FACTOR = 2.0
-# Seconds that a statement is left at the least when it is handed on: one that is out of time still
-# gets its answer.
+# Lower bound of the time that a forwarded statement is given, so that one that is out of time still
+# gets an answer.
 MIN_REMAINING_SECONDS = 0.001
 NO_ANSWER_MESSAGE = "no answer in time"
 
@@ -52,7 +48,7 @@
 
 
 def deferral_seconds(objective_seconds: float) -> float:
-    """Return how long after its arrival a statement that nothing can run is deferred.
+    """Return how long after its arrival a statement that no member can run is deferred.
 
     Examples
     --------
@@ -63,19 +59,19 @@
 
 
 def has_time_to_retry(now_seconds: float, defer_until_seconds: float) -> bool:
-    """Return whether there is time for another try, a retry interval from now."""
+    """Return whether the next retry falls within the deferral."""
     return now_seconds + RETRY_INTERVAL_SECONDS <= defer_until_seconds
 
 
 def primary_unavailable_reason(failing_since_seconds: float, is_crowded: bool) -> str:
-    """Return why a deferred statement is rejected for its primary, empty if it may wait on.
+    """Return why the primary can't serve a deferred statement, empty if it may still wait.
 
     Parameters
     ----------
     failing_since_seconds : float
-        Moment since when the primary has not answered; 0 if it does.
+        Time since which the primary has not answered; 0 if it answers.
     is_crowded : bool
-        Whether it is alive and has no connection left.
+        Whether the primary is alive but has no connection left.
     """
     if failing_since_seconds:
         return "the primary is lost"
@@ -83,17 +79,17 @@
 
 
 def rejection_of_deferred(refusal: Refusal | None, has_primary: bool) -> Reject | None:
-    """Return the rejection of a statement that no member took while it could be deferred.
+    """Return the rejection of a statement that no member ran during its deferral.
 
-    None passes the refusal on as it is: it says more than that there was no room.
+    None if the refusal is to be passed on unchanged, because it is more specific than "busy".
 
     Parameters
     ----------
     refusal : Refusal or None
-        The last one that the statement met.
+        The last refusal of the statement.
     has_primary : bool
-        Whether a primary is known and does not fail. Without one clients are told to retry when a
-        successor can be there.
+        Whether a primary is known and answers. Without one, clients are told to retry after the
+        expected end of the failover.
 
     Examples
     --------
@@ -107,17 +103,19 @@
 
 
 def base_retry_after_ms(base_ms: float) -> float:
-    """Return the Retry-After that a rejection starts from; 0 if nothing speaks for a time."""
+    """Return the base of a rejection's Retry-After, raised to the shortest allowed value."""
     return max(base_ms, SHORTEST_RETRY_AFTER_MS)
 
 
 def quota_retry_after_ms(number: int, wait_ms: float) -> float:
-    """Return the Retry-After of the ``number``-th client that is over a tenant's limit.
+    """Return the Retry-After of the ``number``-th client over a tenant's limit.
 
     Parameters
     ----------
+    number : int
+        Running number of the rejection; determines its place in the spread.
     wait_ms : float
-        Time after which the limit has room again.
+        Time until the limit admits operations again.
 
     Examples
     --------
@@ -129,17 +127,19 @@
 
 
 def remaining_seconds(whole_seconds: float, waited_seconds: float) -> float:
-    """Return the seconds that are left to the gateway that a statement is handed to."""
+    """Return the time that is left for a statement forwarded to another gateway."""
     return max(MIN_REMAINING_SECONDS, whole_seconds - waited_seconds)
 
 
 def busy_answer(message: str, retry_after_ms: float | None = None) -> Answer:
-    """Return the refusal of a statement that was not run for want of room.
+    """Return the refusal of a statement that was not run for lack of capacity.
 
     Parameters
     ----------
+    message : str
+        Reason for the client.
     retry_after_ms : float or None
-        Milliseconds after which the client had better retry.
+        Suggested delay before a retry, appended to the message.
 
     Examples
     --------
@@ -154,7 +154,7 @@
 def rejection_record(
     cause: RejectionCause, forecast: Forecast, left_ms: float, urgency: int, retry_after_ms: float
 ) -> Rejection:
-    """Return what is logged of a statement that is rejected; times in milliseconds."""
+    """Return the log record of a rejection; times in milliseconds."""
     return Rejection(
         cause.value,
         round(forecast.wait),
