--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -1,8 +1,7 @@
-"""An autocommit read: a floor, then any member whose log holds it.
+"""Execution of an autocommit read at any member whose log has reached the read's floor.
 
-For :class:`rowanrail.gateway.work.local.LocalExecutor`. Owns the members that are excluded and how
-often the read failed. Relies on :mod:`rowanrail.gateway.work.attempts` for what follows a refusal;
-a read changes nothing, so that it may run anywhere, again and again.
+A read has no side effects, so it may be retried at any member;
+:mod:`rowanrail.gateway.work.attempts` says what follows a refusal.
 """
 
 from collections.abc import Callable
@@ -28,27 +27,25 @@
 
 
 class AutocommitRead(Operation):
-    """An autocommit read: a floor, then any member whose log holds it."""
+    """An autocommit read: determines its floor, then runs at a member that has reached it."""
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
-        """Begin."""
+        """Start the read; ``respond`` is called once, with the answer."""
         self.statement = statement
         self.excluded: set[str] = set()
-        self._late_members: set[str] = (
-            set()
-        )  # members that it left since it would have been late there
+        self._late_members: set[str] = set()  # left because the read would be late there
         self.begin_statement(respond)
         self._failures = 0
         self._earliest_sample_time = earliest_sample_time(self.route, self.arrived_at)
         if self.route.consistency is Consistency.PRIMARY and self._forward_to_primary_holder():
-            return  # replicas lag by more than a sample takes to come from that region
+            return  # replication lag exceeds the round trip to the primary's region
         self._request_floor()
 
     def _forward_to_primary_holder(self) -> bool:
         return self.forward_to_holder(self.statement, writes=False)
 
     def _forward_to_member_holder(self, instance: str) -> bool:
-        """Have the holder in a remote member's region run the read."""
+        """Forward the read to the gateway that holds the connections to a remote member."""
         respond, sent_at = self.respond, self.clock.time()
         assert respond is not None
 
@@ -109,7 +106,7 @@
         self.limit_connection_wait()
 
     def sample_callback(self) -> Callable[[Position | None], None] | None:
-        """See :meth:`Operation.sample_callback`."""
+        """Return the callback that waits for the floor of the read."""
         return self._on_floor
 
     def _on_connection(self, channel: Channel | None, answer: Answer) -> None:
@@ -122,16 +119,16 @@
         self.send(commands, self._on_answer)
 
     def try_next_member(self) -> None:
-        """See :meth:`Operation.try_next_member`."""
+        """Exclude the current member and continue at another one."""
         if self.pool is not None:
             self.excluded.add(self.pool.record.instance)
         self._choose_member()
 
     def try_less_loaded_member(self, pool: MemberPool) -> bool:
-        """See :meth:`Operation.try_less_loaded_member`; it leaves each member once at the most.
+        """Move to a less loaded member, but leave each member at most once.
 
-        Two members can both have room and no connection for it. A read that is late at each of
-        them would go from one to the other without end, and the gateway would do nothing else.
+        Otherwise a read that is late at two members, each of which has capacity but no connection
+        for it, would alternate between them forever.
         """
         self._late_members.add(pool.record.instance)
         available = self.find_pool_with_capacity(self.excluded | self._late_members)
@@ -194,7 +191,10 @@
         self._choose_member()
 
     def on_timeout(self) -> None:
-        """See :meth:`Operation.on_timeout`. A read that was sent may still run."""
+        """Reject a read that was not sent; otherwise report the time-out and close its connection.
+
+        A read that was sent may still be running at the member.
+        """
         self.service.primary.forget(self._on_floor)
         if self.channel is None:
             self.refuse_deferred(busy_answer(NO_ANSWER_MESSAGE))
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -1,7 +1,7 @@
-"""An autocommit write, at the primary; what may have run is never sent again.
+"""Execution of an autocommit write at the primary.
 
-For :class:`rowanrail.gateway.work.local.LocalExecutor`. Owns nothing beyond the statement.
-Relies on :mod:`rowanrail.gateway.work.attempts` for which refusals mean that nothing ran.
+A write that may have run is never sent again; :mod:`rowanrail.gateway.work.attempts` says which
+refusals mean that it did not run.
 """
 
 from rowanrail.gateway.work.attempts import (
@@ -20,10 +20,10 @@
 
 
 class AutocommitWrite(Operation):
-    """An autocommit write, at the primary; what may have run is never sent again."""
+    """An autocommit write at the primary; never sent again if it may have run."""
 
     def start(self, statement: TypedStatement, respond: Respond) -> None:
-        """Begin."""
+        """Start the write; ``respond`` is called once, with the answer."""
         self.statement = statement
         self.begin_statement(respond)
         self._acquire_primary()
@@ -31,9 +31,9 @@
     def _acquire_primary(self) -> None:
         self.acquire_primary(self._acquire_primary, self._on_connection)
 
-    def forward_to(self, work: StatementExecutor | None) -> bool:
-        """See :meth:`Operation.forward_to`."""
-        return self._forward(work, self.statement, writes=True)
+    def forward_to(self, executor: StatementExecutor | None) -> bool:
+        """Forward the write if an executor is given; return whether it was forwarded."""
+        return self._forward(executor, self.statement, writes=True)
 
     def _on_connection(self, channel: Channel | None, answer: Answer) -> None:
         if channel is None:
@@ -46,7 +46,7 @@
 
     @property
     def latency_class(self) -> str:
-        """See :meth:`Operation.latency_class`."""
+        """Name of the statements that have about the same execution time."""
         return f"{self.route.name} writes"
 
     def _on_answer(self, answer: Answer) -> None:
@@ -76,7 +76,7 @@
                 self.finish(Answer(refusal=refusal, message="the connection was lost"))
 
     def on_timeout(self) -> None:
-        """See :meth:`Operation.on_timeout`."""
+        """Reject a write that was not sent; otherwise its outcome is unknown."""
         if self.channel is None:
             self.refuse_deferred(busy_answer(NO_ANSWER_MESSAGE))
             return
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -1,8 +1,7 @@
-"""A statement's connection to one member: waiting for it, using it, the time of the attempt.
+"""A statement's connection to a member: wait queue, sending, and time limit of the attempt.
 
-For the kinds of work. Owns which member is tried, the place in its wait queue, the connection while
-it is in use, and the timer of the attempt. Relies on the member's pool, which leases a connection
-until it is released, and on :mod:`rowanrail.gateway.work.attempts` for how long an attempt takes.
+The member's pool leases the connection until it is released; the limits come from
+:mod:`rowanrail.gateway.work.attempts`.
 """
 
 import enum
@@ -25,13 +24,13 @@
 
 __all__ = ["ConnectedStatement", "Stage"]
 
-# Reads, writes and commits. A member begins and ends a transaction without a slot, so that the
-# time of such an answer says nothing of its queue.
+# Commands that occupy an execution slot of the member: reads, writes and commits. BEGIN and
+# ROLLBACK need none, so the time of their answers doesn't reflect the member's queue.
 SLOT_COMMANDS = frozenset({CommandKind.STATEMENT, CommandKind.EXECUTE})
 
 
 class Stage(enum.Enum):
-    """How far a statement has come."""
+    """Progress of a statement."""
 
     ACCEPTED = "accepted"
     WAITS_FOR_HOLDER = "waits-for-holder"
@@ -42,44 +41,44 @@
 
 
 class ConnectedStatement(Statement):
-    """A statement that waits for a connection to a member, or uses one."""
+    """A statement that waits for a connection to a member or uses one."""
 
     def __init__(
         self, service: Service, route: Route, session: SessionValues, clock: Scheduler
     ) -> None:
         super().__init__(service, route, session, clock)
         self.stage = Stage.ACCEPTED
-        self.member = ""  # the one tried last
-        self.pool: MemberPool | None = None  # of that member
+        self.member = ""  # instance of the member tried last
+        self.pool: MemberPool | None = None  # pool of that member
         self.channel: Channel | None = None
         self.sent_at = 0.0
         self._queued: QueuedRequest | None = None
         self._attempt_timer: Timer | None = None
 
-    # What differs between kinds of work
+    # Hooks of subclasses
 
     def queue_entry(self) -> QueueEntry:
-        """Return the statement's entry for a wait queue: its urgency, tenant and deadline."""
+        """Return the statement's entry for a wait queue: urgency, tenant and deadline."""
         raise NotImplementedError
 
     def try_next_member(self) -> None:
-        """Go on at another member, after one that gave no connection."""
+        """Continue at another member after one that provided no connection in time."""
         raise NotImplementedError
 
     def on_deadline_unreachable(self, pool: MemberPool) -> None:
-        """Go elsewhere, or reject, what would get a connection too late."""
+        """Handle a statement that would get a connection too late: move or reject it."""
         raise NotImplementedError
 
-    # The time of an attempt
+    # Time limit of an attempt
 
     def limit_connection_wait(self) -> None:
-        """Wait only a short while for the first connection to a member."""
+        """Limit the wait if the pool has no established connection yet."""
         pool = self.pool
         if self._queued is not None and pool is not None and not pool.connections.established:
             self._limit_attempt(FIRST_CONNECTION_TIMEOUT_SECONDS)
 
     def limit_answer_time(self) -> None:
-        """Give the member up for a read if its answer takes much longer than usual."""
+        """Limit the time in which the member must answer a read."""
         assert self.pool is not None
         objective = self.route.objective_seconds
         self._limit_attempt(
@@ -91,7 +90,7 @@
         self._attempt_timer = self.clock.call_later(seconds, self._on_attempt_timeout)
 
     def stop_attempt_timer(self) -> None:
-        """Note that the member answered, or that the statement is over."""
+        """Stop the attempt's timer: the member answered, or the statement has ended."""
         timer, self._attempt_timer = self._attempt_timer, None
         if timer is not None:
             timer.cancel()
@@ -102,35 +101,37 @@
             return
         self.pool.note_silence()
         if self.channel is not None:
-            self.channel.close()  # answers as lost what is outstanding, which goes elsewhere
+            self.channel.close()  # reports the request as lost, which makes the read move on
         elif self._queued is not None:
             self._leave_queue()
             self.try_next_member()
 
     def stop_timers(self) -> None:
-        """See :meth:`Statement.stop_timers`."""
+        """Stop all timers, including that of the attempt."""
         super().stop_timers()
         self.stop_attempt_timer()
 
-    # The wait queue
+    # Wait queue
 
-    def acquire(self, pool: MemberPool, take: Callable[[Channel | None, Answer], None]) -> None:
-        """Ask a pool for a connection."""
+    def acquire(
+        self, pool: MemberPool, on_connection: Callable[[Channel | None, Answer], None]
+    ) -> None:
+        """Request a connection; the callback gets it, or None with the reason."""
 
-        def respond(channel: Channel | None, answer: Answer) -> None:
+        def on_response(channel: Channel | None, answer: Answer) -> None:
             self._queued = None
             if channel is not None and self.respond is None:
                 pool.release(channel)
                 return
             self.channel = channel
-            take(channel, answer)
+            on_connection(channel, answer)
 
-        self.stop_attempt_timer()  # its limit is the limit of the member before
+        self.stop_attempt_timer()  # it belongs to the previous member
         self.pool = pool
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
         entry, values = self.queue_entry(), self.session.values
-        self._queued = QueuedRequest(pool, entry, values, respond, self._expired)
+        self._queued = QueuedRequest(pool, entry, values, on_response, self._expired)
         self._queued.start()
 
     def _expired(self) -> None:
@@ -139,47 +140,50 @@
             self.on_deadline_unreachable(self.pool)
 
     def _leave_queue(self) -> None:
-        """Wait no longer for a connection."""
+        """Withdraw the request for a connection."""
         queued, self._queued = self._queued, None
         if queued is not None:
             queued.leave()
 
     def withdraw_requests(self, answer: Answer) -> None:
-        """See :meth:`Statement.withdraw_requests`."""
+        """Leave the wait queue once the statement is answered."""
         self._leave_queue()
 
-    # The connection
+    # Connection
 
     def send(self, commands: list[Command], respond: Respond) -> None:
-        """Send commands; only the last one's answer matters unless an earlier one fails."""
+        """Send commands; ``respond`` gets the answer to the last one.
+
+        The connection is closed if an earlier one is refused.
+        """
         assert self.channel is not None
         channel = self.channel
 
-        def check(answer: Answer) -> None:
+        def close_on_refusal(answer: Answer) -> None:
             if answer.refusal is not None and not channel.closed:
-                channel.close()  # the session's values are not as promised on this connection
+                channel.close()  # the session's values are incomplete on this connection
 
         pool, takes_slot = self.pool, commands[-1].kind in SLOT_COMMANDS
         sent_at = self.clock.time()
 
-        def settle(answer: Answer) -> None:
+        def record_and_respond(answer: Answer) -> None:
             if pool is not None and takes_slot:
                 pool.note_answered(answer.refusal, 1000 * (self.clock.time() - sent_at))
             respond(answer)
 
         self.sent_at = sent_at
         self.stage = Stage.SENT
-        answered: list[Respond] = [check] * (len(commands) - 1)
-        channel.send(commands, [*answered, settle])
+        earlier: list[Respond] = [close_on_refusal] * (len(commands) - 1)
+        channel.send(commands, [*earlier, record_and_respond])
 
     def release(self, latency: float | None = None) -> None:
-        """Give the connection back; ``latency`` is what an answer took, in milliseconds."""
+        """Return the connection to its pool, with the latency of an answer in milliseconds."""
         channel, self.channel = self.channel, None
         if channel is not None and self.pool is not None:
             self.pool.release(channel, latency)
 
     def discard(self) -> None:
-        """Close the connection: its state is not known, or answers on it are outstanding."""
+        """Close the connection, because its state is unknown or answers are outstanding."""
         if self.channel is not None:
             self.channel.close()
             self.release()
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -1,9 +1,7 @@
-"""What all kinds of work share: admission, choice of a member, other gateways, the trace.
+"""Common base of reads, writes and transactions: admission, member selection, and forwarding.
 
-For reads, writes and transactions. Owns how often a statement was tried and who runs it if not
-this gateway. Relies on :mod:`rowanrail.gateway.work.attempts`, on
-:mod:`rowanrail.gateway.work.refusals` and on :mod:`rowanrail.scheduling.admission` for what is
-decided.
+The decisions are made by :mod:`rowanrail.gateway.work.attempts`,
+:mod:`rowanrail.gateway.work.refusals` and :mod:`rowanrail.scheduling.admission`.
 """
 
 from collections.abc import Callable
@@ -38,16 +36,16 @@
 
 
 class Operation(ConnectedStatement):
-    """What all kinds of work share.
+    """Common base of reads, writes and transactions.
 
     Parameters
     ----------
     service, route, session, clock
-        See :class:`Statement`.
+        As for :class:`Statement`.
     names : PreparedNames
-        Names under which this gateway prepares shapes at members.
+        The gateway's names of prepared statements.
     others : OtherGateways
-        Where it may run if not on this gateway's connections.
+        Executors at other gateways, used if a member can't be reached from here.
     """
 
     def __init__(
@@ -63,12 +61,12 @@
         self.names = names
         self.other_gateways = others
         self.attempts = 0
-        self.floor: Position | None = None  # what a member's log must hold
+        self.floor: Position | None = None  # log position that a member must have reached
         self.remote_execution: AutocommitExecution | TransactionExecution | None = None
         service.used_at = clock.time()
 
     def trace(self) -> Trace:
-        """Return what decided about the statement so far."""
+        """Return how far the statement has come, for the log."""
         if self.remote_execution is not None:
             return self.remote_execution.trace()
         now = self.clock.time()
@@ -86,71 +84,87 @@
         )
 
     def begin_statement(self, respond: Respond) -> None:
-        """See :meth:`Statement.begin_statement`."""
+        """Accept a statement, reset its attempts and start its timers."""
         self.attempts = 0
         super().begin_statement(respond)
 
     def on_deferral_end(self) -> None:
-        """Reject what could not run so far if the primary is lost, or has no connection left."""
+        """Reject the statement if the primary is lost or has no connection left."""
         tracker = self.service.primary
-        trouble = primary_unavailable_reason(tracker.failing_since, tracker.is_crowded)
-        if self.channel is not None or not trouble:
+        reason = primary_unavailable_reason(tracker.failing_since, tracker.is_crowded)
+        if self.channel is not None or not reason:
             return
         tracker.forget(self.sample_callback())
-        self.reject(RejectionCause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
+        self.reject(RejectionCause.NO_PRIMARY, reason, PRIMARY_RETRY_AFTER_MS)
 
     def sample_callback(self) -> Callable[[Position | None], None] | None:
-        """Return what waits for a sample of the primary, if anything does."""
+        """Return the callback that may be waiting for a sample of the primary, if any."""
         return None
 
     def withdraw_requests(self, answer: Answer) -> None:
-        """See :meth:`Statement.withdraw_requests`."""
+        """End the execution at another gateway, if there is one, and leave the wait queue."""
         if self.remote_execution is not None:
-            self.remote_execution.finish(answer)  # nothing, if the answer is its own
+            self.remote_execution.finish(answer)  # no effect if the answer came from there
         super().withdraw_requests(answer)
 
     # Other gateways
 
     def forward_to_detour(self, statement: TypedStatement, writes: bool) -> bool:
-        """Have a gateway that reaches the primary run a statement of which nothing was sent.
+        """Forward an unsent statement to a gateway that reaches the primary.
 
-        Returns False if no such gateway is known.
+        Returns
+        -------
+        bool
+            False if no such gateway is known.
         """
         return self._forward(self.other_gateways.find_detour(), statement, writes)
 
     def forward_to_holder(
         self, statement: TypedStatement, writes: bool, instance: str = ""
     ) -> bool:
-        """Have the gateway run it that holds the connections to a member of another region.
+        """Forward a statement to the gateway that holds the connections to a remote member.
 
-        That is the primary if none is named. Returns False if the member is in this region, or
-        that gateway is not known.
+        Parameters
+        ----------
+        statement : TypedStatement
+            The statement.
+        writes : bool
+            Whether it writes.
+        instance : str
+            The member; empty for the primary.
+
+        Returns
+        -------
+        bool
+            False if the member is in this region, or the gateway is not known.
         """
         holder = self.other_gateways.find_remote_holder(self.tenant, instance)
         return self._forward(holder, statement, writes)
 
     def _forward(
-        self, work: StatementExecutor | None, statement: TypedStatement, writes: bool
+        self, executor: StatementExecutor | None, statement: TypedStatement, writes: bool
     ) -> bool:
-        if work is None:
+        if executor is None:
             return False
-        remote = work.autocommit(self.route_with_remaining_time(), self.session, writes)
+        remote = executor.autocommit(self.route_with_remaining_time(), self.session, writes)
         self.remote_execution = remote
         self.stop_timers()
         remote.start(statement, self.finish)
         return True
 
     def acquire_primary(
-        self, again: Callable[[], None], take: Callable[[Channel | None, Answer], None]
+        self,
+        retry: Callable[[], None],
+        on_connection: Callable[[Channel | None, Answer], None],
     ) -> None:
-        """Wait for a connection to the primary, or have a gateway run it that reaches the primary.
+        """Request a connection to the primary, or forward to a gateway that reaches it.
 
         Parameters
         ----------
-        again : callable
-            Called in a moment if no primary is there.
-        take : callable
-            Gets the connection, or None with the reason.
+        retry : callable
+            Called after the retry interval if no primary is available.
+        on_connection : callable
+            Called with the connection, or with None and the reason.
         """
         self.stage = Stage.WAITS_FOR_PRIMARY
         tracker, pool = self.service.primary, self.service.primary_pool()
@@ -162,21 +176,21 @@
             return
         if pool is None or pool.is_failing:
             tracker.request_sample()
-            self.retry_later(again, busy_answer("no primary is known"))
+            self.retry_later(retry, busy_answer("no primary is known"))
         elif not self.can_wait_at(pool):
             self.reject_crowded(pool)
         else:
-            self.acquire(pool, take)
+            self.acquire(pool, on_connection)
 
-    def forward_to(self, work: StatementExecutor | None) -> bool:
-        """Have another gateway run what writes, if one is named; return whether it does."""
+    def forward_to(self, executor: StatementExecutor | None) -> bool:
+        """Forward to another gateway if an executor is given; return whether it was forwarded."""
         raise NotImplementedError
 
     def refuse_if_primary_long_lost(self) -> bool:
-        """Refuse at once what needs a primary that has been lost for long; return whether it was.
+        """Refuse the statement if the primary is lost for long; return whether it was refused.
 
-        A successor would have been found by then, so that this gateway is probably cut off from
-        the primary. Its client still has time to try another gateway, and gets no Retry-After.
+        A successor would have been found by then, so this gateway is probably partitioned from the
+        primary. The client gets no Retry-After, as it still has time to try another gateway.
         """
         tracker = self.service.primary
         if not tracker.is_long_lost:
@@ -188,7 +202,7 @@
     # Admission
 
     def queue_entry(self) -> QueueEntry:
-        """See :meth:`ConnectedStatement.queue_entry`."""
+        """Return the statement's entry for a wait queue: urgency, tenant and deadline."""
         deadline = self.arrived_at + self.route.timeout_seconds
         return QueueEntry(
             self.route.priority,
@@ -200,51 +214,51 @@
         )
 
     def on_deadline_unreachable(self, pool: MemberPool) -> None:
-        """See :meth:`ConnectedStatement.on_deadline_unreachable`."""
+        """Move the statement to a less loaded member, or reject it."""
         if not self.try_less_loaded_member(pool):
             self.reject_crowded(pool, RejectionCause.PAST_DEADLINE)
 
     def can_wait_at(self, pool: MemberPool) -> bool:
-        """Return whether the statement can still be served at a member."""
+        """Return whether admission control accepts the statement at a member."""
         forecast = pool.forecasts.of(self.queue_entry())
         certain = pool.forecasts.errors.of(self.route.priority).certain_share
         verdict = judge_arriving(forecast, self.remaining_ms, self.timeout_ms, certain)
         return isinstance(verdict, Admit)
 
     def can_meet_objective(self, pool: MemberPool) -> bool:
-        """Return whether a member has room soon enough for an answer within the objective."""
+        """Return whether a member's queue is short enough to answer within the objective."""
         forecast = pool.forecasts.of(self.queue_entry())
         waited = self.timeout_ms - self.remaining_ms
         return can_meet_objective(forecast, self.route.objective_seconds, waited)
 
-    # Choice
+    # Member selection
 
     @property
     def latency_class(self) -> str:
-        """Which statements take about as long as this one."""
+        """Name of the statements that have about the same execution time."""
         return self.route.name
 
     def read_requirements(self) -> Wanted:
-        """Return what the read asks of a member."""
+        """Return the requirements of the read for the selection of a member."""
         return Wanted(self.latency_class, self.queue_entry(), self.floor)
 
     def note_answer(self, answer: Answer) -> None:
-        """Have the choice of members learn from an answer to what was sent last."""
+        """Update the estimates of the member from its answer to the last request."""
         estimates = self.service.estimates
         estimates.note_answer(self.member, self.latency_class, answer, self.sent_at, self.floor)
 
     def find_pool_with_capacity(self, excluded: set[str]) -> MemberPool | None:
-        """Return the member for a read that has room soon, else one where it can be served."""
-        for is_enough in (self.can_meet_objective, self.can_wait_at):
+        """Return a member that can meet the objective, else one that admits the read, else None."""
+        for has_capacity in (self.can_meet_objective, self.can_wait_at):
             pools = self.service.pools.items()
-            crowded = {instance for instance, pool in pools if not is_enough(pool)}
-            found = self.service.choose(excluded | crowded, self.read_requirements())
+            overloaded = {instance for instance, pool in pools if not has_capacity(pool)}
+            found = self.service.choose(excluded | overloaded, self.read_requirements())
             if found is not None:
                 return found
         return None
 
     def pool_with_capacity(self, pool: MemberPool, excluded: set[str]) -> MemberPool | None:
-        """Return a member if it is prompt, else a less loaded one; without one, reject the read."""
+        """Return the pool if it can meet the objective, else another; reject if there is none."""
         found = pool if self.can_meet_objective(pool) else self.find_pool_with_capacity(excluded)
         if found is None:
             self.reject_crowded(pool)
@@ -253,7 +267,7 @@
     def reject_crowded(
         self, pool: MemberPool, cause: RejectionCause = RejectionCause.CROWDED
     ) -> None:
-        """Refuse, as not run, since all connections are in use for too long."""
+        """Reject the statement as not run: the member's queue is too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
         forecast = pool.forecasts.of(self.queue_entry())
@@ -261,5 +275,5 @@
         self.reject(cause, reason, retry_after_base(forecast.wait, self.timeout_ms), forecast)
 
     def try_less_loaded_member(self, pool: MemberPool) -> bool:
-        """Go to a better member than one, if there is any; return whether it did."""
+        """Move to a less loaded member than that of the pool; return whether there is one."""
         return False
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -1,8 +1,6 @@
-"""One statement of a client: its time, its one answer, and what a refusal tells its client.
+"""Base of the executions of a statement: its time limits, its answer, and its rejection.
 
-For the kinds of work. Owns the timers of the statement's time-out and of its deferral, who gets the
-answer, and the rejection that is logged. Relies on :mod:`rowanrail.gateway.work.refusals` for how
-long a statement is deferred and what it is told.
+The limits and the Retry-After follow the rules in :mod:`rowanrail.gateway.work.refusals`.
 """
 
 from collections.abc import Callable
@@ -30,20 +28,20 @@
 
 __all__ = ["Statement"]
 
-NO_FORECAST = Forecast(0.0, 0.0)  # of no member
+NO_FORECAST = Forecast(0.0, 0.0)  # for a rejection that concerns no particular member
 
 
 class Statement:
-    """The time of a statement, and its one answer.
+    """Time limits of a statement, and its single answer.
 
     Parameters
     ----------
     service : Service
-        At whose members it runs.
+        Service whose members run the statement.
     route : Route
-        Says how much time it has.
+        Route with the time-out and the latency objective.
     session : SessionValues
-        Of its client.
+        Values and identity of the client's session.
     clock : Scheduler
         Time and timers.
     """
@@ -63,26 +61,26 @@
 
     @property
     def tenant(self) -> str:
-        """On whose connection it runs."""
+        """Tenant on whose connections the statement runs."""
         return self.session.identity.tenant
 
     @property
     def deferral_deadline(self) -> float:
-        """Moment, in seconds, until which a statement that no member could run is deferred."""
+        """Time, in seconds, until which a statement that no member could run is deferred."""
         return self.arrived_at + deferral_seconds(self.route.objective_seconds)
 
     @property
     def timeout_ms(self) -> float:
-        """Milliseconds that the statement was given."""
+        """Time-out of the statement in milliseconds."""
         return self.route.timeout_seconds * 1000
 
     @property
     def remaining_ms(self) -> float:
-        """Milliseconds until the statement's time is over."""
+        """Milliseconds until the statement times out."""
         return self.timeout_ms - (self.clock.time() - self.arrived_at) * 1000
 
     def begin_statement(self, respond: Respond) -> None:
-        """Take a statement and start its clock."""
+        """Accept a statement and start its timers."""
         self.respond = respond
         self.arrived_at = self.clock.time()
         self.rejection = None
@@ -91,15 +89,15 @@
         self.deferral_timer = self.clock.call_later(limit, self.on_deferral_end)
 
     def on_timeout(self) -> None:
-        """Answer when the statement's time is over."""
+        """Answer the statement when it times out."""
         raise NotImplementedError
 
     def on_deferral_end(self) -> None:
-        """Reject what could not run so far, if it can not soon."""
+        """Reject the statement at the end of its deferral, unless it may still run soon."""
         raise NotImplementedError
 
     def route_with_remaining_time(self) -> Route:
-        """Return the route with the time that is left of the statement's."""
+        """Return the route with its times reduced by the time since the statement's arrival."""
         waited = self.clock.time() - self.arrived_at
         return msgspec.structs.replace(
             self.route,
@@ -108,19 +106,19 @@
         )
 
     def retry_later(self, function: Callable[[], None], answer: Answer) -> None:
-        """Try again in a moment, or give the refusal if its deferral is over."""
+        """Call ``function`` after the retry interval, or refuse if the deferral ends first."""
         if not has_time_to_retry(self.clock.time(), self.deferral_deadline):
             self.refuse_deferred(answer)
             return
 
-        def again() -> None:
+        def retry() -> None:
             if self.respond is not None:
                 function()
 
-        self.clock.call_later(RETRY_INTERVAL_SECONDS, again)
+        self.clock.call_later(RETRY_INTERVAL_SECONDS, retry)
 
     def refuse_deferred(self, answer: Answer) -> None:
-        """Refuse what no member took; as busy it is rejected, with its Retry-After."""
+        """Refuse a statement that no member ran; a busy one is rejected with a Retry-After."""
         tracker = self.service.primary
         has_primary = bool(tracker.believed) and not tracker.failing_since
         verdict = rejection_of_deferred(answer.refusal, has_primary)
@@ -136,12 +134,18 @@
         base_ms: float = 0.0,
         forecast: Forecast = NO_FORECAST,
     ) -> None:
-        """Refuse, as not run, with a Retry-After that differs from those given before.
+        """Reject the statement as not run, with a Retry-After of its own.
 
         Parameters
         ----------
+        cause : RejectionCause
+            Cause for the log.
+        reason : str
+            Reason for the client.
         base_ms : float
-            Milliseconds until the first of the rejected clients should retry.
+            Shortest Retry-After in milliseconds; rejected clients get different ones from there on.
+        forecast : Forecast
+            Forecast on which the rejection is based.
         """
         urgency = self.route.priority
         retry_after = self.service.retry_times.next(
@@ -151,14 +155,14 @@
         self.finish(busy_answer(reason, retry_after))
 
     def stop_timers(self) -> None:
-        """Forget the statement's time: it has its answer, or another gateway runs it."""
+        """Stop the timers: the statement was answered, or another gateway runs it."""
         for timer in (self.timeout_timer, self.deferral_timer):
             if timer is not None:
                 timer.cancel()
         self.timeout_timer = self.deferral_timer = None
 
     def finish(self, answer: Answer) -> None:
-        """Give the statement's answer, once."""
+        """Answer the statement; ignored if it was answered before."""
         respond, self.respond = self.respond, None
         self.stop_timers()
         if respond is not None:
@@ -166,4 +170,4 @@
             respond(answer)
 
     def withdraw_requests(self, answer: Answer) -> None:
-        """Withdraw what pools or other gateways were asked for: the statement has its answer."""
+        """Withdraw requests to pools and other gateways once the statement is answered."""
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -1,8 +1,6 @@
-"""A transaction: one connection from its first statement to its end.
+"""Execution of a transaction on one connection, from its first statement to its end.
 
-For :class:`rowanrail.gateway.work.local.LocalExecutor`. Owns whether it has begun, written and
-failed, and who runs it if another gateway does. Relies on the member, which keeps nothing of a
-transaction without its commit.
+A transaction has no effect at the member without its commit, so it can be aborted at any time.
 """
 
 from collections.abc import Callable
@@ -43,10 +41,10 @@
 
 
 class Transaction(Operation):
-    """A transaction: its connection from the first statement to the end.
+    """A transaction on one connection.
 
-    It begins at the member with its first statement, so that one that is idle right after BEGIN
-    holds no connection.
+    The member sees BEGIN together with the first statement, so a transaction that is idle right
+    after its BEGIN holds no connection.
     """
 
     def __init__(
@@ -71,7 +69,7 @@
         self._forwarded: TransactionExecution | None = None
 
     def run(self, statement: TypedStatement, respond: Respond) -> None:
-        """Run a read, a write or the commit."""
+        """Run a read, a write or the commit; ``respond`` is called once, with the answer."""
         if self._forwarded is not None:
             self._forwarded.run(statement, respond)
             return
@@ -94,20 +92,20 @@
 
     @property
     def latency_class(self) -> str:
-        """See :meth:`Operation.latency_class`."""
+        """Name of the statements that have about the same execution time."""
         return self.route.name if self.read_only else f"{self.route.name} transactions"
 
     @property
     def _sent_request(self) -> SentRequest:
-        """What was sent last; it decides what the client is told if the answer is lost."""
+        """Kind of the last request; determines the outcome if its answer is lost."""
         commits = self.statement.kind is StatementKind.COMMIT and self.wrote
         return SentRequest.COMMIT if commits else SentRequest.IN_TRANSACTION
 
     def sample_callback(self) -> Callable[[Position | None], None] | None:
-        """See :meth:`Operation.sample_callback`."""
+        """Return the callback that waits for the floor of the transaction."""
         return self._on_floor
 
-    # The beginning at a member
+    # Beginning at a member
 
     def _begin(self) -> None:
         if not self.read_only:
@@ -145,12 +143,12 @@
         self.acquire(pool, self._on_connection)
         self.limit_connection_wait()
 
-    def forward_to(self, work: StatementExecutor | None) -> bool:
-        """Have another gateway run the transaction from its first statement, if one is named."""
+    def forward_to(self, executor: StatementExecutor | None) -> bool:
+        """Forward the transaction from its first statement on; return whether it was forwarded."""
         respond = self.respond
-        if work is None or respond is None:
+        if executor is None or respond is None:
             return False
-        self._forwarded = work.transaction(self.route, self.session, self.read_only)
+        self._forwarded = executor.transaction(self.route, self.session, self.read_only)
         self.remote_execution = self._forwarded
         self.respond = None
         self.stop_timers()
@@ -158,7 +156,7 @@
         return True
 
     def finish(self, answer: Answer) -> None:
-        """See :meth:`Operation.finish`."""
+        """Answer the statement, also at the gateway to which the transaction was forwarded."""
         if self._forwarded is not None:
             self._forwarded.finish(answer)
         super().finish(answer)
@@ -184,12 +182,12 @@
             self._excluded.add(self.pool.record.instance)
 
     def try_next_member(self) -> None:
-        """See :meth:`Operation.try_next_member`."""
+        """Exclude the current member and begin at another one."""
         self._exclude_member()
         self._begin()
 
     def try_less_loaded_member(self, pool: MemberPool) -> bool:
-        """See :meth:`Operation.try_less_loaded_member`."""
+        """Move a read-only transaction to a less loaded member; return whether there is one."""
         available = (
             self.find_pool_with_capacity(self._excluded | {pool.record.instance})
             if self.read_only
@@ -254,7 +252,7 @@
             if self.read_only and self.pool is not None:
                 self.pool.note_answer()
             if self.pool is not None and self.channel is not None:
-                self.pool.note_idle(self)  # until its next statement, perhaps at once
+                self.pool.note_idle(self)  # until the next statement
             self.finish(answer)
             return
         if self._schedule_busy_retry(answer):
@@ -262,7 +260,7 @@
         self._fail(answer)
 
     def _schedule_busy_retry(self, answer: Answer) -> bool:
-        """Send the statement again in a moment if that may help; return whether it will be."""
+        """Schedule a retry if the statement was refused as busy; return whether one follows."""
         if self.respond is None or not may_retry_in_transaction(
             answer.refusal, answer.state, self._busy_retries
         ):
@@ -280,7 +278,7 @@
         self._run_statement()
 
     def _fail(self, answer: Answer) -> None:
-        """End at a failed statement: nothing of a transaction without its commit is kept."""
+        """Abort the transaction after a failed statement."""
         assert self.pool is not None
         if answer.refusal is Refusal.NOT_PRIMARY:
             self.service.primary.note_not_primary(self.pool.record.instance)
@@ -308,15 +306,15 @@
         self.end()
         self.finish(_client_answer(answer, self._sent_request))
 
-    # The end
+    # End
 
     def reclaim(self, reason: str) -> None:
-        """See :meth:`rowanrail.gateway.pools.idle_transactions.IdleTransaction.reclaim`."""
+        """Roll back for others that wait for the connection; the next statement reports it."""
         self._reclaim_reason = reason
         self.end()
 
     def end(self) -> None:
-        """Roll back at the member and give the connection back."""
+        """Roll back at the member and return the connection to its pool."""
         if self._forwarded is not None:
             self._forwarded.end()
             return
@@ -339,14 +337,14 @@
             channel.in_transaction = False
             if answer.refusal is not None:
                 channel.close()
-            # A value set inside of a transaction may be undone with it.
+            # The rollback may have undone values set within the transaction.
             channel.uncertain = bool(channel.values)
             pool.release(channel)
 
         channel.send([Command(CommandKind.ROLLBACK)], [rolled_back])
 
     def on_timeout(self) -> None:
-        """See :meth:`Operation.on_timeout`."""
+        """Fail the transaction; nothing was sent if it holds no connection."""
         self.service.primary.forget(self._on_floor)
         self.failed = True
         if self.channel is None:
@@ -359,7 +357,7 @@
 
 
 def _client_answer(answer: Answer, sent: SentRequest) -> Answer:
-    """Return what the client is told of a member's refusal."""
+    """Return the client's answer for a member's refusal."""
     assert answer.refusal is not None
     refusal = client_refusal(answer.refusal, sent)
     if refusal is answer.refusal:
