--- a/src/rowanrail/gateway/sessions/__init__.py
+++ b/src/rowanrail/gateway/sessions/__init__.py
@@ -1,5 +1,4 @@
-"""Clients' sessions: their statements in order, who may run them, and what became of them.
+"""Client sessions: order of statements, access control, tenants' limits, and the outcome log.
 
-Owns session state, access checks and tenants' limits, and the log of outcomes. Relies on
-``gateway.work`` for running statements.
+Statements are run by ``gateway.work``.
 """
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -1,8 +1,7 @@
-"""Who may run statements at this gateway: routes, keys, and limits of tenants.
+"""Access control of a gateway: routes, API keys, and limits of tenants.
 
-For sessions and for statements that other gateways send here. Owns the configuration of tenants in
-force, the count of their operations, and who was rejected a moment ago. Relies on
-:mod:`rowanrail.tenants` for whose a key is and what a limit admits; logs what it refuses.
+Applies to the gateway's own clients and to statements that other gateways forward here. Keys and
+limits are evaluated by :mod:`rowanrail.tenants`; each refusal is logged.
 """
 
 from collections.abc import Callable
@@ -25,22 +24,27 @@
 
 __all__ = ["AccessControl"]
 
-DEFAULT_URGENCY = 1  # of a database whose route has gone
+DEFAULT_URGENCY = 1  # for a database whose route was removed
 
 
 class AccessControl:
-    """Decides by the configuration in force, and logs what it refuses.
+    """Checks routes, keys and limits against the current configuration.
 
     Parameters
     ----------
     clock : Clock
         Time in milliseconds.
     decisions : DecisionLog
-        Gets no key, nor a digest of one.
+        Log of refusals; neither keys nor their digests are written to it.
     key_check : KeyCheck
-        Says whether a session may go on.
+        Decides whether a session's key is still valid.
     terms : QuotaTerms
-        How limits are judged.
+        Parameters of the limits.
+
+    Attributes
+    ----------
+    on_rejection : callable
+        Called with the cause, urgency and Retry-After in milliseconds of each rejection.
     """
 
     def __init__(
@@ -60,34 +64,34 @@
 
     @property
     def quota(self) -> QuotaGuard:
-        """Counts operations of this gateway's clients."""
+        """Counter and limits of the operations of this gateway's clients."""
         return self._quota
 
     @property
     def demand(self) -> DemandBook:
-        """What clients of other gateways run."""
+        """Demand of the clients of other gateways."""
         return self._demand
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force, 0 before the first."""
+        """Version of the current configuration, 0 before the first one."""
         return self._configuration.version if self._configuration else 0
 
     def set_configuration(self, configuration: RoutingConfiguration) -> None:
-        """Take the configuration that is in force from now on."""
+        """Apply a new configuration."""
         self._configuration = configuration
         self._quota.set_tenants(configuration.tenants or Tenants())
 
     # Routes
 
     def note_control_up_to_date(self, peer: str) -> None:
-        """Note that a control node said that it holds all that is committed."""
+        """Record that a control node confirmed to hold all committed changes."""
         self._control_peer = peer
         self._control_confirmed_at = self._clock.now
 
     @property
     def control_age(self) -> float | None:
-        """Milliseconds since a control node last said so, None before the first one did."""
+        """Milliseconds since the last such confirmation, None before the first one."""
         return (
             None
             if self._control_confirmed_at is None
@@ -95,7 +99,7 @@
         )
 
     def refuse_unknown_database(self, database: str) -> Answer:
-        """Return the refusal of a database that no route names, and log what it rests on."""
+        """Log and return the refusal of a database that has no route."""
         age = self.control_age
         self._decisions.note(
             ROUTE_MISSING,
@@ -109,7 +113,7 @@
     # Keys
 
     def authenticate(self, database: str, key: str) -> ClientIdentity | None:
-        """Return the identity of a client's key, None if it may open no session."""
+        """Return the identity of a client's key, None if it may not open a session."""
         identity = self.identify(database, key_digest(key))
         if identity is None:
             self._decisions.note(KEY_UNKNOWN, database=database, version=self.version)
@@ -117,28 +121,38 @@
 
     def identify(self, database: str, key: bytes) -> ClientIdentity | None:
         """Return the identity of a key's digest, None if its statements may not run."""
-        known = self._configuration
-        if known is None or known.tenants is None:
+        configuration = self._configuration
+        if configuration is None or configuration.tenants is None:
             return ClientIdentity()
-        route = known.routes.get(database)
-        return known.tenants.identify(key, route is not None and route.takes_anybody)
+        route = configuration.routes.get(database)
+        return configuration.tenants.identify(key, route is not None and route.takes_anybody)
 
     def is_key_valid(self, database: str, identity: ClientIdentity) -> bool:
-        """Return whether a key is still the same tenant's as when its session opened."""
+        """Return whether a key still belongs to the tenant for which its session was opened."""
         return self._key_check.holds(identity, self.identify(database, identity.key))
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
+        """Return whether another gateway's client may run statements here.
+
+        Parameters
+        ----------
+        database : str
+            Database of the client's session.
+        identity : ClientIdentity
+            The client, as identified by the other gateway.
+        version : int
+            Version of the configuration that the other gateway used.
+        """
         if version > self.version:
-            return True  # it was checked against a newer configuration than the one here
+            return True  # the other gateway checked it against a newer configuration
         return self.is_key_valid(database, identity)
 
     def deny_withdrawn(self, sessions: list[Session]) -> None:
-        """End the sessions whose key is no longer what it was when they opened."""
+        """Deny further statements to sessions whose key is no longer valid."""
         routes = self._configuration.routes if self._configuration else {}
         for session in sessions:
             if session.database not in routes:
-                continue  # its next statement learns that there is no route
+                continue  # refused at its next statement, as there is no route
             if not self.is_key_valid(session.database, session.identity):
                 self._decisions.note(
                     KEY_WITHDRAWN,
@@ -151,7 +165,7 @@
     # Limits
 
     def refuse_over_quota(self, session: Session) -> Answer | None:
-        """Count an operation of a session's tenant, or return why it may not begin now."""
+        """Count an operation of a session's tenant, or return its refusal if over the limit."""
         urgency = self._urgency(session)
         over = self._quota.begin(session.identity.tenant, urgency)
         if over is None:
@@ -176,14 +190,14 @@
         return busy_answer("the tenant is at its limit", retry_after_ms)
 
     def _urgency(self, session: Session) -> int:
-        known = self._configuration
-        route = known.routes.get(session.database) if known is not None else None
+        configuration = self._configuration
+        route = configuration.routes.get(session.database) if configuration is not None else None
         return DEFAULT_URGENCY if route is None else route.priority
 
-    # Clients that retry
+    # Retrying clients
 
     def note_rejected(self, session: Session, rejection: Rejection | None) -> None:
-        """Remember that a session's client was rejected, and when it was told to retry."""
+        """Record that a session's client was rejected, and its Retry-After."""
         if rejection is None:
             self._note_retrying_client(session, 0.0)
             return
@@ -202,13 +216,13 @@
         )
 
     def note_retry(self, session: Session) -> None:
-        """See :meth:`rowanrail.gateway.sessions.session.SessionAccess.note_retry`."""
+        """Set a session's priority by whether its client retries a rejected operation in time."""
         times = self._retrying_clients.claim(_retry_label(session))
         session.values.rejections = times
         session.values.is_retrying = times >= GOES_FIRST_AFTER
 
     def note_not_run(self, session: Session) -> None:
-        """Count an operation no longer: nothing of it reached a member."""
+        """Remove an operation that did not run from its tenant's count."""
         self._quota.note_not_run(session.identity.tenant)
 
 
--- a/src/rowanrail/gateway/sessions/frontend.py
+++ b/src/rowanrail/gateway/sessions/frontend.py
@@ -1,14 +1,13 @@
-"""The front-end port of the gateway. Front ends register as plug-ins of kind ``frontend``.
+"""Interface of front ends, which serve a client protocol with the gateway's sessions.
 
-For the process, which makes the one of its protocol. A front end owns the clients' connections and
-relies on the gateway's sessions.
+Front ends register as plug-ins of kind ``frontend``.
 """
 
 from abc import ABC, abstractmethod
 
 
 class Frontend(ABC):
-    """Serves clients with the gateway's sessions. Made with the gateway as its argument."""
+    """Accepts clients of one protocol; constructed with the gateway as its argument."""
 
     @abstractmethod
     async def start(self, address: str) -> None:
@@ -19,12 +18,12 @@
 
     @abstractmethod
     def drain(self) -> None:
-        """Accept no more clients; close each session as soon as it is idle."""
+        """Accept no new clients; close each session as soon as it is idle."""
 
     @abstractmethod
     def busy_sessions(self) -> int:
-        """Return how many sessions have a statement or a transaction under way."""
+        """Return the number of sessions with a running statement or an open transaction."""
 
     @abstractmethod
     def close(self) -> None:
-        """Close everything at once."""
+        """Close all connections at once."""
--- a/src/rowanrail/gateway/sessions/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -1,8 +1,4 @@
-"""Where the answers of clients' statements are noted: log, metrics, clients that will retry.
-
-For the sessions, which report each answer. Owns the log lines 300 and 301; relies on the trace that
-the work of a statement gives, and on :class:`AccessControl` to remember who was rejected.
-"""
+"""Records the outcome of clients' statements in the log (events 300 and 301) and in metrics."""
 
 from collections.abc import Callable
 from typing import Any
@@ -22,14 +18,21 @@
 
 
 class OutcomeRecorder:
-    """Notes the answer of each statement.
+    """Records the answer of each statement.
 
     Parameters
     ----------
     decisions : DecisionLog
-        Gets a line for each answer that a member gave, and for each refusal.
+        Gets a line for each answer of a member and for each refusal.
     access : AccessControl
-        Knows the version in force, and remembers who was rejected.
+        Provides the configuration's version, and records rejected clients.
+
+    Attributes
+    ----------
+    on_outcome : callable
+        Called with the kind of a statement, its outcome, its stage and its seconds.
+    on_trace : callable
+        Called with the tenant and the trace of a statement.
     """
 
     def __init__(self, decisions: DecisionLog, access: AccessControl) -> None:
@@ -46,10 +49,10 @@
         seconds: float,
         operation: AutocommitExecution | TransactionExecution | None,
     ) -> None:
-        """See :meth:`rowanrail.gateway.sessions.session.SessionOutcomes.note`."""
+        """Count and log the outcome of a statement that took ``seconds``."""
         outcome = answer.refusal.value if answer.refusal else "done"
         if answer.refusal is None and not answer.signature:
-            return  # answered by the proxy itself; nothing was decided
+            return  # answered by the gateway itself, without a member
         trace = None if operation is None else operation.trace()
         stage = trace.stage if trace is not None else Stage.ACCEPTED.value
         self.on_outcome(statement.kind.value, outcome, stage, seconds)
@@ -72,7 +75,7 @@
 
 
 def _fields(trace: Trace | None) -> dict[str, Any]:
-    """Return what is logged of a trace; a rejection's fields stand beside the others."""
+    """Return the log fields of a trace, with those of its rejection on the same level."""
     if trace is None:
         return {}
     fields = msgspec.structs.asdict(trace)
--- a/src/rowanrail/gateway/sessions/pending.py
+++ b/src/rowanrail/gateway/sessions/pending.py
@@ -1,7 +1,6 @@
-"""Waits at a gateway: of session starts for a configuration, of other gateways for a sample.
+"""Pending requests: session starts without a configuration, and samples for other gateways.
 
-For :class:`rowanrail.gateway.gateway.Gateway`. Owns that each ends only once. Relies on the gateway
-to end the wait after its time.
+Each is completed at most once; the gateway ends it when its time is over.
 """
 
 from collections.abc import Callable
@@ -14,20 +13,30 @@
 
 
 class PendingSessionStart:
-    """A session's start that waits for the first configuration; runs once."""
+    """Session start that waits for the first configuration."""
 
     def __init__(self, proceed: Callable[[], None]) -> None:
         self._proceed: Callable[[], None] | None = proceed
 
     def run(self) -> None:
-        """Start the session, unless that was done."""
+        """Start the session; ignored if it was started before."""
         proceed, self._proceed = self._proceed, None
         if proceed is not None:
             proceed()
 
 
 class PendingSample:
-    """A sample that another gateway waits for; given once, None if it doesn't come in time."""
+    """Sample of a primary's position that another gateway waits for.
+
+    Parameters
+    ----------
+    tracker : PrimaryTracker
+        Samples the primary.
+    asked_at : float
+        Earliest request time of the sample, in seconds.
+    give : callable
+        Called once, with the sample, or with None if there is none in time.
+    """
 
     def __init__(
         self,
@@ -40,14 +49,14 @@
         self._give: Callable[[PositionSample | None], None] | None = give
 
     def request(self) -> None:
-        """Have the primary sampled."""
+        """Request a sample of the primary."""
         self._tracker.need(self._asked_at, self._take)
 
     def _take(self, position: Position | None) -> None:
         self._answer(self._tracker.sample if position is not None else None)
 
     def expire(self) -> None:
-        """Answer that there is no sample, unless one was given."""
+        """Report that there is no sample; ignored if one was given before."""
         self._tracker.forget(self._take)
         self._answer(None)
 
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -1,7 +1,7 @@
-"""A client's session: its statements one after the other, its values, its transaction.
+"""A client's session: runs its statements in order, and keeps its values and its transaction.
 
-For the front ends. Owns the session's state, its values and the transaction that is open; relies on
-its gateway for routes, limits and the log, and on the ports of work to run statements.
+Routes, limits and the outcome log are provided by the gateway; statements are run by a
+:class:`rowanrail.gateway.work.ports.StatementExecutor`.
 """
 
 from collections.abc import Callable
@@ -26,25 +26,25 @@
 )
 from rowanrail.tenants.model import ClientIdentity
 
-MAX_SESSION_VALUES = 200  # bounds the memory of a session; clients set a few
+MAX_SESSION_VALUES = 200  # bounds the memory of a session
 _SUCCESS = Answer()
 
 
 class SessionAccess(Protocol):
-    """Port: the limit of a session's tenant, and which clients retry after a rejection."""
+    """Port: limits of tenants, and priority of clients that retry after a rejection."""
 
     def refuse_over_quota(self, session: "Session") -> Answer | None:
-        """Count an operation of a session's tenant, or return why it may not begin now."""
+        """Count an operation of a session's tenant, or return its refusal if over the limit."""
 
     def note_retry(self, session: "Session") -> None:
-        """Tell a session whether its client was rejected and retries when it was told to."""
+        """Set a session's priority by whether its client retries a rejected operation in time."""
 
     def note_not_run(self, session: "Session") -> None:
-        """Count an operation no longer: nothing of it reached a member."""
+        """Remove an operation that did not run from its tenant's count."""
 
 
 class SessionOutcomes(Protocol):
-    """Port: gets each answer of a session, for the log and the metrics."""
+    """Port: records the outcome of each statement in the log and in metrics."""
 
     def note(
         self,
@@ -54,34 +54,51 @@
         seconds: float,
         operation: AutocommitExecution | TransactionExecution | None,
     ) -> None:
-        """Count and log what became of a statement."""
+        """Count and log the outcome of a statement that took ``seconds``."""
 
 
 class SessionHost(Protocol):
-    """What a session needs of its gateway."""
+    """Port: the gateway of a session."""
 
     clock: Scheduler
 
     @property
     def access(self) -> SessionAccess:
-        """Limits of tenants."""
+        """Limits of tenants, and retrying clients."""
 
     @property
     def outcomes(self) -> SessionOutcomes:
-        """Gets each answer."""
+        """Recorder of the outcome of each statement."""
 
     def route(self, database: str, tenant: str) -> tuple[Route, StatementExecutor] | Answer:
-        """Return the route in force for a database and where a tenant's work is done."""
+        """Return a database's route and the executor for a tenant, or the refusal."""
 
     def idle_transaction_seconds(self) -> float:
-        """Return how long a transaction may be idle."""
+        """Return how long a transaction may be idle, in seconds."""
 
     def session_closed(self, session: "Session") -> None:
-        """Forget a session."""
+        """Remove a closed session."""
 
 
 class Session:
-    """One client's session. A front end gives it one statement at a time."""
+    """A client's session; a front end passes it one statement at a time.
+
+    Parameters
+    ----------
+    host : SessionHost
+        The gateway.
+    database : str
+        Name of the database that the client named.
+    identity : ClientIdentity
+        Tenant and key of the client.
+    label : str
+        Name of the session in the log.
+
+    Attributes
+    ----------
+    on_denied : callable
+        Called when the client's key is withdrawn.
+    """
 
     __slots__ = (
         "_abort_reason",
@@ -126,17 +143,17 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a statement runs."""
+        """Whether a statement is running."""
         return self._respond is not None
 
     @property
     def identity(self) -> ClientIdentity:
-        """Whose statements it sends."""
+        """Tenant and key of the client."""
         return self.values.identity
 
     @property
     def is_denied(self) -> bool:
-        """Whether its key was withdrawn."""
+        """Whether the client's key was withdrawn."""
         return self._denied
 
     @property
@@ -147,7 +164,7 @@
     # Statements
 
     def execute(self, statement: TypedStatement, respond: Respond) -> None:
-        """Run a statement; ``respond`` gets its answer once, perhaps at once."""
+        """Run a statement; ``respond`` is called once, possibly before this method returns."""
         assert self._respond is None, "statements of a session run one after the other"
         self._respond = respond
         self._statement = statement
@@ -248,9 +265,9 @@
             return
         if not self._is_admitted():
             return
-        route, work = found
+        route, executor = found
         read_only = statement.kind is StatementKind.BEGIN_READ
-        self._transaction = work.transaction(route, self.values, read_only)
+        self._transaction = executor.transaction(route, self.values, read_only)
         self.state = SessionState.TRANSACTION
         self._finish(_SUCCESS)
 
@@ -268,19 +285,19 @@
             return
         if not self._is_admitted():
             return
-        route, work = found
-        operation = work.autocommit(route, self.values, is_write(statement, self.values))
+        route, executor = found
+        operation = executor.autocommit(route, self.values, is_write(statement, self.values))
         self._operation = operation
         operation.start(statement, self._on_autocommit_answer)
 
     def _is_admitted(self) -> bool:
-        """Count an operation of the tenant; over its limit it is answered, and False returned."""
+        """Count an operation of the tenant; refuse it and return False if over the limit."""
         access = self._host.access
         access.note_retry(self)
-        over = access.refuse_over_quota(self)
-        if over is not None:
-            self._finish(over)
-        return over is None
+        refusal = access.refuse_over_quota(self)
+        if refusal is not None:
+            self._finish(refusal)
+        return refusal is None
 
     def _on_autocommit_answer(self, answer: Answer) -> None:
         if answer.refusal in NOT_RUN:
@@ -310,9 +327,9 @@
         self.abort("the transaction rested for too long")
 
     def deny(self) -> None:
-        """Run nothing more: the client's key was withdrawn.
+        """Refuse all further statements, because the client's key was withdrawn.
 
-        A statement under way keeps its answer; the front end then closes.
+        A running statement is still answered; then the front end closes the session.
         """
         self._denied = True
         if not self.busy:
@@ -320,7 +337,7 @@
         self.on_denied()
 
     def abort(self, reason: str) -> None:
-        """End a transaction that is idle; its client learns it at its next statement."""
+        """Roll an idle transaction back; the client's next statement is refused with the reason."""
         if self._transaction is None or self.busy:
             return
         self._transaction.end()
@@ -329,7 +346,7 @@
         self._abort_reason = reason
 
     def close(self) -> None:
-        """End the session: its transaction is rolled back, and no answer is given any more."""
+        """Close the session without further answers, and roll its transaction back."""
         if self.closed:
             return
         self.closed = True
