--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -15,13 +15,13 @@
     def setUp(self):
         self.played = PlayedGateway()
 
-    def test_a_bounded_read_runs_at_the_near_replica_behind_a_floor(self):
+    def test_a_bounded_read_runs_at_the_near_replica_with_a_floor(self):
         answer = self.played.client("reports").run("READ a")
         self.assertIsNone(answer.refusal)
         self.assertEqual(self.played.near.texts(), ["READ a"])
         self.assertEqual(self.played.near.ran[-1][1].floor, Position(1, 10))
 
-    def test_a_read_of_a_primary_route_takes_a_sample_asked_for_after_it_came(self):
+    def test_a_primary_read_uses_a_sample_requested_after_its_arrival(self):
         client = self.played.client("orders")
         client.run("READ a")
         self.played.clock.advance(0.01)
@@ -30,7 +30,7 @@
         client.run("READ b")
         self.assertEqual(self.played.near.ran[-1][1].floor, Position(1, 11))
 
-    def test_a_bounded_read_shares_a_sample_within_its_staleness(self):
+    def test_bounded_reads_share_a_sample_within_their_staleness(self):
         client = self.played.client("reports")
         for _ in range(5):
             client.run("READ a")
@@ -43,9 +43,8 @@
             self.assertIsNone(writer.run("WRITE w 1").refusal)
             self.played.clock.advance(seconds)
 
-    def test_a_lagging_replica_serves_reads_that_accept_its_age(self):
-        # Found on the weakest grown days: replicas that lag 0.5 to 1.3 s served nothing, though
-        # reads accept 1.5 and 2.5 s, since the newest sample was taken as the floor.
+    def test_a_lagging_replica_serves_reads_within_their_staleness(self):
+        # Regression: the newest sample was used as the floor, so lagging replicas served nothing.
         self.write_each(0.1, 7)
         self.played.near.position = Position(1, 13)  # 0.5 s behind
         self.played.far.position = Position(1, 13)
@@ -54,14 +53,14 @@
         self.assertEqual(self.played.near.texts(), ["READ a"])
         self.assertEqual(len(self.played.primary.texts()), known)
 
-    def test_a_replica_that_lags_for_longer_than_the_route_accepts_serves_nothing(self):
+    def test_a_replica_that_lags_beyond_the_staleness_serves_nothing(self):
         self.write_each(0.1, 15)  # the route accepts 1.0 s
         self.played.near.position = Position(1, 13)
         self.played.far.position = Position(1, 13)
         self.assertIsNone(self.played.client("reports").run("READ a").refusal)
         self.assertEqual(self.played.primary.texts()[-1], "READ a")
 
-    def test_samples_of_a_replaced_primary_are_no_floors_once_the_new_one_is_proved(self):
+    def test_samples_of_a_replaced_primary_are_discarded_once_its_successor_is_proved(self):
         self.write_each(0.1, 5)
         self.played.primary.primary = False
         self.played.near.primary = True
@@ -80,7 +79,7 @@
         self.assertIsNone(answer.refusal)
         self.assertEqual(self.played.primary.texts(), ["WRITE a 1", "READ a"])
 
-    def test_a_read_waits_for_no_silent_member(self):
+    def test_a_read_does_not_wait_for_a_silent_member(self):
         self.played.client("reports").run("READ a")
         self.played.near.silent = True
         answer = self.played.client("reports").run("READ b", seconds=0.4)
@@ -93,7 +92,7 @@
         self.assertEqual(answer.refusal, Refusal.BUSY)
         self.assertEqual(self.played.near.texts(), [])
 
-    def test_rolled_back_commits_do_not_hold_up_reads_for_good(self):
+    def test_reads_recover_after_a_failover_that_lost_commits(self):
         client = self.played.client("carts")
         client.run("WRITE a 1")
         # The primary is replaced by a member without that commit.
@@ -109,8 +108,8 @@
         self.played.client("reports").run("READ a")
         self.assertEqual(self.played.near.texts(), [])
 
-    def test_a_slow_read_is_not_run_again_elsewhere_too_soon(self):
-        # Found on a calm day: reads of 0.2 s were given up, run again, and then refused.
+    def test_a_slow_read_is_not_retried_too_soon(self):
+        # Regression: reads that took 0.2 s were abandoned, retried, and then refused.
         client = self.played.client("reports")
         client.run("READ a")
         self.played.near.script = [None]
@@ -120,14 +119,14 @@
         self.played.clock.advance(0.2)
         self.assertIsNone(client.answers[-1].refusal)
 
-    def test_a_read_that_failed_is_asked_for_at_another_member(self):
-        # The grown deployments have members that fail part of their requests in good health.
+    def test_a_failed_read_is_retried_at_another_member(self):
+        # Healthy members may fail some of their requests.
         client = self.played.client("reports")
         client.run("READ a")
         self.played.near.script = [Answer(refusal=Refusal.FAILED, state=SessionState.IDLE)]
         self.assertIsNone(client.run("READ b").refusal)
 
-    def test_a_read_that_fails_everywhere_says_so_and_ends(self):
+    def test_a_read_that_fails_everywhere_is_answered_with_the_error(self):
         client = self.played.client("reports")
         client.run("READ a")
         for member in self.played.members:
@@ -138,7 +137,7 @@
         ran = [text for m in self.played.members for text in m.texts()]
         self.assertLessEqual(ran.count("READ b"), 3)
 
-    def test_a_member_that_fails_part_of_its_requests_is_avoided_and_tried_again(self):
+    def test_a_member_that_fails_some_requests_is_avoided_and_retried_later(self):
         client = self.played.client("reports")
         client.run("READ a")
         failed = Answer(refusal=Refusal.FAILED, state=SessionState.IDLE)
@@ -152,12 +151,12 @@
         self.played.near.script.clear()
         self.played.clock.advance(10)
         for pool in self.played.gateway.services["db"].pools.values():
-            pool.forecasts.latency = 20.0  # answers take no time here, which no real one does
+            pool.forecasts.latency = 20.0  # ms; answers take no time in this test
         for _ in range(10):
             client.run("READ d")
         self.assertGreater(len(self.played.near.texts()) - known, 5)
 
-    def test_a_member_of_the_own_region_is_preferred_to_one_of_another(self):
+    def test_a_member_in_the_same_region_is_preferred(self):
         played = PlayedGateway(with_regions=True)
         played.near.zone, played.near.primary = "c", True
         played.primary.zone, played.primary.primary = "c", False
@@ -166,13 +165,13 @@
         self.assertIsNone(played.client("reports").run("READ a", seconds=0.2).refusal)
         self.assertEqual(played.far.texts(), ["READ a"])
 
-    def test_a_read_goes_elsewhere_when_a_member_does_not_open_a_connection(self):
+    def test_a_read_moves_on_when_a_member_does_not_open_a_connection(self):
         self.played.near.silent = True
         answer = self.played.client("reports").run("READ a", seconds=0.2)
         self.assertIsNone(answer.refusal)
 
-    def test_a_member_that_failed_is_tried_by_one_request_at_a_time(self):
-        # Found on a played day: every read of a zone waited for a member that was cut off.
+    def test_a_failed_member_is_tried_by_one_request_at_a_time(self):
+        # Regression: every read of a zone waited for a member that could not be reached.
         clients = [self.played.client("reports") for _ in range(5)]
         clients[0].run("READ a")
         self.played.near.silent = True
@@ -189,8 +188,8 @@
 
 
 class LostPrimaryTest(unittest.TestCase):
-    def test_it_is_told_at_once_and_so_is_its_return(self):
-        # Found in the logs of a played day: the loss was never told, only polled.
+    def test_its_loss_and_its_return_are_reported_at_once(self):
+        # Regression: the loss was only visible to polling, and not reported.
         played = PlayedGateway()
         alarms = []
         played.gateway.on_alarm = lambda: alarms.append(played.clock.now)
@@ -210,7 +209,7 @@
         self.assertTrue([line for line in played.logs() if '"event":315' in line])
 
     def lose_the_primary(self, played):
-        """Have a primary go dark while a client's work needs it."""
+        """Make the primary silent while a read needs it, until its loss is detected."""
         client = played.client("orders")
         client.run("WRITE a 1")
         played.clock.advance(0.1)
@@ -220,30 +219,29 @@
         self.assertTrue(played.gateway.services["db"].primary.failing_since)
         return client
 
-    def replace(self, played):
+    def replace_primary(self, played):
         played.primary.primary = False
         played.far.primary = True
         for member in played.members:
             member.position = Position(2, 11)
 
-    def test_its_successor_is_found_by_looking(self):
-        # Found in an incident: gateways proved the new primary 0.7 to 1.0 s late, since they
-        # looked for it only when an attempt at the dark one had ended.
+    def test_its_successor_is_found_by_probing(self):
+        # Regression: probing for the new primary waited for the last attempt at the silent one.
         played = PlayedGateway()
         client = self.lose_the_primary(played)
-        self.replace(played)
+        self.replace_primary(played)
         played.clock.advance(0.25)
         self.assertEqual(played.gateway.services["db"].primary.believed, "m3")
         self.assertIsNone(client.run("WRITE c 3", seconds=0.05).refusal)
 
-    def test_its_successor_is_believed_when_the_directory_names_it(self):
+    def test_its_successor_is_accepted_when_the_directory_names_it(self):
         played = PlayedGateway()
         client = self.lose_the_primary(played)
-        self.replace(played)
+        self.replace_primary(played)
         played.announce(2)
         self.assertIsNone(client.run("WRITE c 3", seconds=0.05).refusal)
 
-    def test_a_primary_that_serves_is_not_left_for_what_the_directory_says(self):
+    def test_the_directory_does_not_replace_a_primary_that_serves(self):
         played = PlayedGateway()
         client = played.client("orders")
         client.run("WRITE a 1")
@@ -254,13 +252,13 @@
         self.assertEqual(played.gateway.services["db"].primary.believed, "m1")
         self.assertIsNone(client.run("WRITE b 2", seconds=0.1).refusal)
 
-    def test_looking_ends_and_leaves_no_connections_behind(self):
+    def test_probing_ends_and_closes_its_connections(self):
         played = PlayedGateway()
         self.lose_the_primary(played)
         opened = len(played.near.wires)
         played.clock.advance(1.0)
         self.assertLessEqual(len(played.near.wires) - opened, 1)
-        self.replace(played)
+        self.replace_primary(played)
         played.clock.advance(2.0)
         asked = len(played.near.ran)
         played.clock.advance(1.0)
@@ -268,9 +266,8 @@
         probes = played.gateway.services["db"].primary._sampler._probes
         self.assertEqual([name for name, probe in probes.items() if probe.is_open], ["m3"])
 
-    def test_writes_go_on_as_soon_as_it_proves_to_lead_again(self):
-        # Found by the simulator (relayed-statements, seeds 294, 331, 471): the pool of a primary
-        # that had come back was left alone for up to 2 s more, and with it a whole zone.
+    def test_writes_resume_as_soon_as_the_primary_is_proved_again(self):
+        # Regression: the pool of a recovered primary was avoided for up to 2 s longer.
         played = PlayedGateway()
         client = played.client("orders")
         client.run("WRITE a 1")
@@ -289,10 +286,10 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """What can't be answered before its time is over is refused when it comes."""
+    """Statements that can't be answered before their time-out are rejected on arrival."""
 
     def setUp(self):
-        self.played = PlayedGateway(slots=24)  # so that connections bind, not slots
+        self.played = PlayedGateway(slots=24)  # connections are the limit, not slots
         self.pool = self.played.gateway.services["db"].pools["m1"]
         for _ in range(30):
             self.pool.connections.leases.note(200.0)
@@ -304,7 +301,7 @@
 
     def test_a_write_that_would_wait_too_long_is_refused_at_once(self):
         interval = self.pool.forecasts.of(QueueEntry(1, "", 0.0)).interval
-        served_in_time = int(1000 / interval)  # of the route's time-out of 1 s
+        served_in_time = int(1000 / interval)  # within the time-out of 1 s
         later = [self.played.client("orders") for _ in range(4 * served_in_time + 40)]
         for client in later:
             client.ask("WRITE b 2")
@@ -322,17 +319,17 @@
         client.run("BEGIN")
         self.assertEqual(client.run("READ a").refusal, Refusal.BUSY)
 
-    def test_a_read_goes_where_there_is_room(self):
+    def test_a_read_runs_at_a_member_with_capacity(self):
         for _ in range(300):
             self.played.client("orders").ask("WRITE b 2")
         self.assertIsNone(self.played.client("reports").run("READ a", seconds=0.1).refusal)
 
-    def test_a_read_leaves_a_line_that_is_too_long_for_its_objective(self):
-        # There it could still be served in its time-out, but other members have room at once.
+    def test_a_read_leaves_a_queue_that_is_too_long_for_its_objective(self):
+        # The queue is short enough for the time-out, but other members have capacity at once.
         near = self.played.gateway.services["db"].pools["m2"]
         for _ in range(30):
             near.connections.leases.note(200.0)
-        near.forecasts.latency = 1.0  # so that it is chosen, whatever stands before it
+        near.forecasts.latency = 1.0  # so that it is selected despite its queue
         self.played.near.script = [None] * 200
         readers = [self.played.client("reports") for _ in range(60)]
         for reader in readers:
@@ -343,18 +340,18 @@
             [answer for reader in readers for answer in reader.answers if answer.refusal]
         )
 
-    def test_who_could_still_be_served_waits_until_its_prospects_are_gone(self):
+    def test_a_statement_waits_until_it_can_no_longer_be_served(self):
         waiting = [self.played.client("orders") for _ in range(40)]
         for client in waiting:
             client.ask("WRITE b 2")
         self.assertEqual([client.answers for client in waiting], [[]] * 40)
-        self.played.clock.advance(0.95)  # the connections in use don't come back
+        self.played.clock.advance(0.95)  # no connection in use is released
         for client in waiting:
             self.assertEqual(client.answers[-1].refusal, Refusal.BUSY)
             self.assertRegex(client.answers[-1].message, r"^m1 is crowded .*; retry in \d\.\d\d s$")
         self.assertNotIn("WRITE b 2", self.played.primary.texts())
 
-    def test_those_at_the_end_of_the_line_learn_it_first(self):
+    def test_the_end_of_the_queue_is_rejected_first(self):
         waiting = [self.played.client("orders") for _ in range(150)]
         for client in waiting:
             client.ask("WRITE b 2")
@@ -365,7 +362,7 @@
         self.assertFalse(answered[0])
         self.assertEqual(answered, sorted(answered))
 
-    def test_nothing_is_refused_while_room_is_free(self):
+    def test_nothing_is_refused_while_capacity_is_free(self):
         reader = self.played.client("carts")
         for client in self.busy:
             client.session.close()
@@ -377,7 +374,7 @@
             self.assertIsNone(self.played.client("orders").run("WRITE c 3", seconds=0.2).refusal)
         self.assertIsNone(reader.run("READ a", seconds=0.2).refusal)
 
-    def test_what_its_client_gave_up_is_not_run(self):
+    def test_a_statement_of_a_closed_session_is_not_run(self):
         client = self.played.client("orders")
         client.ask("WRITE given-up 1")
         client.session.close()
@@ -386,7 +383,7 @@
         self.played.clock.advance(2.0)
         self.assertNotIn("WRITE given-up 1", self.played.primary.texts())
 
-    def test_who_was_turned_away_twice_goes_before_newcomers(self):
+    def test_a_client_rejected_twice_precedes_new_arrivals(self):
         client = self.played.client("orders")
         for times in range(3):
             for _ in range(300):
@@ -394,13 +391,15 @@
             client.ask("WRITE c 3")
             self.assertEqual(client.session.values.rejections, times)
             if times < 2:
-                told = client.answers[-1].message.rpartition("retry in ")[2].removesuffix(" s")
-                self.played.clock.advance(float(told))
+                retry_after = (
+                    client.answers[-1].message.rpartition("retry in ")[2].removesuffix(" s")
+                )
+                self.played.clock.advance(float(retry_after))
         first, *_ = sorted(self.pool.queue, key=lambda waiter: not waiter.entry.is_retrying)
         self.assertTrue(first.entry.is_retrying)
         self.assertLess(self.pool.forecasts.of(first.entry).wait, 100.0)
 
-    def test_who_comes_sooner_than_it_was_told_is_a_newcomer(self):
+    def test_a_client_that_retries_too_early_counts_as_a_new_arrival(self):
         client = self.played.client("orders")
         for _ in range(300):
             self.played.client("orders").ask("WRITE b 2")
@@ -409,15 +408,15 @@
         client.ask("WRITE c 3")
         self.assertEqual(client.session.values.rejections, 0)
 
-    def test_refusals_at_one_moment_tell_different_moments(self):
-        told = set()
+    def test_simultaneous_rejections_get_different_retry_times(self):
+        retry_times = set()
         for _ in range(400):
             client = self.played.client("orders")
             client.ask("WRITE b 2")
-            told.update(answer.message.rpartition("; ")[2] for answer in client.answers)
-        self.assertGreater(len(told), 50)
+            retry_times.update(answer.message.rpartition("; ")[2] for answer in client.answers)
+        self.assertGreater(len(retry_times), 50)
 
-    def test_a_refusal_is_logged_with_what_it_rests_on(self):
+    def test_a_rejection_is_logged_with_its_forecast(self):
         for _ in range(300):
             self.played.client("orders").ask("WRITE b 2")
         line = json.loads(next(text for text in self.played.logs() if '"event":301' in text))
@@ -427,25 +426,25 @@
         self.assertEqual(line["urgency"], 1)
         self.assertIn(f"retry in {line['return_in'] / 1000:.2f}", line["reason"])
 
-    def test_those_whose_connections_are_being_opened_stand_before_nobody(self):
-        # Found by reading: they counted as waiting and as using a connection, so that reads were
-        # refused early after a restart, when all connections are opened.
+    def test_connections_being_opened_do_not_count_as_waiting(self):
+        # Regression: statements whose connection was being opened counted as waiting too, so
+        # reads were refused too early after a restart.
         played = PlayedGateway()
         pool = played.gateway.services["db"].pools["m2"]
-        played.near.silent = True  # takes connections and opens none
+        played.near.silent = True  # accepts connections without opening them
         clients = [played.client("reports") for _ in range(2)]
         played.client("orders").run("WRITE a 1")
         for client in clients:
             client.ask("READ a")
-        played.clock.advance(0.08)  # the second connection is opened after a moment
+        played.clock.advance(0.08)  # the second connection is opened with a delay
         self.assertEqual(pool.connections.count, 2)
         self.assertEqual(pool.connections.established, 0)
         pool.set_limit(2)
         self.assertAlmostEqual(pool.forecasts.expected_wait, pool.connections.leases.average / 2)
 
-    def test_a_member_that_had_no_connection_left_is_asked_again_soon(self):
-        # Found in an incident: after a loss of power members count the old connections for 3 s, and
-        # gateways that met their limit just before opened no more for 2 s after it.
+    def test_a_member_that_had_no_connection_left_is_retried_soon(self):
+        # Regression: a gateway that met the member's limit opened no connection for 2 s more,
+        # although the member had released the connections of failed gateways.
         played = PlayedGateway()
         pool = played.gateway.services["db"].pools["m1"]
         client = played.client("orders")
@@ -459,15 +458,15 @@
         played.client("orders").run("WRITE c 3", seconds=0.05)
         self.assertGreaterEqual(pool.connections.count, 2)
 
-    def test_short_queues_are_waited_in(self):
+    def test_a_statement_waits_in_a_short_queue(self):
         client = self.played.client("orders")
         client.ask("WRITE b 2")
         self.assertEqual(client.answers, [])
 
 
 class BegunTransactionTest(unittest.TestCase):
-    def test_a_begun_transaction_goes_on_before_those_that_have_not_begun(self):
-        played = PlayedGateway(slots=24)  # so that connections bind, not slots
+    def test_a_begun_transaction_precedes_those_that_have_not_begun(self):
+        played = PlayedGateway(slots=24)  # connections are the limit, not slots
         begun = played.client("orders")
         begun.run("BEGIN")
         begun.run("WRITE a 1")
@@ -487,46 +486,46 @@
         self.assertIsNone(begun.run("COMMIT").refusal)
 
 
-class RestingTransactionTest(unittest.TestCase):
-    """Clients that rest inside transactions hold connections that others wait for."""
+class IdleTransactionTest(unittest.TestCase):
+    """Idle transactions hold connections for which other statements wait."""
 
     def setUp(self):
         self.played = PlayedGateway()
         self.limit = self.played.gateway.services["db"].pools["m1"].connections.limit
-        self.resting = [self.played.client("orders") for _ in range(self.limit)]
-        for client in self.resting:
+        self.idle = [self.played.client("orders") for _ in range(self.limit)]
+        for client in self.idle:
             client.run("BEGIN")
             client.run("WRITE a 1")
 
-    def test_the_longest_resting_one_is_ended_for_those_who_wait(self):
+    def test_the_longest_idle_one_is_aborted_for_waiting_statements(self):
         self.played.clock.advance(0.2)
-        self.resting[1].run("READ a")  # this one works on
+        self.idle[1].run("READ a")  # this one is active
         self.played.clock.advance(0.35)
         writer = self.played.client("orders")
         self.assertIsNone(writer.run("WRITE b 2", seconds=0.2).refusal)
-        answer = self.resting[0].run("COMMIT")
+        answer = self.idle[0].run("COMMIT")
         self.assertEqual(answer.refusal, Refusal.ABORTED)
         self.assertIn("rested", answer.message)
-        self.assertIsNone(self.resting[1].run("COMMIT").refusal)
-        self.assertIsNone(self.resting[2].run("COMMIT").refusal)
+        self.assertIsNone(self.idle[1].run("COMMIT").refusal)
+        self.assertIsNone(self.idle[2].run("COMMIT").refusal)
 
-    def test_nothing_is_ended_while_nobody_waits(self):
+    def test_none_is_aborted_while_nothing_waits(self):
         self.played.clock.advance(2.0)
-        for client in self.resting:
+        for client in self.idle:
             self.assertIsNone(client.run("COMMIT").refusal)
 
-    def test_short_pauses_are_left_alone(self):
+    def test_short_pauses_are_tolerated(self):
         writer = self.played.client("orders")
         writer.ask("WRITE b 2")
         self.played.clock.advance(0.2)
         self.assertEqual(writer.answers, [])
-        self.assertIsNone(self.resting[0].run("COMMIT").refusal)
+        self.assertIsNone(self.idle[0].run("COMMIT").refusal)
         self.assertIsNone(writer.answers[-1].refusal)
 
-    def test_an_ended_one_is_over_for_its_client_at_the_next_statement(self):
+    def test_an_aborted_one_is_reported_at_the_next_statement(self):
         self.played.clock.advance(0.6)
         self.played.client("orders").run("WRITE b 2", seconds=0.2)
-        client = self.resting[0]
+        client = self.idle[0]
         self.assertEqual(client.run("READ a").refusal, Refusal.ABORTED)
         self.assertEqual(client.session.state, SessionState.FAILED)
         self.assertIsNone(client.run("ROLLBACK").refusal)
@@ -588,7 +587,7 @@
         self.assertIn(["WRITE a 1", "READ a", "COMMIT"], by_wire.values())
         self.assertIn(["WRITE b 1"], by_wire.values())
 
-    def test_a_read_never_stands_behind_an_unanswered_begin(self):
+    def test_a_read_is_never_sent_behind_an_unanswered_begin(self):
         self.played.primary.primary = False
         self.client.run("BEGIN")
         self.client.run("READ a", seconds=0.4)
@@ -612,7 +611,7 @@
         self.assertEqual(self.client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
         self.assertIs(self.client.session.state, SessionState.IDLE)
 
-    def test_a_lost_commit_without_writes_promises_that_nothing_is_kept(self):
+    def test_a_lost_commit_without_writes_is_aborted(self):
         self.client.run("BEGIN")
         self.client.run("READ a")
         self.played.primary.script = [None]
@@ -628,7 +627,7 @@
         self.client.run("WRITE b 1")
         self.assertEqual(len(self.played.primary.wires), wires)
 
-    def test_a_resting_transaction_is_ended_and_its_client_told_at_the_next_statement(self):
+    def test_an_idle_transaction_is_aborted_and_reported_at_the_next_statement(self):
         self.client.run("BEGIN")
         self.client.run("WRITE a 1")
         self.played.clock.advance(3.5)
@@ -637,7 +636,7 @@
         self.assertNotIn("COMMIT", self.played.primary.texts())
 
     def test_a_write_in_a_transaction_that_only_reads_is_refused_wherever_it_runs(self):
-        # Found by the wire tests: at a primary the write was sent, and ran.
+        # Regression: at a primary the write was sent, and ran.
         self.played.near.zone = self.played.far.zone = "z"
         self.played.announce(2)
         self.client.run("BEGIN READ")
@@ -646,13 +645,13 @@
         self.assertIs(self.client.session.state, SessionState.FAILED)
         self.assertNotIn("WRITE a 1", [t for m in self.played.members for t in m.texts()])
 
-    def test_a_client_that_leaves_rolls_back(self):
+    def test_closing_the_session_rolls_back(self):
         self.client.run("BEGIN")
         self.client.run("WRITE a 1")
         self.client.session.close()
         self.assertIs(self.played.primary.ran[-1][1].kind, CommandKind.ROLLBACK)
 
-    def test_a_commit_after_a_failure_is_no_success(self):
+    def test_a_commit_after_a_failure_is_refused(self):
         self.client.run("BEGIN")
         self.played.primary.script = [Answer(refusal=Refusal.FAILED, message="x")]
         self.client.run("WRITE a 1")
@@ -668,13 +667,13 @@
     def near_wire(self):
         return self.played.near.open_wires()[-1]
 
-    def test_values_are_on_the_connection_before_the_statement(self):
+    def test_values_are_set_on_the_connection_before_the_statement(self):
         client = self.played.client("reports")
         client.run("SET zone x")
         client.run("READ a")
         self.assertEqual(self.near_wire().values, {"zone": "x"})
 
-    def test_values_never_meet_another_session(self):
+    def test_values_do_not_leak_into_another_session(self):
         first, second = self.played.client("reports"), self.played.client("reports")
         first.run("SET zone x")
         first.run("READ a")
@@ -683,7 +682,7 @@
         first.run("READ c")
         self.assertEqual(self.near_wire().values, {"zone": "x"})
 
-    def test_names_clash_without_harm(self):
+    def test_sessions_may_use_the_same_prepared_name(self):
         first, second = self.played.client("reports"), self.played.client("reports")
         first.run("PREPARE s READ one")
         second.run("PREPARE s READ two")
@@ -693,7 +692,7 @@
         executed = [text.split(" ") for text in self.played.near.texts()]
         self.assertEqual([shapes[name] for name, _ in executed], ["READ one", "READ two"])
 
-    def test_a_name_prepared_again_stands_for_the_new_shape(self):
+    def test_a_name_prepared_again_uses_the_new_statement(self):
         client = self.played.client("reports")
         client.run("PREPARE s READ one")
         client.run("EXECUTE s a")
@@ -706,7 +705,7 @@
         answer = self.played.client("reports").run("EXECUTE s a")
         self.assertEqual(answer.refusal, Refusal.UNKNOWN_NAME)
 
-    def test_a_dropped_route_binds_from_the_next_transaction(self):
+    def test_a_removed_route_takes_effect_after_the_transaction(self):
         client = self.played.client("orders")
         client.run("BEGIN")
         client.run("WRITE a 1")
@@ -714,7 +713,7 @@
         self.assertIsNone(client.run("COMMIT").refusal)
         self.assertEqual(client.run("READ a").refusal, Refusal.UNKNOWN_DATABASE)
 
-    def test_an_older_configuration_changes_nothing(self):
+    def test_an_older_configuration_is_ignored(self):
         self.played.configure(1, without=("orders",))
         self.assertIsNone(self.played.client("orders").run("READ a").refusal)
 
@@ -741,9 +740,8 @@
                 client.run("COMMIT")
         self.assertTrue(all(len(client.answers) >= 2 for client in clients))
 
-    def test_connections_that_nobody_needs_are_closed_but_for_one(self):
-        # Found on a played day: connections of gateways without power filled the members for
-        # 3 s, so that the gateways that came back got none.
+    def test_unneeded_connections_are_closed_except_one(self):
+        # Regression: idle connections of failed gateways used up the limits of members.
         played = PlayedGateway()
         clients = [played.client("orders") for _ in range(4)]
         for client in clients:
@@ -754,7 +752,7 @@
         played.clock.advance(2.5)
         self.assertEqual(played.gateway.services["db"].pools["m1"].connections.count, 1)
 
-    def test_a_member_without_free_connections_is_not_pressed(self):
+    def test_a_member_without_free_connections_is_skipped(self):
         played = PlayedGateway()
         played.near.refuse_start = Refusal.TOO_MANY_CONNECTIONS
         client = played.client("reports")
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -1,4 +1,4 @@
-"""Keys, and connections that belong to a tenant, at one gateway."""
+"""API keys, connections and limits of tenants at one gateway."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class TenantGateway(PlayedGateway):
-    """A gateway whose clients have keys."""
+    """A gateway whose clients authenticate with keys."""
 
     def configure(self, version, keys=KEYS, connections=30, **limits):
         services = {"db": ServiceSpec("db", connections)}
@@ -42,7 +42,7 @@
         self.assertEqual(answer.refusal, Refusal.DENIED)
 
     def test_no_key_is_written_to_the_log(self):
-        # Found in the decision log of a played day: what a client named stood in each line.
+        # Regression: each line contained the key that the client had sent.
         self.played.gateway.open_session("orders", "no-such-key")
         self.played.client("orders").run("WRITE a 1", seconds=0.1)
         self.played.configure(2, keys={})
@@ -52,7 +52,7 @@
             self.assertNotIn(key, text)
             self.assertNotIn(key_digest(key).hex(), text)
 
-    def test_a_route_that_takes_anybody_needs_no_key(self):
+    def test_an_open_route_needs_no_key(self):
         open_route = {
             name: type(route)(**{**_fields(route), "takes_anybody": True})
             for name, route in routes().items()
@@ -65,7 +65,7 @@
         self.assertEqual(client.session.identity.tenant, "anonymous")
         self.assertIsNone(client.run("WRITE a 1", seconds=0.1).refusal)
 
-    def test_a_withdrawn_key_ends_sessions_at_rest(self):
+    def test_a_withdrawn_key_ends_idle_sessions(self):
         client, other = self.played.client("orders"), self.played.client("orders", "key-of-b")
         denied = []
         client.session.on_denied = lambda: denied.append("a")
@@ -83,7 +83,7 @@
         self.assertEqual(client.run("COMMIT").refusal, Refusal.DENIED)
         self.assertNotIn("COMMIT", self.played.primary.texts())
 
-    def test_a_statement_under_way_keeps_its_answer(self):
+    def test_a_running_statement_is_still_answered(self):
         client = self.played.client("orders")
         self.played.primary.script.append(None)
         client.ask("WRITE a 1")
@@ -94,7 +94,7 @@
         self.assertIsNone(client.answers[-1].refusal)
         self.assertTrue(client.session.is_denied)
 
-    def test_a_key_that_changes_hands_ends_the_sessions_of_the_old_tenant(self):
+    def test_a_reassigned_key_ends_the_sessions_of_the_old_tenant(self):
         client = self.played.client("orders")
         self.played.configure(2, keys={"key-of-a": "b"})
         self.assertTrue(client.session.is_denied)
@@ -112,7 +112,7 @@
             answer = self.played.client("orders", key).run("WRITE a 1", seconds=0.1)
             self.assertIsNone(answer.refusal, answer)
 
-    def test_a_connection_serves_the_tenant_for_which_it_was_opened(self):
+    def test_a_connection_serves_only_the_tenant_for_which_it_was_opened(self):
         self.run_each("key-of-a", "key-of-b", "key-of-a")
         opened = self.opened_for(self.played.primary)
         self.assertEqual((opened.count("a"), opened.count("b")), (1, 1))
@@ -124,12 +124,12 @@
         wires = [wire for wire in self.played.primary.wires if wire.channel.tenant == "a"]
         self.assertEqual(len(wires), 1)
 
-    def test_the_one_idle_for_longest_gives_way_at_the_limit(self):
-        self.played.configure(2, connections=9)  # two for a gateway
+    def test_the_longest_idle_connection_is_closed_at_the_limit(self):
+        self.played.configure(2, connections=9)  # two per gateway
         self.run_each("key-of-a", "key-of-b", "key-of-c")
         self.assertEqual(sorted(set(self.opened_for(self.played.primary)) - {""}), ["b", "c"])
 
-    def test_nobody_runs_on_a_connection_of_another_while_all_are_in_use(self):
+    def test_a_tenant_waits_while_others_use_all_connections(self):
         self.played.configure(2, connections=9)
         holders = [self.played.client("orders", key) for key in ("key-of-a", "key-of-b")]
         for client in holders:
@@ -146,7 +146,7 @@
 
 
 class LimitTest(unittest.TestCase):
-    def test_what_is_over_the_limit_is_refused_before_it_takes_a_connection(self):
+    def test_an_operation_over_the_limit_is_refused_before_it_takes_a_connection(self):
         played = TenantGateway()
         played.configure(2, rate=1.0, burst=1.0)
         played.gateway.access.quota.take_fleet(Report({}))
--- a/tests/gateway/test_time_limits.py
+++ b/tests/gateway/test_time_limits.py
@@ -1,4 +1,4 @@
-"""Reads whose time ends where they wait, and members that open no connection."""
+"""Time-outs of waiting reads, and members that open no connection."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 from rowanrail.model.statements import NOT_RUN
 from tests.support.gateway import PlayedGateway
 
-SHORT, LONG = 0.1, 5.0  # seconds of a route
+SHORT, LONG = 0.1, 5.0  # time-outs of routes in seconds
 
 
 def route(name, seconds, objective):
@@ -31,16 +31,16 @@
     def warm(self):
         self.played.client("reports").run("READ warm", seconds=0.1)
 
-    def test_a_read_that_was_sent_and_not_answered_closes_its_connection(self):
+    def test_an_unanswered_read_closes_its_connection(self):
         self.warm()
         self.played.near.script = [None]
         answer = self.played.client("short").run("READ a", seconds=SHORT)
         self.assertIsNotNone(answer.refusal)
         self.assertEqual(self.played.near.open_wires(), [])
-        self.played.near.wires[-1].channel.lost("late")  # nothing comes of it any more
+        self.played.near.wires[-1].channel.lost("late")  # has no effect any more
         self.assertEqual(self.played.near.texts(), ["READ warm", "READ a"])
 
-    def test_a_read_that_had_no_connection_in_time_is_refused_as_not_run(self):
+    def test_a_read_without_a_connection_in_time_is_refused_as_not_run(self):
         for member in self.played.members:
             for wire in member.open_wires():
                 wire.channel.lost("reset")
@@ -49,7 +49,7 @@
         self.assertIn(answer.refusal, NOT_RUN)
         self.assertEqual([m.texts() for m in self.played.members], [[], [], []])
 
-    def test_a_transaction_begins_elsewhere_if_a_member_opens_no_connection(self):
+    def test_a_transaction_begins_at_another_member_if_one_opens_no_connection(self):
         self.played.near.silent = True
         client = self.played.client("reports")
         client.run("BEGIN READ")
