--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -49,11 +49,11 @@
         respond, sent_at = self.respond, self.clock.time()
         assert respond is not None
 
-        def answered(answer: Answer) -> None:
+        def record_and_respond(answer: Answer) -> None:
             self.service.estimates.note_remote_answer(instance, self.latency_class, answer, sent_at)
             respond(answer)
 
-        self.respond = answered
+        self.respond = record_and_respond
         if self.forward_to_holder(self.statement, False, instance):
             self.service.estimates.note_sent_remote(instance)
             return True
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -46,7 +46,7 @@
 
     @property
     def latency_class(self) -> str:
-        """Name of the statements that have about the same execution time."""
+        """Name of the class of statements with about the same execution time."""
         return f"{self.route.name} writes"
 
     def _on_answer(self, answer: Answer) -> None:
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -101,7 +101,7 @@
             return
         self.pool.note_silence()
         if self.channel is not None:
-            self.channel.close()  # reports the request as lost, which makes the read move on
+            self.channel.close()  # reports the outstanding request as lost
         elif self._queued is not None:
             self._leave_queue()
             self.try_next_member()
@@ -131,10 +131,10 @@
         self.stage = Stage.WAITS_FOR_CONNECTION
         self.member = pool.record.instance
         entry, values = self.queue_entry(), self.session.values
-        self._queued = QueuedRequest(pool, entry, values, on_response, self._expired)
+        self._queued = QueuedRequest(pool, entry, values, on_response, self._on_queue_expiry)
         self._queued.start()
 
-    def _expired(self) -> None:
+    def _on_queue_expiry(self) -> None:
         self._queued = None
         if self.pool is not None:
             self.on_deadline_unreachable(self.pool)
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -235,7 +235,7 @@
 
     @property
     def latency_class(self) -> str:
-        """Name of the statements that have about the same execution time."""
+        """Name of the class of statements with about the same execution time."""
         return self.route.name
 
     def read_requirements(self) -> Wanted:
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -43,8 +43,8 @@
 class Transaction(Operation):
     """A transaction on one connection.
 
-    The member sees BEGIN together with the first statement, so a transaction that is idle right
-    after its BEGIN holds no connection.
+    BEGIN is sent to a member only when the first statement arrives, so a transaction that is idle
+    right after its BEGIN holds no connection.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
 
     @property
     def latency_class(self) -> str:
-        """Name of the statements that have about the same execution time."""
+        """Name of the class of statements with about the same execution time."""
         return self.route.name if self.read_only else f"{self.route.name} transactions"
 
     @property
