--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -13,8 +13,8 @@
 from functools import partial
 
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
+from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.directory.reports import worth_reporting
 from rowanrail.gateway.discovery.control_follower import ControlFollower
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
@@ -200,10 +200,10 @@
 
 def wire_parts(parts: GatewayParts) -> None:
     """Have the parts tell each other what happens."""
-    parts.holder.on_region = parts.metering.pass_on
+    parts.holder.on_region_report = parts.metering.forward_to_aggregator
     if parts.is_planned:
-        parts.gateway.holdings.meter = parts.meter
-        parts.holder.on_run = parts.gateway.holdings.note_held
+        parts.gateway.holdings.load_meter = parts.meter
+        parts.holder.on_statement = parts.gateway.holdings.note_held
     parts.gateway.on_alarm = parts.follower.report_now
 
 
@@ -216,7 +216,7 @@
     return GatewayReport(
         settings.name,
         settings.zone,
-        worth_reporting(gateway.health()),
+        reportable_health(gateway.health()),
         relay_address=_relay_address(settings),
         group=settings.sharing_group,
         load=meter.latest,
--- a/src/rowanrail/gateway/sessions/pending.py
+++ b/src/rowanrail/gateway/sessions/pending.py
@@ -50,14 +50,14 @@
 
     def request(self) -> None:
         """Request a sample of the primary."""
-        self._tracker.need(self._asked_at, self._take)
+        self._tracker.wait_for_position(self._asked_at, self._take)
 
     def _take(self, position: Position | None) -> None:
         self._answer(self._tracker.sample if position is not None else None)
 
     def expire(self) -> None:
         """Report that there is no sample; ignored if one was given before."""
-        self._tracker.forget(self._take)
+        self._tracker.cancel_wait(self._take)
         self._answer(None)
 
     def _answer(self, sample: PositionSample | None) -> None:
--- a/src/rowanrail/gateway/work/attempts.py
+++ b/src/rowanrail/gateway/work/attempts.py
@@ -120,9 +120,9 @@
 
     Examples
     --------
-    >>> can_meet_objective(Forecast(wait=150, run=10), objective_seconds=0.4, waited_ms=50)
+    >>> can_meet_objective(Forecast(wait=150, run_time=10), objective_seconds=0.4, waited_ms=50)
     True
-    >>> can_meet_objective(Forecast(wait=160, run=10), objective_seconds=0.4, waited_ms=50)
+    >>> can_meet_objective(Forecast(wait=160, run_time=10), objective_seconds=0.4, waited_ms=50)
     False
     """
     return (
@@ -152,7 +152,7 @@
     failures : int
         Number of members that failed the read, including this one.
     from_primary : bool
-        Whether the member is the believed primary.
+        Whether the member is the presumed primary.
 
     Examples
     --------
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -19,7 +19,7 @@
 from rowanrail.gateway.work.freshness import earliest_sample_time, prefetch_sample
 from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE, PRIMARY_RETRY_AFTER_MS, busy_answer
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
@@ -29,7 +29,7 @@
 class AutocommitRead(Operation):
     """An autocommit read: determines its floor, then runs at a member that has reached it."""
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Start the read; ``respond`` is called once, with the answer."""
         self.statement = statement
         self.excluded: set[str] = set()
@@ -64,11 +64,11 @@
         self.stage = Stage.WAITS_FOR_SAMPLE
         prefetch_sample(self.service, self.route, self.clock.time())
         tracker = self.service.primary
-        if not tracker.can_give(self._earliest_sample_time) and tracker.is_long_lost:
+        if not tracker.has_sample_since(self._earliest_sample_time) and tracker.is_failover_overdue:
             if not self.forward_to_detour(self.statement, writes=False):
                 self.refuse_if_primary_long_lost()
             return
-        tracker.need(self._earliest_sample_time, self._on_floor)
+        tracker.wait_for_position(self._earliest_sample_time, self._on_floor)
 
     def _on_floor(self, position: Position | None) -> None:
         if self.respond is None:
@@ -86,7 +86,7 @@
 
     def _choose_member(self) -> None:
         self.attempts += 1
-        pool = self.service.choose(self.excluded, self.read_requirements())
+        pool = self.service.choose_member(self.excluded, self.read_requirements())
         if pool is None or not has_attempts_left(self.attempts):
             if self.service.primary.failing_since and self.forward_to_detour(
                 self.statement, writes=False
@@ -164,7 +164,9 @@
         elif refusal is Refusal.UNKNOWN_NAME and self.channel is not None:
             self.channel.prepared.clear()
         self.release()
-        match step_after_read(refusal, self._failures, instance == self.service.primary.believed):
+        match step_after_read(
+            refusal, self._failures, instance == self.service.primary.presumed_primary
+        ):
             case ReadStep.ANSWER:
                 self.finish(answer)
             case ReadStep.NEXT_MEMBER:
@@ -195,7 +197,7 @@
 
         A read that was sent may still be running at the member.
         """
-        self.service.primary.forget(self._on_floor)
+        self.service.primary.cancel_wait(self._on_floor)
         if self.channel is None:
             self.refuse_deferred(busy_answer(NO_ANSWER_MESSAGE))
             return
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -15,14 +15,14 @@
 from rowanrail.gateway.work.operation import Operation
 from rowanrail.gateway.work.ports import StatementExecutor
 from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE, busy_answer
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 
 
 class AutocommitWrite(Operation):
     """An autocommit write at the primary; never sent again if it may have run."""
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Start the write; ``respond`` is called once, with the answer."""
         self.statement = statement
         self.begin_statement(respond)
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -17,7 +17,7 @@
 )
 from rowanrail.gateway.work.statement import Statement
 from rowanrail.kernel.clock import Scheduler, Timer
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, Command, CommandKind
 from rowanrail.scheduling.entry import QueueEntry
@@ -99,7 +99,7 @@
         self._attempt_timer = None
         if self.pool is None or self.respond is None:
             return
-        self.pool.note_silence()
+        self.pool.note_timeout()
         if self.channel is not None:
             self.channel.close()  # reports the outstanding request as lost
         elif self._queued is not None:
@@ -143,7 +143,7 @@
         """Withdraw the request for a connection."""
         queued, self._queued = self._queued, None
         if queued is not None:
-            queued.leave()
+            queued.cancel()
 
     def withdraw_requests(self, answer: Answer) -> None:
         """Leave the wait queue once the statement is answered."""
@@ -151,7 +151,7 @@
 
     # Connection
 
-    def send(self, commands: list[Command], respond: Respond) -> None:
+    def send(self, commands: list[Command], respond: AnswerCallback) -> None:
         """Send commands; ``respond`` gets the answer to the last one.
 
         The connection is closed if an earlier one is refused.
@@ -173,7 +173,7 @@
 
         self.sent_at = sent_at
         self.stage = Stage.SENT
-        earlier: list[Respond] = [close_on_refusal] * (len(commands) - 1)
+        earlier: list[AnswerCallback] = [close_on_refusal] * (len(commands) - 1)
         channel.send(commands, [*earlier, record_and_respond])
 
     def release(self, latency: float | None = None) -> None:
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -57,7 +57,7 @@
 
     def reduced_weights(self) -> dict[str, int]:
         """Return the members with reduced weight at this gateway, in hundredths of the full one."""
-        return self._service.estimates.weights.reduced()
+        return self._service.estimates.weights.reduced_weights()
 
     def note_reported_weights(self, reduced: dict[str, int]) -> None:
         """Record the reduced weights that another gateway reported, in hundredths."""
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.pools.pool import MemberPool
-from rowanrail.gateway.services.member_estimates import Wanted
+from rowanrail.gateway.services.member_estimates import ReadRequirements
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
 from rowanrail.gateway.work.attempts import can_meet_objective
@@ -25,12 +25,12 @@
     primary_unavailable_reason,
 )
 from rowanrail.kernel.clock import Scheduler
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.position import Position
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
-from rowanrail.scheduling.admission import Admit, RejectionCause, judge_arriving
+from rowanrail.scheduling.admission import Admit, RejectionCause, decide_on_arrival
 from rowanrail.scheduling.entry import QueueEntry
 from rowanrail.scheduling.retrying import retry_after_base
 
@@ -77,13 +77,13 @@
             stage=self.stage.value,
             member=self.member,
             attempts=self.attempts,
-            primary=tracker.believed,
+            primary=tracker.presumed_primary,
             primary_failing_for=round(now - failing, 3) if failing else 0.0,
             sample_age=round(now - tracker.sample.asked_at, 3) if tracker.sample else None,
             rejection=self.rejection,
         )
 
-    def begin_statement(self, respond: Respond) -> None:
+    def begin_statement(self, respond: AnswerCallback) -> None:
         """Accept a statement, reset its attempts and start its timers."""
         self.attempts = 0
         super().begin_statement(respond)
@@ -91,10 +91,10 @@
     def on_deferral_end(self) -> None:
         """Reject the statement if the primary is lost or has no connection left."""
         tracker = self.service.primary
-        reason = primary_unavailable_reason(tracker.failing_since, tracker.is_crowded)
+        reason = primary_unavailable_reason(tracker.failing_since, tracker.is_at_connection_limit)
         if self.channel is not None or not reason:
             return
-        tracker.forget(self.sample_callback())
+        tracker.cancel_wait(self.sample_callback())
         self.reject(RejectionCause.NO_PRIMARY, reason, PRIMARY_RETRY_AFTER_MS)
 
     def sample_callback(self) -> Callable[[Position | None], None] | None:
@@ -193,7 +193,7 @@
         primary. The client gets no Retry-After, as it still has time to try another gateway.
         """
         tracker = self.service.primary
-        if not tracker.is_long_lost:
+        if not tracker.is_failover_overdue:
             return False
         seconds = self.clock.time() - tracker.failing_since
         self.finish(busy_answer(f"the primary has been lost for {seconds:.1f} s; retry elsewhere"))
@@ -220,14 +220,14 @@
 
     def can_wait_at(self, pool: MemberPool) -> bool:
         """Return whether admission control accepts the statement at a member."""
-        forecast = pool.forecasts.of(self.queue_entry())
-        certain = pool.forecasts.errors.of(self.route.priority).certain_share
-        verdict = judge_arriving(forecast, self.remaining_ms, self.timeout_ms, certain)
+        forecast = pool.forecasts.for_entry(self.queue_entry())
+        certain = pool.forecasts.errors.of(self.route.priority).reliable_share
+        verdict = decide_on_arrival(forecast, self.remaining_ms, self.timeout_ms, certain)
         return isinstance(verdict, Admit)
 
     def can_meet_objective(self, pool: MemberPool) -> bool:
         """Return whether a member's queue is short enough to answer within the objective."""
-        forecast = pool.forecasts.of(self.queue_entry())
+        forecast = pool.forecasts.for_entry(self.queue_entry())
         waited = self.timeout_ms - self.remaining_ms
         return can_meet_objective(forecast, self.route.objective_seconds, waited)
 
@@ -238,9 +238,9 @@
         """Name of the class of statements with about the same execution time."""
         return self.route.name
 
-    def read_requirements(self) -> Wanted:
+    def read_requirements(self) -> ReadRequirements:
         """Return the requirements of the read for the selection of a member."""
-        return Wanted(self.latency_class, self.queue_entry(), self.floor)
+        return ReadRequirements(self.latency_class, self.queue_entry(), self.floor)
 
     def note_answer(self, answer: Answer) -> None:
         """Update the estimates of the member from its answer to the last request."""
@@ -252,7 +252,7 @@
         for has_capacity in (self.can_meet_objective, self.can_wait_at):
             pools = self.service.pools.items()
             overloaded = {instance for instance, pool in pools if not has_capacity(pool)}
-            found = self.service.choose(excluded | overloaded, self.read_requirements())
+            found = self.service.choose_member(excluded | overloaded, self.read_requirements())
             if found is not None:
                 return found
         return None
@@ -265,12 +265,12 @@
         return found
 
     def reject_crowded(
-        self, pool: MemberPool, cause: RejectionCause = RejectionCause.CROWDED
+        self, pool: MemberPool, cause: RejectionCause = RejectionCause.OVERLOADED
     ) -> None:
         """Reject the statement as not run: the member's queue is too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
-        forecast = pool.forecasts.of(self.queue_entry())
+        forecast = pool.forecasts.for_entry(self.queue_entry())
         reason = f"{self.member} is crowded for {forecast.wait:.0f} ms"
         self.reject(cause, reason, retry_after_base(forecast.wait, self.timeout_ms), forecast)
 
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
@@ -37,14 +37,14 @@
 class AutocommitExecution(_Execution, Protocol):
     """Execution of one autocommit read or write."""
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Start the statement; ``respond`` is called once, with the answer."""
 
 
 class TransactionExecution(_Execution, Protocol):
     """Execution of a transaction, from its first statement to its end."""
 
-    def run(self, statement: TypedStatement, respond: Respond) -> None:
+    def run(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run a read, a write or the commit."""
 
     def end(self) -> None:
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -63,19 +63,19 @@
     return now_seconds + RETRY_INTERVAL_SECONDS <= defer_until_seconds
 
 
-def primary_unavailable_reason(failing_since_seconds: float, is_crowded: bool) -> str:
+def primary_unavailable_reason(failing_since_seconds: float, is_at_connection_limit: bool) -> str:
     """Return why the primary can't serve a deferred statement, empty if it may still wait.
 
     Parameters
     ----------
     failing_since_seconds : float
         Time since which the primary has not answered; 0 if it answers.
-    is_crowded : bool
+    is_at_connection_limit : bool
         Whether the primary is alive but has no connection left.
     """
     if failing_since_seconds:
         return "the primary is lost"
-    return "the primary has no connection left" if is_crowded else ""
+    return "the primary has no connection left" if is_at_connection_limit else ""
 
 
 def rejection_of_deferred(refusal: Refusal | None, has_primary: bool) -> Reject | None:
@@ -158,7 +158,7 @@
     return Rejection(
         cause.value,
         round(forecast.wait),
-        round(forecast.run),
+        round(forecast.run_time),
         round(left_ms),
         urgency,
         round(retry_after_ms),
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -20,7 +20,7 @@
     remaining_seconds,
 )
 from rowanrail.kernel.clock import Scheduler, Timer
-from rowanrail.members.channel import Respond
+from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer
 from rowanrail.model.trace import Rejection
@@ -55,7 +55,7 @@
         self.clock = clock
         self.timeout_timer: Timer | None = None
         self.deferral_timer: Timer | None = None
-        self.respond: Respond | None = None
+        self.respond: AnswerCallback | None = None
         self.arrived_at = 0.0
         self.rejection: Rejection | None = None
 
@@ -79,7 +79,7 @@
         """Milliseconds until the statement times out."""
         return self.timeout_ms - (self.clock.time() - self.arrived_at) * 1000
 
-    def begin_statement(self, respond: Respond) -> None:
+    def begin_statement(self, respond: AnswerCallback) -> None:
         """Accept a statement and start its timers."""
         self.respond = respond
         self.arrived_at = self.clock.time()
@@ -120,7 +120,7 @@
     def refuse_deferred(self, answer: Answer) -> None:
         """Refuse a statement that no member ran; a busy one is rejected with a Retry-After."""
         tracker = self.service.primary
-        has_primary = bool(tracker.believed) and not tracker.failing_since
+        has_primary = bool(tracker.presumed_primary) and not tracker.failing_since
         verdict = rejection_of_deferred(answer.refusal, has_primary)
         if verdict is None:
             self.finish(answer)
@@ -149,7 +149,7 @@
         """
         urgency = self.route.priority
         retry_after = self.service.retry_times.next(
-            base_retry_after_ms(base_ms), forecast.interval, (cause, urgency)
+            base_retry_after_ms(base_ms), forecast.drain_interval, (cause, urgency)
         )
         self.rejection = rejection_record(cause, forecast, self.remaining_ms, urgency, retry_after)
         self.finish(busy_answer(reason, retry_after))
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -27,7 +27,7 @@
 from rowanrail.gateway.work.ports import OtherGateways, StatementExecutor, TransactionExecution
 from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE, busy_answer
 from rowanrail.kernel.clock import Scheduler
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import (
@@ -68,7 +68,7 @@
         self._reclaim_reason = ""
         self._forwarded: TransactionExecution | None = None
 
-    def run(self, statement: TypedStatement, respond: Respond) -> None:
+    def run(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run a read, a write or the commit; ``respond`` is called once, with the answer."""
         if self._forwarded is not None:
             self._forwarded.run(statement, respond)
@@ -118,15 +118,15 @@
         self.stage = Stage.WAITS_FOR_SAMPLE
         since = earliest_sample_time(self.route, self._freshness_reference)
         prefetch_sample(self.service, self.route, self.clock.time())
-        if self.service.primary.can_give(since) or not self.refuse_if_primary_long_lost():
-            self.service.primary.need(since, self._on_floor)
+        if self.service.primary.has_sample_since(since) or not self.refuse_if_primary_long_lost():
+            self.service.primary.wait_for_position(since, self._on_floor)
 
     def _on_floor(self, position: Position | None) -> None:
         if self.respond is None:
             return
         own = self.session.floors.get(self.service.spec.name, ORIGIN)
         self.floor = None if position is None else max(position, own)
-        pool = self.service.choose(self._excluded, self.read_requirements())
+        pool = self.service.choose_member(self._excluded, self.read_requirements())
         if position is None or pool is None:
             self._excluded.clear()
             self.retry_later(self._begin, busy_answer("no member can serve the transaction"))
@@ -223,7 +223,7 @@
         else:
             self._excluded.add(instance)
         answer = _client_answer(answer, SentRequest.IN_TRANSACTION)
-        if answer.refusal is Refusal.BEHIND and instance == self.service.primary.believed:
+        if answer.refusal is Refusal.BEHIND and instance == self.service.primary.presumed_primary:
             self._freshness_reference = self.clock.time()
         self.retry_later(self._begin, answer)
 
@@ -252,7 +252,7 @@
             if self.read_only and self.pool is not None:
                 self.pool.note_answer()
             if self.pool is not None and self.channel is not None:
-                self.pool.note_idle(self)  # until the next statement
+                self.pool.note_idle_transaction(self)  # until the next statement
             self.finish(answer)
             return
         if self._schedule_busy_retry(answer):
@@ -338,14 +338,14 @@
             if answer.refusal is not None:
                 channel.close()
             # The rollback may have undone values set within the transaction.
-            channel.uncertain = bool(channel.values)
+            channel.session_state_unknown = bool(channel.session_values)
             pool.release(channel)
 
         channel.send([Command(CommandKind.ROLLBACK)], [rolled_back])
 
     def on_timeout(self) -> None:
         """Fail the transaction; nothing was sent if it holds no connection."""
-        self.service.primary.forget(self._on_floor)
+        self.service.primary.cancel_wait(self._on_floor)
         self.failed = True
         if self.channel is None:
             self.refuse_deferred(busy_answer(NO_ANSWER_MESSAGE))
--- a/tests/gateway/test_idle_services.py
+++ b/tests/gateway/test_idle_services.py
@@ -44,5 +44,5 @@
 
     def test_an_unused_service_with_a_failing_primary_is_checked_at_each_tick(self):
         self.make_idle()
-        self.service.primary.belief.failing_since = self.played.clock.time()
+        self.service.primary.state.failing_since = self.played.clock.time()
         self.assertGreaterEqual(self.count_ticks(0.3), 0.3 / TICK_SECONDS - 2)
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -231,7 +231,7 @@
         client = self.lose_the_primary(played)
         self.replace_primary(played)
         played.clock.advance(0.25)
-        self.assertEqual(played.gateway.services["db"].primary.believed, "m3")
+        self.assertEqual(played.gateway.services["db"].primary.presumed_primary, "m3")
         self.assertIsNone(client.run("WRITE c 3", seconds=0.05).refusal)
 
     def test_its_successor_is_accepted_when_the_directory_names_it(self):
@@ -249,7 +249,7 @@
         records = [member.record() for member in played.members]
         played.primary.primary, played.far.primary = True, False
         played.gateway.set_directory(Directory(2, records, Population(3, 3)))
-        self.assertEqual(played.gateway.services["db"].primary.believed, "m1")
+        self.assertEqual(played.gateway.services["db"].primary.presumed_primary, "m1")
         self.assertIsNone(client.run("WRITE b 2", seconds=0.1).refusal)
 
     def test_probing_ends_and_closes_its_connections(self):
@@ -277,7 +277,7 @@
         client.run("WRITE b 2", seconds=1.1)
         pool = played.gateway.services["db"].pools["m1"]
         for _ in range(6):
-            pool.note_silence()
+            pool.note_timeout()
         self.assertGreater(pool.health.failing_until, 1000 * (played.clock.now + 1.5))
         played.primary.reachable = True
         played.clock.advance(0.45)  # the probe is repeated each 0.3 s
@@ -300,7 +300,7 @@
             self.busy[-1].ask("WRITE a 1")
 
     def test_a_write_that_would_wait_too_long_is_refused_at_once(self):
-        interval = self.pool.forecasts.of(QueueEntry(1, "", 0.0)).interval
+        interval = self.pool.forecasts.for_entry(QueueEntry(1, "", 0.0)).drain_interval
         served_in_time = int(1000 / interval)  # within the time-out of 1 s
         later = [self.played.client("orders") for _ in range(4 * served_in_time + 40)]
         for client in later:
@@ -397,7 +397,7 @@
                 self.played.clock.advance(float(retry_after))
         first, *_ = sorted(self.pool.queue, key=lambda waiter: not waiter.entry.is_retrying)
         self.assertTrue(first.entry.is_retrying)
-        self.assertLess(self.pool.forecasts.of(first.entry).wait, 100.0)
+        self.assertLess(self.pool.forecasts.for_entry(first.entry).wait, 100.0)
 
     def test_a_client_that_retries_too_early_counts_as_a_new_arrival(self):
         client = self.played.client("orders")
