--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -53,7 +53,7 @@
         self._clock = clock
         self._decisions = decisions
         self._control_peer = ""
-        self._control_confirmed_at: float | None = None
+        self._confirmed_at: float | None = None
         self._key_check = key_check
         self._quota = QuotaGuard(clock, terms)
         self._demand = DemandBook(clock)
@@ -87,16 +87,12 @@
     def note_control_up_to_date(self, peer: str) -> None:
         """Record that a control node confirmed to hold all committed changes."""
         self._control_peer = peer
-        self._control_confirmed_at = self._clock.now
+        self._confirmed_at = self._clock.now
 
     @property
     def control_age(self) -> float | None:
-        """Milliseconds since the last such confirmation, None before the first one."""
-        return (
-            None
-            if self._control_confirmed_at is None
-            else self._clock.now - self._control_confirmed_at
-        )
+        """Milliseconds since a control node last confirmed to be up to date, None if none has."""
+        return None if self._confirmed_at is None else self._clock.now - self._confirmed_at
 
     def refuse_unknown_database(self, database: str) -> Answer:
         """Log and return the refusal of a database that has no route."""
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -188,7 +188,7 @@
             if self.can_wait_at(primary):
                 self.acquire(primary, self._on_connection)
             else:
-                self.reject_crowded(primary)
+                self.reject_overloaded(primary)
             return
         self._choose_member()
 
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -178,7 +178,7 @@
             tracker.request_sample()
             self.retry_later(retry, busy_answer("no primary is known"))
         elif not self.can_wait_at(pool):
-            self.reject_crowded(pool)
+            self.reject_overloaded(pool)
         else:
             self.acquire(pool, on_connection)
 
@@ -216,13 +216,13 @@
     def on_deadline_unreachable(self, pool: MemberPool) -> None:
         """Move the statement to a less loaded member, or reject it."""
         if not self.try_less_loaded_member(pool):
-            self.reject_crowded(pool, RejectionCause.PAST_DEADLINE)
+            self.reject_overloaded(pool, RejectionCause.PAST_DEADLINE)
 
     def can_wait_at(self, pool: MemberPool) -> bool:
         """Return whether admission control accepts the statement at a member."""
         forecast = pool.forecasts.for_entry(self.queue_entry())
-        certain = pool.forecasts.errors.of(self.route.priority).reliable_share
-        verdict = decide_on_arrival(forecast, self.remaining_ms, self.timeout_ms, certain)
+        reliable = pool.forecasts.errors.of(self.route.priority).reliable_share
+        verdict = decide_on_arrival(forecast, self.remaining_ms, self.timeout_ms, reliable)
         return isinstance(verdict, Admit)
 
     def can_meet_objective(self, pool: MemberPool) -> bool:
@@ -261,10 +261,10 @@
         """Return the pool if it can meet the objective, else another; reject if there is none."""
         found = pool if self.can_meet_objective(pool) else self.find_pool_with_capacity(excluded)
         if found is None:
-            self.reject_crowded(pool)
+            self.reject_overloaded(pool)
         return found
 
-    def reject_crowded(
+    def reject_overloaded(
         self, pool: MemberPool, cause: RejectionCause = RejectionCause.OVERLOADED
     ) -> None:
         """Reject the statement as not run: the member's queue is too long."""
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -42,7 +42,7 @@
         self.assertEqual(answer.refusal, Refusal.DENIED)
 
     def test_no_key_is_written_to_the_log(self):
-        # Regression: each line contained the key that the client had sent.
+        # Regression: log lines contained the key that the client had sent.
         self.played.gateway.open_session("orders", "no-such-key")
         self.played.client("orders").run("WRITE a 1", seconds=0.1)
         self.played.configure(2, keys={})
