--- a/src/rowanrail/gateway/pools/forecasts.py
+++ b/src/rowanrail/gateway/pools/forecasts.py
@@ -12,7 +12,7 @@
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
 from rowanrail.scheduling.forecast_error import ForecastErrors
 from rowanrail.scheduling.queue import QueueEntry
-from rowanrail.scheduling.wait_forecast import expected_wait, places
+from rowanrail.scheduling.wait_forecast import expected_wait, max_in_flight
 
 __all__ = ["MemberForecasts"]
 
@@ -47,7 +47,7 @@
 
     @property
     def _places(self) -> int:
-        return places(self._concurrency.value, self._connections.usable)
+        return max_in_flight(self._concurrency.value, self._connections.usable)
 
     def _wait(self, ahead: float, places: int) -> float:
         connections = self._connections
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -18,8 +18,8 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
-from rowanrail.scheduling.member_weight import Trouble
-from rowanrail.scheduling.queue import QueueEntry, Supply, is_past_deadline
+from rowanrail.scheduling.member_weight import FailureKind
+from rowanrail.scheduling.queue import ConnectionSupply, QueueEntry, is_past_deadline
 
 __all__ = ["MemberPool"]
 
@@ -59,7 +59,7 @@
         self.connections = Connections(limit, driver, clock)
         self.queue = WaitQueue()
         self.forecasts = MemberForecasts(self.connections, self.concurrency, self.queue)
-        self.on_trouble: Callable[[Trouble], None] = lambda trouble: None
+        self.on_trouble: Callable[[FailureKind], None] = lambda trouble: None
         self.clock = clock
         self._is_starting = False
         self._closed = False
@@ -134,7 +134,7 @@
         is_full = connections.under_way >= self.concurrency.value
         now = self.clock.now
         idle = connections.idle
-        supply = Supply(idle.tenants, self._may_open, connections.may_come_back)
+        supply = ConnectionSupply(idle.tenants, self._may_open, connections.may_come_back)
         pick = self.queue.next(supply, only_samples=is_full)
         if pick is None:
             return False
@@ -180,11 +180,11 @@
     def _may_open(self, tenant: str | None, since: float) -> bool:
         """Whether a connection should be opened for a tenant that has waited since then."""
         waited = self.clock.now - since
-        waiting = self.queue.waiting_of(tenant)
+        waiting = self.queue.count_waiting(tenant)
         return not self.is_failing and self.connections.is_worth_opening(tenant, waiting, waited)
 
     def _is_wanted(self, tenant: str) -> bool:
-        return self.queue.waiting_of(tenant) > 0
+        return self.queue.count_waiting(tenant) > 0
 
     def _on_open(self, channel: Channel, answer: Answer) -> None:
         if answer.refusal is None:
@@ -199,7 +199,7 @@
             self.connections.opening.note_crowded(self.connections.count)
         else:
             self._note_failure()
-            self.on_trouble(Trouble.REFUSED)
+            self.on_trouble(FailureKind.REFUSED)
         if not self.connections.count:
             self.queue.refuse(answer)
         elif channel.tenant and not self.connections.may_come_back(channel.tenant):
@@ -238,7 +238,7 @@
     def note_silence(self) -> None:
         """Note that the member left a command unanswered."""
         self._note_failure()
-        self.on_trouble(Trouble.SILENCE)
+        self.on_trouble(FailureKind.SILENCE)
 
     def note_answer(self) -> None:
         """Note that the member answered."""
@@ -247,7 +247,7 @@
     def note_error(self) -> None:
         """Note that the member answered with an error of its own."""
         self.health.note_answer(is_error=True, now=self.clock.now)
-        self.on_trouble(Trouble.ERROR)
+        self.on_trouble(FailureKind.ERROR)
 
     # Changes
 
--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -114,7 +114,7 @@
         self, request: RemoteRequest, verdict: Reject, assumed: LoadEstimate
     ) -> RejectedBySender:
         interval = 1000 / (SENDER_SHARE * assumed.drain_rate) if assumed.drain_rate else 0.0
-        retry_after = self._returns.next(
+        retry_after = self._returns.next_delay(
             verdict.retry_after_ms, interval, (request.peer, request.urgency)
         )
         forecast = Forecast(assumed.wait, request.round_trip)
@@ -129,4 +129,4 @@
 
     def retry_after(self, base: float) -> float:
         """Return after how many milliseconds a client retries for whom no holder is known."""
-        return self._returns.next(base)
+        return self._returns.next_delay(base)
--- a/src/rowanrail/gateway/services/member_probes.py
+++ b/src/rowanrail/gateway/services/member_probes.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Channel, MemberDriver
 from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
-from rowanrail.scheduling.member_weight import Trouble
+from rowanrail.scheduling.member_weight import FailureKind
 
 __all__ = ["MemberProbes"]
 
@@ -118,7 +118,7 @@
 
     def _fail(self) -> None:
         self._end()
-        self._probes.weights.note_trouble(self._instance, Trouble.PROBE_FAILED)
+        self._probes.weights.note_trouble(self._instance, FailureKind.PROBE_FAILED)
 
     def _end(self) -> None:
         """Give back, or close, what was used."""
--- a/src/rowanrail/gateway/services/member_weights.py
+++ b/src/rowanrail/gateway/services/member_weights.py
@@ -8,7 +8,12 @@
 from collections.abc import Callable
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.scheduling.member_weight import MemberWeight, Trouble, Weight, is_trouble
+from rowanrail.scheduling.member_weight import (
+    FailureKind,
+    MemberWeight,
+    WeightStatus,
+    is_persistently_busy,
+)
 from rowanrail.scheduling.reported_weights import ReportedWeights
 
 __all__ = ["MemberWeights"]
@@ -35,10 +40,10 @@
         self._weights = {name: self._weights.get(name) or MemberWeight() for name in instances}
         self._reported.keep(instances)
 
-    def own(self, instance: str) -> Weight:
+    def own(self, instance: str) -> WeightStatus:
         """Return a member's weight by what was met here."""
         known = self._weights.get(instance)
-        return Weight(1.0, "", 0) if known is None else known.weight
+        return WeightStatus(1.0, "", 0) if known is None else known.weight
 
     def effective(self, instance: str) -> float:
         """Return a member's weight with what others reported."""
@@ -53,18 +58,18 @@
     def note_busy(self, instance: str) -> None:
         """Note that a member refused a statement as too busy."""
         self._busy[instance] += 1
-        if is_trouble(self._busy[instance]):
+        if is_persistently_busy(self._busy[instance]):
             self._busy.pop(instance)
-            self.note_trouble(instance, Trouble.BUSY)
+            self.note_trouble(instance, FailureKind.BUSY)
 
-    def note_trouble(self, instance: str, trouble: Trouble) -> None:
+    def note_trouble(self, instance: str, trouble: FailureKind) -> None:
         """Note a failure of a member."""
         known = self._weights.get(instance)
         if known is None:
             return
-        was_fallen = known.is_fallen
-        known.note_trouble(trouble, self._clock.now)
-        if known.is_fallen and not was_fallen:
+        was_fallen = known.is_degraded
+        known.note_failure(trouble, self._clock.now)
+        if known.is_degraded and not was_fallen:
             self.on_change(instance, True)
 
     # Probes
@@ -73,9 +78,9 @@
         """Return whether to probe a member now, which is taken to be done then."""
         known = self._weights.get(instance)
         now = self._clock.now
-        if known is None or not known.wants_probe(now, gateways):
+        if known is None or not known.is_probe_due(now, gateways):
             return False
-        known.note_probing(now)
+        known.note_probe_sent(now)
         return True
 
     def note_probe(self, instance: str) -> None:
@@ -83,9 +88,9 @@
         known = self._weights.get(instance)
         if known is None:
             return
-        was_fallen = known.is_fallen
-        known.note_probe(self._clock.now)
-        if was_fallen and not known.is_fallen:
+        was_fallen = known.is_degraded
+        known.note_probe_answered(self._clock.now)
+        if was_fallen and not known.is_degraded:
             self.on_change(instance, False)
 
     # What gateways report to each other
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -17,7 +17,12 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import RejectionCause
-from rowanrail.scheduling.retrying import GOES_FIRST_AFTER, Label, RetryingClients, client_label
+from rowanrail.scheduling.retrying import (
+    PRIORITY_AFTER_REJECTIONS,
+    ClientLabel,
+    RetryingClients,
+    client_label,
+)
 from rowanrail.tenants.demand import DemandBook
 from rowanrail.tenants.model import ClientIdentity, Tenants, key_digest
 from rowanrail.tenants.quota import QuotaGuard
@@ -199,13 +204,13 @@
         """See :meth:`rowanrail.gateway.sessions.session.SessionAccess.note_return`."""
         times = self._retrying_clients.claim(_label(session))
         session.values.rejections = times
-        session.values.is_retrying = times >= GOES_FIRST_AFTER
+        session.values.is_retrying = times >= PRIORITY_AFTER_REJECTIONS
 
     def note_not_run(self, session: Session) -> None:
         """Count an operation no longer: nothing of it reached a member."""
         self._quota.note_not_run(session.identity.tenant)
 
 
-def _label(session: Session) -> Label:
+def _label(session: Session) -> ClientLabel:
     identity = session.identity
     return client_label(identity.tenant, session.database, identity.key, session.label)
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -10,7 +10,7 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause
-from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS, spread
+from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS, spread_evenly
 
 __all__ = [
     "DEFER_SHARE",
@@ -125,7 +125,7 @@
     [200, 324, 247]
     """
     soonest = max(LIMIT_RETRY_AFTER_MS, wait_ms)
-    return spread(number, soonest, LIMIT_SPREAD_FACTOR * soonest)
+    return spread_evenly(number, soonest, LIMIT_SPREAD_FACTOR * soonest)
 
 
 def left_seconds(whole_seconds: float, waited_seconds: float) -> float:
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -144,7 +144,7 @@
             Milliseconds until the first of the rejected clients should retry.
         """
         urgency = self.route.priority
-        retry_after = self.service.retry_times.next(
+        retry_after = self.service.retry_times.next_delay(
             shortest_retry_after_ms(base_ms), forecast.drain_interval, (cause, urgency)
         )
         self.rejection = rejection(cause, forecast, self.time_left_ms, urgency, retry_after)
--- a/src/rowanrail/scheduling/member_weight.py
+++ b/src/rowanrail/scheduling/member_weight.py
@@ -9,7 +9,7 @@
 import enum
 from dataclasses import dataclass
 
-__all__ = ["MemberWeight", "Trouble", "Weight", "is_trouble"]
+__all__ = ["MemberWeight", "FailureKind", "WeightStatus", "is_persistently_busy"]
 
 # ms between probes of a member that lost weight: with 3 members a slot is taken for a hundredth
 # of the time, and a member that is well again is back within the few seconds that clients retry.
@@ -27,7 +27,7 @@
 BUSY_IN_A_ROW = 4
 
 
-class Trouble(enum.Enum):
+class FailureKind(enum.Enum):
     """What went wrong at a member."""
 
     ERROR = "error"
@@ -41,16 +41,16 @@
 # error costs a round trip, and one may be chance. A member may refuse statements as busy because
 # others filled it since its last answer.
 LEFT = {
-    Trouble.ERROR: 0.7,
-    Trouble.SILENCE: 0.4,
-    Trouble.REFUSED: 0.4,
-    Trouble.BUSY: 0.85,
-    Trouble.PROBE_FAILED: 0.4,
+    FailureKind.ERROR: 0.7,
+    FailureKind.SILENCE: 0.4,
+    FailureKind.REFUSED: 0.4,
+    FailureKind.BUSY: 0.85,
+    FailureKind.PROBE_FAILED: 0.4,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Weight:
+class WeightStatus:
     """A member's weight as operators see it.
 
     Parameters
@@ -68,12 +68,12 @@
     falls: int
 
 
-def is_trouble(busy_in_a_row: int) -> bool:
+def is_persistently_busy(busy_in_a_row: int) -> bool:
     """Return whether a member is in trouble that refuses statements as busy whenever it is asked.
 
     Examples
     --------
-    >>> is_trouble(3), is_trouble(4)
+    >>> is_persistently_busy(3), is_persistently_busy(4)
     (False, True)
     """
     return busy_in_a_row >= BUSY_IN_A_ROW
@@ -86,12 +86,12 @@
     --------
     >>> weight = MemberWeight()
     >>> for _ in range(3):
-    ...     weight.note_trouble(Trouble.SILENCE, now=0.0)
-    >>> weight.weight.value, weight.weight.falls, weight.wants_probe(now=0.0)
+    ...     weight.note_failure(FailureKind.SILENCE, now=0.0)
+    >>> weight.weight.value, weight.weight.falls, weight.is_probe_due(now=0.0)
     (0.064, 1, True)
     >>> for second in range(1, 5):
-    ...     weight.note_probe(now=1000.0 * second)
-    >>> weight.weight.value, weight.wants_probe(now=9000.0)
+    ...     weight.note_probe_answered(now=1000.0 * second)
+    >>> weight.weight.value, weight.is_probe_due(now=9000.0)
     (1.0, False)
     """
 
@@ -103,16 +103,16 @@
         self._probed_at = -PROBE_INTERVAL_MS
 
     @property
-    def weight(self) -> Weight:
+    def weight(self) -> WeightStatus:
         """The weight now."""
-        return Weight(round(self._value, 3), self._reason, len(self._falls))
+        return WeightStatus(round(self._value, 3), self._reason, len(self._falls))
 
     @property
-    def is_fallen(self) -> bool:
+    def is_degraded(self) -> bool:
         """Whether it fell, and is not back yet."""
         return self._is_fallen
 
-    def note_trouble(self, trouble: Trouble, now: float) -> None:
+    def note_failure(self, trouble: FailureKind, now: float) -> None:
         """Note a failure."""
         self._value = max(LEAST_WEIGHT, self._value * LEFT[trouble])
         self._reason = trouble.value
@@ -121,7 +121,7 @@
             self._forget_falls(now)
             self._falls.append(now)
 
-    def wants_probe(self, now: float, gateways: int = 1) -> bool:
+    def is_probe_due(self, now: float, gateways: int = 1) -> bool:
         """Return whether a probe is due.
 
         Parameters
@@ -132,11 +132,11 @@
         interval = max(PROBE_INTERVAL_MS, gateways / PROBES_PER_SECOND * 1000)
         return self._value < 1.0 and now - self._probed_at >= interval
 
-    def note_probing(self, now: float) -> None:
+    def note_probe_sent(self, now: float) -> None:
         """Note that a probe is asked for."""
         self._probed_at = now
 
-    def note_probe(self, now: float) -> None:
+    def note_probe_answered(self, now: float) -> None:
         """Note that a probe was answered."""
         self._forget_falls(now)
         repeated = max(0, len(self._falls) - 1)
--- a/src/rowanrail/scheduling/queue.py
+++ b/src/rowanrail/scheduling/queue.py
@@ -17,7 +17,7 @@
     "QueueEntry",
     "Pick",
     "Queued",
-    "Supply",
+    "ConnectionSupply",
     "WorkQueue",
     "is_past_deadline",
     "tenant_weight",
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Supply:
+class ConnectionSupply:
     """Which connections to the member there are.
 
     Parameters
@@ -103,7 +103,7 @@
     >>> queue.add(Statement("small", QueueEntry(1, "small", 1.0)), 1.0)
     >>> queue.add(Statement("urgent", QueueEntry(0, "large", 2.0)), 2.0)
     >>> order = []
-    >>> while (pick := queue.next(Supply({"large", "small"}))) is not None:
+    >>> while (pick := queue.next(ConnectionSupply({"large", "small"}))) is not None:
     ...     order.append(pick.item.name)
     ...     queue.start(pick.item)
     >>> order
@@ -138,7 +138,7 @@
         first = next(iter(self._places.values()), None)
         return None if first is None else first.since
 
-    def waiting_of(self, tenant: str | None) -> int:
+    def count_waiting(self, tenant: str | None) -> int:
         """Return how many want a connection of a tenant."""
         return self._tenants[tenant]
 
@@ -186,14 +186,14 @@
             self._parts[known] -= self._parts[known] / LATEST_STARTS
         self._parts[urgency] += 1 / LATEST_STARTS
 
-    def next(self, supply: Supply, only_samples: bool = False) -> Pick[Waiting] | None:
+    def next(self, supply: ConnectionSupply, only_samples: bool = False) -> Pick[Waiting] | None:
         """Return who runs next, or for whom a connection is opened next; None if nobody can.
 
         Somebody for whom a connection is idle goes before one that needs an opening, up to a bound.
 
         Parameters
         ----------
-        supply : Supply
+        supply : ConnectionSupply
         only_samples : bool
             Whether there is room for samples only.
         """
@@ -214,7 +214,10 @@
         return Pick(opening.item, needs_opening=True)
 
     def _is_due(
-        self, opening: QueuePosition[Waiting], other: QueuePosition[Waiting], supply: Supply
+        self,
+        opening: QueuePosition[Waiting],
+        other: QueuePosition[Waiting],
+        supply: ConnectionSupply,
     ) -> bool:
         """Return whether an opening is put off no longer for another that needs none."""
         is_more_urgent = opening.item.entry.urgency < other.item.entry.urgency
--- a/src/rowanrail/scheduling/retrying.py
+++ b/src/rowanrail/scheduling/retrying.py
@@ -13,14 +13,14 @@
 from rowanrail.kernel.clock import Clock
 
 __all__ = [
-    "GOES_FIRST_AFTER",
+    "PRIORITY_AFTER_REJECTIONS",
     "SHORTEST_RETRY_AFTER_MS",
-    "Label",
+    "ClientLabel",
     "RetryTimes",
     "RetryingClients",
     "client_label",
     "retry_after_base",
-    "spread",
+    "spread_evenly",
 ]
 
 # Milliseconds. Sooner than that a client's way and a new try cost more than waiting would have.
@@ -45,7 +45,7 @@
 # Rejections running, after which a client goes before new arrivals. Callers try
 # three times, so that this is their last try. After the first one a client waits as a new
 # arrival does: served before others it comes late, and those others with it.
-GOES_FIRST_AFTER = 2
+PRIORITY_AFTER_REJECTIONS = 2
 _GOLDEN = 0.6180339887498949  # its multiples fill an interval evenly, however many there are
 
 
@@ -71,12 +71,12 @@
     )
 
 
-def spread(number: int, low: float, high: float) -> float:
+def spread_evenly(number: int, low: float, high: float) -> float:
     """Return the moment of the ``number``-th of any count of clients between two moments.
 
     Examples
     --------
-    >>> [round(spread(number, 0, 100)) for number in range(5)]
+    >>> [round(spread_evenly(number, 0, 100)) for number in range(5)]
     [0, 62, 24, 85, 47]
     """
     return low + (number * _GOLDEN) % 1.0 * (high - low)
@@ -98,7 +98,7 @@
         self._next_at: dict[Hashable, float] = {}
         self._given = 0
 
-    def next(self, base: float, interval: float = 0.0, queue: Hashable = None) -> float:
+    def next_delay(self, base: float, interval: float = 0.0, queue: Hashable = None) -> float:
         """Return in how many milliseconds the next rejected client retries.
 
         Parameters
@@ -120,19 +120,19 @@
         latest = now + LONGEST_RETRY_AFTER_MS
         number, self._given = self._given, self._given + 1
         if at >= latest:
-            return spread(
+            return spread_evenly(
                 number, min(base, LONGEST_RETRY_AFTER_MS * (1 - JITTER_SHARE)), latest - now
             )
         if len(self._next_at) >= MOST_QUEUES:
             self._next_at = {known: free for known, free in self._next_at.items() if free > now}
         self._next_at[queue] = at + (interval or UNKNOWN_INTERVAL_MS)
-        return min(latest, at + spread(number, 0.0, JITTER_SHARE * base)) - now
+        return min(latest, at + spread_evenly(number, 0.0, JITTER_SHARE * base)) - now
 
 
-Label = Hashable
+ClientLabel = Hashable
 
 
-def client_label(tenant: str, database: str, key: bytes, session: str) -> Label:
+def client_label(tenant: str, database: str, key: bytes, session: str) -> ClientLabel:
     """Return what a client is known by when it retries.
 
     Parameters
@@ -169,13 +169,13 @@
         self._clock = clock
         self._most = most
         # By label a heap of the moments given, each with the rejections running until then.
-        self._due: OrderedDict[Label, list[tuple[float, int]]] = OrderedDict()
+        self._due: OrderedDict[ClientLabel, list[tuple[float, int]]] = OrderedDict()
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
-    def note(self, label: Label, retry_after: float, times: int = 1) -> None:
+    def note(self, label: ClientLabel, retry_after: float, times: int = 1) -> None:
         """Remember that a client was rejected, and after how many milliseconds it is to retry.
 
         Parameters
@@ -190,7 +190,7 @@
         self._due.move_to_end(label)
         self._count += 1
 
-    def claim(self, label: Label) -> int:
+    def claim(self, label: ClientLabel) -> int:
         """Return how many times running a client was rejected that retries when it was told to.
 
         It is 0 for a new arrival. Each rejection counts once.
@@ -217,5 +217,5 @@
                 return
             self._drop(label)
 
-    def _drop(self, label: Label) -> None:
+    def _drop(self, label: ClientLabel) -> None:
         self._count -= len(self._due.pop(label))
--- a/tests/gateway/test_pool_rules.py
+++ b/tests/gateway/test_pool_rules.py
@@ -42,7 +42,7 @@
     judge_opening,
     smoothed_opening,
 )
-from rowanrail.scheduling.wait_forecast import expected_wait, places
+from rowanrail.scheduling.wait_forecast import expected_wait, max_in_flight
 
 JUST = 1.0  # ms more or less than a bound
 
@@ -144,14 +144,14 @@
 
 class WaitForecastTest(unittest.TestCase):
     def test_there_is_no_wait_while_a_place_is_free(self):
-        self.assertEqual(expected_wait(2, places=4, under_way=1, lease=500.0), 0.0)
-        self.assertGreater(expected_wait(3, places=4, under_way=1, lease=500.0), 0.0)
+        self.assertEqual(expected_wait(2, limit=4, in_flight=1, lease=500.0), 0.0)
+        self.assertGreater(expected_wait(3, limit=4, in_flight=1, lease=500.0), 0.0)
 
     def test_the_queue_goes_on_by_all_places_in_the_length_of_a_use(self):
-        self.assertEqual(expected_wait(7, places=4, under_way=4, lease=500.0), 1000.0)
+        self.assertEqual(expected_wait(7, limit=4, in_flight=4, lease=500.0), 1000.0)
 
     def test_idle_transactions_leave_at_least_one_place(self):
-        self.assertEqual(places(8, usable=0), 1)
+        self.assertEqual(max_in_flight(8, usable=0), 1)
 
 
 class IdleTransactionsTest(unittest.TestCase):
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -11,7 +11,7 @@
 from rowanrail.model.statements import Answer, Command, CommandKind
 from rowanrail.scheduling.admission import Admit, decide_on_arrival
 from rowanrail.scheduling.queue import QueueEntry
-from rowanrail.scheduling.retrying import GOES_FIRST_AFTER, RetryTimes, retry_after_base
+from rowanrail.scheduling.retrying import PRIORITY_AFTER_REJECTIONS, RetryTimes, retry_after_base
 from tests.support.gateway import ManualClock
 
 TRIES = 3
@@ -60,7 +60,7 @@
     def attempt(self) -> None:
         pool, now = self.holder.pool, self.clock.time() * 1000
         whole = TIMEOUT * 1000
-        is_retrying = self.tries >= GOES_FIRST_AFTER
+        is_retrying = self.tries >= PRIORITY_AFTER_REJECTIONS
         crowd = self.crowd
         entry = QueueEntry(crowd.urgency, crowd.tenant, now, now + whole, is_retrying=is_retrying)
         self.tries += 1
@@ -94,7 +94,9 @@
             return
         forecast = self.holder.pool.forecasts.of(entry)
         base = retry_after_base(forecast.wait, TIMEOUT * 1000)
-        told = self.holder.retry_times.next(base, forecast.drain_interval, entry.urgency) / 1000
+        told = (
+            self.holder.retry_times.next_delay(base, forecast.drain_interval, entry.urgency) / 1000
+        )
         self.crowd.told.append(self.clock.time() + told)
         self.clock.call_later(told, self.attempt)
 
--- a/tests/scheduling/holders.py
+++ b/tests/scheduling/holders.py
@@ -8,7 +8,7 @@
 from rowanrail.gateway.pools.error_share import ErrorShare
 from rowanrail.kernel.clock import Clock
 from rowanrail.scheduling.choice import Candidate, choose_member
-from rowanrail.scheduling.member_weight import MemberWeight, Trouble
+from rowanrail.scheduling.member_weight import FailureKind, MemberWeight
 from rowanrail.scheduling.run_times import RunTimes
 from tests.support.gateway import ManualClock
 
@@ -118,9 +118,9 @@
                 self.times.note_busy(name, kind, now)
             case Outcome.FAILED:
                 errors.note(1.0, now)
-                health.note_trouble(Trouble.ERROR, now)
+                health.note_failure(FailureKind.ERROR, now)
             case Outcome.SILENT:
-                health.note_trouble(Trouble.SILENCE, now)
+                health.note_failure(FailureKind.SILENCE, now)
 
     def way(self, zone):
         return (0.5, ZONE_WAY, REGION_WAY)[self.distance(zone)]
@@ -150,13 +150,13 @@
         for holder in self.holders:
             for member in self.members:
                 health = holder.health[member.name]
-                if health.wants_probe(now):
-                    health.note_probing(now)
+                if health.is_probe_due(now):
+                    health.note_probe_sent(now)
                     # A probe of a member that limps is answered, as its health check is.
                     if member.is_down:
-                        health.note_trouble(Trouble.PROBE_FAILED, now)
+                        health.note_failure(FailureKind.PROBE_FAILED, now)
                     else:
-                        health.note_probe(now)
+                        health.note_probe_answered(now)
         self.clock.call_in(100.0, self._probe)
 
     def play(self, seconds, rate):
--- a/tests/scheduling/test_member_weight.py
+++ b/tests/scheduling/test_member_weight.py
@@ -2,7 +2,12 @@
 
 import unittest
 
-from rowanrail.scheduling.member_weight import FALL_MEMORY_MS, LEAST_WEIGHT, MemberWeight, Trouble
+from rowanrail.scheduling.member_weight import (
+    FALL_MEMORY_MS,
+    LEAST_WEIGHT,
+    FailureKind,
+    MemberWeight,
+)
 
 
 class HealthTest(unittest.TestCase):
@@ -11,32 +16,32 @@
         self.now = 0.0
 
     def fall(self):
-        while not self.health.is_fallen:
-            self.health.note_trouble(Trouble.SILENCE, self.now)
+        while not self.health.is_degraded:
+            self.health.note_failure(FailureKind.SILENCE, self.now)
 
     def seconds_to_return(self):
         """Probe each second until the member is back."""
         seconds = 0
-        while self.health.is_fallen:
+        while self.health.is_degraded:
             seconds += 1
             self.now += 1000
-            self.health.note_probe(self.now)
+            self.health.note_probe_answered(self.now)
         return seconds
 
     def test_one_error_may_be_chance(self):
-        self.health.note_trouble(Trouble.ERROR, 0)
-        self.assertFalse(self.health.is_fallen)
+        self.health.note_failure(FailureKind.ERROR, 0)
+        self.assertFalse(self.health.is_degraded)
         self.assertGreater(self.health.weight.value, 0.5)
 
     def test_two_silences_are_not(self):
         for _ in range(2):
-            self.health.note_trouble(Trouble.SILENCE, 0)
-        self.assertTrue(self.health.is_fallen)
+            self.health.note_failure(FailureKind.SILENCE, 0)
+        self.assertTrue(self.health.is_degraded)
         self.assertEqual(self.health.weight.reason, "silence")
 
     def test_a_member_keeps_some_weight_in_case_all_others_are_worse(self):
         for _ in range(100):
-            self.health.note_trouble(Trouble.SILENCE, 0)
+            self.health.note_failure(FailureKind.SILENCE, 0)
         self.assertEqual(self.health.weight.value, LEAST_WEIGHT)
 
     def test_the_first_return_takes_seconds(self):
@@ -60,19 +65,19 @@
         self.assertLessEqual(self.seconds_to_return(), 4)
 
     def test_a_well_member_is_not_probed(self):
-        self.assertFalse(self.health.wants_probe(5000))
+        self.assertFalse(self.health.is_probe_due(5000))
 
     def test_a_member_in_trouble_is_probed_once_a_second(self):
         self.fall()
         probes = 0
         for now in range(0, 10_000, 50):
-            if self.health.wants_probe(now):
-                self.health.note_probing(now)
+            if self.health.is_probe_due(now):
+                self.health.note_probe_sent(now)
                 probes += 1
         self.assertEqual(probes, 10)
 
     def test_many_gateways_share_the_rate_of_probes(self):
         self.fall()
-        self.health.note_probing(0)
-        self.assertFalse(self.health.wants_probe(4000, gateways=200))
-        self.assertTrue(self.health.wants_probe(5000, gateways=200))
+        self.health.note_probe_sent(0)
+        self.assertFalse(self.health.is_probe_due(4000, gateways=200))
+        self.assertTrue(self.health.is_probe_due(5000, gateways=200))
--- a/tests/scheduling/test_queue.py
+++ b/tests/scheduling/test_queue.py
@@ -8,14 +8,14 @@
     REUSES_BETWEEN,
     TURNS_BETWEEN,
     URGENT_REUSES_BETWEEN,
+    ConnectionSupply,
     QueueEntry,
-    Supply,
     WorkQueue,
     is_past_deadline,
     tenant_weight,
 )
 
-ALL = Supply({"", "a", "b", "c", "large", "small"})
+ALL = ConnectionSupply({"", "a", "b", "c", "large", "small"})
 
 
 class Statement:
@@ -56,7 +56,7 @@
 
     def test_a_sample_takes_anybodys_connection(self):
         self.add("sample", -1, None)
-        self.assertEqual(self.run_next(Supply({"b"})), "sample")
+        self.assertEqual(self.run_next(ConnectionSupply({"b"})), "sample")
 
     def test_without_room_only_samples_run(self):
         self.add("urgent", 0)
@@ -130,7 +130,7 @@
 
     def setUp(self):
         super().setUp()
-        self.supply = Supply({"large"}, may_open=lambda tenant, since: True)
+        self.supply = ConnectionSupply({"large"}, may_open=lambda tenant, since: True)
 
     def test_work_that_needs_no_opening_goes_first_up_to_a_bound(self):
         self.add("small", 1, "small", deadline=100.0)
@@ -149,10 +149,12 @@
 
     def test_nobody_is_put_off_where_no_connection_is_idle(self):
         self.add("small", 1, "small")
-        self.assertEqual(self.run_next(Supply(set(), self.supply.may_open)), "open small")
+        self.assertEqual(self.run_next(ConnectionSupply(set(), self.supply.may_open)), "open small")
 
     def test_a_tenant_whose_connections_come_back_is_put_off_for_longer(self):
-        supply = Supply({"large"}, self.supply.may_open, may_come_back=lambda tenant: True)
+        supply = ConnectionSupply(
+            {"large"}, self.supply.may_open, may_come_back=lambda tenant: True
+        )
         self.add("small", 1, "small")
         self.add_each(100, "large", 1, "large")
         self.run_next(supply)
--- a/tests/scheduling/test_retrying.py
+++ b/tests/scheduling/test_retrying.py
@@ -33,12 +33,12 @@
         self.times = RetryTimes(Clock(self.manual))
 
     def test_many_refused_at_one_moment_return_as_the_line_goes_on(self):
-        told = [self.times.next(200.0, INTERVAL) for _ in range(500)]
+        told = [self.times.next_delay(200.0, INTERVAL) for _ in range(500)]
         self.assertLessEqual(most_in_a_tenth(told), 1.2 * TENTH_MS / INTERVAL)
         self.assertGreaterEqual(min(told), 200.0)
 
     def test_more_than_there_are_places_fill_the_time_evenly(self):
-        told = [self.times.next(200.0, INTERVAL) for _ in range(20_000)]
+        told = [self.times.next_delay(200.0, INTERVAL) for _ in range(20_000)]
         self.assertLessEqual(max(told), LONGEST_RETRY_AFTER_MS)
         beyond = told[2000:]
         share = len(beyond) * TENTH_MS / (LONGEST_RETRY_AFTER_MS - 200.0)
@@ -46,25 +46,25 @@
 
     def test_after_the_places_are_over_the_next_one_returns_soon_again(self):
         for _ in range(500):
-            self.times.next(100.0, INTERVAL)
+            self.times.next_delay(100.0, INTERVAL)
         self.manual.advance(2.0)
-        self.assertLess(self.times.next(100.0, INTERVAL), 120.0)
+        self.assertLess(self.times.next_delay(100.0, INTERVAL), 120.0)
 
     def test_urgent_ones_do_not_stand_behind_the_places_of_others(self):
         for _ in range(500):
-            self.times.next(1500.0, INTERVAL, "less urgent")
-        self.assertLess(self.times.next(100.0, INTERVAL, "urgent"), 120.0)
+            self.times.next_delay(1500.0, INTERVAL, "less urgent")
+        self.assertLess(self.times.next_delay(100.0, INTERVAL, "urgent"), 120.0)
 
     def test_lines_whose_places_have_passed_are_forgotten(self):
         for number in range(1000):
-            self.times.next(100.0, INTERVAL, number)
+            self.times.next_delay(100.0, INTERVAL, number)
             self.manual.advance(0.01)
         self.assertLess(len(self.times._next_at), 100)
 
     def test_an_endless_backlog_is_told_a_time_within_the_clients_patience(self):
         self.assertEqual(retry_after_base(60_000.0, 800.0), LONGEST_RETRY_AFTER_MS)
         for _ in range(100):
-            told = self.times.next(LONGEST_RETRY_AFTER_MS, INTERVAL)
+            told = self.times.next_delay(LONGEST_RETRY_AFTER_MS, INTERVAL)
             self.assertLessEqual(SHORTEST_RETRY_AFTER_MS, told)
             self.assertLessEqual(told, LONGEST_RETRY_AFTER_MS)
 
