--- a/src/rowanrail/scheduling/admission.py
+++ b/src/rowanrail/scheduling/admission.py
@@ -1,14 +1,14 @@
-"""Whether a statement that comes, or waits, can still be served in its time.
+"""Admission control: whether a new or waiting statement can still meet its deadline.
 
-A refusal costs its client one of a few tries, so that nothing is refused that may still be served:
-never while room is free, and never for a late answer alone, only if the answer would come after the
-statement's time is over. What can't be served is refused as soon as that is known.
+A rejection uses up one of a client's few attempts, so a statement is rejected only if it cannot be
+answered before its time limit: never while there is room, and never merely for a slow answer. A
+statement that cannot be served is rejected as soon as that is known.
 """
 
 import enum
 from dataclasses import dataclass
 
-from rowanrail.scheduling.forecast_error import CERTAIN_SHARE
+from rowanrail.scheduling.forecast_error import INITIAL_RELIABLE_SHARE
 from rowanrail.scheduling.retrying import retry_after_base
 
 __all__ = [
@@ -16,7 +16,7 @@
     "RejectionCause",
     "Forecast",
     "Reject",
-    "Verdict",
+    "AdmissionDecision",
     "WaitingMonitor",
     "decide_on_arrival",
     "decide_forwarding",
@@ -24,29 +24,28 @@
     "next_check",
 ]
 
-# Usual times that must be left of a statement which has waited: nineteen of twenty answers take
-# less, if their times vary as much as their mean. A write that comes late is in doubt, which costs
-# its client more than a refusal.
-LEFT_RUNS = 3
-# Milliseconds that must be left at the least: the shortest statement and its way inside a region.
-SHORTEST_RUN_MS = 10.0
-# Of the time given. A member that is slow for the moment may be faster for the next statement, so
-# that its usual time is held against a statement only when little is left.
-LAST_SHARE = 0.1
-# Of the time left, between two checks of a statement that waits: eight checks in 800 ms.
-CHECK_SHARE = 0.25
-LATE_CHECKS = 2  # in a row, after which a statement is given up; chosen
-# Milliseconds between two checks at the least, but for the last one: a tenth of the strictest
-# objective that callers asked for so far.
+# Run times that must remain before the deadline of a waiting statement. With exponentially
+# distributed run times 95 % of the answers arrive within three means. A write that is sent too late
+# leaves its client without a known outcome, which costs more than a rejection.
+MIN_REMAINING_RUNS = 3
+# ms; lower bound of the reserved time: the shortest statement and its round trip within a region.
+MIN_RESERVED_MS = 10.0
+# Upper bound of the reserved time, as a share of the time limit, so that a member that is slow at
+# the moment causes rejections only shortly before the deadline.
+MAX_RESERVED_SHARE = 0.1
+# Interval between two checks of a waiting statement, as a share of its remaining time.
+CHECK_INTERVAL_SHARE = 0.25
+LATE_CHECKS_TO_REJECT = 2  # consecutive checks that must find a statement late
+# ms; lower bound of that interval, except before the last check.
 CHECK_INTERVAL_MS = 50.0
-LEAST_CHECK_INTERVAL_MS = 1.0  # so that time passes between any two checks
+MIN_CHECK_INTERVAL_MS = 1.0  # lower bound of any interval, so that time passes between checks
 
 
 class RejectionCause(enum.Enum):
-    """Why a statement was rejected; a bounded set, for logs and metrics."""
+    """Why a statement was rejected; the values are used in logs and metrics."""
 
     OVERLOADED = "crowded"
-    PAST_DEADLINE = "hopeless"  # the name that logs and metrics have for it
+    PAST_DEADLINE = "hopeless"
     HOLDER_OVERLOADED = "holder-crowded"
     ROUND_TRIP_TOO_LONG = "way-too-long"
     NO_PRIMARY = "no-primary"
@@ -56,20 +55,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Forecast:
-    """What a statement can expect at one member.
+    """Expected wait and run time of a statement at one member.
 
     Parameters
     ----------
     wait : float
-        Milliseconds until it may be sent: those ahead of it, an opening if it needs one.
+        Milliseconds until it can be sent: the statements ahead of it, and the opening of a
+        connection if it needs one.
     run_time : float
-        Milliseconds from then to its answer.
+        Milliseconds from sending it to its answer.
     has_room : bool
-        Whether it could be sent at once; nothing is refused while that is so.
+        Whether it could be sent immediately, in which case it is never rejected.
     drain_interval : float
-        Milliseconds after which the line of those who wait goes on by one; 0 if nobody knows.
+        Milliseconds in which the queue advances by one statement; 0 if unknown.
     opening : float
-        The part of ``wait`` that is the opening of a connection.
+        The part of ``wait`` that is spent on opening a connection.
     """
 
     wait: float
@@ -86,37 +86,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """The statement can't be served in its time, and has not run.
+    """The statement cannot be served before its deadline, and has not run.
 
     Parameters
     ----------
     cause : RejectionCause
-        For the client, the log and the metrics.
+        Reported to the client, the log and the metrics.
     retry_after_ms : float
-        Milliseconds after which its client had better retry, not spread yet.
+        Milliseconds after which the client should retry, without jitter.
     """
 
     cause: RejectionCause
     retry_after_ms: float
 
 
-Verdict = Admit | Reject
+AdmissionDecision = Admit | Reject
 
 
 def decide_on_arrival(
-    forecast: Forecast, left: float, whole: float, certain: float = CERTAIN_SHARE
-) -> Verdict:
-    """Judge a statement that comes.
+    forecast: Forecast,
+    remaining: float,
+    time_limit: float,
+    reliable_share: float = INITIAL_RELIABLE_SHARE,
+) -> AdmissionDecision:
+    """Decide whether a new statement is admitted.
 
     Parameters
     ----------
     forecast : Forecast
-        What it can expect.
-    left : float
-        Milliseconds until its time is over.
-    whole : float
-        Milliseconds that it was given, and would be given again.
-    certain : float
+        Expected wait and run time at the member.
+    remaining : float
+        Milliseconds until its deadline.
+    time_limit : float
+        Milliseconds that it was given in total, and would be given again on a retry.
+    reliable_share : float
         See :attr:`ForecastError.reliable_share`.
 
     Returns
@@ -125,132 +128,150 @@
 
     Examples
     --------
-    >>> decide_on_arrival(Forecast(wait=900, run_time=10), left=800, whole=800)
+    >>> decide_on_arrival(Forecast(wait=900, run_time=10), remaining=800, time_limit=800)
     Admit()
-    >>> decide_on_arrival(Forecast(wait=1400, run_time=10), left=800, whole=800)
+    >>> decide_on_arrival(Forecast(wait=1400, run_time=10), remaining=800, time_limit=800)
     Reject(cause=<RejectionCause.OVERLOADED: 'crowded'>, retry_after_ms=1000.0)
 
-    Nothing is refused while room is free:
+    Nothing is rejected while there is room:
 
-    >>> decide_on_arrival(Forecast(wait=0, run_time=1000, has_room=True), left=800, whole=800)
+    >>> slow = Forecast(wait=0, run_time=1000, has_room=True)
+    >>> decide_on_arrival(slow, remaining=800, time_limit=800)
     Admit()
     """
-    if forecast.has_room or _may_be_in_time(forecast, left, certain):
+    if forecast.has_room or _can_meet_deadline(forecast, remaining, reliable_share):
         return Admit()
-    return Reject(RejectionCause.OVERLOADED, retry_after_base(forecast.wait, whole))
+    return Reject(RejectionCause.OVERLOADED, retry_after_base(forecast.wait, time_limit))
 
 
 def decide_while_waiting(
-    forecast: Forecast, left: float, whole: float, certain: float = CERTAIN_SHARE
-) -> Verdict:
-    """Judge a statement that waits for room since a while.
+    forecast: Forecast,
+    remaining: float,
+    time_limit: float,
+    reliable_share: float = INITIAL_RELIABLE_SHARE,
+) -> AdmissionDecision:
+    """Decide whether a queued statement keeps waiting.
 
-    Its wait is what is left of it: only those count that are still ahead. Room that comes when it
-    could hardly be answered any more is of no use: it would be sent and left in doubt.
+    ``forecast.wait`` counts only the statements that are still ahead of it. Shortly before its
+    deadline it is rejected even if there is room, as its answer would probably come too late and
+    leave its outcome unknown.
 
     Examples
     --------
-    >>> decide_while_waiting(Forecast(wait=300, run_time=10), left=200, whole=800)
+    >>> decide_while_waiting(Forecast(wait=300, run_time=10), remaining=200, time_limit=800)
     Admit()
-    >>> decide_while_waiting(Forecast(wait=400, run_time=10), left=200, whole=800)
+    >>> decide_while_waiting(Forecast(wait=400, run_time=10), remaining=200, time_limit=800)
     Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, retry_after_ms=100.0)
-    >>> decide_while_waiting(Forecast(wait=0, run_time=20, has_room=True), left=50, whole=800)
+    >>> sendable = Forecast(wait=0, run_time=20, has_room=True)
+    >>> decide_while_waiting(sendable, remaining=50, time_limit=800)
     Reject(cause=<RejectionCause.PAST_DEADLINE: 'hopeless'>, retry_after_ms=100.0)
     """
-    is_nearly_over = left <= _last_moment(forecast.run_time, whole)
-    if not is_nearly_over and (forecast.has_room or _may_be_in_time(forecast, left, certain)):
+    is_too_late = remaining <= _reserved_time(forecast.run_time, time_limit)
+    if not is_too_late and (
+        forecast.has_room or _can_meet_deadline(forecast, remaining, reliable_share)
+    ):
         return Admit()
-    return Reject(RejectionCause.PAST_DEADLINE, retry_after_base(forecast.wait, whole))
+    return Reject(RejectionCause.PAST_DEADLINE, retry_after_base(forecast.wait, time_limit))
 
 
-def decide_forwarding(reported_wait: float, way: float, left: float, whole: float) -> Verdict:
-    """Judge a statement that would be sent to another gateway.
+def decide_forwarding(
+    reported_wait: float, round_trip: float, remaining: float, time_limit: float
+) -> AdmissionDecision:
+    """Decide whether a statement is forwarded to another gateway.
 
     Parameters
     ----------
     reported_wait : float
-        Milliseconds that an answer certainly takes there, as may be assumed of its report; 0
-        if nothing is known.
-    way : float
-        Milliseconds there and back.
-    left, whole : float
+        Lower bound, in milliseconds, of the time to an answer there, estimated from that gateway's
+        reports; 0 if unknown.
+    round_trip : float
+        Milliseconds to that gateway and back.
+    remaining, time_limit : float
         See :func:`decide_on_arrival`.
 
     Examples
     --------
-    >>> decide_forwarding(reported_wait=0, way=80, left=60, whole=800).cause
+    >>> decide_forwarding(reported_wait=0, round_trip=80, remaining=60, time_limit=800).cause
     <RejectionCause.ROUND_TRIP_TOO_LONG: 'way-too-long'>
-    >>> decide_forwarding(reported_wait=800, way=80, left=800, whole=800).cause
+    >>> decide_forwarding(reported_wait=800, round_trip=80, remaining=800, time_limit=800).cause
     <RejectionCause.HOLDER_OVERLOADED: 'holder-crowded'>
-    >>> decide_forwarding(reported_wait=0, way=80, left=800, whole=800)
+    >>> decide_forwarding(reported_wait=0, round_trip=80, remaining=800, time_limit=800)
     Admit()
     """
-    if left <= way:
-        return Reject(RejectionCause.ROUND_TRIP_TOO_LONG, retry_after_base(reported_wait, whole))
-    if reported_wait + way <= left:
+    if remaining <= round_trip:
+        return Reject(
+            RejectionCause.ROUND_TRIP_TOO_LONG, retry_after_base(reported_wait, time_limit)
+        )
+    if reported_wait + round_trip <= remaining:
         return Admit()
-    return Reject(RejectionCause.HOLDER_OVERLOADED, retry_after_base(reported_wait, whole))
+    return Reject(RejectionCause.HOLDER_OVERLOADED, retry_after_base(reported_wait, time_limit))
 
 
 class WaitingMonitor:
-    """Judges one waiting statement again and again.
+    """Repeatedly checks one queued statement against its deadline.
 
-    A forecast jumps for a moment when a member answers slowly or urgent statements come, so that
-    a statement is given up only if two checks in a row found it too late, or at the last one.
+    Forecasts fluctuate when a member answers slowly or urgent statements arrive, so a statement is
+    rejected only after consecutive late checks, or at the last check before its deadline.
 
     Parameters
     ----------
-    whole : float
+    time_limit : float
         Milliseconds that the statement was given.
 
     Examples
     --------
-    >>> watch = WaitingMonitor(whole=800)
-    >>> [type(watch.check(Forecast(wait, 10), 300, 1.0)).__name__ for wait in (400, 200, 400, 400)]
+    >>> monitor = WaitingMonitor(time_limit=800)
+    >>> decisions = [monitor.check(Forecast(wait, 10), 300, 1.0) for wait in (400, 200, 400, 400)]
+    >>> [type(decision).__name__ for decision in decisions]
     ['Admit', 'Admit', 'Admit', 'Reject']
     """
 
-    __slots__ = ("_late_checks", "_whole")
+    __slots__ = ("_late_checks", "_time_limit")
 
-    def __init__(self, whole: float) -> None:
-        self._whole = whole
+    def __init__(self, time_limit: float) -> None:
+        self._time_limit = time_limit
         self._late_checks = 0
 
-    def check(self, forecast: Forecast, left: float, certain: float) -> Verdict:
-        """Judge the statement again; see :func:`decide_while_waiting`."""
-        verdict = decide_while_waiting(forecast, left, self._whole, certain)
-        if isinstance(verdict, Admit):
+    def check(
+        self, forecast: Forecast, remaining: float, reliable_share: float
+    ) -> AdmissionDecision:
+        """Check the statement again; see :func:`decide_while_waiting`."""
+        decision = decide_while_waiting(forecast, remaining, self._time_limit, reliable_share)
+        if isinstance(decision, Admit):
             self._late_checks = 0
-            return verdict
+            return decision
         self._late_checks += 1
-        is_last = left <= _last_moment(forecast.run_time, self._whole)
-        return verdict if is_last or self._late_checks >= LATE_CHECKS else Admit()
+        is_last = remaining <= _reserved_time(forecast.run_time, self._time_limit)
+        return decision if is_last or self._late_checks >= LATE_CHECKS_TO_REJECT else Admit()
 
-    def next_check(self, forecast: Forecast, left: float) -> float:
-        """Return after how many milliseconds it is judged again; see :func:`next_check`."""
-        return next_check(left, forecast.run_time, self._whole)
+    def next_check(self, forecast: Forecast, remaining: float) -> float:
+        """Return the milliseconds until the next check; see :func:`next_check`."""
+        return next_check(remaining, forecast.run_time, self._time_limit)
 
 
-def next_check(left: float, run: float, whole: float) -> float:
-    """Return after how many milliseconds a waiting statement is judged again.
+def next_check(remaining: float, run_time: float, time_limit: float) -> float:
+    """Return the milliseconds until a queued statement is checked again.
 
-    The last check comes when it could not be answered any more if it were sent later.
+    The last check happens when the statement could not be answered in time if it were sent later.
 
     Examples
     --------
-    >>> next_check(left=800, run=20, whole=800)
+    >>> next_check(remaining=800, run_time=20, time_limit=800)
     200.0
-    >>> next_check(left=80, run=20, whole=800)
+    >>> next_check(remaining=80, run_time=20, time_limit=800)
     20
     """
-    last = left - _last_moment(run, whole)
-    return max(LEAST_CHECK_INTERVAL_MS, min(max(CHECK_INTERVAL_MS, CHECK_SHARE * left), last))
+    until_last = remaining - _reserved_time(run_time, time_limit)
+    return max(
+        MIN_CHECK_INTERVAL_MS,
+        min(max(CHECK_INTERVAL_MS, CHECK_INTERVAL_SHARE * remaining), until_last),
+    )
 
 
-def _last_moment(run: float, whole: float) -> float:
-    """Return with how much of its time left a statement had better not be sent any more."""
-    return max(SHORTEST_RUN_MS, min(LEFT_RUNS * run, LAST_SHARE * whole))
+def _reserved_time(run_time: float, time_limit: float) -> float:
+    """Return the milliseconds before the deadline in which a statement is not sent any more."""
+    return max(MIN_RESERVED_MS, min(MIN_REMAINING_RUNS * run_time, MAX_RESERVED_SHARE * time_limit))
 
 
-def _may_be_in_time(forecast: Forecast, left: float, certain: float) -> bool:
-    return certain * forecast.wait + forecast.run_time <= left
+def _can_meet_deadline(forecast: Forecast, remaining: float, reliable_share: float) -> bool:
+    return reliable_share * forecast.wait + forecast.run_time <= remaining
--- a/src/rowanrail/scheduling/forecast_error.py
+++ b/src/rowanrail/scheduling/forecast_error.py
@@ -1,33 +1,31 @@
-"""How far forecasts of waiting are out, and what of a forecast is certain for that.
+"""Accuracy of wait forecasts, and the share of a forecast that can be relied on.
 
-Owns moving averages for one member, by urgency; admission asks them for the share of a forecast by
-which a statement may be rejected. Before anything was forecast a fixed share stands in.
+Keeps moving averages for one member, by urgency. Admission multiplies a forecast wait by this share
+before it rejects a statement; a fixed share is used until there are observations.
 """
 
-__all__ = ["CERTAIN_SHARE", "ForecastError", "ForecastErrors"]
-
-# Of a forecast wait is taken as certain before it is known how far forecasts are out: the mean
-# length of the last ten leases is off by a third when lengths vary as much as their mean, and some
-# of those ahead leave unserved.
-CERTAIN_SHARE = 0.6
-# Bounds of what is taken as certain: a forecast that holds is believed whole and never beyond what
-# it says; one that was far out, or that tells of a queue of a moment, refuses nobody who would
-# wait less than a third of it.
-LEAST_CERTAIN, MOST_CERTAIN = 0.3, 1.0
-# Of the time that statements are given. Where those who got room lately had waited for so long, a
-# queue is standing, and a forecast is believed as far as earlier ones held.
+__all__ = ["INITIAL_RELIABLE_SHARE", "ForecastError", "ForecastErrors"]
+
+# Used until the accuracy of forecasts is known. The mean of ten lease times has a standard error of
+# a third if they vary as much as their mean, and some statements ahead leave without being served.
+INITIAL_RELIABLE_SHARE = 0.6
+# Bounds of the reliable share. At the lower bound no statement is rejected that would wait less
+# than a third of its forecast.
+MIN_RELIABLE_SHARE, MAX_RELIABLE_SHARE = 0.3, 1.0
+# Share of their time limit for which statements must have waited lately for the queue to count as
+# standing; only then is a forecast trusted as far as earlier ones were accurate.
 LONG_WAIT_SHARE = 0.5
-LEAST_URGENT_KNOWN = 7  # urgency; stands for all that are less urgent, so that they are bounded
-NOTED_MS = 50.0  # shorter forecasts say little: one long lease among two makes them wrong
-MOST_RATIO = 4.0  # of a wait to its forecast; one that was never served would count without bound
-FORECAST_WEIGHT = 0.1  # of the newest wait in the moving averages, about the last ten count
+MAX_URGENCY = 7  # less urgent statements share its figures, which bounds memory
+MIN_FORECAST_MS = 50.0  # shorter forecasts are ignored: a single long lease makes them wrong
+MAX_RATIO = 4.0  # of a wait to its forecast; limits the weight of an outlier
+FORECAST_WEIGHT = 0.1  # weight of the newest wait in the moving averages
 
 
 class ForecastError:
-    """How far forecasts for one urgency are out: the mean of wait over forecast, and its spread.
+    """Accuracy of the forecasts for one urgency: mean and deviation of wait / forecast.
 
-    Both are moving averages, as of round trips in TCP; what is certain is the mean without the
-    deviation. A queue of a moment is told from a standing one by what was waited lately.
+    Both are exponential moving averages, as for round-trip times in TCP. The reliable share is the
+    mean minus the deviation, scaled down unless recent waits show that the queue is standing.
 
     Examples
     --------
@@ -35,11 +33,11 @@
     >>> error.reliable_share
     0.3
     >>> for _ in range(30):
-    ...     error.note(forecast=500, waited=500, whole=800)
+    ...     error.note(forecast=500, waited=500, time_limit=800)
     >>> round(error.reliable_share, 2)
     0.98
     >>> for _ in range(30):
-    ...     error.note(forecast=0, waited=0, whole=800)
+    ...     error.note(forecast=0, waited=0, time_limit=800)
     >>> error.reliable_share
     0.3
     """
@@ -48,38 +46,41 @@
 
     def __init__(self) -> None:
         self._mean = 1.0
-        self._deviation = 1.0 - CERTAIN_SHARE
+        self._deviation = 1.0 - INITIAL_RELIABLE_SHARE
         self._waited_share = 0.0
 
     @property
     def reliable_share(self) -> float:
-        """Of a forecast wait is at least waited."""
-        queue_stands = min(1.0, self._waited_share / LONG_WAIT_SHARE)
-        share = (self._mean - self._deviation) * queue_stands
-        return min(MOST_CERTAIN, max(LEAST_CERTAIN, share))
+        """Share of a forecast wait that a statement waits at least, as far as is known."""
+        standing = min(1.0, self._waited_share / LONG_WAIT_SHARE)
+        share = (self._mean - self._deviation) * standing
+        return min(MAX_RELIABLE_SHARE, max(MIN_RELIABLE_SHARE, share))
 
-    def note(self, forecast: float, waited: float, whole: float, was_served: bool = True) -> None:
-        """Take how long a statement waited for which a wait was forecast, in milliseconds.
+    def note(
+        self, forecast: float, waited: float, time_limit: float, was_served: bool = True
+    ) -> None:
+        """Record the actual wait of a statement, in milliseconds, beside its forecast.
 
         Parameters
         ----------
-        whole : float
-            Milliseconds that it was given.
+        time_limit : float
+            Milliseconds that the statement was given.
         was_served : bool
-            Whether it got what it waited for; else it would have waited longer.
+            Whether it got what it waited for; otherwise ``waited`` is only a lower bound.
         """
-        self._waited_share += FORECAST_WEIGHT * (waited / whole - self._waited_share)
-        if forecast < NOTED_MS or not (was_served or waited > forecast):
+        self._waited_share += FORECAST_WEIGHT * (waited / time_limit - self._waited_share)
+        if forecast < MIN_FORECAST_MS or not (was_served or waited > forecast):
             return
-        ratio = min(MOST_RATIO, waited / forecast)
+        ratio = min(MAX_RATIO, waited / forecast)
         self._deviation += FORECAST_WEIGHT * (abs(ratio - self._mean) - self._deviation)
         self._mean += FORECAST_WEIGHT * (ratio - self._mean)
 
 
 class ForecastErrors:
-    """How far the forecasts of one member are out, by urgency.
+    """Accuracy of one member's forecasts, by urgency.
 
-    The wait of the least urgent depends on what more urgent ones will come, and is out by more.
+    Forecasts for less urgent statements are less accurate, as these wait for more urgent ones that
+    arrive later.
 
     Examples
     --------
@@ -94,5 +95,5 @@
         self._by_urgency: dict[int, ForecastError] = {}
 
     def of(self, urgency: int) -> ForecastError:
-        """Return the error of forecasts for an urgency."""
-        return self._by_urgency.setdefault(min(urgency, LEAST_URGENT_KNOWN), ForecastError())
+        """Return the accuracy of forecasts for an urgency."""
+        return self._by_urgency.setdefault(min(urgency, MAX_URGENCY), ForecastError())
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -122,6 +122,8 @@
         self.assertLess(looks, 12)
 
     def test_what_has_no_time_for_the_way_is_not_sent(self):
-        verdict = decide_forwarding(reported_wait=0.0, way=80.0, left=79.0, whole=WHOLE)
+        verdict = decide_forwarding(
+            reported_wait=0.0, round_trip=80.0, remaining=79.0, time_limit=WHOLE
+        )
         self.assertIsInstance(verdict, Reject)
         self.assertIs(verdict.cause, RejectionCause.ROUND_TRIP_TOO_LONG)
--- a/tests/scheduling/test_retrying.py
+++ b/tests/scheduling/test_retrying.py
@@ -72,7 +72,7 @@
 class RetryingClientsTest(unittest.TestCase):
     def setUp(self):
         self.manual = ManualClock()
-        self.retrying_clients = RetryingClients(Clock(self.manual), most=10)
+        self.retrying_clients = RetryingClients(Clock(self.manual), capacity=10)
         self.label = client_label("anna", "orders", b"digest", "s1")
 
     def test_a_client_that_comes_back_in_its_time_is_known_once(self):
