--- a/src/rowanrail/scheduling/choice.py
+++ b/src/rowanrail/scheduling/choice.py
@@ -1,13 +1,13 @@
-"""Which member serves a read soonest, by what is seen of each.
+"""Selection of the member that serves a read, by its expected completion time.
 
-The member is taken where the read is expected to be done first. Three means keep holders of
-connections that decide on the same stale knowledge from going all to one member:
+Three measures keep holders of connections that decide on the same outdated information from all
+selecting the same member:
 
-- A holder's own statements count from the moment at which they are given to a member, long before
-  an answer tells about the queue there.
-- Among members that are nearly equal one is drawn, the quicker with the higher probability.
-- What is learnt from answers is smoothed before it gets here, see
-  :mod:`rowanrail.scheduling.run_times`.
+- A holder's own statements count as soon as they are assigned to a member, before any answer
+  reflects them.
+- Among members of nearly equal cost one is drawn at random, with a higher probability for a lower
+  cost.
+- Answer times are smoothed, see :mod:`rowanrail.scheduling.run_times`.
 """
 
 import random
@@ -16,71 +16,73 @@
 
 from rowanrail.scheduling.admission import Forecast
 
-__all__ = ["Candidate", "choose_member", "completion", "effective_wait", "expected_run_time"]
+__all__ = ["Candidate", "choose_member", "effective_wait", "expected_run_time", "selection_cost"]
 
-# Of the best completion: members within it are drawn from. Answers of members that are equally
-# loaded differ by about as much.
+# Members whose cost is within this share of the lowest are drawn from; answer times of equally
+# loaded members differ by about as much.
 NEARLY_EQUAL = 0.1
-# Milliseconds that a member across zones, or regions, must be quicker to be worth the bytes on
-# callers' links, in part of what a statement runs for, since short ones carry as many bytes.
+# Advantage in ms that a member in another zone or region must have to be worth the traffic between
+# them. One part is fixed, since short statements transfer as many bytes; the other is a share of
+# the service time.
 ZONE_PREFERENCE_MS = 1.0
 REGION_PREFERENCE_MS = 8.0
 ZONE_PREFERENCE_SHARE = 0.1
 REGION_PREFERENCE_SHARE = 0.3
-# Of a run, on an idle primary and more on a full one: what writes wait longer for a read that took
-# a slot there. Writes have nowhere else to go, and a transaction waits at each of its statements,
-# of which most have up to four.
+# Service times added for a read at the primary, when it is idle and in proportion to its
+# utilization: the delay of writes by a read that takes a slot. Only the primary serves writes, and
+# a transaction may wait at each of its statements, of which most have up to four.
 IDLE_RESERVE = 0.3
 FULL_RESERVE = 4.0
-# Errors cost a client an attempt, and after some the answer: as if so many times slower, and for
-# short statements by no less than what a client takes to retry (ms).
+# Cost of errors, each of which uses up one of the client's attempts: a factor on the answer time,
+# and the time that a client takes to retry, which dominates for short statements.
 ERROR_FACTOR = 10.0
 ERROR_COST_MS = 200.0
-SUSPECT_COST_MS = 5000.0  # ms; above any completion, so that a suspect member comes last
-# Milliseconds of a round trip and a new decision, lost where the log lacks the floor.
+SUSPECT_COST_MS = 5000.0  # higher than any other cost, so that a suspect member comes last
+# Round trip and second selection if the member's log turns out to lack the required position.
 BEHIND_COST_MS = 40.0
-LONGEST_BEHIND_MS = 1000.0  # ms; a member that is further behind is as good as unusable
-REMOTE_ROUND_TRIP_MS = 40.0  # ms there and back between regions of 20 ms one way
-# Of an opening, for a connection that belongs to a tenant: it serves about two statements before
-# another tenant needs its place. One that belongs to nobody serves whoever comes next, and a
-# member must not be passed over for good because nobody has opened a connection to it yet.
+MAX_CATCH_UP_MS = 1000.0  # longer times to catch up make no difference
+REMOTE_ROUND_TRIP_MS = 40.0  # assumed for a member in another region
+# Share of an opening's time that counts if the connection belongs to a tenant: it serves about two
+# statements before another tenant needs its place. A connection without a tenant serves any later
+# statement, and a member must not be avoided only because no connection to it is open yet.
 OPENING_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """What is known of a member that may serve a read; times in milliseconds.
+    """A member that may serve a read; times in milliseconds.
 
     Parameters
     ----------
     instance : str
-        Identity of one life of the member.
+        Identifies the member's process: it changes with each restart.
     wait : float
-        Until a statement may be sent there.
+        Time until a statement can be sent there.
     run_time : float
-        From then to its answer if nothing is in its way, the way there and back included.
+        Time from sending to the answer on an idle member, including the round trip.
     queue_delay : float
-        By how much the latest answers took longer than that.
+        By how much recent answers exceeded that time.
     service_time : float
-        What a slot takes for such a statement.
+        Time for which such a statement occupies a slot.
     in_flight : int
-        Own statements that were given to the member and not answered yet.
+        Own statements that were assigned to the member and not answered yet.
     slots : int
-        Statements that the member runs at once.
+        Statements that the member runs concurrently.
     is_primary : bool
-        Whether it is believed to lead, so that all writes need its slots.
+        Whether it is believed to be the primary, whose slots all writes need.
     error_share : float
-        Share of its latest answers that were errors of its own, 0 to 1.
+        Share of recent answers that were errors of the member itself, 0 to 1.
     is_suspect : bool
-        Whether it failed a moment ago, so that it is tried by one request at a time.
+        Whether it failed recently and is probed by one request at a time.
     slowdown : float
-        Factor on ``service_time`` while it is cold after its start; 1 for a warm one.
+        Factor on ``service_time`` while it warms up after a start; 1 when it is warm.
     weight : float
-        What is left of its part of the work after failures, above 0 to 1.
+        Weight that is left after failures, above 0 to 1; see
+        :class:`rowanrail.scheduling.member_weight.MemberWeight`.
     distance : int
         0 in the holder's own zone, 1 in its region, 2 elsewhere.
     catch_up_time : float
-        For how long the member's log is still expected to lack what the read must see.
+        Time for which the member's log is expected to lack the position that the read requires.
     """
 
     instance: str
@@ -99,19 +101,21 @@
     catch_up_time: float = 0.0
 
     @property
-    def fullness(self) -> float:
-        """How full the member is, 0 to 1: by own statements, or by how long its answers take."""
+    def utilization(self) -> float:
+        """Estimated utilization, 0 to 1: by own statements or by answer times if that is higher."""
         by_answers = self.queue_delay / max(self.queue_delay + self.service_time, 1.0)
         return min(1.0, max(self.in_flight / max(1, self.slots), by_answers))
 
 
 def effective_wait(forecast: Forecast, is_of_tenant: bool) -> float:
-    """Return the milliseconds until a statement may be sent, as far as they count for a choice.
+    """Return the wait in milliseconds by which a member is judged for selection.
+
+    Only a part of the time for opening a connection counts, or none if it belongs to no tenant.
 
     Parameters
     ----------
     forecast : Forecast
-        What the statement can expect at the member.
+        Forecast for the statement at the member.
     is_of_tenant : bool
         Whether it needs a connection of its tenant.
 
@@ -126,14 +130,14 @@
 
 
 def expected_run_time(baseline: float | None, service_time: float, is_remote: bool) -> float:
-    """Return the milliseconds that a read takes at a member with nothing in its way.
+    """Return the milliseconds that a read takes on an idle member, including the round trip.
 
     Parameters
     ----------
     baseline : float or None
-        What such reads took there; None if it isn't known.
+        Observed run time of such reads on the idle member; None if unknown.
     service_time : float
-        What a slot takes for such a read where it is quickest.
+        Time for which such a read occupies a slot on the fastest member.
     is_remote : bool
         Whether the member is known to be in another region.
 
@@ -147,37 +151,38 @@
     return service_time + (REMOTE_ROUND_TRIP_MS if is_remote else 0.0)
 
 
-def completion(candidate: Candidate) -> float:
-    """Return in how many milliseconds a read is expected to be done at a member, or as if.
+def selection_cost(candidate: Candidate) -> float:
+    """Return the expected completion time of a read in milliseconds, plus penalties.
+
+    The penalties stand for errors, traffic between zones, slots that writes need on the primary, a
+    log that is behind, and a recent failure.
 
     Examples
     --------
     >>> near, far = Candidate("m1", 0, 20), Candidate("m2", 0, 60, distance=2)
-    >>> completion(near) < completion(far)
+    >>> selection_cost(near) < selection_cost(far)
     True
     >>> full = Candidate("m1", 0, 20, queue_delay=80, in_flight=2)
-    >>> completion(full) > completion(far)
+    >>> selection_cost(full) > selection_cost(far)
     True
     """
-    cold = (candidate.slowdown - 1) * candidate.service_time
-    # A cold member's slowness shows in its answers, too: once is enough.
-    queue = max(candidate.queue_delay, cold)
-    queue += candidate.service_time * candidate.in_flight / max(1, candidate.slots)
-    served = (candidate.run_time + queue) * (1 + ERROR_FACTOR * candidate.error_share)
-    served += ERROR_COST_MS * candidate.error_share
-    cost = candidate.wait + served / candidate.weight + _preference(candidate)
+    warm_up_delay = (candidate.slowdown - 1) * candidate.service_time
+    # The slowdown of a cold member is part of its answer times as well; count it once.
+    queue_delay = max(candidate.queue_delay, warm_up_delay)
+    queue_delay += candidate.service_time * candidate.in_flight / max(1, candidate.slots)
+    answer_time = (candidate.run_time + queue_delay) * (1 + ERROR_FACTOR * candidate.error_share)
+    answer_time += ERROR_COST_MS * candidate.error_share
+    cost = candidate.wait + answer_time / candidate.weight + _distance_cost(candidate)
     if candidate.is_primary:
-        cost += candidate.service_time * (IDLE_RESERVE + FULL_RESERVE * candidate.fullness)
+        cost += candidate.service_time * (IDLE_RESERVE + FULL_RESERVE * candidate.utilization)
     if candidate.catch_up_time > 0:
-        cost += (
-            BEHIND_COST_MS + candidate.run_time + min(candidate.catch_up_time, LONGEST_BEHIND_MS)
-        )
+        cost += BEHIND_COST_MS + candidate.run_time + min(candidate.catch_up_time, MAX_CATCH_UP_MS)
     if candidate.is_suspect:
         cost += SUSPECT_COST_MS
     return cost
 
 
-def _preference(candidate: Candidate) -> float:
+def _distance_cost(candidate: Candidate) -> float:
     if candidate.distance == 0:
         return 0.0
     if candidate.distance == 1:
@@ -186,14 +191,14 @@
 
 
 def choose_member(candidates: Iterable[Candidate], randomness: random.Random) -> str | None:
-    """Return the member for a read, None if there is no candidate.
+    """Return the instance of the member that serves a read, or None without candidates.
 
     Parameters
     ----------
     candidates : iterable of Candidate
         The members that may serve it.
     randomness : Random
-        Draws among those that are nearly equal.
+        Draws among members of nearly equal cost.
 
     Examples
     --------
@@ -204,13 +209,13 @@
     >>> sorted({choose_member(equal, draw) for _ in range(20)})
     ['m1', 'm2']
     """
-    costs = {candidate.instance: completion(candidate) for candidate in candidates}
+    costs = {candidate.instance: selection_cost(candidate) for candidate in candidates}
     if not costs:
         return None
-    best = min(costs.values())
-    margin = max(NEARLY_EQUAL * best, 1.0)
-    nearly = {name: 1 - (cost - best) / margin for name, cost in costs.items()}
-    names = [name for name, weight in nearly.items() if weight > 0]
+    lowest = min(costs.values())
+    margin = max(NEARLY_EQUAL * lowest, 1.0)
+    weights = {name: 1 - (cost - lowest) / margin for name, cost in costs.items()}
+    names = [name for name, weight in weights.items() if weight > 0]
     if len(names) == 1:
         return names[0]
-    return randomness.choices(names, [nearly[name] for name in names])[0]
+    return randomness.choices(names, [weights[name] for name in names])[0]
--- a/tests/scheduling/test_choice.py
+++ b/tests/scheduling/test_choice.py
@@ -11,9 +11,9 @@
     REMOTE_ROUND_TRIP_MS,
     Candidate,
     choose_member,
-    completion,
     effective_wait,
     expected_run_time,
+    selection_cost,
 )
 from rowanrail.scheduling.lag import LagEstimate
 from rowanrail.scheduling.run_times import RunTimes
@@ -97,7 +97,7 @@
 
     def test_coldness_that_shows_in_its_answers_counts_once(self):
         cold = replace(NEAR, slowdown=3.0)
-        self.assertEqual(completion(replace(cold, queue_delay=56)), completion(cold))
+        self.assertEqual(selection_cost(replace(cold, queue_delay=56)), selection_cost(cold))
 
     def test_nobody_to_choose_from(self):
         self.assertIsNone(choose_member([], random.Random(1)))
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -5,8 +5,8 @@
 
 from rowanrail.scheduling.concurrency import (
     CEILING_FACTOR,
-    LONGEST_WAY,
-    QUICKEST_MEMORY_MS,
+    MAX_ROUND_TRIP_FACTOR,
+    MIN_LATENCY_WINDOW_MS,
     ConcurrencyLimit,
 )
 
@@ -66,7 +66,7 @@
         answers = Answers()
         answers.take(2.0, way=40.0)
         self.assertGreater(answers.limit.value, CEILING_FACTOR * SLOTS)  # some are on their way
-        self.assertLessEqual(answers.limit.value, (CEILING_FACTOR + LONGEST_WAY) * SLOTS)
+        self.assertLessEqual(answers.limit.value, (CEILING_FACTOR + MAX_ROUND_TRIP_FACTOR) * SLOTS)
 
     def test_a_queue_at_a_distant_member_is_seen_as_well(self):
         answers = Answers()
@@ -90,7 +90,7 @@
         # As after a path through another zone: it looks like a queue until it is the usual way.
         answers = Answers()
         answers.take(1.0)
-        answers.take(2 * QUICKEST_MEMORY_MS / 1000 + 2.0, way=12.0)
+        answers.take(2 * MIN_LATENCY_WINDOW_MS / 1000 + 2.0, way=12.0)
         self.assertGreaterEqual(answers.limit.value, CEILING_FACTOR * SLOTS)
 
 
@@ -118,13 +118,13 @@
         answers = Answers()
         answers.take(1.0)
         for _ in range(8):  # all that were under way meet the same full queue
-            answers.limit.note_busy(answers.now, under_way=8)
+            answers.limit.note_busy(answers.now, in_flight=8)
         self.assertEqual(answers.limit.value, 6)
 
     def test_a_member_that_turns_all_away_is_still_tried(self):
         answers = Answers(holders=9, slots=3)
         for _ in range(1000):
-            answers.limit.note_busy(answers.now, under_way=1)
+            answers.limit.note_busy(answers.now, in_flight=1)
         self.assertEqual(answers.limit.value, 1)
 
 
