--- a/src/rowanrail/scheduling/entry.py
+++ b/src/rowanrail/scheduling/entry.py
@@ -1,7 +1,6 @@
-"""A statement that waits for room at a member, and what follows from it alone.
+"""A statement that waits for room at a member: its urgency, deadline and tenant.
 
-Values and functions without state: urgency, deadline and tenant of a statement, whether it is past
-its deadline, and the weight of a tenant.
+Values and functions without state.
 """
 
 from dataclasses import dataclass
@@ -9,11 +8,11 @@
 
 __all__ = ["QueueEntry", "Queued", "Waiting", "is_past_deadline", "tenant_weight"]
 
-# Of an entry's own time: at most so much is set aside for its run, so that one that has just come
-# is never past its deadline, however slow the member was of late.
-LONGEST_RUN_SHARE = 0.25
-WEIGHT_STEP = 2.0  # factor between tenants of neighbouring priorities
-LOWEST_WEIGHT = 1 / 16  # a tenant's wait stays bounded, whatever its priority
+# Upper bound of the run time that is reserved, as a share of an entry's time limit, so that a new
+# entry is never past its deadline, however slow the member has been.
+MAX_RUN_SHARE = 0.25
+WEIGHT_STEP = 2.0  # ratio between the weights of adjacent tenant priorities
+MIN_WEIGHT = 1 / 16  # bounds a tenant's wait, whatever its priority
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,9 +24,10 @@
     urgency : int
         Priority of its route, 0 for the most urgent; the system's own samples have -1.
     tenant : str or None
-        Whose connection it needs; None if anybody's will do, "" where connections belong to nobody.
+        Tenant whose connection it needs; None if any connection will do, "" where connections
+        belong to no tenant.
     arrived : float
-        Milliseconds on the steady clock at which it came.
+        Arrival time in milliseconds on the steady clock.
     deadline : float
         Milliseconds on the steady clock after which its answer would come too late.
     weight : float
@@ -45,14 +45,14 @@
 
 
 def tenant_weight(priority: int) -> float:
-    """Return the share of a tenant, by its priority, among those of one urgency.
+    """Return the weight of a tenant, by its priority, among those of one urgency.
 
     Examples
     --------
     >>> [tenant_weight(priority) for priority in (0, 1, 2, 9)]
     [1.0, 0.5, 0.25, 0.0625]
     """
-    return max(LOWEST_WEIGHT, WEIGHT_STEP**-priority)
+    return max(MIN_WEIGHT, WEIGHT_STEP**-priority)
 
 
 def is_past_deadline(entry: QueueEntry, now: float, run_time: float) -> bool:
@@ -72,17 +72,17 @@
     >>> is_past_deadline(entry, 700.0, 90.0), is_past_deadline(entry, 700.0, 110.0)
     (False, True)
     """
-    run_time = min(run_time, LONGEST_RUN_SHARE * (entry.deadline - entry.arrived))
+    run_time = min(run_time, MAX_RUN_SHARE * (entry.deadline - entry.arrived))
     return entry.deadline < now + run_time
 
 
 class Queued(Protocol):
-    """What stands in a queue."""
+    """An item of a queue."""
 
     @property
     def entry(self) -> QueueEntry:
-        """How it stands there."""
+        """The entry that determines the item's position."""
 
 
 Waiting = TypeVar("Waiting", bound=Queued)
-"""What a queue holds."""
+"""Type of the items of a queue."""
--- a/src/rowanrail/scheduling/queue.py
+++ b/src/rowanrail/scheduling/queue.py
@@ -1,8 +1,9 @@
-"""Statements that wait for room at a member: who runs next, and who need not wait any longer.
+"""Order in which statements that wait for room at a member run.
 
-Owns the order of those who wait: samples, urgency with a share of the turns for each class, tenants
-by their weights (:mod:`rowanrail.scheduling.fair_share`), retries and deadlines. Says also for whom
-a connection is opened; opens none.
+Samples come first, then classes by urgency, where each class keeps a share of the starts; within a
+class tenants share by weight (:mod:`rowanrail.scheduling.fair_share`), and a tenant's entries are
+ordered by retries and deadlines. Also selects the tenant for which a connection is opened next, but
+opens none.
 """
 
 from collections import Counter, defaultdict
@@ -23,39 +24,40 @@
     "tenant_weight",
 ]
 
-# Every tenth start is a less urgent class's while more urgent ones wait. Its statements may belong
-# to operations of several, which are lost with any of them, and its callers retry, which is more
-# load if nothing of theirs ends. A ninth more waiting is far within what urgent callers bear.
-TURNS_BETWEEN = 9
-# Starts on idle connections for each opening that they may put off: an opening takes a slot for
-# longer than most statements. So openings take at most a twelfth of the slots while work of the
-# same urgency waits that needs none. A tenant without a connection is put off for about 0.1 s then,
-# an eighth of a statement's usual time, if it is the only one.
-REUSES_BETWEEN = 16
-# The same for an opening that is put off by less urgent work: about 25 ms, a twentieth of what
-# urgent callers aim at; openings may take a quarter of the slots for it.
-URGENT_REUSES_BETWEEN = 4
-# Factor on both for a tenant of which connections are in use, which must itself have been put off
-# so often: one of them is mostly released sooner, unless others pass theirs on to themselves.
-COMING_BACK_FACTOR = 4
-LATEST_STARTS = 64  # by which the part that each class has of the starts is told
+# Starts of more urgent classes after which a waiting class gets the next one, so that it is not
+# starved: its clients would retry, which adds load, and an operation of several statements fails
+# with any of them. More urgent statements wait at most a ninth longer.
+MAX_TIMES_PASSED_OVER = 9
+# Starts on idle connections that may be preferred to an opening, which takes a slot for longer than
+# most statements. With this bound openings take at most a twelfth of the slots while work of the
+# same urgency can use idle connections. A single tenant without a connection is delayed by about
+# 0.1 s, an eighth of a statement's usual time limit.
+REUSES_PER_OPENING = 16
+# The same bound if the opening is for more urgent work: a delay of about 25 ms, a twentieth of the
+# objective of urgent callers; openings may take a quarter of the slots for it.
+URGENT_REUSES_PER_OPENING = 4
+# Factor on both bounds for a tenant with connections in use, one of which is usually released
+# sooner. The tenant itself must have been delayed that often as well, since its connections may be
+# passed on from one statement to the next.
+IN_USE_FACTOR = 4
+RECENT_STARTS = 64  # window of the moving average of each class's share of the starts
 
 FlowKey = tuple[int, str | None]  # urgency and tenant
 
 
-def _flow_of(item: Queued) -> FlowKey:
+def _flow_key(item: Queued) -> FlowKey:
     return (item.entry.urgency, item.entry.tenant)
 
 
 @dataclass(frozen=True, slots=True)
 class Pick(Generic[Waiting]):
-    """Who is next.
+    """The item that is next.
 
     Parameters
     ----------
     item : Queued
     needs_opening : bool
-        Whether a connection has to be opened for it; it waits on until that is there.
+        Whether a connection has to be opened for it; it stays in the queue until that is open.
     """
 
     item: Waiting
@@ -64,32 +66,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSupply:
-    """Which connections to the member there are.
+    """The connections to a member that are available to waiting statements.
 
     Parameters
     ----------
     idle : collection of str
-        Tenants that have an idle one.
+        Tenants that have an idle connection.
     may_open : callable
-        Says whether one may be opened for a tenant of which somebody has waited since a moment.
-    may_come_back : callable
-        Says whether one of a tenant is in use, and will be free again.
+        Returns whether a connection may be opened for a tenant whose statement has waited since a
+        time in milliseconds.
+    has_in_use : callable
+        Returns whether a connection of a tenant is in use, and thus will be released.
     """
 
     idle: Collection[str]
     may_open: Callable[[str | None, float], bool] = lambda tenant, since: False
-    may_come_back: Callable[[str], bool] = lambda tenant: False
+    has_in_use: Callable[[str], bool] = lambda tenant: False
 
     def has_idle(self, tenant: str | None) -> bool:
-        """Return whether a tenant has an idle one; anybody's will do for None."""
+        """Return whether a tenant has an idle connection; any connection will do for None."""
         return tenant in self.idle or (tenant is None and bool(self.idle))
 
 
 class WorkQueue(Generic[Waiting]):
-    """Those who wait at one member.
+    """Queue of the statements that wait at one member.
 
-    Samples run first, since all reads wait for one. Then comes the most urgent class; among its
-    tenants the one that had least of its share, and of that one's entries the earliest deadline.
+    Samples run first, since all reads depend on them. Then comes the most urgent class; within it
+    the tenant that has had least of its share, and among its entries the earliest deadline.
 
     Examples
     --------
@@ -112,84 +115,82 @@
 
     def __init__(self) -> None:
         self._classes: dict[int, FairShare[Waiting]] = {}
-        self._places: dict[
-            int, QueuePosition[Waiting]
-        ] = {}  # by the identity of what stands there, in order
+        self._positions: dict[int, QueuePosition[Waiting]] = {}  # by id of the item, in order
         self._tenants: Counter[str | None] = Counter()
-        self._numbers = 0
+        self._last_number = 0
         self._reuses = 0  # starts since the last opening
-        self._put_off: Counter[FlowKey] = Counter()  # times since a tenant's last start
-        self._parts: dict[int, float] = defaultdict(float)  # of the latest starts, by urgency
+        self._delays: Counter[FlowKey] = Counter()  # delayed openings since a tenant's last start
+        self._start_shares: dict[int, float] = defaultdict(float)  # of recent starts, by urgency
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._positions)
 
     def __iter__(self) -> Iterator[Waiting]:
-        return (place.item for place in self._places.values())
+        return (position.item for position in self._positions.values())
 
     @property
     def lengths(self) -> dict[int, int]:
-        """How many wait, by urgency."""
-        return {urgency: len(known) for urgency, known in self._classes.items()}
+        """Number of waiting statements, by urgency."""
+        return {urgency: len(tenants) for urgency, tenants in self._classes.items()}
 
     @property
     def oldest(self) -> float | None:
-        """Moment since which the first of those who came has waited."""
-        first = next(iter(self._places.values()), None)
+        """Time in milliseconds since which the first statement has waited; None if none waits."""
+        first = next(iter(self._positions.values()), None)
         return None if first is None else first.since
 
     def count_waiting(self, tenant: str | None) -> int:
-        """Return how many want a connection of a tenant."""
+        """Return the number of statements that wait for a connection of a tenant."""
         return self._tenants[tenant]
 
     def add(self, item: Waiting, now: float) -> None:
-        """Put somebody in."""
-        self._numbers += 1
-        place = QueuePosition(item, now, self._numbers)
-        self._places[id(item)] = place
+        """Add a statement."""
+        self._last_number += 1
+        position = QueuePosition(item, now, self._last_number)
+        self._positions[id(item)] = position
         self._tenants[item.entry.tenant] += 1
-        self._classes.setdefault(item.entry.urgency, FairShare()).add(place)
+        self._classes.setdefault(item.entry.urgency, FairShare()).add(position)
 
     def remove(self, item: Waiting) -> bool:
-        """Forget somebody; return whether it was there."""
-        place = self._take(item)
-        if place is None:
+        """Remove a statement that does not run; return whether it was in the queue."""
+        position = self._take(item)
+        if position is None:
             return False
-        self._classes[item.entry.urgency].remove(place)
+        self._classes[item.entry.urgency].remove(position)
         return True
 
     def _take(self, item: Waiting) -> QueuePosition[Waiting] | None:
-        place = self._places.pop(id(item), None)
-        if place is not None:
+        position = self._positions.pop(id(item), None)
+        if position is not None:
             self._tenants[item.entry.tenant] -= 1
-        return place
+        return position
 
     def start(self, item: Waiting) -> None:
-        """Take somebody out who runs now: it counts against its tenant's and its class's share."""
-        place = self._take(item)
-        if place is None:
+        """Remove a statement that starts to run, and charge its tenant and its class."""
+        position = self._take(item)
+        if position is None:
             return
         urgency = item.entry.urgency
         self._reuses += 1
-        self._put_off.pop(_flow_of(item), None)
-        self._note_part(urgency)
-        self._classes[urgency].start(place)
+        self._delays.pop(_flow_key(item), None)
+        self._note_start(urgency)
+        self._classes[urgency].start(position)
         self._classes[urgency].passed_over = 0
         if urgency < 0:
-            return  # samples serve all classes
-        for other, known in self._classes.items():
+            return  # samples serve all classes, so none counts as passed over
+        for other, tenants in self._classes.items():
             if other > urgency:
-                known.passed_over = known.passed_over + 1 if known.is_waiting else 0
+                tenants.passed_over = tenants.passed_over + 1 if tenants.is_waiting else 0
 
-    def _note_part(self, urgency: int) -> None:
-        for known in self._parts:
-            self._parts[known] -= self._parts[known] / LATEST_STARTS
-        self._parts[urgency] += 1 / LATEST_STARTS
+    def _note_start(self, urgency: int) -> None:
+        for other in self._start_shares:
+            self._start_shares[other] -= self._start_shares[other] / RECENT_STARTS
+        self._start_shares[urgency] += 1 / RECENT_STARTS
 
     def next(self, supply: ConnectionSupply, only_samples: bool = False) -> Pick[Waiting] | None:
-        """Return who runs next, or for whom a connection is opened next; None if nobody can.
+        """Return the statement to run next, or to open a connection for; None if there is none.
 
-        Somebody for whom a connection is idle goes before one that needs an opening, up to a bound.
+        A statement with an idle connection goes before one that needs an opening, up to a bound.
 
         Parameters
         ----------
@@ -198,81 +199,86 @@
             Whether there is room for samples only.
         """
         opening: QueuePosition[Waiting] | None = None
-        for place in self._in_order(only_samples):
-            tenant = place.item.entry.tenant
+        for position in self._heads(only_samples):
+            tenant = position.item.entry.tenant
             if supply.has_idle(tenant):
-                if opening is not None and self._is_due(opening, place, supply):
+                if opening is not None and self._is_opening_due(opening, position, supply):
                     break
                 if opening is not None:
-                    self._put_off[_flow_of(opening.item)] += 1
-                return Pick(place.item, needs_opening=False)
-            if opening is None and supply.may_open(tenant, place.since):
-                opening = place
+                    self._delays[_flow_key(opening.item)] += 1
+                return Pick(position.item, needs_opening=False)
+            if opening is None and supply.may_open(tenant, position.since):
+                opening = position
         if opening is None:
             return None
         self._reuses = 0
         return Pick(opening.item, needs_opening=True)
 
-    def _is_due(
+    def _is_opening_due(
         self,
         opening: QueuePosition[Waiting],
         other: QueuePosition[Waiting],
         supply: ConnectionSupply,
     ) -> bool:
-        """Return whether an opening is put off no longer for another that needs none."""
+        """Return whether an opening now goes before another statement that needs none."""
         is_more_urgent = opening.item.entry.urgency < other.item.entry.urgency
-        bound = URGENT_REUSES_BETWEEN if is_more_urgent else REUSES_BETWEEN
-        if supply.may_come_back(opening.item.entry.tenant or ""):
-            put_off = self._put_off[_flow_of(opening.item)]
-            return put_off >= COMING_BACK_FACTOR * bound <= self._reuses
+        bound = URGENT_REUSES_PER_OPENING if is_more_urgent else REUSES_PER_OPENING
+        if supply.has_in_use(opening.item.entry.tenant or ""):
+            delays = self._delays[_flow_key(opening.item)]
+            return delays >= IN_USE_FACTOR * bound <= self._reuses
         return self._reuses >= bound
 
-    def _in_order(self, only_samples: bool) -> Iterator[QueuePosition[Waiting]]:
-        """Return the first entry of each tenant in each class."""
-        for known in self._in_turn(only_samples):
-            yield from known.heads()
+    def _heads(self, only_samples: bool) -> Iterator[QueuePosition[Waiting]]:
+        """Yield the first entry of each tenant in each class, in order."""
+        for tenants in self._ordered_classes(only_samples):
+            yield from tenants.heads()
 
-    def _in_turn(self, only_samples: bool) -> list[FairShare[Waiting]]:
-        """Return classes that wait: one that was passed over for long, then by urgency."""
-        waiting = sorted(urgency for urgency, known in self._classes.items() if known.is_waiting)
+    def _ordered_classes(self, only_samples: bool) -> list[FairShare[Waiting]]:
+        """Return the waiting classes: one that was passed over for too long, then by urgency."""
+        waiting = sorted(
+            urgency for urgency, tenants in self._classes.items() if tenants.is_waiting
+        )
         if only_samples:
             return [self._classes[urgency] for urgency in waiting if urgency < 0]
 
         def order(urgency: int) -> tuple[bool, int, int]:
             passed_over = self._classes[urgency].passed_over
-            turn = passed_over if passed_over >= TURNS_BETWEEN else 0
-            return (urgency >= 0, -turn, urgency)
+            overdue = passed_over if passed_over >= MAX_TIMES_PASSED_OVER else 0
+            return (urgency >= 0, -overdue, urgency)
 
         return [self._classes[urgency] for urgency in sorted(waiting, key=order)]
 
     def past_deadline(self, now: float, run_time: float = 0.0) -> list[Waiting]:
-        """Return those for whom :func:`is_past_deadline` is true."""
+        """Return the statements for which :func:`is_past_deadline` holds; times in ms."""
         return [item for item in self if is_past_deadline(item.entry, now, run_time)]
 
     def ahead_of(self, entry: QueueEntry, needs_opening: bool = False) -> float:
-        """Return about how many run before an entry that comes now, or waits already.
+        """Return the estimated number of starts before an entry that is new, or waits already.
 
-        All that are more urgent do, those of its own urgency by their tenants' shares, and of the
-        less urgent their share of the turns; and while these run, more urgent ones come. An entry
-        that needs an opening is put off for some starts more.
+        Counts all more urgent entries, those of the same urgency by their tenants' shares, and the
+        starts that less urgent classes get meanwhile; scaled up for more urgent ones that arrive
+        later. An entry that needs an opening is delayed by some more starts.
         """
         own = more_urgent = less_urgent = 0.0
-        for urgency, known in self._classes.items():
+        for urgency, tenants in self._classes.items():
             if urgency < entry.urgency:
-                more_urgent += len(known)
+                more_urgent += len(tenants)
             elif urgency == entry.urgency:
-                own += known.ahead_of(entry)
+                own += tenants.ahead_of(entry)
             else:
-                less_urgent += len(known)
+                less_urgent += len(tenants)
         ahead = own + more_urgent
-        ahead += min(less_urgent, ahead // TURNS_BETWEEN)
-        ahead /= max(1 / (TURNS_BETWEEN + 1), 1 - self._more_urgent_part(entry.urgency))
+        ahead += min(less_urgent, ahead // MAX_TIMES_PASSED_OVER)
+        ahead /= max(1 / (MAX_TIMES_PASSED_OVER + 1), 1 - self._more_urgent_share(entry.urgency))
         if needs_opening:
-            ahead += min(len(self), URGENT_REUSES_BETWEEN)
-        return min(ahead, own + (own + 1) * TURNS_BETWEEN)  # its class keeps its turns
-
-    def _more_urgent_part(self, urgency: int) -> float:
-        """Return which part of the latest starts was of more urgent classes."""
-        known = sum(self._parts.values())
-        more_urgent = sum(part for other, part in self._parts.items() if 0 <= other < urgency)
-        return more_urgent / known if known else 0.0
+            ahead += min(len(self), URGENT_REUSES_PER_OPENING)
+        # The class is guaranteed its share of the starts.
+        return min(ahead, own + (own + 1) * MAX_TIMES_PASSED_OVER)
+
+    def _more_urgent_share(self, urgency: int) -> float:
+        """Return the share of recent starts that were of more urgent classes."""
+        total = sum(self._start_shares.values())
+        more_urgent = sum(
+            share for other, share in self._start_shares.items() if 0 <= other < urgency
+        )
+        return more_urgent / total if total else 0.0
--- a/tests/scheduling/test_queue.py
+++ b/tests/scheduling/test_queue.py
@@ -4,10 +4,10 @@
 from collections import Counter
 
 from rowanrail.scheduling.queue import (
-    COMING_BACK_FACTOR,
-    REUSES_BETWEEN,
-    TURNS_BETWEEN,
-    URGENT_REUSES_BETWEEN,
+    IN_USE_FACTOR,
+    MAX_TIMES_PASSED_OVER,
+    REUSES_PER_OPENING,
+    URGENT_REUSES_PER_OPENING,
     ConnectionSupply,
     QueueEntry,
     WorkQueue,
@@ -114,14 +114,14 @@
         self.add_each(50, "middle", 1)
         self.add_each(50, "low", 2)
         runs = Counter(self.run_each(100))
-        self.assertAlmostEqual(runs["middle"], 100 / (TURNS_BETWEEN + 1), delta=2)
-        self.assertAlmostEqual(runs["low"], 100 / (TURNS_BETWEEN + 1), delta=2)
+        self.assertAlmostEqual(runs["middle"], 100 / (MAX_TIMES_PASSED_OVER + 1), delta=2)
+        self.assertAlmostEqual(runs["low"], 100 / (MAX_TIMES_PASSED_OVER + 1), delta=2)
 
     def test_no_turn_is_saved_up_while_a_class_is_empty(self):
         self.add_each(100, "urgent", 0)
         self.run_each(50)
         self.add("low", 2)
-        self.assertNotIn("low", self.run_each(TURNS_BETWEEN))
+        self.assertNotIn("low", self.run_each(MAX_TIMES_PASSED_OVER))
         self.assertEqual(self.run_next(), "low")
 
 
@@ -136,7 +136,7 @@
         self.add("small", 1, "small", deadline=100.0)
         self.add_each(60, "large", 1, "large")
         self.run_next(self.supply)
-        runs = self.run_each(REUSES_BETWEEN, self.supply)
+        runs = self.run_each(REUSES_PER_OPENING, self.supply)
         self.assertEqual(runs[-1], "open small")
         self.assertEqual(set(runs[:-1]), {"large"})
 
@@ -144,7 +144,7 @@
         self.add_each(60, "large", 2, "large")
         self.run_next(self.supply)
         self.add("urgent", 0, "small")
-        runs = self.run_each(URGENT_REUSES_BETWEEN, self.supply)
+        runs = self.run_each(URGENT_REUSES_PER_OPENING, self.supply)
         self.assertEqual(runs[-1], "open urgent")
 
     def test_nobody_is_put_off_where_no_connection_is_idle(self):
@@ -152,13 +152,11 @@
         self.assertEqual(self.run_next(ConnectionSupply(set(), self.supply.may_open)), "open small")
 
     def test_a_tenant_whose_connections_come_back_is_put_off_for_longer(self):
-        supply = ConnectionSupply(
-            {"large"}, self.supply.may_open, may_come_back=lambda tenant: True
-        )
+        supply = ConnectionSupply({"large"}, self.supply.may_open, has_in_use=lambda tenant: True)
         self.add("small", 1, "small")
         self.add_each(100, "large", 1, "large")
         self.run_next(supply)
-        runs = self.run_each(COMING_BACK_FACTOR * REUSES_BETWEEN, supply)
+        runs = self.run_each(IN_USE_FACTOR * REUSES_PER_OPENING, supply)
         self.assertEqual(runs[-1], "open small")
         self.assertEqual(set(runs[:-1]), {"large"})
 
@@ -215,4 +213,4 @@
         while self.run_next() != "it":
             self.add("urgent", 0)
             before += 1
-        self.assertAlmostEqual(told, before, delta=2 * TURNS_BETWEEN)
+        self.assertAlmostEqual(told, before, delta=2 * MAX_TIMES_PASSED_OVER)
