--- a/src/rowanrail/scheduling/lag.py
+++ b/src/rowanrail/scheduling/lag.py
@@ -1,24 +1,24 @@
-"""How far a replica's log is behind, told from its answers; it decides nothing about freshness.
+"""Estimated replication lag of a member, from its answers to reads.
 
-A wrong estimate costs a round trip or a slot of the primary, never a stale answer: the member
-itself checks its log against the position that a read must see.
+Does not affect consistency: the member itself compares its log with the position that a read
+requires. A wrong estimate costs a round trip, or a slot of the primary.
 """
 
 import math
 
 __all__ = ["LagEstimate"]
 
-# ms; after it a lag without new answers has shrunk to 1/e, so that a replica that was behind for a
-# while is tried again well before callers' next complaints.
+# ms in which an estimate without new answers decays to 1/e, so that a replica that was behind is
+# soon tried again.
 LAG_DECAY_MS = 1000.0
-# A log that lacks what is some age old may be behind by more: the estimate doubles until a read
-# shows that it holds something older, so that few reads are spent on finding the lag.
+# A log that lacks a position may be behind by more than the position's age. The estimate doubles
+# until a read shows that the log contains something older, so that few reads are spent on that.
 LAG_GROWTH = 2.0
-SHORTEST_LAG_MS = 20.0  # ms; less can't be told from the time that answers take on their way
+MIN_LAG_MS = 20.0  # ms; a shorter lag cannot be told from the round trip
 
 
 class LagEstimate:
-    """The lag of one member in milliseconds.
+    """The estimated lag of one member, in milliseconds.
 
     Examples
     --------
@@ -38,19 +38,19 @@
         self._noted_at = 0.0
 
     def at(self, now: float) -> float:
-        """Return the lag that is assumed now."""
+        """Return the estimated lag at a time."""
         return self._lag * math.exp((self._noted_at - now) / LAG_DECAY_MS)
 
     def note_missing(self, age: float, now: float) -> None:
-        """Note that its log lacks what the primary's log has held for ``age``."""
-        self._lag = max(self.at(now), LAG_GROWTH * age, SHORTEST_LAG_MS)
+        """Record that its log lacks a position that the primary reached ``age`` ago."""
+        self._lag = max(self.at(now), LAG_GROWTH * age, MIN_LAG_MS)
         self._noted_at = now
 
     def note_present(self, age: float, now: float) -> None:
-        """Note that its log holds what the primary's log has held for ``age``."""
+        """Record that its log contains a position that the primary reached ``age`` ago."""
         self._lag = min(self.at(now), age)
         self._noted_at = now
 
     def expected_catch_up(self, age: float, now: float) -> float:
-        """Return for how long it is expected to lack what the primary has held for ``age``."""
+        """Return the time until its log has a position that the primary reached ``age`` ago."""
         return max(0.0, self.at(now) - age)
--- a/src/rowanrail/scheduling/reported_weights.py
+++ b/src/rowanrail/scheduling/reported_weights.py
@@ -1,8 +1,9 @@
-"""What other gateways reported of members' weights: a hint that ages and never binds.
+"""Weights of members that other gateways reported, used as a hint that decays.
 
-Each reports what its own statements met, never what others reported, so that nothing goes round. A
-member that one gateway can't reach may serve another well: a report takes a part of a weight only,
-and for a short while. Without reports, or with old ones, a member keeps its own weight.
+Each gateway reports only the failures of its own statements, not what others reported, so that
+reports do not circulate. A member that one gateway cannot reach may serve another well, so a report
+reduces a weight only in part, and for a short time. Without recent reports a member keeps its own
+weight.
 """
 
 import math
@@ -10,11 +11,12 @@
 
 __all__ = ["ReportedWeights"]
 
-# Of what a report takes away. With all of it a gateway that is cut off would keep others from
-# members that serve them; with this part a near member is left for one that is as near.
+# Share of a reported loss of weight that is applied. With all of it a gateway that is cut off would
+# keep others away from working members; with this share another member is preferred only if it is
+# as near.
 REPORTED_TRUST = 0.7
-# ms; after it a report has shrunk to 1/e. A gateway that goes on to see trouble reports it again
-# with its next answer.
+# ms in which a report decays to 1/e. A gateway that still sees failures repeats its report with its
+# next answer.
 REPORTED_DECAY_MS = 2000.0
 
 
@@ -41,21 +43,21 @@
         self._reports: dict[str, _Report] = {}
 
     def note(self, weights: dict[str, float], now: float) -> None:
-        """Take what a gateway reported of the members that lost weight there."""
+        """Record a gateway's report of the members that lost weight there."""
         for instance, weight in weights.items():
             if weight <= self.factor(instance, now):
                 self._reports[instance] = _Report(weight, now)
 
     def factor(self, instance: str, now: float) -> float:
-        """Return by what a member's own weight is multiplied."""
+        """Return the factor by which a member's own weight is multiplied."""
         report = self._reports.get(instance)
         if report is None:
             return 1.0
-        fading = math.exp((report.heard_at - now) / REPORTED_DECAY_MS)
-        return 1.0 - REPORTED_TRUST * (1.0 - report.weight) * fading
+        decay = math.exp((report.heard_at - now) / REPORTED_DECAY_MS)
+        return 1.0 - REPORTED_TRUST * (1.0 - report.weight) * decay
 
     def keep(self, instances: set[str]) -> None:
-        """Forget all other members."""
+        """Drop the reports of all other members."""
         self._reports = {
             name: report for name, report in self._reports.items() if name in instances
         }
--- a/src/rowanrail/scheduling/run_times.py
+++ b/src/rowanrail/scheduling/run_times.py
@@ -1,8 +1,8 @@
-"""How long statements take at each member: with nothing in their way, and lately.
+"""Baseline run times of each member, and its current queueing delay.
 
-Of each kind of work at each member a low quantile of the answer times is kept: what it takes with
-nothing in its way, the way there and back included. By how much answers took longer lately is one
-figure for each member: a queue delays all kinds by the same time.
+The baseline is a low quantile of the answer times for each kind of work at each member, including
+the round trip: the time that it takes when nothing is queued. The queueing delay is a single figure
+for each member, as a queue delays all kinds of work alike.
 """
 
 import math
@@ -11,32 +11,32 @@
 __all__ = ["RunTimes"]
 
 INITIAL_RUN_MS = 20.0  # ms; about a short read within a region
-# Steps of the quantile, as shares of its value: where a fifth of the answers are quicker they
-# balance, so that a queue does not soon pass for the usual time, and a quicker time soon does.
+# Relative steps of the quantile estimate. They balance where a fifth of the answers are faster, so
+# that the baseline rises slowly with a queue and falls fast with a quicker answer.
 STEP_DOWN = 0.04
 STEP_UP = 0.01
-# Of the newest excess in its moving average. A rise counts at once by half, since each statement
-# that still goes to a full member is refused or waits; a fall is taken in about ten answers.
+# Weight of the newest delay in the moving average. An increase counts by half at once, since each
+# further statement sent to a full member is refused or waits; a decrease takes about ten answers.
 RISE_WEIGHT = 0.5
 FALL_WEIGHT = 0.1
-# ms; after it an excess without new answers has shrunk to 1/e. Queues are bounded, and drain in
-# less; a member that nobody asks must be asked again some time.
-EXCESS_DECAY_MS = 1000.0
-# Usual times that a queue is assumed to take at a member that refused a statement as busy, but no
-# less than a round trip between regions (ms): so much is lost if the next one is, too.
+# ms in which a delay without new answers decays to 1/e, so that a member without requests is tried
+# again. The members' queues are bounded and drain in less time.
+DELAY_DECAY_MS = 1000.0
+# Queueing delay assumed at a member that refused a statement as busy: in service times, but at
+# least a round trip between regions, which is lost if the next statement is refused as well.
 BUSY_RUNS = 3.0
-SHORTEST_BUSY_QUEUE_MS = 40.0
-MOST_KINDS = 100  # of one member; routes come and go with configurations
-SHORTEST_USUAL_MS = 0.5  # ms; a fast network there and back. Steps are shares, and never leave 0
+MIN_BUSY_DELAY_MS = 40.0
+MAX_KINDS = 100  # per member; bounds memory, as routes change with the configuration
+MIN_BASELINE_MS = 0.5  # ms; the round trip in a fast network. Relative steps cannot leave 0
 
 
 @dataclass(slots=True)
-class _Excess:
+class _QueueDelay:
     value: float = 0.0
     noted_at: float = 0.0
 
     def at(self, now: float) -> float:
-        return self.value * math.exp((self.noted_at - now) / EXCESS_DECAY_MS)
+        return self.value * math.exp((self.noted_at - now) / DELAY_DECAY_MS)
 
     def note(self, newest: float, now: float) -> None:
         before = self.at(now)
@@ -60,47 +60,49 @@
     """
 
     def __init__(self) -> None:
-        self._usual: dict[str, dict[str, float]] = {}
-        self._excess: dict[str, _Excess] = {}
+        self._baselines: dict[str, dict[str, float]] = {}
+        self._delays: dict[str, _QueueDelay] = {}
 
     def note(self, instance: str, kind: str, taken: float, now: float) -> None:
-        """Note an answer's time."""
-        kinds = self._usual.setdefault(instance, {})
-        usual = kinds.get(kind)
-        if usual is None:
-            usual = max(taken, SHORTEST_USUAL_MS)
+        """Record the time that an answer took."""
+        kinds = self._baselines.setdefault(instance, {})
+        baseline = kinds.get(kind)
+        if baseline is None:
+            baseline = max(taken, MIN_BASELINE_MS)
         else:
-            usual *= 1 + STEP_UP if taken > usual else 1 - STEP_DOWN
-            usual = max(usual, SHORTEST_USUAL_MS)
-        kinds[kind] = usual
-        if len(kinds) > MOST_KINDS:
+            baseline *= 1 + STEP_UP if taken > baseline else 1 - STEP_DOWN
+            baseline = max(baseline, MIN_BASELINE_MS)
+        kinds[kind] = baseline
+        if len(kinds) > MAX_KINDS:
             del kinds[next(iter(kinds))]
-        self._excess.setdefault(instance, _Excess()).note(max(0.0, taken - usual), now)
+        self._delays.setdefault(instance, _QueueDelay()).note(max(0.0, taken - baseline), now)
 
     def note_busy(self, instance: str, kind: str, now: float) -> None:
-        """Note that a member's queue was full."""
-        full = max(BUSY_RUNS * self.service_time(kind), SHORTEST_BUSY_QUEUE_MS)
-        excess = self._excess.setdefault(instance, _Excess())
-        if full > excess.at(now):
-            excess.value, excess.noted_at = full, now
+        """Record that a member's queue was full."""
+        assumed = max(BUSY_RUNS * self.service_time(kind), MIN_BUSY_DELAY_MS)
+        delay = self._delays.setdefault(instance, _QueueDelay())
+        if assumed > delay.at(now):
+            delay.value, delay.noted_at = assumed, now
 
     def baseline(self, instance: str, kind: str) -> float | None:
-        """Return what a kind of work takes at a member with nothing in its way, if known."""
-        return self._usual.get(instance, {}).get(kind)
+        """Return the time that a kind of work takes at a member without queueing, if known."""
+        return self._baselines.get(instance, {}).get(kind)
 
     def service_time(self, kind: str) -> float:
-        """Return what a slot takes for a kind of work: where the quickest member is at hand."""
+        """Return the time for which a kind of work occupies a slot: the lowest baseline."""
         return min(self._known(kind), default=INITIAL_RUN_MS)
 
     def queue_delay(self, instance: str, now: float) -> float:
-        """Return by how much a member's latest answers took longer than usual."""
-        excess = self._excess.get(instance)
-        return 0.0 if excess is None else excess.at(now)
+        """Return by how much a member's recent answers exceeded the baseline."""
+        delay = self._delays.get(instance)
+        return 0.0 if delay is None else delay.at(now)
 
     def keep(self, instances: set[str]) -> None:
-        """Forget all other members."""
-        self._excess = {name: kept for name, kept in self._excess.items() if name in instances}
-        self._usual = {name: kept for name, kept in self._usual.items() if name in instances}
+        """Drop the figures of all other members."""
+        self._delays = {name: kept for name, kept in self._delays.items() if name in instances}
+        self._baselines = {
+            name: kept for name, kept in self._baselines.items() if name in instances
+        }
 
     def _known(self, kind: str) -> list[float]:
-        return [kinds[kind] for kinds in self._usual.values() if kind in kinds]
+        return [kinds[kind] for kinds in self._baselines.values() if kind in kinds]
--- a/src/rowanrail/scheduling/wait_forecast.py
+++ b/src/rowanrail/scheduling/wait_forecast.py
@@ -1,20 +1,20 @@
-"""How long a statement waits for a connection to a member, by how many go before it.
+"""Expected wait of a statement for a connection to a member, from the statements ahead of it.
 
-Functions on plain values: what a gateway says of a member's wait, to its own statements and to
-other gateways, is worked out here alone. They rely on lengths of use that are smoothed before they
-get here; with none known, the first guess of :mod:`rowanrail.gateway.pools.leases` stands in.
+Functions on plain values. Both the gateway's own admission and its reports to other gateways use
+them. They rely on smoothed lease times; before any is known, the initial estimate of
+:mod:`rowanrail.gateway.pools.leases` is used.
 """
 
 __all__ = ["expected_wait", "max_in_flight"]
 
 
 def max_in_flight(concurrency_limit: int, usable: int) -> int:
-    """Return how many statements may be under way at a member, at least 1.
+    """Return how many statements may be in flight at a member, at least 1.
 
     Parameters
     ----------
     concurrency_limit : int
-        By what the member's answers show.
+        The limit adapted to the member's answer times.
     usable : int
         Connections that are not held by idle transactions.
 
@@ -27,18 +27,18 @@
 
 
 def expected_wait(ahead: float, limit: int, in_flight: int, lease: float) -> float:
-    """Return for how many milliseconds a statement waits for a place.
+    """Return the milliseconds for which a statement waits until it may be sent.
 
     Parameters
     ----------
     ahead : float
-        How many that wait go before it.
+        Number of waiting statements that go before it.
     limit : int
-        How many statements may be under way at once.
+        Number of statements that may be in flight.
     in_flight : int
-        How many are.
+        Number of statements in flight.
     lease : float
-        Milliseconds for which a connection is in use by one statement.
+        Milliseconds for which a statement uses a connection.
 
     Examples
     --------
--- a/tests/scheduling/test_member_weight.py
+++ b/tests/scheduling/test_member_weight.py
@@ -3,8 +3,8 @@
 import unittest
 
 from rowanrail.scheduling.member_weight import (
-    FALL_MEMORY_MS,
-    LEAST_WEIGHT,
+    DEGRADATION_MEMORY_MS,
+    MIN_WEIGHT,
     FailureKind,
     MemberWeight,
 )
@@ -42,7 +42,7 @@
     def test_a_member_keeps_some_weight_in_case_all_others_are_worse(self):
         for _ in range(100):
             self.health.note_failure(FailureKind.SILENCE, 0)
-        self.assertEqual(self.health.weight.value, LEAST_WEIGHT)
+        self.assertEqual(self.health.weight.value, MIN_WEIGHT)
 
     def test_the_first_return_takes_seconds(self):
         self.fall()
@@ -60,7 +60,7 @@
     def test_falls_of_long_ago_are_forgotten(self):
         self.fall()
         self.seconds_to_return()
-        self.now += FALL_MEMORY_MS
+        self.now += DEGRADATION_MEMORY_MS
         self.fall()
         self.assertLessEqual(self.seconds_to_return(), 4)
 
