--- a/src/rowanrail/scheduling/__init__.py
+++ b/src/rowanrail/scheduling/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions under load, apart from I/O: what may run now, where, and what is refused.
+"""Scheduling decisions without I/O: what may run now, on which member, and what is rejected.
 
-Everything here takes plain data and times in milliseconds and says what to do; ``gateway`` and
-``relay`` carry it out. Nothing here knows a connection, a socket or a message.
+The functions take plain data and times in milliseconds and return decisions, which ``gateway`` and
+``relay`` carry out. They know no connections, sockets or messages.
 """
--- a/src/rowanrail/scheduling/demand.py
+++ b/src/rowanrail/scheduling/demand.py
@@ -1,7 +1,7 @@
-"""What is asked for in each group of gateways: what lasts, and not a short wave.
+"""Demand for the shards of services in each group of gateways, without short peaks.
 
-Owns the last spans of demand; a planner moves holders by their median, so that a wave of some
-seconds moves nobody.
+Keeps the demand of the last spans of time. The planner uses their median, so that a peak of a few
+seconds moves no holder.
 """
 
 import statistics
@@ -11,21 +11,21 @@
 
 __all__ = ["WINDOW_SPANS", "DemandWindow", "GroupDemand", "ShardDemand"]
 
-# Spans of 5 s that are kept. A wave of 10 s touches three of them at most, so that the median is
-# what is asked for without it; what lasts counts after four spans, 20 s.
+# Spans of 5 s that are kept. A peak of 10 s is part of three of them at most, so it does not affect
+# the median; a lasting change does after four spans, 20 s.
 WINDOW_SPANS = 7
 
 
 @dataclass(frozen=True, slots=True)
 class ShardDemand:
-    """What is asked for of one shard of a service.
+    """Demand for one shard of a service.
 
     Parameters
     ----------
     rate : float
-        Statements a second.
+        Statements per second.
     largest_tenant_share : float
-        Share of them that the tenant with most of them asks for, 0 to 1; 0 without tenants.
+        Share of them from the tenant with most of them, 0 to 1; 0 without tenants.
     """
 
     rate: float
@@ -38,11 +38,11 @@
 
 @dataclass(slots=True)
 class DemandWindow:
-    """The last spans of the demand in all groups.
+    """Sliding window over the demand in all groups.
 
     Examples
     --------
-    A wave of two spans does not show, nor does it while more than half of them are missing.
+    A peak of two spans does not change the median.
 
     >>> window = DemandWindow()
     >>> for rate in (10, 10, 90, 90, 10, 10):
@@ -60,33 +60,33 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether enough is known to go by it."""
+        """Whether there are enough spans for a plan."""
         return len(self._spans) == WINDOW_SPANS
 
     def add(self, span: Mapping[str, GroupDemand]) -> None:
-        """Note the demand of a span, by group."""
+        """Add the demand of a span, by group."""
         self._spans.append(span)
 
     def clear(self) -> None:
-        """Forget all; what was measured before is out of date."""
+        """Discard all spans, as they are out of date."""
         self._spans.clear()
 
     def median(self) -> dict[str, dict[str, ShardDemand]]:
         """Return the median of the spans, by group and shard."""
         groups = {group for span in self._spans for group in span}
-        return {group: self._of_group(group) for group in groups}
+        return {group: self._group_median(group) for group in groups}
 
-    def _of_group(self, group: str) -> dict[str, ShardDemand]:
+    def _group_median(self, group: str) -> dict[str, ShardDemand]:
         spans = [span.get(group, {}) for span in self._spans]
-        return {key: _median(spans, key) for key in {key for span in spans for key in span}}
+        return {key: _shard_median(spans, key) for key in {key for span in spans for key in span}}
 
 
-_NONE = ShardDemand(0.0)
+_NO_DEMAND = ShardDemand(0.0)
 
 
-def _median(spans: list[GroupDemand], key: str) -> ShardDemand:
-    known = [span.get(key, _NONE) for span in spans]
+def _shard_median(spans: list[GroupDemand], key: str) -> ShardDemand:
+    demands = [span.get(key, _NO_DEMAND) for span in spans]
     return ShardDemand(
-        statistics.median(shard.rate for shard in known),
-        statistics.median(shard.largest_tenant_share for shard in known),
+        statistics.median(demand.rate for demand in demands),
+        statistics.median(demand.largest_tenant_share for demand in demands),
     )
--- a/src/rowanrail/scheduling/load.py
+++ b/src/rowanrail/scheduling/load.py
@@ -1,8 +1,8 @@
-"""What a holder of connections reports of its load with each answer, and how that ages.
+"""Load reports of gateways that hold connections, sent with their answers, and their expiry.
 
-It travels with answers that are sent anyhow. A report is a moment old when it comes and may be
-wrong soon after, so that the sender takes the least that may still be true, forgets it after a
-second, and sends a probe now and then, whose answer says when room is back.
+A report is out of date by the time it arrives, so the sender uses the lower bound of what may still
+hold, discards it after a second, and now and then sends a statement as a probe, whose answer tells
+when there is room again.
 """
 
 from collections.abc import Callable, Sequence
@@ -20,31 +20,30 @@
     "LoadReporter",
     "ServiceLoad",
     "LoadSubject",
+    "is_worth_reporting",
     "round_waits",
-    "worth_reporting",
 ]
 
-URGENCY_LEVELS = 3  # reported one by one; routes of callers name no more so far
-# Milliseconds for which a report of a holder is assumed to hold: about the time of a try, after
-# which its backlog is another one.
-ASSUMED_MS = 1000.0
-# Milliseconds between two statements that are sent although they would be refused: ten answers a
-# second tell within a tenth of a second that room is back.
+URGENCY_LEVELS = 3  # reported separately
+# Lifetime of a report: about the duration of an attempt, after which the queue is a different one.
+REPORT_LIFETIME_MS = 1000.0
+# Interval between two statements that are sent despite a report, so that room is noticed within a
+# tenth of a second.
 PROBE_MS = 100.0
-# Milliseconds for which a load that was worked out is reported again; short beside the times in it.
-REPORTED_AGAIN_MS = 10.0
-# Milliseconds for which a report is taken as it is: until the answer to the next probe is here,
-# 40 ms away. A standing queue is refilled as it goes on, so that it is as long as before.
+# Time for which a computed load is reported again; short compared with the times in it.
+REPORT_CACHE_MS = 10.0
+# Time for which a report is used as it is: until the answer to the next probe, with a round trip of
+# 40 ms. A standing queue refills meanwhile.
 FRESH_MS = PROBE_MS + 50.0
-LEAST_REPORTED_MS = 20.0  # shorter waits change no decision
-# Reports that are kept: those of 100 tenants at 10 holders; about 300 KB.
-MOST_BOOKED = 1024
+MIN_REPORTED_MS = 20.0  # shorter waits change no decision
+# Bounds memory to about 300 KB: the reports for 100 tenants at 10 holders.
+MAX_REPORTS = 1024
 
 
 class LoadSubject(NamedTuple):
-    """What a report is of: a tenant's statements of one service.
+    """What a report is about: a tenant's statements for one service at one gateway.
 
-    A tenant's burst waits behind its own share, so that each tenant's wait is another one.
+    Waits differ between tenants, as a tenant's burst waits behind its own share.
     """
 
     peer: str
@@ -53,18 +52,18 @@
 
 
 class ServiceLoad(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """The load of one service at the gateway that holds its connections, for one tenant.
+    """Load of one service, for one tenant, at the gateway that holds its connections.
 
     Parameters
     ----------
     waits : list of int
-        Milliseconds that a statement of each urgency, from 0 on, certainly takes at the primary,
-        waiting for room and running; 0 where there is room. The last one also stands for all that
-        are less urgent.
+        Lower bound in milliseconds of the time to an answer at the primary, waiting and running,
+        for each urgency from 0 on; 0 where there is room. The last one also applies to all less
+        urgent statements.
     reads : list of int
-        The same at the member where a read takes least.
+        The same for reads, at the member where they take least.
     drain_rate : int
-        Statements a second by which the wait queue of the primary goes on; 0 if it is not known.
+        Statements per second by which the queue of the primary advances; 0 if unknown.
     """
 
     waits: list[int] = []
@@ -72,7 +71,7 @@
     drain_rate: int = 0
 
     def wait(self, urgency: int, writes: bool) -> int:
-        """Return the time of a statement in milliseconds.
+        """Return the time to an answer in milliseconds.
 
         Examples
         --------
@@ -84,56 +83,58 @@
         return waits[min(max(urgency, 0), len(waits) - 1)] if waits else 0
 
 
-def worth_reporting(load: ServiceLoad) -> bool:
-    """Return whether a load says more than that there is room.
+def is_worth_reporting(load: ServiceLoad) -> bool:
+    """Return whether any wait of a load is long enough to affect a decision.
 
     Examples
     --------
-    >>> worth_reporting(ServiceLoad([0, 5], [0, 0])), worth_reporting(ServiceLoad([0, 500], [0, 0]))
-    (False, True)
+    >>> is_worth_reporting(ServiceLoad([0, 5], [0, 0]))
+    False
+    >>> is_worth_reporting(ServiceLoad([0, 500], [0, 0]))
+    True
     """
-    return max([*load.waits, *load.reads], default=0) >= LEAST_REPORTED_MS
+    return max([*load.waits, *load.reads], default=0) >= MIN_REPORTED_MS
 
 
 class LoadReporter:
-    """What a holder reports of its services, worked out once for answers that leave together.
+    """Reports the load of a holder's services, cached for answers that are sent together.
 
     Parameters
     ----------
     clock : Clock
         Time in milliseconds.
     measure : callable
-        Returns the load of a service for a tenant now, None if there is room.
+        Returns the current load of a service for a tenant, None if there is room.
     """
 
     def __init__(self, clock: Clock, measure: Callable[[str, str], ServiceLoad | None]) -> None:
         self._clock = clock
         self._measure = measure
-        self._worked_out_at = -REPORTED_AGAIN_MS
-        self._reported: dict[tuple[str, str], ServiceLoad | None] = {}
+        self._computed_at = -REPORT_CACHE_MS
+        self._reports: dict[tuple[str, str], ServiceLoad | None] = {}
 
     def report(self, service: str, tenant: str) -> ServiceLoad | None:
         """Return the load of a service for a tenant, None if there is room."""
-        if self._clock.now - self._worked_out_at >= REPORTED_AGAIN_MS:
-            self._reported.clear()
-            self._worked_out_at = self._clock.now
-        if (service, tenant) not in self._reported:
+        if self._clock.now - self._computed_at >= REPORT_CACHE_MS:
+            self._reports.clear()
+            self._computed_at = self._clock.now
+        if (service, tenant) not in self._reports:
             load = self._measure(service, tenant)
-            is_worth = load is not None and worth_reporting(load)
-            self._reported[service, tenant] = load if is_worth else None
-        return self._reported[service, tenant]
+            is_relevant = load is not None and is_worth_reporting(load)
+            self._reports[service, tenant] = load if is_relevant else None
+        return self._reports[service, tenant]
 
 
 @dataclass(frozen=True, slots=True)
 class LoadEstimate:
-    """What a sender may assume of a holder.
+    """A sender's estimate of the load at a holder.
 
     Parameters
     ----------
     wait : float
-        Milliseconds that an answer takes there, at the least; 0 if nothing is known.
+        Lower bound of the milliseconds to an answer; 0 if unknown.
     drain_rate : float
-        Statements a second by which its wait queue goes on; 0 if it is not known.
+        Statements per second by which its queue advances; 0 if unknown.
     """
 
     wait: float = 0.0
@@ -142,7 +143,7 @@
 
 @dataclass(slots=True)
 class _LastReport:
-    """The last report of a holder on a subject, and when a probe was sent on its account."""
+    """The last report on a subject, and when a probe was last sent because of it."""
 
     load: ServiceLoad
     heard_at: float
@@ -150,7 +151,7 @@
 
 
 class PeerLoads:
-    """The last reports of the holders that a gateway sends to.
+    """The last reports of the gateways to which this one sends statements.
 
     Parameters
     ----------
@@ -166,38 +167,38 @@
         return len(self._reports)
 
     def note(self, subject: LoadSubject, load: ServiceLoad | None) -> None:
-        """Take a report of a holder; None says that there is room, or comes from an older one."""
+        """Record a report; None means that there is room, or that an older version sent none."""
         before = self._reports.pop(subject, None)
         if load is None:
             return
-        if len(self._reports) >= MOST_BOOKED:
-            self._forget_old()
-        if len(self._reports) < MOST_BOOKED:
+        if len(self._reports) >= MAX_REPORTS:
+            self._evict_expired()
+        if len(self._reports) < MAX_REPORTS:
             probed_at = before.probed_at if before else self._clock.now
             self._reports[subject] = _LastReport(load, self._clock.now, probed_at)
 
     def forget(self, peer: str) -> None:
-        """Assume nothing of a holder whose link is lost."""
+        """Discard the reports of a holder whose link is lost."""
         for subject in [subject for subject in self._reports if subject.peer == peer]:
             del self._reports[subject]
 
     def estimate(self, subject: LoadSubject, urgency: int, writes: bool) -> LoadEstimate:
-        """Return what may be assumed of a holder for a statement now.
+        """Return the estimated load for a statement that is sent now.
 
-        If no probe has renewed its report, the queue may have gone on without being refilled: the
-        time is taken as shorter by what the report is too old.
+        When no probe has renewed a report, its queue may have drained without being refilled, so
+        the wait is reduced by the excess age of the report.
         """
         last = self._reports.get(subject)
         if last is None:
             return LoadEstimate()
         age = self._clock.now - last.heard_at
-        if age > ASSUMED_MS:
+        if age > REPORT_LIFETIME_MS:
             return LoadEstimate()
-        time = last.load.wait(urgency, writes) - max(0.0, age - FRESH_MS)
-        return LoadEstimate(max(0.0, time), last.load.drain_rate)
+        answer_time = last.load.wait(urgency, writes) - max(0.0, age - FRESH_MS)
+        return LoadEstimate(max(0.0, answer_time), last.load.drain_rate)
 
     def try_probe(self, subject: LoadSubject) -> bool:
-        """Return whether a statement is sent in spite of the last report; notes that it is."""
+        """Return whether a statement is sent as a probe despite the report, and record that."""
         last = self._reports.get(subject)
         if last is None:
             return True
@@ -206,18 +207,18 @@
         last.probed_at = self._clock.now
         return True
 
-    def _forget_old(self) -> None:
-        limit = self._clock.now - ASSUMED_MS
+    def _evict_expired(self) -> None:
+        limit = self._clock.now - REPORT_LIFETIME_MS
         for subject in [known for known, last in self._reports.items() if last.heard_at < limit]:
             del self._reports[subject]
 
 
 def round_waits(waits: Sequence[float]) -> list[int]:
-    """Return waits as they are reported: whole milliseconds, none that changes no decision.
+    """Return waits as whole milliseconds, with 0 for those that change no decision.
 
     Examples
     --------
     >>> round_waits([3.2, 480.6])
     [0, 481]
     """
-    return [round(wait) if wait >= LEAST_REPORTED_MS else 0 for wait in waits]
+    return [round(wait) if wait >= MIN_REPORTED_MS else 0 for wait in waits]
--- a/src/rowanrail/scheduling/load_report.py
+++ b/src/rowanrail/scheduling/load_report.py
@@ -1,6 +1,6 @@
-"""What a gateway tells the control nodes of the statements that came to it in a span of time.
+"""Messages by which gateways report the statements of a span of time to the control nodes.
 
-Messages only; the order of their fields is on the wire.
+The order of their fields is part of the wire format.
 """
 
 import msgspec
@@ -9,18 +9,18 @@
 
 
 class ShardLoad(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Statements of one shard of a service that a gateway ran, or passed on, for whoever came.
+    """Statements for one shard of a service that a gateway ran or forwarded, for any client.
 
     Parameters
     ----------
     key : str
-        Of the shard.
+        Key of the shard.
     count : int
         Statements in the span.
     tenant : str
-        Whose most of them were; empty without tenants.
+        The tenant with most of them; empty without tenants.
     largest_tenant_count : int
-        How many were that tenant's.
+        Number of that tenant's statements.
     """
 
     key: str
@@ -35,13 +35,13 @@
     Parameters
     ----------
     span_ms : int
-        Milliseconds that it took.
+        Length of the span in milliseconds.
     own_count : int
         Statements of its own clients.
     is_slow : bool
-        Whether its loop lagged, or its links choked, for most of it.
+        Whether its event loop lagged, or its links were congested, for most of the span.
     shards : list of ShardLoad
-        The largest shards.
+        The shards with most statements.
     """
 
     span_ms: int
--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -6,9 +6,9 @@
 
 from rowanrail.kernel.clock import Clock
 from rowanrail.scheduling.load import (
-    ASSUMED_MS,
     FRESH_MS,
-    MOST_BOOKED,
+    MAX_REPORTS,
+    REPORT_LIFETIME_MS,
     LoadEstimate,
     LoadReporter,
     LoadSubject,
@@ -45,7 +45,7 @@
         self.assertAlmostEqual(self.assumed(1), 500.0)
 
     def test_of_a_holder_whose_last_word_is_old_nothing_is_assumed(self):
-        self.manual.advance(ASSUMED_MS / 1000 + 0.01)
+        self.manual.advance(REPORT_LIFETIME_MS / 1000 + 0.01)
         self.assertEqual(self.book.estimate(HELD, 2, True), LoadEstimate())
 
     def test_of_a_holder_whose_link_is_lost_nothing_is_assumed(self):
@@ -72,9 +72,9 @@
         self.assertIn(passed, (9, 10))
 
     def test_memory_is_bounded(self):
-        for number in range(2 * MOST_BOOKED):
+        for number in range(2 * MAX_REPORTS):
             self.book.note(LoadSubject(f"g{number}", "db"), FULL)
-        self.assertLessEqual(len(self.book), MOST_BOOKED)
+        self.assertLessEqual(len(self.book), MAX_REPORTS)
         self.manual.advance(2.0)
         self.book.note(HELD._replace(peer="new"), FULL)
         self.assertEqual(self.assumed(1, peer="new"), 900)
