--- a/src/rowanrail/scheduling/plan.py
+++ b/src/rowanrail/scheduling/plan.py
@@ -1,7 +1,7 @@
-"""Which gateways hold a service's connections, by the demand that was measured: the types.
+"""Plan of the gateways that hold the connections of services, computed from measured demand.
 
-Messages between control nodes and gateways; the order of their fields is on the wire.
-:mod:`rowanrail.scheduling.planner` makes them.
+The types are messages between control nodes and gateways; the order of their fields is part of the
+wire format. :mod:`rowanrail.scheduling.planner` creates them.
 """
 
 import enum
@@ -12,26 +12,26 @@
 
 
 class PlanCause(enum.Enum):
-    """Why a shard is held as the plan says."""
+    """Reason for the last change of a shard's holders."""
 
-    HASH = "hash"  # as the hash says; it is named for its share
-    BUSY = "busy"  # its holder carried more than others
-    SLOW = "slow"  # its holder was slow
-    DIVIDED = "divided"  # more is asked for than one holder should carry
-    JOINED = "joined"  # fewer holders carry it
-    LOST = "lost"  # its holder was not heard any more
+    HASH = "hash"  # none: the holder is that of rendezvous hashing, only its share is planned
+    BUSY = "busy"  # a holder had a higher load than others
+    SLOW = "slow"  # a holder was slow
+    DIVIDED = "divided"  # holders were added, as the demand was too high for them
+    JOINED = "joined"  # a holder was removed, as the demand was low
+    LOST = "lost"  # a holder no longer reported
 
 
 class Holding(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What one gateway holds of a shard.
+    """A gateway that holds connections for a shard.
 
     Parameters
     ----------
     gateway : str
         Name of the gateway.
     share : float
-        Share of each member's connections that it may open for the shard, 0 to 1: of those for the
-        whole system, or for the member's region where regions share.
+        Share of each member's connections that it may open for the shard, 0 to 1. All zones divide
+        the connections, or, where regions share, those of the member's region.
     """
 
     gateway: str
@@ -39,16 +39,17 @@
 
 
 class ShardPlan(msgspec.Struct, array_like=True, frozen=True):
-    """Who holds one shard of a service in one group of gateways.
+    """Holders of one shard of a service in one group of gateways.
 
     Parameters
     ----------
     holdings : list of Holding
-        One or more; clients' gateways, or tenants, are spread over them evenly.
+        One or more; clients' gateways, or tenants, are distributed evenly over them.
     cause : PlanCause
-        Of the last change of its holders.
+        Reason for the last change of the holders.
     is_split : bool
-        Whether one tenant's statements, too, go to several holders, by its clients' gateways.
+        Whether the statements of a single tenant, too, are distributed over the holders, by the
+        gateways of its clients.
     """
 
     holdings: list[Holding]
@@ -62,22 +63,22 @@
 
     @property
     def share(self) -> float:
-        """Share of each member's connections that all its holders have together."""
+        """Share of each member's connections of all holders together."""
         return sum(holding.share for holding in self.holdings)
 
 
 class Plan(msgspec.Struct, array_like=True, frozen=True):
-    """Holders in all groups of gateways, of the services for which the hash isn't good enough.
+    """Holders in all groups of gateways, for services that rendezvous hashing balances badly.
 
     Parameters
     ----------
     number : int
-        Rises with each plan; the highest that was heard is in force. 0 if there was none.
+        Increases with each plan; the highest known one is in force. 0 if there was none.
     groups : dict of str to dict of str to ShardPlan
-        By zone, or region where those share, and by the key of a shard. A shard that is missing
+        By zone, or region where regions share, and by the key of a shard. A shard that is missing
         falls back to rendezvous hashing.
     addresses : dict of str to str
-        Where the holders take statements, by name.
+        Addresses at which the holders accept statements, by name.
 
     Examples
     --------
@@ -91,7 +92,7 @@
     addresses: dict[str, str] = {}
 
     def shard(self, group: str, key: str) -> ShardPlan | None:
-        """Return who holds a shard in a group, None if the hash says it."""
+        """Return the plan of a shard in a group, None if rendezvous hashing applies."""
         return self.groups.get(group, {}).get(key)
 
 
--- a/src/rowanrail/scheduling/planner.py
+++ b/src/rowanrail/scheduling/planner.py
@@ -1,7 +1,7 @@
-"""Works out which gateways hold what, from the demand that lasts and what gateways bear.
+"""Plans which gateways hold connections for which shards, from lasting demand and their load.
 
-The load that it answers: groups of gateways that are asked for unequal amounts, services or
-tenants that are more than one holder should carry, holders that the hash gave too much, slow ones.
+Balances groups of gateways with unequal demand, services or tenants that exceed the capacity of one
+holder, holders to which rendezvous hashing assigned too much, and slow holders.
 """
 
 from collections.abc import Collection, Iterable, Iterator, Mapping
@@ -13,53 +13,54 @@
 
 __all__ = ["Layout", "Proposal", "SharesChange", "propose_plan", "shares_by_demand"]
 
-# Of a member's connections that are divided evenly, whatever the demand: clients that come to a
-# group all at once have to be served there until the plan follows them.
+# Share of a member's connections that is divided evenly regardless of demand, so that clients that
+# arrive in a group all at once are served until the next plan.
 EVEN_CONNECTION_SHARE = 0.5
-SHORT_FACTOR = 1.25  # shares change if one should be larger by so much: one connection in four
-SHARE_DIGITS = 4  # of a share, on the wire
-# By which the shares of one member's connections may miss one: above what rounding leaves, below
-# the share of any zone of 19 that has gone.
+MIN_SHARE_GROWTH = 1.25  # factor by which a share must be too small for the shares to be changed
+SHARE_DIGITS = 4  # decimal digits of a share on the wire
+# Tolerance for the sum of the shares of one member's connections: above rounding errors, below the
+# share of a zone that is gone, for up to 19 zones.
 SHARE_TOLERANCE = 0.01
 
-# Of each member, for one of several holders of a shard: with fewer, a transaction at rest and an
-# opening leave nothing for others, and one holder's statements wait while another's room is idle.
-LEAST_CONNECTIONS = 4
-MOST_HOLDERS = 4  # of a shard; each samples the primary
+# Minimum connections to each member for one of several holders of a shard. With fewer, an idle
+# transaction and an opening leave none for others, and statements of one holder wait while another
+# has idle connections.
+MIN_CONNECTIONS_PER_HOLDER = 4
+MAX_HOLDERS = 4  # of a shard, as each of them samples the primary
 
-_ShardOf = tuple[str, str]  # a group, and the key of a shard
+_ShardId = tuple[str, str]  # group, and key of the shard
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Parts of all services, and whom the hash names for each.
+    """Shards of all services, and the gateway that rendezvous hashing assigns to each.
 
     Parameters
     ----------
     defaults : dict of str to dict of str to dict of str to str
-        By service, by group, by the key of a shard.
+        Names of gateways, by service, by group, by the key of a shard.
     is_regional : bool
-        Whether regions share: a member's connections are those of its region. Else all zones
-        divide them.
+        Whether a member's connections are divided within its region; otherwise all zones divide
+        them.
     connections : mapping of str to int
-        Connections that a member takes, by service; one that is missing bounds nothing.
+        Maximum connections of a member, by service; a service that is missing is not limited.
     """
 
     defaults: Mapping[str, Mapping[str, Mapping[str, str]]]
     is_regional: bool = False
     connections: Mapping[str, int] = field(default_factory=dict)
 
-    def of_group(self, group: str) -> dict[str, str]:
-        """Return whom the hash names in a group, by the key of a shard."""
+    def group_defaults(self, group: str) -> dict[str, str]:
+        """Return the gateways that hashing assigns in a group, by the key of a shard."""
         services = self.defaults.values()
         return {key: name for groups in services for key, name in groups.get(group, {}).items()}
 
-    def shards(self, service: str) -> list[_ShardOf]:
+    def shards(self, service: str) -> list[_ShardId]:
         """Return the shards of a service in all groups."""
         return [(group, key) for group, keys in self.defaults[service].items() for key in keys]
 
-    def divided_together(self, service: str) -> list[list[_ShardOf]]:
-        """Return the shards of a service, those together that divide the same connections."""
+    def sharing_sets(self, service: str) -> list[list[_ShardId]]:
+        """Return the shards of a service, in lists that divide the same connections."""
         if not self.is_regional:
             return [self.shards(service)]
         return [[(group, key) for key in keys] for group, keys in self.defaults[service].items()]
@@ -67,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SharesChange:
-    """A service whose connections are divided anew.
+    """A change of the shares of a service's connections.
 
     Parameters
     ----------
     growth : float
-        By which factor the share that was shortest has grown.
+        Factor by which the share that was most too small grows.
     group, key : str
-        Where that was.
+        Group and key of the shard with that share.
     """
 
     service: str
@@ -85,12 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A plan that is better than the one in force, and why.
+    """A better plan than the one in force, with the changes that it makes.
 
     Parameters
     ----------
     plan : Plan or None
-        None if the one in force is good enough. Its number is that of the one in force.
+        None if the plan in force is kept. It has the number of the plan in force.
     """
 
     plan: Plan | None = None
@@ -98,8 +99,8 @@
     shares: list[SharesChange] = field(default_factory=list)
 
 
-def shares_by_demand(rates: Mapping[_ShardOf, float]) -> dict[_ShardOf, float]:
-    """Return the share of the connections for each shard: half evenly, half by demand.
+def shares_by_demand(rates: Mapping[_ShardId, float]) -> dict[_ShardId, float]:
+    """Return each shard's share of the connections, one half evenly and the other by demand.
 
     Examples
     --------
@@ -119,21 +120,21 @@
     }
 
 
-def _most_holders(demand: Mapping[str, GroupDemand], layout: Layout) -> dict[_ShardOf, int]:
-    """Return for each shard over how many holders its connections may be divided."""
-    most = {}
+def _max_holders(demand: Mapping[str, GroupDemand], layout: Layout) -> dict[_ShardId, int]:
+    """Return the maximum number of holders of each shard."""
+    limits = {}
     for service in layout.defaults:
-        connections = layout.connections.get(service, LEAST_CONNECTIONS * MOST_HOLDERS**2)
-        for together in layout.divided_together(service):
-            for shard, share in shares_by_demand(_rates(demand, together)).items():
-                enough = int(share * connections / LEAST_CONNECTIONS)
-                most[shard] = max(1, min(MOST_HOLDERS, enough))
-    return most
+        connections = layout.connections.get(service, MIN_CONNECTIONS_PER_HOLDER * MAX_HOLDERS**2)
+        for sharing_set in layout.sharing_sets(service):
+            for shard, share in shares_by_demand(_rates(demand, sharing_set)).items():
+                affordable = int(share * connections / MIN_CONNECTIONS_PER_HOLDER)
+                limits[shard] = max(1, min(MAX_HOLDERS, affordable))
+    return limits
 
 
-def _rates(demand: Mapping[str, GroupDemand], shards: list[_ShardOf]) -> dict[_ShardOf, float]:
-    asked = {(group, key): demand.get(group, {}).get(key) for group, key in shards}
-    return {shard: 0.0 if known is None else known.rate for shard, known in asked.items()}
+def _rates(demand: Mapping[str, GroupDemand], shards: list[_ShardId]) -> dict[_ShardId, float]:
+    demands = {(group, key): demand.get(group, {}).get(key) for group, key in shards}
+    return {shard: 0.0 if known is None else known.rate for shard, known in demands.items()}
 
 
 def propose_plan(
@@ -141,44 +142,46 @@
     gateways: Iterable[GatewayLoad],
     layout: Layout,
     current: Plan,
-    resting: Collection[_ShardOf] = (),
+    recently_changed: Collection[_ShardId] = (),
 ) -> Proposal:
-    """Return a plan that is better than the one in force, if there is one.
+    """Return a better plan than the one in force, if there is one.
 
     Parameters
     ----------
     demand : mapping of str to mapping of str to ShardDemand
-        What is asked for, by group and by the key of a shard.
+        Demand by group and by the key of a shard.
     gateways : iterable of GatewayLoad
-        Those that were heard a short while ago.
+        Gateways that reported recently.
     layout : Layout
-        What there is to hold, and whom the hash names.
+        Shards, and the gateways that rendezvous hashing assigns to them.
     current : Plan
         The plan in force.
-    resting : collection of (str, str)
-        Group and shard of what was changed a short while ago; an empty group and a service for
-        its shares.
+    recently_changed : collection of (str, str)
+        Group and key of shards whose holders changed recently; an empty group and the name of a
+        service whose shares did. They are not changed again, except to replace lost holders.
     """
     drafts = _drafts(demand, gateways, layout, current)
     for draft in drafts.values():
-        draft.improve(resting)
+        draft.improve(recently_changed)
     changes = [change for draft in drafts.values() for change in draft.changes]
-    planner = _Shares(demand, drafts, layout, current)
+    allocator = _ShareAllocator(demand, drafts, layout, current)
     moved = {(change.group, change.key) for change in changes}
-    kept, divided, shares = [], [], []
+    kept, reallocated, shares = [], [], []
     for service in layout.defaults:
         shards = layout.shards(service)
         is_moved = not moved.isdisjoint(shards)
-        found = None if ("", service) in resting else planner.shortest(service)
-        if is_moved or found is not None or planner.is_torn(service):
-            divided.append(service)
-        elif planner.is_named(service):
+        shortage = (
+            None if ("", service) in recently_changed else allocator.largest_shortage(service)
+        )
+        if is_moved or shortage is not None or allocator.is_incomplete(service):
+            reallocated.append(service)
+        elif allocator.is_planned(service):
             kept.append(service)
-        if found is not None:
-            shares.append(found)
-    if not divided and not _is_outdated(current, layout):
+        if shortage is not None:
+            shares.append(shortage)
+    if not reallocated and not _is_outdated(current, layout):
         return Proposal()
-    groups = planner.groups(kept, divided)
+    groups = allocator.plan_groups(kept, reallocated)
     return Proposal(
         Plan(current.number, groups, _addresses(groups, drafts, current)), changes, shares
     )
@@ -194,22 +197,22 @@
     for gateway in gateways:
         by_group.setdefault(gateway.group, {})[gateway.name] = gateway
     names = {group for groups in layout.defaults.values() for group in groups}
-    most = _most_holders(demand, layout)
+    limits = _max_holders(demand, layout)
     return {
         group: GroupDraft(
             group,
             by_group.get(group, {}),
             demand.get(group, {}),
-            layout.of_group(group),
+            layout.group_defaults(group),
             current.groups.get(group, {}),
-            {key: count for (where, key), count in most.items() if where == group},
+            {key: limit for (where, key), limit in limits.items() if where == group},
         )
         for group in sorted(names)
     }
 
 
 def _is_outdated(current: Plan, layout: Layout) -> bool:
-    """Return whether the plan names something that is no more."""
+    """Return whether the plan contains a shard that no longer exists."""
     known = {shard for service in layout.defaults for shard in layout.shards(service)}
     return any((group, key) not in known for group, keys in current.groups.items() for key in keys)
 
@@ -217,16 +220,16 @@
 def _addresses(
     groups: Mapping[str, Mapping[str, ShardPlan]], drafts: Mapping[str, GroupDraft], current: Plan
 ) -> dict[str, str]:
-    heard = {g.name: g.address for draft in drafts.values() for g in draft.gateways.values()}
-    known = {**current.addresses, **heard}
+    reported = {g.name: g.address for draft in drafts.values() for g in draft.gateways.values()}
+    known = {**current.addresses, **reported}
     names = {
         name for shards in groups.values() for shard in shards.values() for name in shard.gateways
     }
     return {name: known[name] for name in sorted(names) if name in known}
 
 
-class _Shares:
-    """Connections of each shard: as they are, and as they should be."""
+class _ShareAllocator:
+    """Divides the connections of services among their shards."""
 
     def __init__(
         self,
@@ -240,59 +243,65 @@
         self._layout = layout
         self._current = current
 
-    def is_named(self, service: str) -> bool:
-        """Return whether the plan in force names a service."""
+    def is_planned(self, service: str) -> bool:
+        """Return whether the plan in force contains a service."""
         return any(
             self._current.shard(*shard) is not None for shard in self._layout.shards(service)
         )
 
-    def is_torn(self, service: str) -> bool:
-        """Return whether it names a service in some groups only: one has come since, or gone."""
+    def is_incomplete(self, service: str) -> bool:
+        """Return whether the plan lacks a group of a service, or has one that is gone."""
         shards = self._layout.shards(service)
-        named = [shard for shard in shards if self._current.shard(*shard) is not None]
-        if not named:
+        planned_shards = [shard for shard in shards if self._current.shard(*shard) is not None]
+        if not planned_shards:
             return False
-        # A group that has gone took its share with it.
-        total = sum(planned.share for shard in named if (planned := self._current.shard(*shard)))
-        sets = len(self._layout.divided_together(service))
-        return len(named) < len(shards) or total < sets - SHARE_TOLERANCE
+        # The shares no longer add up to one if a group is gone.
+        total = sum(
+            planned.share for shard in planned_shards if (planned := self._current.shard(*shard))
+        )
+        sets = len(self._layout.sharing_sets(service))
+        return len(planned_shards) < len(shards) or total < sets - SHARE_TOLERANCE
 
-    def shortest(self, service: str) -> SharesChange | None:
-        """Return the shard that lacks most of its share, None if none is short by much."""
+    def largest_shortage(self, service: str) -> SharesChange | None:
+        """Return the change of the share that is most too small; None if all are large enough."""
         worst: SharesChange | None = None
-        for together in self._layout.divided_together(service):
-            for shard, share in self._wanted(together).items():
-                short = share / self._share_now(shard, len(together))
-                if short >= SHORT_FACTOR and (worst is None or short > worst.growth):
-                    worst = SharesChange(service, short, *shard)
+        for sharing_set in self._layout.sharing_sets(service):
+            for shard, share in self._target_shares(sharing_set).items():
+                growth = share / self._current_share(shard, len(sharing_set))
+                if growth >= MIN_SHARE_GROWTH and (worst is None or growth > worst.growth):
+                    worst = SharesChange(service, growth, *shard)
         return worst
 
-    def _share_now(self, shard: _ShardOf, count: int) -> float:
+    def _current_share(self, shard: _ShardId, count: int) -> float:
         planned = self._current.shard(*shard)
         return planned.share if planned is not None else 1 / count
 
-    def _wanted(self, together: list[_ShardOf]) -> dict[_ShardOf, float]:
-        return shares_by_demand(_rates(self._demand, together))
+    def _target_shares(self, shards: list[_ShardId]) -> dict[_ShardId, float]:
+        return shares_by_demand(_rates(self._demand, shards))
 
-    def groups(self, kept: list[str], divided: list[str]) -> dict[str, dict[str, ShardPlan]]:
-        """Return the whole plan: some services as they are named now, some anew."""
+    def plan_groups(
+        self, kept: list[str], reallocated: list[str]
+    ) -> dict[str, dict[str, ShardPlan]]:
+        """Return the plan of all groups: some services unchanged, the others with new shares."""
         groups: dict[str, dict[str, ShardPlan]] = {}
-        for (group, key), planned in self._shards(kept, divided):
+        for (group, key), planned in self._shard_plans(kept, reallocated):
             groups.setdefault(group, {})[key] = planned
         return groups
 
-    def _shards(self, kept: list[str], divided: list[str]) -> Iterator[tuple[_ShardOf, ShardPlan]]:
+    def _shard_plans(
+        self, kept: list[str], reallocated: list[str]
+    ) -> Iterator[tuple[_ShardId, ShardPlan]]:
         for service in kept:
             for shard in self._layout.shards(service):
                 planned = self._current.shard(*shard)
                 if planned is not None:
                     yield shard, planned
-        for service in divided:
-            for together in self._layout.divided_together(service):
-                for shard, share in self._wanted(together).items():
-                    yield shard, self._planned(shard, share)
+        for service in reallocated:
+            for sharing_set in self._layout.sharing_sets(service):
+                for shard, share in self._target_shares(sharing_set).items():
+                    yield shard, self._shard_plan(shard, share)
 
-    def _planned(self, shard: _ShardOf, share: float) -> ShardPlan:
+    def _shard_plan(self, shard: _ShardId, share: float) -> ShardPlan:
         group, key = shard
         draft = self._drafts[group]
         holders = draft.holders(key)
@@ -301,8 +310,8 @@
             [Holding(name, each) for name in holders], self._cause(shard), draft.is_split(key)
         )
 
-    def _cause(self, shard: _ShardOf) -> PlanCause:
-        """Return why a shard has the holders that it gets: the last change of them."""
+    def _cause(self, shard: _ShardId) -> PlanCause:
+        """Return the reason for the last change of a shard's holders."""
         for change in self._drafts[shard[0]].changes:
             if change.key == shard[1]:
                 return change.cause
--- a/tests/scheduling/test_planner.py
+++ b/tests/scheduling/test_planner.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rowanrail.scheduling.demand import WINDOW_SPANS, DemandWindow, ShardDemand
-from rowanrail.scheduling.group_draft import DIVIDE_AT, GatewayLoad
+from rowanrail.scheduling.group_draft import MAX_RATE_PER_HOLDER, GatewayLoad
 from rowanrail.scheduling.plan import NO_PLAN, Plan, PlanCause
 from rowanrail.scheduling.planner import Layout, propose_plan
 
@@ -61,7 +61,7 @@
     for group, shards in demand.items():
         for key, shard in shards.items():
             planned = plan.shard(group, key)
-            default = layout.of_group(group)[key]
+            default = layout.group_defaults(group)[key]
             names = planned.gateways if planned is not None else [default]
             for name in names:
                 held[name] = held.get(name, 0.0) + shard.rate / len(names)
@@ -129,7 +129,9 @@
         self.assertEqual(len(plan.shard("z1", "db1").gateways), 3)
         for zone in ("z2", "z3", "z4"):
             self.assertEqual(len(plan.shard(zone, "db1").gateways), 1)
-        self.assertLess(busiest(plan, demand, zone_layout()), DIVIDE_AT + 12, "db2 may stay there")
+        self.assertLess(
+            busiest(plan, demand, zone_layout()), MAX_RATE_PER_HOLDER + 12, "db2 may stay there"
+        )
 
     def test_a_tenant_with_a_third_of_all_work_is_carried_by_several_holders(self):
         # 240 statements a second, a third of them one tenant's, in the region of the primary.
@@ -147,7 +149,7 @@
         self.assertTrue(plan.shard("east", "db/0").is_split)
         self.assertFalse(plan.shard("east", "db/1").is_split, "its tenants are small")
         self.assertFalse(any(shard.is_split for shard in plan.groups["west"].values()))
-        self.assertLessEqual(busiest(plan, demand, region_layout()), DIVIDE_AT)
+        self.assertLessEqual(busiest(plan, demand, region_layout()), MAX_RATE_PER_HOLDER)
         self.assertGreater(plan.shard("east", "db/0").share, 0.45)
 
     def test_a_part_with_few_connections_is_not_divided(self):
