--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -1,4 +1,4 @@
-"""Clients that try three times and come back when they are told, before members on a clock."""
+"""Simulated clients that make up to three attempts and retry when they are told to."""
 
 import random
 from collections import Counter
@@ -14,23 +14,23 @@
 from rowanrail.scheduling.retrying import PRIORITY_AFTER_REJECTIONS, RetryTimes, retry_after_base
 from tests.support.gateway import ManualClock
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 TIMEOUT = 0.8  # s
 
 
 @dataclass
-class Crowd:
-    """Operations of one tenant and urgency, and what became of them."""
+class ClientGroup:
+    """Operations of one tenant and urgency, and their outcomes."""
 
     urgency: int
     tenant: str
-    rate: float  # a second
-    work: float  # s on average
+    rate: float  # operations per second
+    service_time: float  # s on average
     operations: int = 0
-    done: list[float] = field(default_factory=list)  # s from the first try to the answer
-    refused: Counter[str] = field(default_factory=Counter)  # tries, by when
+    done: list[float] = field(default_factory=list)  # s from the first attempt to the answer
+    refused: Counter[str] = field(default_factory=Counter)  # attempts, by stage
     in_doubt: int = 0
-    told: list[float] = field(default_factory=list)  # moments at which clients come back
+    retry_at: list[float] = field(default_factory=list)  # times on the clock, in s
 
     @property
     def done_share(self) -> float:
@@ -38,7 +38,7 @@
 
 
 class Holder:
-    """One gateway's connections to the member, and the places that it gives to returns."""
+    """One gateway's connections to the member, and the retry times that it assigns."""
 
     def __init__(self, pool: MemberPool, clock: ManualClock) -> None:
         self.pool = pool
@@ -49,27 +49,30 @@
 class Client:
     """One operation of one statement."""
 
-    def __init__(self, holder: Holder, crowd: Crowd, work: float) -> None:
-        self.holder, self.crowd, self.work = holder, crowd, work
+    def __init__(self, holder: Holder, group: ClientGroup, service_time: float) -> None:
+        self.holder, self.group, self.service_time = holder, group, service_time
         self.clock = holder.clock
         self.began = self.clock.time()
-        self.tries = 0
-        crowd.operations += 1
+        self.attempts = 0
+        group.operations += 1
         self.attempt()
 
     def attempt(self) -> None:
         pool, now = self.holder.pool, self.clock.time() * 1000
-        whole = TIMEOUT * 1000
-        is_retrying = self.tries >= PRIORITY_AFTER_REJECTIONS
-        crowd = self.crowd
-        entry = QueueEntry(crowd.urgency, crowd.tenant, now, now + whole, is_retrying=is_retrying)
-        self.tries += 1
+        time_limit = TIMEOUT * 1000
+        is_retrying = self.attempts >= PRIORITY_AFTER_REJECTIONS
+        group = self.group
+        entry = QueueEntry(
+            group.urgency, group.tenant, now, now + time_limit, is_retrying=is_retrying
+        )
+        self.attempts += 1
         self.is_sent = self.is_over = False
-        certain = pool.forecasts.errors.of(crowd.urgency).reliable_share
+        reliable_share = pool.forecasts.errors.of(group.urgency).reliable_share
         if not isinstance(
-            decide_on_arrival(pool.forecasts.of(entry), whole, whole, certain), Admit
+            decide_on_arrival(pool.forecasts.of(entry), time_limit, time_limit, reliable_share),
+            Admit,
         ):
-            self.come_back(entry, "arriving")
+            self.retry(entry, "arriving")
             return
         self.entry = entry
         self.timer = self.clock.call_later(TIMEOUT, self.expire)
@@ -78,35 +81,35 @@
 
     def give_up(self) -> None:
         self.timer.cancel()
-        self.come_back(self.entry, "waiting")
+        self.retry(self.entry, "waiting")
 
     def expire(self) -> None:
         if self.is_sent:
             self.is_over = True
-            self.crowd.in_doubt += 1
+            self.group.in_doubt += 1
             return
         self.queued.leave()
-        self.come_back(self.entry, "expired")
+        self.retry(self.entry, "expired")
 
-    def come_back(self, entry: QueueEntry, refused: str) -> None:
-        self.crowd.refused[refused] += 1
-        if self.tries >= TRIES:
+    def retry(self, entry: QueueEntry, refused: str) -> None:
+        self.group.refused[refused] += 1
+        if self.attempts >= MAX_ATTEMPTS:
             return
         forecast = self.holder.pool.forecasts.of(entry)
         base = retry_after_base(forecast.wait, TIMEOUT * 1000)
-        told = (
+        delay = (
             self.holder.retry_times.next_delay(base, forecast.drain_interval, entry.urgency) / 1000
         )
-        self.crowd.told.append(self.clock.time() + told)
-        self.clock.call_later(told, self.attempt)
+        self.group.retry_at.append(self.clock.time() + delay)
+        self.clock.call_later(delay, self.attempt)
 
     def take(self, channel: Channel | None, answer: Answer) -> None:
         if channel is None:
             self.timer.cancel()
-            self.come_back(self.entry, "waiting")
+            self.retry(self.entry, "waiting")
             return
         self.is_sent, self.channel, self.sent_at = True, channel, self.clock.time()
-        command = Command(CommandKind.STATEMENT, str(self.work), "q")
+        command = Command(CommandKind.STATEMENT, str(self.service_time), "q")
         channel.send([command], [self.answered])
 
     def answered(self, answer: Answer) -> None:
@@ -117,14 +120,14 @@
             return
         self.timer.cancel()
         if answer.refusal is None:
-            self.crowd.done.append(self.clock.time() - self.began)
+            self.group.done.append(self.clock.time() - self.began)
         else:
-            self.come_back(self.entry, "by the member")
+            self.retry(self.entry, "by the member")
 
 
 @dataclass(frozen=True)
 class Burst:
-    """A time, in s from the start, in which some crowds send a multiple of their usual."""
+    """A period, in s from the start, in which groups send a multiple of their usual rate."""
 
     begin: float
     end: float
@@ -134,26 +137,26 @@
         return self.factor if self.begin <= seconds < self.end else 1.0
 
 
-def play(
+def simulate(
     holders: list[Holder],
-    crowds: list[tuple[Crowd, Burst | None]],
+    groups: list[tuple[ClientGroup, Burst | None]],
     seconds: float,
     seed: int = 1,
 ) -> None:
-    """Let operations come at random, each tenant's at one of the holders; work differs 1 : 5."""
+    """Simulate Poisson arrivals, each group's at one of the holders; service times vary 1:5."""
     rng = random.Random(seed)
     clock = holders[0].clock
     start = clock.time()
 
-    def come(crowd: Crowd, burst: Burst | None, holder: Holder) -> None:
-        passed = clock.time() - start
-        if passed >= seconds:
+    def arrive(group: ClientGroup, burst: Burst | None, holder: Holder) -> None:
+        elapsed = clock.time() - start
+        if elapsed >= seconds:
             return
-        Client(holder, crowd, crowd.work * rng.uniform(1, 5) / 3)
-        factor = burst.factor_at(passed) if burst is not None else 1.0
-        clock.call_later(rng.expovariate(crowd.rate * factor), come, crowd, burst, holder)
+        Client(holder, group, group.service_time * rng.uniform(1, 5) / 3)
+        factor = burst.factor_at(elapsed) if burst is not None else 1.0
+        clock.call_later(rng.expovariate(group.rate * factor), arrive, group, burst, holder)
 
-    for number, (crowd, burst) in enumerate(crowds):
+    for number, (group, burst) in enumerate(groups):
         holder = holders[number % len(holders)]
-        clock.call_later(rng.expovariate(crowd.rate), come, crowd, burst, holder)
+        clock.call_later(rng.expovariate(group.rate), arrive, group, burst, holder)
     clock.advance(seconds + 12.0)
--- a/tests/scheduling/line.py
+++ b/tests/scheduling/line.py
@@ -1,4 +1,4 @@
-"""A line before one member, stepped by hand: who is admitted, waits, is served or refused."""
+"""Simulated queue at one member, advanced in steps, with admission and repeated checks."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,13 +16,13 @@
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A statement in the line, and when it is judged again."""
+class QueuedStatement:
+    """A statement in the queue, and the time of its next check."""
 
     entry: QueueEntry
-    whole: float
+    time_limit: float
     check_at: float
-    watch: WaitingMonitor
+    monitor: WaitingMonitor
     forecast: float = 0.0
 
     @property
@@ -30,27 +30,27 @@
         return (self.entry.urgency, not self.entry.is_retrying, self.entry.arrived)
 
 
-class MemberLine:
-    """A member with a few slots; each statement takes the next of ``runs`` milliseconds.
+class MemberQueue:
+    """Queue of a member with some slots; statements take the next of ``run_times`` milliseconds.
 
-    What happened is counted by name and urgency: served, late, refused-arriving, refused-waiting,
+    Outcomes are counted by name and urgency: served, late, refused-arriving, refused-waiting,
     expired.
     """
 
-    def __init__(self, slots: int, runs: Iterable[float], mean: float) -> None:
-        self.happened: Counter[tuple[str, int]] = Counter()
-        self.refused: list[tuple[float, Reject]] = []
-        self.idle_while_waited_for = 0
-        self.waited_in_vain: list[float] = []
+    def __init__(self, slots: int, run_times: Iterable[float], mean: float) -> None:
+        self.outcomes: Counter[tuple[str, int]] = Counter()
+        self.rejections: list[tuple[float, Reject]] = []
+        self.idle_steps_with_queue = 0
+        self.rejected_waits: list[float] = []
         self._ends = [0.0] * slots
-        self._runs = iter(runs)
+        self._run_times = iter(run_times)
         self._mean = mean
-        self._line: list[Waiting] = []
+        self._queue: list[QueuedStatement] = []
         self._error = ForecastError()
 
     def forecast(self, order: tuple[int, bool, float], now: float) -> Forecast:
-        """Forecast by the mean length, as a pool does."""
-        ahead = sum(waiting.order < order for waiting in self._line)
+        """Return the forecast by the mean run time, as a pool does."""
+        ahead = sum(statement.order < order for statement in self._queue)
         busy = sum(end > now for end in self._ends)
         if not ahead and busy < len(self._ends):
             return Forecast(0.0, self._mean, has_room=True)
@@ -58,54 +58,57 @@
         return Forecast((ahead + 1) * interval, self._mean, drain_interval=interval)
 
     def arrive(self, entry: QueueEntry, now: float) -> Reject | None:
-        """Judge a statement that comes; return its refusal."""
-        whole = entry.deadline - entry.arrived
-        waiting = Waiting(
-            entry, whole, now + next_check(whole, self._mean, whole), WaitingMonitor(whole)
+        """Add a new statement to the queue, or return its rejection."""
+        time_limit = entry.deadline - entry.arrived
+        statement = QueuedStatement(
+            entry,
+            time_limit,
+            now + next_check(time_limit, self._mean, time_limit),
+            WaitingMonitor(time_limit),
         )
-        forecast = self.forecast(waiting.order, now)
-        waiting.forecast = forecast.wait
-        certain = self._error.reliable_share
-        verdict = decide_on_arrival(forecast, entry.deadline - now, whole, certain)
-        if isinstance(verdict, Reject):
+        forecast = self.forecast(statement.order, now)
+        statement.forecast = forecast.wait
+        reliable_share = self._error.reliable_share
+        decision = decide_on_arrival(forecast, entry.deadline - now, time_limit, reliable_share)
+        if isinstance(decision, Reject):
             self._note("refused-arriving", entry)
-            self.refused.append((now, verdict))
-            return verdict
-        self._line.append(waiting)
-        self._line.sort(key=lambda one: one.order)
+            self.rejections.append((now, decision))
+            return decision
+        self._queue.append(statement)
+        self._queue.sort(key=lambda one: one.order)
         return None
 
     def step(self, now: float) -> None:
-        """Start what has room, and judge those again whose time for it has come."""
-        for place, end in enumerate(self._ends):
-            if end <= now and self._line:
-                first = self._line.pop(0)
+        """Start statements on free slots, and check those that are due."""
+        for slot, end in enumerate(self._ends):
+            if end <= now and self._queue:
+                first = self._queue.pop(0)
                 entry = first.entry
-                self._error.note(first.forecast, now - entry.arrived, first.whole)
-                self._ends[place] = now + next(self._runs)
-                self._note("served" if self._ends[place] <= entry.deadline else "late", entry)
-        for waiting in list(self._line):
-            self._look(waiting, now)
+                self._error.note(first.forecast, now - entry.arrived, first.time_limit)
+                self._ends[slot] = now + next(self._run_times)
+                self._note("served" if self._ends[slot] <= entry.deadline else "late", entry)
+        for statement in list(self._queue):
+            self._check(statement, now)
         has_free = any(end <= now for end in self._ends)
-        self.idle_while_waited_for += has_free and bool(self._line)
+        self.idle_steps_with_queue += has_free and bool(self._queue)
 
-    def _look(self, waiting: Waiting, now: float) -> None:
-        left = waiting.entry.deadline - now
-        if left <= 0:
-            self._line.remove(waiting)
-            self._note("expired", waiting.entry)
-        elif now >= waiting.check_at:
-            forecast = self.forecast(waiting.order, now)
-            verdict = waiting.watch.check(forecast, left, self._error.reliable_share)
-            if isinstance(verdict, Reject):
-                self._line.remove(waiting)
-                waited = now - waiting.entry.arrived
-                self._error.note(waiting.forecast, waited, waiting.whole, was_served=False)
-                self.waited_in_vain.append(waited)
-                self._note("refused-waiting", waiting.entry)
-                self.refused.append((now, verdict))
+    def _check(self, statement: QueuedStatement, now: float) -> None:
+        remaining = statement.entry.deadline - now
+        if remaining <= 0:
+            self._queue.remove(statement)
+            self._note("expired", statement.entry)
+        elif now >= statement.check_at:
+            forecast = self.forecast(statement.order, now)
+            decision = statement.monitor.check(forecast, remaining, self._error.reliable_share)
+            if isinstance(decision, Reject):
+                self._queue.remove(statement)
+                waited = now - statement.entry.arrived
+                self._error.note(statement.forecast, waited, statement.time_limit, was_served=False)
+                self.rejected_waits.append(waited)
+                self._note("refused-waiting", statement.entry)
+                self.rejections.append((now, decision))
             else:
-                waiting.check_at = now + next_check(left, self._mean, waiting.whole)
+                statement.check_at = now + next_check(remaining, self._mean, statement.time_limit)
 
     def _note(self, name: str, entry: QueueEntry) -> None:
-        self.happened[name, entry.urgency] += 1
+        self.outcomes[name, entry.urgency] += 1
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -1,8 +1,7 @@
-"""Admission under the loads that it answers: a class at 2.5 times its usual, a queue of a moment.
+"""Admission decisions, and their effect under overload and with short queues.
 
-Grounds for the figures: callers give a statement 800 ms and try three times, so that a refusal
-costs one of three tries and a late answer its objective. The member has 4 slots and runs statements
-of 9 ms, so that 444 a second are all that it can do.
+Statements have a time limit of 800 ms; the member has 4 slots and runs 444 statements of 9 ms per
+second.
 """
 
 import itertools
@@ -19,111 +18,113 @@
     next_check,
 )
 from rowanrail.scheduling.queue import QueueEntry
-from tests.scheduling.line import MemberLine
+from tests.scheduling.line import MemberQueue
 
-WHOLE = 800.0
+TIME_LIMIT = 800.0
 SLOTS = 4
-RUN = 9.0
-CAPACITY = SLOTS / RUN  # statements a millisecond
-# As many short as long ones, of the same mean as RUN: lengths vary as much as their mean.
-UNEVEN_RUNS = (1.0, 3.0, 5.0, 9.0, 27.0)
+RUN_TIME = 9.0
+CAPACITY = SLOTS / RUN_TIME  # statements per millisecond
+# Mean RUN_TIME, and a standard deviation of about the same.
+UNEVEN_RUN_TIMES = (1.0, 3.0, 5.0, 9.0, 27.0)
 
 
-def play(line: MemberLine, rates: dict[int, float], until: float) -> None:
-    """Have statements of each urgency arrive evenly, at so many a millisecond."""
+def simulate(queue: MemberQueue, rates: dict[int, float], until: float) -> None:
+    """Simulate evenly spaced arrivals, with rates by urgency in statements per millisecond."""
     counts = dict.fromkeys(rates, 0)
     for now in map(float, range(int(until))):
         for urgency, rate in rates.items():
             while counts[urgency] < rate * now:
                 counts[urgency] += 1
-                line.arrive(QueueEntry(urgency, "", now + counts[urgency] / 1e6, now + WHOLE), now)
-        line.step(now)
+                queue.arrive(
+                    QueueEntry(urgency, "", now + counts[urgency] / 1e6, now + TIME_LIMIT), now
+                )
+        queue.step(now)
 
 
 class BurstTest(unittest.TestCase):
-    """A class at 2.5 times its usual load before one member, beside a more urgent one."""
+    """A class at 2.5 times its usual load, and a more urgent class."""
 
     @classmethod
     def setUpClass(cls):
-        cls.line = MemberLine(SLOTS, itertools.cycle(UNEVEN_RUNS), RUN)
+        cls.queue = MemberQueue(SLOTS, itertools.cycle(UNEVEN_RUN_TIMES), RUN_TIME)
         usual = 0.7 * CAPACITY
-        play(cls.line, {0: 0.1 * CAPACITY, 2: 2.5 * usual}, 5000)
-        cls.happened = cls.line.happened
+        simulate(cls.queue, {0: 0.1 * CAPACITY, 2: 2.5 * usual}, 5000)
+        cls.outcomes = cls.queue.outcomes
 
-    def test_nobody_waits_until_its_time_is_over(self):
-        self.assertEqual(self.happened["expired", 2], 0)
+    def test_no_statement_expires_in_the_queue(self):
+        self.assertEqual(self.outcomes["expired", 2], 0)
 
-    def test_the_member_runs_all_that_it_can(self):
-        served = self.happened["served", 0] + self.happened["served", 2]
+    def test_the_member_is_fully_used(self):
+        served = self.outcomes["served", 0] + self.outcomes["served", 2]
         self.assertGreater(served, 0.95 * CAPACITY * 5000)
-        self.assertEqual(self.line.idle_while_waited_for, 0)
+        self.assertEqual(self.queue.idle_steps_with_queue, 0)
 
-    def test_the_more_urgent_class_is_served_whole(self):
-        refused = self.happened["refused-arriving", 0] + self.happened["refused-waiting", 0]
-        self.assertEqual((refused, self.happened["late", 0]), (0, 0))
+    def test_the_more_urgent_class_is_served_entirely(self):
+        refused = self.outcomes["refused-arriving", 0] + self.outcomes["refused-waiting", 0]
+        self.assertEqual((refused, self.outcomes["late", 0]), (0, 0))
 
-    def test_those_who_were_sent_are_answered_in_time(self):
-        self.assertLess(self.happened["late", 2], 0.02 * self.happened["served", 2])
+    def test_hardly_any_answer_is_late(self):
+        self.assertLess(self.outcomes["late", 2], 0.02 * self.outcomes["served", 2])
 
 
-class MomentTest(unittest.TestCase):
-    """A queue of a moment is waited in."""
+class ShortQueueTest(unittest.TestCase):
+    """Short queues cause no rejections."""
 
-    def test_a_burst_that_fits_into_the_time_is_served_whole(self):
-        line = MemberLine(SLOTS, itertools.cycle(UNEVEN_RUNS), RUN)
-        fits = int(0.8 * CAPACITY * WHOLE)
+    def test_a_burst_that_fits_into_the_time_limit_is_served_entirely(self):
+        queue = MemberQueue(SLOTS, itertools.cycle(UNEVEN_RUN_TIMES), RUN_TIME)
+        fits = int(0.8 * CAPACITY * TIME_LIMIT)
         for number in range(fits):
-            line.arrive(QueueEntry(1, "", number / 1e6, WHOLE), 0.0)
-        for now in range(int(WHOLE)):
-            line.step(float(now))
-        self.assertEqual(line.happened["served", 1], fits)
-
-    def test_a_forecast_that_is_out_by_a_third_refuses_nobody_who_would_be_served(self):
-        certain = MemberLine(SLOTS, itertools.repeat(RUN * 2 / 3), RUN)
-        fits = int(1.5 * CAPACITY * WHOLE * 0.95)
+            queue.arrive(QueueEntry(1, "", number / 1e6, TIME_LIMIT), 0.0)
+        for now in range(int(TIME_LIMIT)):
+            queue.step(float(now))
+        self.assertEqual(queue.outcomes["served", 1], fits)
+
+    def test_a_forecast_that_is_too_high_by_half_rejects_nothing_that_would_be_served(self):
+        queue = MemberQueue(SLOTS, itertools.repeat(RUN_TIME * 2 / 3), RUN_TIME)
+        fits = int(1.5 * CAPACITY * TIME_LIMIT * 0.95)
         for number in range(fits):
-            self.assertIsNone(certain.arrive(QueueEntry(1, "", number / 1e6, WHOLE), 0.0))
-        for now in range(int(WHOLE)):
-            certain.step(float(now))
-        self.assertEqual(certain.happened["refused-waiting", 1], 0)
-        self.assertEqual(certain.happened["served", 1], fits)
-
-
-class JudgementTest(unittest.TestCase):
-    def test_nothing_is_refused_while_room_is_free(self):
-        for left, run in itertools.product((1.0, 50.0, 800.0), (1.0, 900.0, 60_000.0)):
-            forecast = Forecast(0.0, run, has_room=True)
-            self.assertEqual(decide_on_arrival(forecast, left, WHOLE), Admit())
-
-    def test_a_late_answer_alone_is_no_reason(self):
-        # An objective of 500 ms is missed, the time of 800 ms is not.
-        self.assertEqual(decide_on_arrival(Forecast(780.0, 10.0), WHOLE, WHOLE), Admit())
-
-    def test_what_was_too_late_at_a_moment_of_waiting_is_told_then(self):
-        forecast = Forecast(900.0, RUN)
-        self.assertEqual(decide_while_waiting(forecast, 600.0, WHOLE), Admit())
-        verdict = decide_while_waiting(forecast, 500.0, WHOLE)
-        self.assertIsInstance(verdict, Reject)
-        self.assertIs(verdict.cause, RejectionCause.PAST_DEADLINE)
-
-    def test_a_slow_member_is_no_reason_while_much_time_is_left(self):
+            self.assertIsNone(queue.arrive(QueueEntry(1, "", number / 1e6, TIME_LIMIT), 0.0))
+        for now in range(int(TIME_LIMIT)):
+            queue.step(float(now))
+        self.assertEqual(queue.outcomes["refused-waiting", 1], 0)
+        self.assertEqual(queue.outcomes["served", 1], fits)
+
+
+class DecisionTest(unittest.TestCase):
+    def test_nothing_is_rejected_while_there_is_room(self):
+        for remaining, run_time in itertools.product((1.0, 50.0, 800.0), (1.0, 900.0, 60_000.0)):
+            forecast = Forecast(0.0, run_time, has_room=True)
+            self.assertEqual(decide_on_arrival(forecast, remaining, TIME_LIMIT), Admit())
+
+    def test_a_slow_answer_within_the_time_limit_is_no_reason(self):
+        # An objective of 500 ms is missed, the time limit of 800 ms is not.
+        self.assertEqual(decide_on_arrival(Forecast(780.0, 10.0), TIME_LIMIT, TIME_LIMIT), Admit())
+
+    def test_a_statement_that_becomes_too_late_is_rejected_while_waiting(self):
+        forecast = Forecast(900.0, RUN_TIME)
+        self.assertEqual(decide_while_waiting(forecast, 600.0, TIME_LIMIT), Admit())
+        decision = decide_while_waiting(forecast, 500.0, TIME_LIMIT)
+        self.assertIsInstance(decision, Reject)
+        self.assertIs(decision.cause, RejectionCause.PAST_DEADLINE)
+
+    def test_a_slow_member_is_no_reason_while_much_time_remains(self):
         slow = Forecast(0.0, 900.0, has_room=True)
-        self.assertEqual(decide_while_waiting(slow, 700.0, WHOLE), Admit())
-        self.assertIsInstance(decide_while_waiting(slow, 75.0, WHOLE), Reject)
+        self.assertEqual(decide_while_waiting(slow, 700.0, TIME_LIMIT), Admit())
+        self.assertIsInstance(decide_while_waiting(slow, 75.0, TIME_LIMIT), Reject)
 
-    def test_checks_come_before_the_time_is_over_and_never_without_time_between(self):
-        left, looks = WHOLE, 0
-        while isinstance(decide_while_waiting(Forecast(0.0, 20.0), left, WHOLE), Admit):
-            step = next_check(left, 20.0, WHOLE)
+    def test_checks_end_before_the_deadline_and_never_follow_at_once(self):
+        remaining, checks = TIME_LIMIT, 0
+        while isinstance(decide_while_waiting(Forecast(0.0, 20.0), remaining, TIME_LIMIT), Admit):
+            step = next_check(remaining, 20.0, TIME_LIMIT)
             self.assertGreaterEqual(step, 1.0)
-            left -= step
-            looks += 1
-        self.assertGreater(left, 0)
-        self.assertLess(looks, 12)
-
-    def test_what_has_no_time_for_the_way_is_not_sent(self):
-        verdict = decide_forwarding(
-            reported_wait=0.0, round_trip=80.0, remaining=79.0, time_limit=WHOLE
+            remaining -= step
+            checks += 1
+        self.assertGreater(remaining, 0)
+        self.assertLess(checks, 12)
+
+    def test_a_statement_without_time_for_the_round_trip_is_not_forwarded(self):
+        decision = decide_forwarding(
+            reported_wait=0.0, round_trip=80.0, remaining=79.0, time_limit=TIME_LIMIT
         )
-        self.assertIsInstance(verdict, Reject)
-        self.assertIs(verdict.cause, RejectionCause.ROUND_TRIP_TOO_LONG)
+        self.assertIsInstance(decision, Reject)
+        self.assertIs(decision.cause, RejectionCause.ROUND_TRIP_TOO_LONG)
--- a/tests/scheduling/test_bursts.py
+++ b/tests/scheduling/test_bursts.py
@@ -1,19 +1,18 @@
-"""Admission and returning with clients who come back: all send more, or one tenant alone does.
+"""Admission and retries under bursts of all clients or of one tenant.
 
-Grounds for the figures: clients try three times within about 10 s, 800 ms each; one member of 4
-slots, 9 ms a statement on average, three holders. What is asked for is beyond the member for
-some seconds, so that it could all be done in the time that clients have, if nobody wasted any.
+A member of 4 slots, 9 ms per statement, is shared by three holders. The demand exceeds its capacity
+for some seconds, but could be served within the three attempts of 800 ms that clients make in 10 s.
 """
 
 import unittest
 
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.kernel.clock import Clock
-from tests.scheduling.clients import Burst, Crowd, Holder, play
+from tests.scheduling.clients import Burst, ClientGroup, Holder, simulate
 from tests.scheduling.member import SlottedMember
 from tests.support.gateway import ManualClock
 
-CAPACITY = 4 / 0.009  # statements a second
+CAPACITY = 4 / 0.009  # statements per second
 TENANTS = 9
 
 
@@ -24,86 +23,89 @@
     return [Holder(pool, clock) for pool in pools]
 
 
-def crowds(urgency: int, part: float, work: float) -> list[Crowd]:
-    """Return a class that asks for a part of the member, spread over tenants."""
-    rate = part * CAPACITY * 0.009 / work / TENANTS
-    return [Crowd(urgency, f"t{number}", rate, work) for number in range(TENANTS)]
+def client_groups(urgency: int, load: float, service_time: float) -> list[ClientGroup]:
+    """Return a class with a load as a share of the member's capacity, spread over tenants."""
+    rate = load * CAPACITY * 0.009 / service_time / TENANTS
+    return [ClientGroup(urgency, f"t{number}", rate, service_time) for number in range(TENANTS)]
 
 
-def refused(listed: list[Crowd]) -> int:
-    return sum(crowd.refused.total() for crowd in listed)
+def refused(groups: list[ClientGroup]) -> int:
+    return sum(group.refused.total() for group in groups)
 
 
-def done_share(listed: list[Crowd]) -> float:
-    operations = sum(crowd.operations for crowd in listed)
-    return sum(len(crowd.done) for crowd in listed) / operations
+def done_share(groups: list[ClientGroup]) -> float:
+    operations = sum(group.operations for group in groups)
+    return sum(len(group.done) for group in groups) / operations
 
 
 class EverybodysBurstTest(unittest.TestCase):
-    """Pattern: all classes at 2.5 times their usual for 8 s, 1.6 times what the member can do."""
+    """All classes at 2.5 times their usual rate for 8 s, 1.6 times the capacity."""
 
     @classmethod
     def setUpClass(cls):
-        cls.urgent = crowds(0, 0.08, 0.003)
-        cls.middle = crowds(1, 0.2, 0.015)
-        cls.least = crowds(2, 0.35, 0.009)
+        cls.urgent = client_groups(0, 0.08, 0.003)
+        cls.middle = client_groups(1, 0.2, 0.015)
+        cls.least = client_groups(2, 0.35, 0.009)
         cls.all = cls.urgent + cls.middle + cls.least
         burst = Burst(4.0, 12.0, 2.5)
-        play(holders(), [(crowd, burst) for crowd in cls.all], 20.0)
+        simulate(holders(), [(group, burst) for group in cls.all], 20.0)
 
-    def test_nobody_waits_until_its_time_is_over(self):
-        # A day of 20,000 statements is allowed ten of them.
-        expired = sum(crowd.refused["expired"] for crowd in self.all)
+    def test_hardly_any_statement_expires_in_the_queue(self):
+        # The target is ten in 20,000 statements.
+        expired = sum(group.refused["expired"] for group in self.all)
         self.assertLessEqual(expired, 1)
 
-    def test_nothing_is_left_in_doubt(self):
-        self.assertEqual(sum(crowd.in_doubt for crowd in self.all), 0)
+    def test_no_outcome_is_unknown(self):
+        self.assertEqual(sum(group.in_doubt for group in self.all), 0)
 
-    def test_more_urgent_ones_lose_no_try(self):
+    def test_more_urgent_statements_are_hardly_rejected(self):
         self.assertEqual(refused(self.urgent), 0)
         self.assertLessEqual(refused(self.middle), 0.01 * sum(c.operations for c in self.middle))
 
-    def test_the_least_urgent_are_served_within_their_tries(self):
-        # With times told that are all 0.5 s, and waits to the end, 0.66 of them were.
+    def test_the_least_urgent_are_served_within_their_attempts(self):
         self.assertGreater(done_share(self.least), 0.9)
 
-    def test_most_of_what_is_too_late_is_told_before_half_of_its_time(self):
-        arriving = sum(crowd.refused["arriving"] for crowd in self.least)
+    def test_many_rejections_happen_on_arrival(self):
+        arriving = sum(group.refused["arriving"] for group in self.least)
         self.assertGreater(arriving, 0.25 * refused(self.least))
 
-    def test_returns_are_spread(self):
-        told = sorted(moment for crowd in self.least for moment in crowd.told)
-        most = max(sum(at <= other < at + 0.1 for other in told) for at in told[::20])
-        # At three holders, each at its own pace of the line, and at most all that they can do.
+    def test_retries_are_spread(self):
+        times = sorted(time for group in self.least for time in group.retry_at)
+        most = max(sum(at <= other < at + 0.1 for other in times) for at in times[::20])
+        # Each of three holders spreads them over its own drain rate, at most the whole capacity.
         self.assertLess(most, 2.5 * 0.1 * CAPACITY)
 
 
 class CalmTest(unittest.TestCase):
-    """Pattern: the usual, two thirds of what the member can do."""
+    """The usual load, two thirds of the capacity."""
 
-    def test_nothing_is_refused(self):
-        listed = crowds(0, 0.08, 0.003) + crowds(1, 0.2, 0.015) + crowds(2, 0.35, 0.009)
-        play(holders(), [(crowd, None) for crowd in listed], 10.0)
-        self.assertEqual(refused(listed), 0)
-        self.assertEqual(done_share(listed), 1.0)
+    def test_nothing_is_rejected(self):
+        groups = (
+            client_groups(0, 0.08, 0.003)
+            + client_groups(1, 0.2, 0.015)
+            + client_groups(2, 0.35, 0.009)
+        )
+        simulate(holders(), [(group, None) for group in groups], 10.0)
+        self.assertEqual(refused(groups), 0)
+        self.assertEqual(done_share(groups), 1.0)
 
 
 class TenantsBurstTest(unittest.TestCase):
-    """Pattern: one tenant sends 25 times its usual, twice what the member can do."""
+    """One tenant sends 25 times its usual rate, twice the capacity."""
 
     @classmethod
     def setUpClass(cls):
-        cls.listed = crowds(1, 0.6, 0.009)
-        cls.bursting, *cls.others = cls.listed
+        cls.groups = client_groups(1, 0.6, 0.009)
+        cls.bursting, *cls.others = cls.groups
         burst = Burst(2.0, 8.0, 25.0)
-        bursts = [(cls.bursting, burst), *((crowd, None) for crowd in cls.others)]
-        play(holders(), bursts, 12.0)
+        bursts = [(cls.bursting, burst), *((group, None) for group in cls.others)]
+        simulate(holders(), bursts, 12.0)
 
     def test_the_other_tenants_are_served(self):
         self.assertGreater(done_share(self.others), 0.999)
         self.assertLess(refused(self.others), 0.02 * sum(c.operations for c in self.others))
 
-    def test_the_tenant_that_bursts_is_told_at_once(self):
+    def test_the_bursting_tenant_is_rejected_on_arrival(self):
         counts = self.bursting.refused
         self.assertGreater(counts["arriving"], counts["waiting"] + counts["expired"])
         self.assertLessEqual(counts["expired"], 1)
