--- a/src/rowanrail/coordination/history.py
+++ b/src/rowanrail/coordination/history.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep
-from rowanrail.directory.digests import Digest, RecordKind, digest_bytes
+from rowanrail.directory.digests import Digest, RecordKind, combined_digest
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
@@ -58,7 +58,7 @@
         for gateway in gateways:
             self._count(RecordKind.NEIGHBOUR, GatewayStep(None, gateway))
         for holder in holders:
-            self._count(RecordKind.OTHER, GatewayStep(None, holder))
+            self._count(RecordKind.REMOTE_HOLDER, GatewayStep(None, holder))
 
     def note(self, change: DirectoryChange, holders: list[GatewayStep]) -> None:
         """Remember a change, and what it changed among the holders."""
@@ -70,14 +70,14 @@
         for gateway in change.gateways:
             self._count(RecordKind.NEIGHBOUR, gateway)
         for holder in holders:
-            self._count(RecordKind.OTHER, holder)
+            self._count(RecordKind.REMOTE_HOLDER, holder)
 
     def digest(self, group: str) -> bytes:
         """Return the digest of the directory as the gateways of a group know it."""
         neighbours = self._neighbours.get(group)
         others = (digest.value for known, digest in self._holders.items() if known != group)
         own = neighbours.value if neighbours is not None else 0
-        return digest_bytes(self._members.value, own, *others)
+        return combined_digest(self._members.value, own, *others)
 
     def since(self, revision: int, group: str) -> Touched | None:
         """Return what a group's gateways don't know as of a revision; None if not remembered."""
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -22,23 +22,23 @@
 from rowanrail.gateway.relay.peers import NO_PEERS, Peers
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
 from rowanrail.gateway.relay.work_routing import WorkRouter
-from rowanrail.gateway.services.load_measure import measure
+from rowanrail.gateway.services.load_measurement import measure_load
 from rowanrail.gateway.services.locality import Locality
-from rowanrail.gateway.services.primary_lines import note_primary
+from rowanrail.gateway.services.primary_log import log_primary_state
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.services.weight_lines import note_weight
+from rowanrail.gateway.services.weight_log import log_weight_change
 from rowanrail.gateway.session_values import PreparedNames
-from rowanrail.gateway.sessions.access import Access
-from rowanrail.gateway.sessions.outcomes import Outcomes
-from rowanrail.gateway.sessions.pending import PendingProof, PendingStart
+from rowanrail.gateway.sessions.access import AccessControl
+from rowanrail.gateway.sessions.outcomes import OutcomeRecorder
+from rowanrail.gateway.sessions.pending import PendingSample, PendingSessionStart
 from rowanrail.gateway.sessions.session import Session
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import Work
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.ports import StatementExecutor
 from rowanrail.kernel.clock import Clock, Scheduler, Timer
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.registry import Registry
 from rowanrail.members.channel import MemberDriver
-from rowanrail.members.primary_health import health_of
+from rowanrail.members.primary_health import primary_health_report
 from rowanrail.members.samples import PositionSample
 from rowanrail.model.members import PrimaryHealth
 from rowanrail.model.routing import Route, RoutingConfiguration, ServiceSpec
@@ -85,10 +85,10 @@
         self._policies = GatewayPolicies.create(registry)
         self._timer: Timer | None = None
         self._ticks = 0
-        self._unconfigured: list[PendingStart] = []
+        self._unconfigured: list[PendingSessionStart] = []
         self._session_count = 0
-        self.access = Access(Clock(clock), decisions, self._policies.key_check, quota_terms)
-        self.outcomes = Outcomes(decisions, self.access)
+        self.access = AccessControl(Clock(clock), decisions, self._policies.key_check, quota_terms)
+        self.outcomes = OutcomeRecorder(decisions, self.access)
         self.holdings = Holdings(self, peers, decisions)
         self.outcomes.on_trace = self.holdings.note_own
         self._known = KnownDirectory(peers)
@@ -113,8 +113,8 @@
         if neighbours is not None:
             neighbours.on_link = self._note_link
         if detours is not None:
-            detours.on_found = self._note_detour
-            detours.on_lost = self._remote_admission.forget
+            detours.on_detour_found = self._note_detour
+            detours.on_link_lost = self._remote_admission.forget
 
     @property
     def peers(self) -> Peers:
@@ -137,7 +137,7 @@
     def _due_services(self) -> list[Service]:
         """Return the services that are checked now: those in use, at times all."""
         if self._ticks % TICKS_OF_IDLE:
-            return [service for service in self.services.values() if service.is_due]
+            return [service for service in self.services.values() if service.needs_tick]
         return list(self.services.values())
 
     @property
@@ -164,7 +164,7 @@
         self._set_services(configuration)
         for service in self.services.values():
             service.set_tenants(configuration.tenants or Tenants())
-        self.holdings.apply()
+        self.holdings.apply_limits()
         self.access.set_configuration(configuration)
         self.access.deny_withdrawn(list(self.sessions))
         waiting, self._unconfigured = self._unconfigured, []
@@ -189,8 +189,8 @@
     def _new_service(self, name: str, spec: ServiceSpec) -> Service:
         service = Service(spec, self._locality, self._driver, self.clock, self._policies)
         service.primary.on_alarm = functools.partial(self._note_primary, service)
-        service.primary.on_trouble = functools.partial(self._router.ask_for_samples, service)
-        note = functools.partial(note_weight, self._decisions, service)
+        service.primary.on_unavailable = functools.partial(self._router.ask_for_samples, service)
+        note = functools.partial(log_weight_change, self._decisions, service)
         service.estimates.weights.on_change = note
         service.set_population(self._known.population)
         service.set_members(self._known.members(name))
@@ -201,7 +201,7 @@
         if self.configuration is not None:
             proceed()
             return
-        waiting = PendingStart(proceed)
+        waiting = PendingSessionStart(proceed)
         self._unconfigured.append(waiting)
         self.clock.call_later(START_WAIT_SECONDS, waiting.run)
 
@@ -225,7 +225,7 @@
 
     def set_plan(self, plan: Plan) -> None:
         """Know who holds services' connections by the control nodes' newest plan."""
-        self.holdings.take(plan)
+        self.holdings.adopt_plan(plan)
 
     def _note_link(self, peer: str, is_up: bool, reason: str) -> None:
         if not is_up:
@@ -234,13 +234,13 @@
 
     def _note_primary(self, service: Service) -> None:
         """Log that a primary was lost or found again, and have the control nodes told."""
-        note_primary(self._decisions, service.primary, self.clock.time())
+        log_primary_state(self._decisions, service.primary, self.clock.time())
         self.on_alarm()
 
     def health(self) -> list[PrimaryHealth]:
         """Return what this proxy sees of the primaries that it uses."""
         now = self.clock.time()
-        return [health_of(service.primary, now) for service in self.services.values()]
+        return [primary_health_report(service.primary, now) for service in self.services.values()]
 
     # Sessions
 
@@ -249,8 +249,8 @@
         if self.configuration is None:
             return Answer(refusal=Refusal.BUSY, message="no configuration yet; retry in 1 s")
         if database not in self.configuration.routes:
-            return self.access.refuse_database(database)
-        identity = self.access.open(database, key)
+            return self.access.refuse_unknown_database(database)
+        identity = self.access.authenticate(database, key)
         if identity is None:
             return Answer(refusal=Refusal.DENIED, message="no tenant holds this key")
         self._session_count += 1
@@ -267,17 +267,17 @@
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.demand`."""
         return self.access.demand
 
-    def route(self, database: str, tenant: str) -> tuple[Route, Work] | Answer:
+    def route(self, database: str, tenant: str) -> tuple[Route, StatementExecutor] | Answer:
         """See :meth:`SessionHost.route`."""
         if self.configuration is None:
-            return self.access.refuse_database(database)
+            return self.access.refuse_unknown_database(database)
         route = self.configuration.routes.get(database)
         local = self.local_work(route.service) if route is not None else None
         if route is None or local is None:
-            return self.access.refuse_database(database)
+            return self.access.refuse_unknown_database(database)
         return route, self._router.work_for(self.services[route.service], tenant, local)
 
-    def local_work(self, service: str, is_detour: bool = False) -> LocalWork | None:
+    def local_work(self, service: str, is_detour: bool = False) -> LocalExecutor | None:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.local_work`."""
         known = self.services.get(service)
         return None if known is None else self._router.local_work(known, is_detour)
@@ -291,14 +291,14 @@
         if known is None or known.primary.failing_since:
             give(None)
             return
-        proof = PendingProof(known.primary, self.clock.time(), give)
-        self.clock.call_later(PROVE_SECONDS, proof.give_up)
-        proof.ask()
+        proof = PendingSample(known.primary, self.clock.time(), give)
+        self.clock.call_later(PROVE_SECONDS, proof.expire)
+        proof.request()
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.load`."""
         known = self.services.get(service)
-        return None if known is None else measure(known, tenant, self.clock.time() * 1000)
+        return None if known is None else measure_load(known, tenant, self.clock.time() * 1000)
 
     def idle_transaction_seconds(self) -> float:
         """See :meth:`SessionHost.idle_transaction_seconds`."""
--- a/src/rowanrail/gateway/planned_stop.py
+++ b/src/rowanrail/gateway/planned_stop.py
@@ -67,9 +67,9 @@
     loop = asyncio.get_running_loop()
     begun_at = loop.time()
     gateway.stopping = True
-    holder.leave()
+    holder.announce_leaving()
     await asyncio.sleep(LEAVE_SHARE * stop_seconds)
-    frontend.begin_closing()
+    frontend.drain()
     while True:
         passed = loop.time() - begun_at
         match stop_phase(passed, stop_seconds, _is_busy(frontend, holder)):
@@ -78,11 +78,11 @@
             case StopPhase.ABORTING:
                 gateway.abort_transactions()
                 holder.end_idle_transactions()
-                frontend.begin_closing()
+                frontend.drain()
         await asyncio.sleep(STOP_CHECK_SECONDS)
     frontend.close()
     gateway.close()
 
 
 def _is_busy(frontend: Frontend, holder: Holder) -> bool:
-    return bool(frontend.busy_sessions() or holder.running or holder.open_transactions)
+    return bool(frontend.busy_sessions() or holder.running_statements or holder.open_transactions)
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -1,8 +1,8 @@
-"""A gateway's connection to another gateway that holds a service's connections.
+"""The client side of a connection between gateways.
 
-Owns the calls that the other gateway has not answered, each with one outcome: answered, not run,
-or lost with the link. Relies on a transport that brings and takes messages (no I/O here) and on
-:mod:`liveness` for what silence means.
+Owns the pending calls; each gets exactly one outcome: answered, not run, or lost with the link.
+Relies on a transport that sends and delivers messages (no I/O here) and on :mod:`liveness` to
+detect a gateway that does not answer.
 """
 
 import enum
@@ -10,12 +10,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from rowanrail.gateway.relay.liveness import Silence, judge_silence
+from rowanrail.gateway.relay.liveness import LivenessAction, assess_liveness
 from rowanrail.gateway.relay.messages import (
-    AskSample,
-    CountDemand,
-    DemandCounted,
-    Drop,
+    Cancel,
+    DemandReport,
+    DemandTotals,
     FromGateway,
     FromHolder,
     Leaving,
@@ -23,8 +22,9 @@
     Ping,
     Pong,
     Reply,
-    Run,
+    RunStatement,
     SampleReply,
+    SampleRequest,
 )
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.model.position import Position
@@ -36,17 +36,17 @@
     "LinkPort",
     "LinkState",
     "Lost",
-    "Outcome",
     "NotRun",
+    "Outcome",
     "Replied",
     "Sampled",
 ]
 
-LINK_CHECK_MS = 50.0  # chosen: between checks of a link that owes answers
+LINK_CHECK_MS = 50.0  # interval between liveness checks while calls are pending
 
 
 class LinkPort(Protocol):
-    """The transport below a link."""
+    """Port: the transport connection of a link."""
 
     def send(self, message: FromGateway) -> None:
         """Send a message."""
@@ -56,7 +56,7 @@
 
 
 class LinkState(enum.Enum):
-    """Where a link stands."""
+    """Lifecycle of a link."""
 
     OPENING = "opening"
     UP = "up"
@@ -66,28 +66,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Replied:
-    """The neighbour answered."""
+    """The neighbour answered a statement."""
 
     reply: Reply
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The neighbour ran nothing of it, and can't."""
+    """The neighbour did not run the call and can't."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """The link is gone: whether it was run is not known."""
+    """The link was lost or suspected; the call may have run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Sampled:
-    """The neighbour had the primary prove its position."""
+    """The neighbour returned a new sample of a primary."""
 
     instance: str
     position: Position
@@ -95,31 +95,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Counted:
-    """The neighbour reported what the fleet's clients ask for, by tenant."""
+    """The neighbour returned the fleet's demand by tenant."""
 
     fleet: Report
 
 
 Outcome = Replied | NotRun | Lost | Sampled | Counted
-Settle = Callable[[Outcome], None]
+OnOutcome = Callable[[Outcome], None]
 
 
 @dataclass(frozen=True, slots=True)
-class _Call:
-    """What the neighbour owes an answer to.
+class _PendingCall:
+    """A call that the neighbour has not answered.
 
     Parameters
     ----------
-    may_be_kept : bool
-        Whether the database may keep something of it if it runs.
+    on_outcome : callable
+        Called once with the outcome.
+    may_persist : bool
+        Whether the call, if it ran, may have committed something.
     """
 
-    settle: Settle
-    may_be_kept: bool
+    on_outcome: OnOutcome
+    may_persist: bool
 
 
 class Link:
-    """One connection to a neighbour, from its opening to its end; it is not used again.
+    """One connection to a neighbour; after its end it is not reused.
 
     Parameters
     ----------
@@ -128,22 +130,22 @@
     clock : Clock
         Time and timers.
     on_down : callable
-        Called once when the link is gone, with the reason.
+        Called once at the end of the link, with the reason.
     """
 
     __slots__ = (
         "_calls",
         "_clock",
-        "_heard",
-        "_next",
+        "_last_heard",
+        "_last_call_id",
         "_on_down",
         "_peer",
         "_pinged_at",
         "_port",
         "_state",
-        "_suspect",
+        "_is_suspect",
         "_timer",
-        "_transactions",
+        "_last_transaction_id",
     )
 
     def __init__(self, peer: str, clock: Clock, on_down: Callable[["Link", str], None]) -> None:
@@ -152,12 +154,12 @@
         self._on_down = on_down
         self._port: LinkPort | None = None
         self._state = LinkState.OPENING
-        self._calls: dict[int, _Call] = {}
-        self._next = 0
-        self._transactions = 0
-        self._heard = clock.now
+        self._calls: dict[int, _PendingCall] = {}
+        self._last_call_id = 0
+        self._last_transaction_id = 0
+        self._last_heard = clock.now
         self._pinged_at: float | None = None
-        self._suspect = False
+        self._is_suspect = False
         self._timer: Timer | None = None
 
     @property
@@ -167,75 +169,80 @@
 
     @property
     def state(self) -> LinkState:
-        """Where the link stands."""
+        """State of the link."""
         return self._state
 
     @property
     def is_suspect(self) -> bool:
-        """Whether the neighbour left a ping unanswered, so that new work goes elsewhere."""
-        return self._suspect
+        """Whether the neighbour did not answer a ping, so that new work goes to other gateways."""
+        return self._is_suspect
 
     @property
-    def owed(self) -> int:
-        """Number of calls without an answer."""
+    def pending_calls(self) -> int:
+        """Number of pending calls."""
         return len(self._calls)
 
-    # What the gateway asks
+    # Requests of the gateway
 
-    def number_transaction(self) -> int:
-        """Return a number for a transaction, unique on this link."""
-        self._transactions += 1
-        return self._transactions
+    def next_transaction_id(self) -> int:
+        """Return a new id for a transaction, unique on this link."""
+        self._last_transaction_id += 1
+        return self._last_transaction_id
 
-    def number_call(self) -> int:
-        """Return a number for a call, unique on this link."""
-        self._next += 1
-        return self._next
+    def next_call_id(self) -> int:
+        """Return a new id for a call, unique on this link."""
+        self._last_call_id += 1
+        return self._last_call_id
 
-    def ask(
-        self, question: Run | AskSample | CountDemand, settle: Settle, may_be_kept: bool = True
+    def request(
+        self,
+        message: RunStatement | SampleRequest | DemandReport,
+        on_outcome: OnOutcome,
+        may_persist: bool = True,
     ) -> None:
-        """Send a statement, ask for a sample, or report what clients ask for.
+        """Send a request that has an answer.
 
         Parameters
         ----------
-        question : Run, AskSample or CountDemand
-            What is asked.
-        settle : callable
-            Gets the outcome once.
-        may_be_kept : bool
-            Whether the database may keep something of it if it runs. What is not kept is given up
-            as soon as the neighbour is suspected, all else only when the link is lost.
+        message : RunStatement, SampleRequest or DemandReport
+            The request; its ``call`` is a new id of this link.
+        on_outcome : callable
+            Called once with the outcome, unless the call is cancelled.
+        may_persist : bool
+            Whether the call, if it runs, may commit something. If not, it fails as soon as the
+            neighbour is suspected; otherwise only when the link is lost.
         """
         if self._port is None or self._state is LinkState.DOWN:
-            settle(NotRun("the link is closed"))
+            on_outcome(NotRun("the link is closed"))
             return
         if not self._calls:
-            self._heard = self._clock.now  # silence counts from the first answer that is owed
+            self._last_heard = (
+                self._clock.now
+            )  # the liveness timeout starts with the first pending call
             self._pinged_at = None
-        self._calls[question.call] = _Call(settle, may_be_kept)
-        self._port.send(question)
+        self._calls[message.call] = _PendingCall(on_outcome, may_persist)
+        self._port.send(message)
         if self._timer is None:
             self._timer = self._clock.call_in(LINK_CHECK_MS, self._check)
 
-    def drop(self, call: int) -> None:
-        """Forget a call, and have the neighbour forget it."""
+    def cancel(self, call: int) -> None:
+        """Cancel a call here and at the neighbour; it gets no outcome."""
         if self._calls.pop(call, None) is not None:
-            self.notify(Drop(call))
+            self.notify(Cancel(call))
 
     def notify(self, message: FromGateway) -> None:
-        """Send what needs no answer."""
+        """Send a message that has no answer."""
         if self._port is not None and self._state is not LinkState.DOWN:
             self._port.send(message)
 
     def close(self, reason: str) -> None:
-        """Give the link up."""
+        """Close the link; pending calls are lost."""
         self._go_down(reason)
 
     # Events from the transport
 
     def opened(self, port: LinkPort) -> None:
-        """Note that the connection stands."""
+        """Start to use the connection that the transport has opened."""
         if self._state is not LinkState.OPENING:
             port.close()
             return
@@ -243,19 +250,19 @@
         self._state = LinkState.UP
 
     def receive(self, message: FromHolder) -> None:
-        """Take a message of the neighbour."""
-        self._heard = self._clock.now
+        """Handle a message of the neighbour."""
+        self._last_heard = self._clock.now
         self._pinged_at = None
-        self._suspect = False
+        self._is_suspect = False
         match message:
             case Reply(call=call):
-                self._settle(call, Replied(message))
+                self._resolve(call, Replied(message))
             case NotServed(call=call, reason=reason):
-                self._settle(call, NotRun(reason))
+                self._resolve(call, NotRun(reason))
             case SampleReply(call=call, instance=instance, position=position):
-                self._settle(call, Sampled(instance, position))
-            case DemandCounted(call=call, fleet=fleet):
-                self._settle(call, Counted(fleet))
+                self._resolve(call, Sampled(instance, position))
+            case DemandTotals(call=call, fleet=fleet):
+                self._resolve(call, Counted(fleet))
             case Leaving():
                 if self._state is LinkState.UP:
                     self._state = LinkState.LEAVING
@@ -263,35 +270,35 @@
                 pass
 
     def lost(self, reason: str) -> None:
-        """Note that the connection is gone, or never stood."""
+        """Handle the end of the connection, or the failure to open it."""
         self._go_down(reason)
 
-    # Inside
+    # Internals
 
-    def _settle(self, call: int, outcome: Outcome) -> None:
-        owed = self._calls.pop(call, None)
-        if owed is not None:
-            owed.settle(outcome)
+    def _resolve(self, call: int, outcome: Outcome) -> None:
+        pending = self._calls.pop(call, None)
+        if pending is not None:
+            pending.on_outcome(outcome)
 
     def _check(self) -> None:
-        """Ask a silent neighbour whether it is there; suspect it, then give it up."""
+        """Ping, suspect or give up a neighbour that does not answer."""
         self._timer = None
-        if self._state is LinkState.DOWN or not (self._calls or self._suspect):
+        if self._state is LinkState.DOWN or not (self._calls or self._is_suspect):
             return
         now = self._clock.now
-        heard_ago = now - self._heard
-        pinged_ago = None if self._pinged_at is None else now - self._pinged_at
-        match judge_silence(heard_ago, pinged_ago):
-            case Silence.PING:
+        since_heard_ms = now - self._last_heard
+        since_ping_ms = None if self._pinged_at is None else now - self._pinged_at
+        match assess_liveness(since_heard_ms, since_ping_ms):
+            case LivenessAction.PING:
                 self._pinged_at = now
                 self.notify(Ping())
-            case Silence.SUSPECT:
-                self._suspect = True
-                self._give_up_unkept(f"no word for {heard_ago:.0f} ms")
-            case Silence.LOST:
-                self._go_down(f"no word for {heard_ago:.0f} ms")
+            case LivenessAction.SUSPECT:
+                self._is_suspect = True
+                self._fail_unpersisted_calls(f"no word for {since_heard_ms:.0f} ms")
+            case LivenessAction.LOST:
+                self._go_down(f"no word for {since_heard_ms:.0f} ms")
                 return
-            case Silence.BEARABLE:
+            case LivenessAction.WAIT:
                 pass
         self._check_later()
 
@@ -299,14 +306,14 @@
         if self._timer is None and self._state is not LinkState.DOWN:
             self._timer = self._clock.call_in(LINK_CHECK_MS, self._check)
 
-    def _give_up_unkept(self, reason: str) -> None:
-        """Settle as lost the calls of which nothing is kept, and have the neighbour forget them."""
-        given_up = [call for call, owed in self._calls.items() if not owed.may_be_kept]
+    def _fail_unpersisted_calls(self, reason: str) -> None:
+        """Fail and cancel the calls that can't have committed anything."""
+        given_up = [call for call, pending in self._calls.items() if not pending.may_persist]
         for call in given_up:
-            owed = self._calls.pop(call, None)
-            if owed is not None:  # settling an earlier one may have ended it
-                self.notify(Drop(call))
-                owed.settle(Lost(reason))
+            pending = self._calls.pop(call, None)
+            if pending is not None:  # the outcome of an earlier call may have cancelled it
+                self.notify(Cancel(call))
+                pending.on_outcome(Lost(reason))
 
     def _go_down(self, reason: str) -> None:
         if self._state is LinkState.DOWN:
@@ -320,5 +327,5 @@
             port.close()
         calls, self._calls = self._calls, {}
         self._on_down(self, reason)
-        for owed in calls.values():
-            owed.settle(Lost(reason))
+        for pending in calls.values():
+            pending.on_outcome(Lost(reason))
--- a/src/rowanrail/gateway/services/load_measure.py
+++ b/src/rowanrail/gateway/services/load_measurement.py
@@ -9,10 +9,10 @@
 from rowanrail.scheduling.load import URGENCY_LEVELS, ServiceLoad, round_waits
 from rowanrail.scheduling.queue import QueueEntry
 
-__all__ = ["measure"]
+__all__ = ["measure_load"]
 
 
-def measure(service: Service, tenant: str, now: float) -> ServiceLoad | None:
+def measure_load(service: Service, tenant: str, now: float) -> ServiceLoad | None:
     """Return how long a tenant's statements of each urgency take, None if there is room.
 
     Members of other regions count for nothing: what needs them is sent on to their own holders.
@@ -44,7 +44,7 @@
 
 
 def _certain_time(pool: MemberPool, entry: QueueEntry) -> float:
-    forecast = pool.forecasts.of(entry)
+    forecast = pool.forecasts.for_entry(entry)
     if forecast.has_room:
         return 0.0
     return (
@@ -53,5 +53,5 @@
 
 
 def _pace(pool: MemberPool, entry: QueueEntry) -> int:
-    interval = pool.forecasts.of(entry).drain_interval
+    interval = pool.forecasts.for_entry(entry).drain_interval
     return round(1000 / interval) if interval else 0
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -23,13 +23,13 @@
 from rowanrail.scheduling.run_times import RunTimes
 from rowanrail.scheduling.warming import WarmUp
 
-__all__ = ["MemberEstimates", "Wanted"]
+__all__ = ["MemberEstimates", "ReadRequirements"]
 
 _UNASKED = QueueEntry(0, None, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class ReadRequirements:
     """What a read, or a transaction that only reads, asks of a member.
 
     Parameters
@@ -133,39 +133,41 @@
         since = self._tracker.history.held_since(floor)
         return 0.0 if since is None else max(0.0, self._clock.now - since * 1000)
 
-    def candidates(self, pools: Mapping[str, MemberPool], wanted: Wanted) -> list[Candidate]:
+    def candidates(
+        self, pools: Mapping[str, MemberPool], wanted: ReadRequirements
+    ) -> list[Candidate]:
         """Return members as candidates for a read."""
         now = self._clock.now
         age = self._age(wanted.floor) if wanted.floor is not None else None
         return [self._candidate(pool, wanted, age, now) for pool in pools.values()]
 
     def _candidate(
-        self, pool: MemberPool, wanted: Wanted, age: float | None, now: float
+        self, pool: MemberPool, wanted: ReadRequirements, age: float | None, now: float
     ) -> Candidate:
         record = pool.record
         name = record.instance
         work = self._times.service_time(wanted.kind)
-        is_primary = name == self._tracker.believed
+        is_primary = name == self._tracker.presumed_primary
         behind = 0.0
         if age is not None and not is_primary and name in self._lags:
             behind = self._lags[name].expected_catch_up(age, now)
         distance = self._locality.distance(record.zone)
         is_remote = distance == 2 and bool(self._locality.regions)
         usual = self._times.baseline(name, wanted.kind)
-        forecast = pool.forecasts.of(wanted.entry)
+        forecast = pool.forecasts.for_entry(wanted.entry)
         return Candidate(
             instance=name,
             wait=effective_wait(forecast, bool(wanted.entry.tenant)),
             run_time=expected_run_time(usual, work, is_remote),
             queue_delay=self._times.queue_delay(name, now),
             service_time=work,
-            in_flight=pool.connections.under_way + self._sent_remote[name],
+            in_flight=pool.connections.in_flight + self._sent_remote[name],
             slots=record.slots,
             is_primary=is_primary,
             error_share=pool.error_share,
             is_suspect=pool.is_suspect,
             slowdown=self._warming[name].slowdown(now) if name in self._warming else 1.0,
-            weight=self.weights.effective(name),
+            weight=self.weights.effective_weight(name),
             distance=distance,
             catch_up_time=behind,
         )
--- a/src/rowanrail/gateway/work/autocommit_read.py
+++ b/src/rowanrail/gateway/work/autocommit_read.py
@@ -1,6 +1,6 @@
 """An autocommit read: a floor, then any member whose log holds it.
 
-For :class:`rowanrail.gateway.work.local.LocalWork`. Owns the members that are excluded and how
+For :class:`rowanrail.gateway.work.local.LocalExecutor`. Owns the members that are excluded and how
 often the read failed. Relies on :mod:`rowanrail.gateway.work.attempts` for what follows a refusal;
 a read changes nothing, so that it may run anywhere, again and again.
 """
@@ -10,17 +10,17 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.work.attempts import (
     ReadStep,
-    Sent,
+    SentRequest,
     has_attempts_left,
+    refusal_without_answer,
     step_after_read,
-    unanswered,
 )
 from rowanrail.gateway.work.commands import commands_for
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.freshness import oldest_sample, prefetch
 from rowanrail.gateway.work.operation import Operation
-from rowanrail.gateway.work.refusals import LATE, PRIMARY_RETRY_AFTER_MS, busy
-from rowanrail.members.channel import Channel, Respond
+from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE, PRIMARY_RETRY_AFTER_MS, busy_answer
+from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
@@ -30,7 +30,7 @@
 class AutocommitRead(Operation):
     """An autocommit read: a floor, then any member whose log holds it."""
 
-    def start(self, statement: TypedStatement, respond: Respond) -> None:
+    def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Begin."""
         self.statement = statement
         self.excluded: set[str] = set()
@@ -65,11 +65,11 @@
         self.stage = Stage.WAITS_FOR_SAMPLE
         prefetch(self.service, self.route, self.clock.time())
         tracker = self.service.primary
-        if not tracker.can_give(self._asked_since) and tracker.is_long_lost:
+        if not tracker.has_sample_since(self._asked_since) and tracker.is_failover_overdue:
             if not self.hand_over(self.statement, writes=False):
                 self.reject_long_lost()
             return
-        tracker.need(self._asked_since, self._with_floor)
+        tracker.wait_for_position(self._asked_since, self._with_floor)
 
     def _with_floor(self, position: Position | None) -> None:
         if self.respond is None:
@@ -87,13 +87,13 @@
 
     def _choose(self) -> None:
         self.attempts += 1
-        pool = self.service.choose(self.excluded, self.wanted())
+        pool = self.service.choose_member(self.excluded, self.wanted())
         if pool is None or not has_attempts_left(self.attempts):
             if self.service.primary.failing_since and self.hand_over(self.statement, writes=False):
                 return
             self.excluded.clear()
             self.attempts = 0
-            self.retry_later(self._need_floor, busy("no member can serve the read"))
+            self.retry_later(self._need_floor, busy_answer("no member can serve the read"))
             return
         roomy = self.prompt_or_roomier(pool, self.excluded)
         if roomy is None:
@@ -160,7 +160,9 @@
         elif refusal is Refusal.UNKNOWN_NAME and self.channel is not None:
             self.channel.prepared.clear()
         self.release()
-        match step_after_read(refusal, self._errors, instance == self.service.primary.believed):
+        match step_after_read(
+            refusal, self._errors, instance == self.service.primary.presumed_primary
+        ):
             case ReadStep.ANSWER:
                 self.finish(answer)
             case ReadStep.NEXT_MEMBER:
@@ -188,9 +190,11 @@
 
     def on_timeout(self) -> None:
         """See :meth:`Operation.on_timeout`. A read that was sent may still run."""
-        self.service.primary.forget(self._with_floor)
+        self.service.primary.cancel_wait(self._with_floor)
         if self.channel is None:
-            self.refuse_unplaced(busy(LATE))
+            self.refuse_unplaced(busy_answer(NO_ANSWER_MESSAGE))
             return
-        self.finish(Answer(refusal=unanswered(Sent.READ), message=LATE))
+        self.finish(
+            Answer(refusal=refusal_without_answer(SentRequest.READ), message=NO_ANSWER_MESSAGE)
+        )
         self.discard()
--- a/tests/scheduling/clients.py
+++ b/tests/scheduling/clients.py
@@ -69,7 +69,9 @@
         self.is_sent = self.is_over = False
         reliable_share = pool.forecasts.errors.of(group.urgency).reliable_share
         if not isinstance(
-            decide_on_arrival(pool.forecasts.of(entry), time_limit, time_limit, reliable_share),
+            decide_on_arrival(
+                pool.forecasts.for_entry(entry), time_limit, time_limit, reliable_share
+            ),
             Admit,
         ):
             self.retry(entry, "arriving")
@@ -88,14 +90,14 @@
             self.is_over = True
             self.group.in_doubt += 1
             return
-        self.queued.leave()
+        self.queued.cancel()
         self.retry(self.entry, "expired")
 
     def retry(self, entry: QueueEntry, refused: str) -> None:
         self.group.refused[refused] += 1
         if self.attempts >= MAX_ATTEMPTS:
             return
-        forecast = self.holder.pool.forecasts.of(entry)
+        forecast = self.holder.pool.forecasts.for_entry(entry)
         base = retry_after_base(forecast.wait, TIMEOUT * 1000)
         delay = (
             self.holder.retry_times.next_delay(base, forecast.drain_interval, entry.urgency) / 1000
