--- a/tests/scheduling/test_examples.py
+++ b/tests/scheduling/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples in the docstrings of the planning modules hold."""
+"""Doctests of the planning modules."""
 
 import doctest
 import unittest
@@ -7,7 +7,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    def test_every_example_holds(self):
+    def test_docstring_examples(self):
         for module in (demand, plan, planner):
             with self.subTest(module.__name__):
                 result = doctest.testmod(module)
