--- a/tests/scheduling/test_planner.py
+++ b/tests/scheduling/test_planner.py
@@ -1,4 +1,4 @@
-"""Which gateways hold what, under uneven demand and with slow or lost gateways."""
+"""Plans under uneven demand and with slow or lost gateways."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 def zone_layout(zones=ZONES, services=("db1", "db2")):
-    """The hash is unlucky: it gives both services of a zone to the same gateway."""
+    """Return a layout in which hashing assigns both services of a zone to the same gateway."""
     return Layout({s: {zone: {s: f"{zone}-g0"} for zone in zones} for s in services})
 
 
@@ -46,17 +46,17 @@
 
 
 def settle(demand, loads, layout, current=NO_PLAN, rounds=6):
-    """Plan until nothing changes; return the plan and how many times it changed."""
+    """Plan until nothing changes; return the plan and the number of changes."""
     for changes in range(rounds):
         proposal = propose_plan(demand, loads, layout, current)
         if proposal.plan is None:
             return current, changes
         current = numbered(proposal.plan, current.number + 1)
-    raise AssertionError("the plan does not come to rest")
+    raise AssertionError("the plan does not converge")
 
 
-def busiest(plan, demand, layout):
-    """Return the most that one gateway carries, in statements a second."""
+def max_rate(plan, demand, layout):
+    """Return the highest rate that a gateway holds, in statements per second."""
     held = {}
     for group, shards in demand.items():
         for key, shard in shards.items():
@@ -73,23 +73,23 @@
 
 
 class MovesTest(unittest.TestCase):
-    def test_two_busy_services_of_one_holder_come_apart(self):
+    def test_two_busy_services_of_one_holder_are_separated(self):
         demand = rates(z1=(30, 30), z2=(30, 30), z3=(30, 30), z4=(30, 30))
         layout = zone_layout()
         plan, changes = settle(demand, gateways(), layout)
-        self.assertEqual(busiest(NO_PLAN, demand, layout), 60)
-        self.assertEqual(busiest(plan, demand, layout), 30)
+        self.assertEqual(max_rate(NO_PLAN, demand, layout), 60)
+        self.assertEqual(max_rate(plan, demand, layout), 30)
         self.assertEqual(changes, 1)
 
-    def test_small_services_stay_where_the_hash_put_them(self):
+    def test_small_services_are_not_moved(self):
         demand = rates(z1=(3, 3), z2=(3, 3), z3=(3, 3), z4=(3, 3))
         self.assertIsNone(propose_plan(demand, gateways(), zone_layout(), NO_PLAN).plan)
 
-    def test_a_move_that_takes_less_than_a_quarter_off_is_not_made(self):
+    def test_a_move_that_reduces_the_load_by_less_than_a_quarter_is_not_made(self):
         demand = rates(z1=(35, 5), z2=(35, 5), z3=(35, 5), z4=(35, 5))
         self.assertEqual(propose_plan(demand, gateways(), zone_layout(), NO_PLAN).changes, [])
 
-    def test_a_slow_holder_gives_up_what_it_holds_and_gets_nothing(self):
+    def test_shards_of_a_slow_holder_move_to_one_that_is_not_slow(self):
         demand = {zone: {"db1": ShardDemand(20.0)} for zone in ZONES}
         layout = zone_layout(services=("db1",))
         proposal = propose_plan(demand, gateways(slow=("z1-g0", "z1-g1")), layout, NO_PLAN)
@@ -100,12 +100,14 @@
         self.assertNotIn(change.after[0], ("z1-g0", "z1-g1"))
         self.assertEqual(proposal.plan.shard("z2", "db1").gateways, ["z2-g0"])
 
-    def test_what_was_changed_a_moment_ago_rests(self):
+    def test_recently_changed_shards_are_not_changed(self):
         demand = rates(z1=(30, 30), z2=(3, 3), z3=(3, 3), z4=(3, 3))
-        resting = {("z1", "db1"), ("z1", "db2"), ("", "db1"), ("", "db2")}
-        self.assertIsNone(propose_plan(demand, gateways(), zone_layout(), NO_PLAN, resting).plan)
+        recently_changed = {("z1", "db1"), ("z1", "db2"), ("", "db1"), ("", "db2")}
+        self.assertIsNone(
+            propose_plan(demand, gateways(), zone_layout(), NO_PLAN, recently_changed).plan
+        )
 
-    def test_a_gateway_that_has_just_come_is_given_nothing(self):
+    def test_a_gateway_that_has_just_joined_is_assigned_nothing(self):
         demand = rates(z1=(30, 30), z2=(0, 0), z3=(0, 0), z4=(0, 0))
         loads = [
             GatewayLoad(g.name, g.group, g.address, g.own_rate, is_settled=False)
@@ -113,7 +115,7 @@
         ]
         self.assertEqual(propose_plan(demand, loads, zone_layout(), NO_PLAN).changes, [])
 
-    def test_addresses_of_all_holders_go_with_the_plan(self):
+    def test_the_plan_contains_the_addresses_of_all_holders(self):
         demand = rates(z1=(30, 30), z2=(30, 30), z3=(30, 30), z4=(30, 30))
         plan = propose_plan(demand, gateways(), zone_layout(), NO_PLAN).plan
         named = {
@@ -122,19 +124,21 @@
         self.assertEqual(plan.addresses, {name: f"{name}:1" for name in named})
 
 
-class DivisionTest(unittest.TestCase):
-    def test_a_busy_service_is_divided_and_a_small_one_is_not(self):
+class HolderCountTest(unittest.TestCase):
+    def test_a_busy_service_gets_more_holders_and_a_small_one_does_not(self):
         demand = rates(z1=(140, 12), z2=(12, 12), z3=(12, 12), z4=(12, 12))
         plan, _ = settle(demand, gateways(), zone_layout())
         self.assertEqual(len(plan.shard("z1", "db1").gateways), 3)
         for zone in ("z2", "z3", "z4"):
             self.assertEqual(len(plan.shard(zone, "db1").gateways), 1)
         self.assertLess(
-            busiest(plan, demand, zone_layout()), MAX_RATE_PER_HOLDER + 12, "db2 may stay there"
+            max_rate(plan, demand, zone_layout()),
+            MAX_RATE_PER_HOLDER + 12,
+            "db2 may remain on the same gateway",
         )
 
-    def test_a_tenant_with_a_third_of_all_work_is_carried_by_several_holders(self):
-        # 240 statements a second, a third of them one tenant's, in the region of the primary.
+    def test_a_tenant_with_a_third_of_all_statements_gets_several_holders(self):
+        # A third of 240 statements per second is one tenant's, in the region of the primary.
         demand = {
             "east": {
                 "db/0": ShardDemand(133.0, largest_tenant_share=0.6),
@@ -149,11 +153,11 @@
         self.assertTrue(plan.shard("east", "db/0").is_split)
         self.assertFalse(plan.shard("east", "db/1").is_split, "its tenants are small")
         self.assertFalse(any(shard.is_split for shard in plan.groups["west"].values()))
-        self.assertLessEqual(busiest(plan, demand, region_layout()), MAX_RATE_PER_HOLDER)
+        self.assertLessEqual(max_rate(plan, demand, region_layout()), MAX_RATE_PER_HOLDER)
         self.assertGreater(plan.shard("east", "db/0").share, 0.45)
 
-    def test_a_part_with_few_connections_is_not_divided(self):
-        # Two holders of two connections each serve less than one of four.
+    def test_few_connections_limit_the_number_of_holders(self):
+        # Two holders with two connections each serve less than one with four.
         demand = rates(z1=(120, 0), z2=(60, 0), z3=(60, 0), z4=(60, 0))
         layout = zone_layout(services=("db1",))
         for connections, expected in ((20, 1), (36, 2), (79, 3)):
@@ -161,7 +165,7 @@
             plan, _ = settle(demand, gateways(), bounded)
             self.assertEqual(len(plan.shard("z1", "db1").gateways), expected, connections)
 
-    def test_holders_are_joined_again_only_when_much_less_is_asked_for(self):
+    def test_holders_are_joined_only_when_the_demand_is_much_lower(self):
         loads, layout = gateways(), zone_layout()
         plan, _ = settle(rates(z1=(90, 0), z2=(0, 0), z3=(0, 0), z4=(0, 0)), loads, layout)
         self.assertEqual(len(plan.shard("z1", "db1").gateways), 2)
@@ -180,7 +184,7 @@
                 if shares(plan, key):
                     self.assertAlmostEqual(sum(shares(plan, key).values()), 1.0, places=2)
 
-    def test_clients_that_move_to_another_zone_take_connections_with_them(self):
+    def test_shares_follow_clients_that_move_to_another_zone(self):
         before = rates(z1=(40, 0), z2=(40, 0), z3=(40, 0), z4=(40, 0))
         layout = zone_layout(services=("db1",))
         plan, _ = settle(before, gateways(), layout)
@@ -189,13 +193,13 @@
         plan, _ = settle(moved, gateways(), layout, plan)
         after = shares(plan, "db1")
         self.assertGreater(after["z3"], 1.3 * 0.25)
-        self.assertGreaterEqual(after["z1"], 0.125, "those that come back are served, too")
+        self.assertGreaterEqual(after["z1"], 0.125, "clients that return are served as well")
 
-    def test_a_little_less_even_changes_nothing(self):
+    def test_a_slight_imbalance_changes_nothing(self):
         demand = rates(z1=(20, 0), z2=(24, 0), z3=(17, 0), z4=(19, 0))
         self.assertIsNone(propose_plan(demand, gateways(), zone_layout(), NO_PLAN).plan)
 
-    def test_a_region_divides_its_members_connections_among_its_parts_only(self):
+    def test_a_region_divides_the_connections_among_its_own_shards(self):
         demand = {
             "east": {"db/0": ShardDemand(40.0), "db/1": ShardDemand(4.0), "db/2": ShardDemand(4.0)},
             "west": {f"db/{n}": ShardDemand(9.0) for n in range(3)},
@@ -214,29 +218,29 @@
         self.demand = rates(z1=(30, 30), z2=(30, 30), z3=(30, 30), z4=(30, 30))
         self.plan, _ = settle(self.demand, gateways(), self.layout)
 
-    def holder_beside_the_hash(self):
+    def planned_holder(self):
         named = [shard for key in ("db1", "db2") if (shard := self.plan.shard("z1", key))]
         (other,) = {name for shard in named for name in shard.gateways} - {"z1-g0"}
         return other
 
-    def test_what_a_lost_holder_held_goes_to_others_though_it_rests(self):
-        lost = self.holder_beside_the_hash()
-        resting = {("z1", "db1"), ("z1", "db2"), ("", "db1"), ("", "db2")}
+    def test_a_lost_holder_is_replaced_despite_a_recent_change(self):
+        lost = self.planned_holder()
+        recently_changed = {("z1", "db1"), ("z1", "db2"), ("", "db1"), ("", "db2")}
         loads = gateways(lost=(lost,))
-        proposal = propose_plan(self.demand, loads, self.layout, self.plan, resting)
+        proposal = propose_plan(self.demand, loads, self.layout, self.plan, recently_changed)
         (change,) = proposal.changes
         self.assertEqual((change.before, change.cause), ((lost,), PlanCause.LOST))
-        self.assertEqual(change.after, ("z1-g0",), "the hash has it stand in already")
+        self.assertEqual(change.after, ("z1-g0",), "hashing has already chosen it")
 
-    def test_a_zone_that_is_gone_leaves_its_connections_to_the_others(self):
-        left = ZONES[1:]
-        demand = {zone: self.demand[zone] for zone in left}
-        layout = zone_layout(left)
-        plan, _ = settle(demand, gateways(left), layout, self.plan)
+    def test_connections_of_a_zone_that_is_gone_go_to_the_others(self):
+        remaining = ZONES[1:]
+        demand = {zone: self.demand[zone] for zone in remaining}
+        layout = zone_layout(remaining)
+        plan, _ = settle(demand, gateways(remaining), layout, self.plan)
         self.assertNotIn("z1", plan.groups)
         self.assertAlmostEqual(sum(shares(plan, "db1").values()), 1.0, places=2)
 
-    def test_a_zone_that_comes_gets_its_part(self):
+    def test_a_zone_that_joins_gets_a_share(self):
         zones = (*ZONES, "z5")
         plan, _ = settle(self.demand, gateways(zones), zone_layout(zones), self.plan)
         self.assertAlmostEqual(sum(shares(plan, "db1").values()), 1.0, places=2)
@@ -248,9 +252,9 @@
         self.assertFalse(any("db2" in shards for shards in plan.groups.values()))
 
 
-class WaveTest(unittest.TestCase):
-    def play(self, rate_at, rounds=40):
-        """Plan each 5 s for what a zone is asked for; return how often, and when, it changed."""
+class PeakTest(unittest.TestCase):
+    def simulate(self, rate_at, rounds=40):
+        """Plan every 5 s for a demand over time; return the times of changes in s."""
         window, current, changed = DemandWindow(), NO_PLAN, []
         for step in range(rounds):
             rate = rate_at(step * SPAN_SECONDS)
@@ -263,22 +267,22 @@
                 changed.append(step * SPAN_SECONDS)
         return changed
 
-    def test_a_wave_of_ten_seconds_moves_nothing_however_high(self):
-        # Ten seconds lie in three spans at most, where gateways' spans begin at different times.
+    def test_a_peak_of_ten_seconds_moves_nothing(self):
+        # Ten seconds overlap three spans at most, as the spans of gateways are not aligned.
         for height in (46, 200, 2000):
-            self.assertEqual(self.play(lambda t, h=height: h if 70 <= t < 85 else 20), [])
+            self.assertEqual(self.simulate(lambda t, h=height: h if 70 <= t < 85 else 20), [])
 
     def test_a_gap_of_ten_seconds_moves_nothing(self):
-        self.assertEqual(self.play(lambda t: 0 if 70 <= t < 85 else 20), [])
+        self.assertEqual(self.simulate(lambda t: 0 if 70 <= t < 85 else 20), [])
 
-    def test_what_lasts_is_followed_within_half_a_minute_and_then_left_alone(self):
-        changed = self.play(lambda t: 200 if t >= 70 else 20)
+    def test_a_lasting_change_is_followed_within_half_a_minute(self):
+        changed = self.simulate(lambda t: 200 if t >= 70 else 20)
         self.assertTrue(changed)
         self.assertLessEqual(changed[0], 100)
         self.assertLessEqual(len(changed), 3)
 
     def test_nothing_is_planned_in_the_first_half_minute(self):
-        changed = self.play(lambda t: 200)
+        changed = self.simulate(lambda t: 200)
         self.assertGreaterEqual(changed[0], (WINDOW_SPANS - 1) * SPAN_SECONDS)
 
 
