--- a/src/rowanrail/scheduling/retrying.py
+++ b/src/rowanrail/scheduling/retrying.py
@@ -1,4 +1,4 @@
-"""When a rejected client is told to retry, and recognizing clients that do.
+"""Retry times for rejected clients, and recognition of the clients that retry.
 
 The gateway that rejects assigns the retry times (:class:`RetryTimes`); the gateway that the client
 talks to remembers them (:class:`RetryingClients`). Both keep their state in memory: after a
--- a/tests/scheduling/holders.py
+++ b/tests/scheduling/holders.py
@@ -209,7 +209,7 @@
 
     @property
     def imbalance(self):
-        """Return the ratio of the highest to the mean number of statements served by a member."""
+        """Ratio of the highest to the mean number of statements served by a member."""
         served = [member.served for member in self.members]
         return max(served) * len(served) / sum(served)
 
