--- a/src/rowanrail/coordination/changes.py
+++ b/src/rowanrail/coordination/changes.py
@@ -1,6 +1,6 @@
-"""What one entry of the log changed in the directory of members and gateways.
+"""Changes that one log entry makes to the directory of members and gateways.
 
-Plain values, made while a command is applied; history, holders and watches go by them.
+The state collects them while it applies a command; history, holders and watches consume them.
 """
 
 from dataclasses import dataclass, field
@@ -8,32 +8,32 @@
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
-__all__ = ["DirectoryChange", "GatewayStep", "MemberStep"]
+__all__ = ["DirectoryChange", "GatewayChange", "MemberChange"]
 
 
 @dataclass(frozen=True, slots=True)
-class MemberStep:
-    """One member before and after; None where it was not, or is no longer, known."""
+class MemberChange:
+    """A member's record before and after; None if it was added or removed."""
 
     before: MemberRecord | None
     after: MemberRecord | None
 
     @property
     def instance(self) -> str:
-        """The member whose record it is."""
+        """The member's instance id."""
         record = self.after or self.before
         return record.instance if record is not None else ""
 
     @property
     def is_urgent(self) -> bool:
-        """Whether statements may fail, or run at the wrong member, until gateways know.
+        """Whether statements may fail or reach the wrong member until gateways know of it.
 
-        A member that comes and is no primary only adds room.
+        A new replica only adds capacity.
 
         Examples
         --------
         >>> new = MemberRecord("m1", "db", "m1:1", "a", False, False, 3, 1)
-        >>> MemberStep(None, new).is_urgent, MemberStep(new, None).is_urgent
+        >>> MemberChange(None, new).is_urgent, MemberChange(new, None).is_urgent
         (False, True)
         """
         before, after = self.before, self.after
@@ -41,16 +41,16 @@
             return True
         if before is None:
             return after.primary or after.leaving
-        return _duty(before) != _duty(after)
+        return _routing_fields(before) != _routing_fields(after)
 
 
-def _duty(record: MemberRecord) -> tuple[bool, bool, str, str]:
+def _routing_fields(record: MemberRecord) -> tuple[bool, bool, str, str]:
     return record.primary, record.leaving, record.address, record.service
 
 
 @dataclass(frozen=True, slots=True)
-class GatewayStep:
-    """One gateway before and after; None where it was not, or is no longer, known."""
+class GatewayChange:
+    """A gateway's record before and after; None if it was added or removed."""
 
     before: GatewayRecord | None
     after: GatewayRecord | None
@@ -58,19 +58,19 @@
 
 @dataclass(slots=True)
 class DirectoryChange:
-    """All that one entry of the log changed.
+    """All changes of one log entry.
 
     Parameters
     ----------
     revision : int
-        Place of the entry in the log.
+        The entry's log index.
     """
 
     revision: int
-    members: list[MemberStep] = field(default_factory=list)
-    gateways: list[GatewayStep] = field(default_factory=list)
+    members: list[MemberChange] = field(default_factory=list)
+    gateways: list[GatewayChange] = field(default_factory=list)
 
     @property
     def is_urgent(self) -> bool:
-        """Whether gateways are told at once; see :mod:`rowanrail.coordination.change_batch`."""
+        """Whether gateways are notified at once; see :mod:`rowanrail.coordination.change_batch`."""
         return any(step.is_urgent for step in self.members)
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -1,8 +1,6 @@
-"""One statement of a client: its time, its one answer, and what a refusal tells its client.
+"""Base of the executions of a statement: its time limits, its answer, and its rejection.
 
-For the kinds of work. Owns the timers of the statement's time-out and of its deferral, who gets the
-answer, and the rejection that is logged. Relies on :mod:`rowanrail.gateway.work.refusals` for how
-long a statement is deferred and what it is told.
+The limits and the Retry-After follow the rules in :mod:`rowanrail.gateway.work.refusals`.
 """
 
 from collections.abc import Callable
@@ -11,15 +9,15 @@
 
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import SessionValues
-from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
+from rowanrail.gateway.work.attempts import RETRY_INTERVAL_SECONDS
 from rowanrail.gateway.work.refusals import (
+    base_retry_after_ms,
     busy_answer,
-    defer_seconds,
-    left_seconds,
-    may_defer,
+    deferral_seconds,
+    has_time_to_retry,
     rejection_of_deferred,
     rejection_record,
-    shortest_retry_after_ms,
+    remaining_seconds,
 )
 from rowanrail.kernel.clock import Scheduler, Timer
 from rowanrail.members.channel import AnswerCallback
@@ -30,20 +28,20 @@
 
 __all__ = ["Statement"]
 
-NO_FORECAST = Forecast(0.0, 0.0)  # of no member
+NO_FORECAST = Forecast(0.0, 0.0)  # for a rejection that concerns no particular member
 
 
 class Statement:
-    """The time of a statement, and its one answer.
+    """Time limits of a statement, and its single answer.
 
     Parameters
     ----------
     service : Service
-        At whose members it runs.
+        Service whose members run the statement.
     route : Route
-        Says how much time it has.
+        Route with the time-out and the latency objective.
     session : SessionValues
-        Of its client.
+        Values and identity of the client's session.
     clock : Scheduler
         Time and timers.
     """
@@ -55,7 +53,7 @@
         self.route = route
         self.session = session
         self.clock = clock
-        self.timer: Timer | None = None
+        self.timeout_timer: Timer | None = None
         self.deferral_timer: Timer | None = None
         self.respond: AnswerCallback | None = None
         self.arrived_at = 0.0
@@ -63,64 +61,64 @@
 
     @property
     def tenant(self) -> str:
-        """On whose connection it runs."""
+        """Tenant on whose connections the statement runs."""
         return self.session.identity.tenant
 
     @property
-    def defer_until(self) -> float:
-        """Moment, in seconds, until which a statement that no member could run is deferred."""
-        return self.arrived_at + defer_seconds(self.route.objective_seconds)
+    def deferral_deadline(self) -> float:
+        """Time, in seconds, until which a statement that no member could run is deferred."""
+        return self.arrived_at + deferral_seconds(self.route.objective_seconds)
 
     @property
-    def time_given_ms(self) -> float:
-        """Milliseconds that the statement was given."""
+    def timeout_ms(self) -> float:
+        """Time-out of the statement in milliseconds."""
         return self.route.timeout_seconds * 1000
 
     @property
-    def time_left_ms(self) -> float:
-        """Milliseconds until the statement's time is over."""
-        return self.time_given_ms - (self.clock.time() - self.arrived_at) * 1000
+    def remaining_ms(self) -> float:
+        """Milliseconds until the statement times out."""
+        return self.timeout_ms - (self.clock.time() - self.arrived_at) * 1000
 
     def begin_statement(self, respond: AnswerCallback) -> None:
-        """Take a statement and start its clock."""
+        """Accept a statement and start its timers."""
         self.respond = respond
         self.arrived_at = self.clock.time()
         self.rejection = None
-        self.timer = self.clock.call_later(self.route.timeout_seconds, self.on_timeout)
-        limit = defer_seconds(self.route.objective_seconds)
-        self.deferral_timer = self.clock.call_later(limit, self.on_deferral_over)
+        self.timeout_timer = self.clock.call_later(self.route.timeout_seconds, self.on_timeout)
+        limit = deferral_seconds(self.route.objective_seconds)
+        self.deferral_timer = self.clock.call_later(limit, self.on_deferral_end)
 
     def on_timeout(self) -> None:
-        """Answer when the statement's time is over."""
+        """Answer the statement when it times out."""
         raise NotImplementedError
 
-    def on_deferral_over(self) -> None:
-        """Reject what could not run so far, if it can not soon."""
+    def on_deferral_end(self) -> None:
+        """Reject the statement at the end of its deferral, unless it may still run soon."""
         raise NotImplementedError
 
-    def route_left(self) -> Route:
-        """Return the route with the time that is left of the statement's."""
+    def route_with_remaining_time(self) -> Route:
+        """Return the route with its times reduced by the time since the statement's arrival."""
         waited = self.clock.time() - self.arrived_at
         return msgspec.structs.replace(
             self.route,
-            timeout_seconds=left_seconds(self.route.timeout_seconds, waited),
-            objective_seconds=left_seconds(self.route.objective_seconds, waited),
+            timeout_seconds=remaining_seconds(self.route.timeout_seconds, waited),
+            objective_seconds=remaining_seconds(self.route.objective_seconds, waited),
         )
 
     def retry_later(self, function: Callable[[], None], answer: Answer) -> None:
-        """Try again in a moment, or give the refusal if its deferral is over."""
-        if not may_defer(self.clock.time(), self.defer_until):
-            self.refuse_unplaced(answer)
+        """Call ``function`` after the retry interval, or refuse if the deferral ends first."""
+        if not has_time_to_retry(self.clock.time(), self.deferral_deadline):
+            self.refuse_deferred(answer)
             return
 
-        def again() -> None:
+        def retry() -> None:
             if self.respond is not None:
                 function()
 
-        self.clock.call_later(MEMBER_RETRY_SECONDS, again)
+        self.clock.call_later(RETRY_INTERVAL_SECONDS, retry)
 
-    def refuse_unplaced(self, answer: Answer) -> None:
-        """Refuse what no member took; as busy it is rejected, with its Retry-After."""
+    def refuse_deferred(self, answer: Answer) -> None:
+        """Refuse a statement that no member ran; a busy one is rejected with a Retry-After."""
         tracker = self.service.primary
         has_primary = bool(tracker.presumed_primary) and not tracker.failing_since
         verdict = rejection_of_deferred(answer.refusal, has_primary)
@@ -136,34 +134,40 @@
         base_ms: float = 0.0,
         forecast: Forecast = NO_FORECAST,
     ) -> None:
-        """Refuse, as not run, with a Retry-After that differs from those given before.
+        """Reject the statement as not run, with a Retry-After of its own.
 
         Parameters
         ----------
+        cause : RejectionCause
+            Cause for the log.
+        reason : str
+            Reason for the client.
         base_ms : float
-            Milliseconds until the first of the rejected clients should retry.
+            Shortest Retry-After in milliseconds; rejected clients get different ones from there on.
+        forecast : Forecast
+            Forecast on which the rejection is based.
         """
         urgency = self.route.priority
         retry_after = self.service.retry_times.next_delay(
-            shortest_retry_after_ms(base_ms), forecast.drain_interval, (cause, urgency)
+            base_retry_after_ms(base_ms), forecast.drain_interval, (cause, urgency)
         )
-        self.rejection = rejection_record(cause, forecast, self.time_left_ms, urgency, retry_after)
+        self.rejection = rejection_record(cause, forecast, self.remaining_ms, urgency, retry_after)
         self.finish(busy_answer(reason, retry_after))
 
     def stop_timers(self) -> None:
-        """Forget the statement's time: it has its answer, or another gateway runs it."""
-        for timer in (self.timer, self.deferral_timer):
+        """Stop the timers: the statement was answered, or another gateway runs it."""
+        for timer in (self.timeout_timer, self.deferral_timer):
             if timer is not None:
                 timer.cancel()
-        self.timer = self.deferral_timer = None
+        self.timeout_timer = self.deferral_timer = None
 
     def finish(self, answer: Answer) -> None:
-        """Give the statement's answer, once."""
+        """Answer the statement; ignored if it was answered before."""
         respond, self.respond = self.respond, None
         self.stop_timers()
         if respond is not None:
-            self.let_go(answer)
+            self.withdraw_requests(answer)
             respond(answer)
 
-    def let_go(self, answer: Answer) -> None:
-        """Withdraw what pools or other gateways were asked for: the statement has its answer."""
+    def withdraw_requests(self, answer: Answer) -> None:
+        """Withdraw requests to pools and other gateways once the statement is answered."""
