--- a/src/rowanrail/coordination/history.py
+++ b/src/rowanrail/coordination/history.py
@@ -1,46 +1,45 @@
-"""Which records of the directory changed since a revision, as far back as is remembered.
+"""The latest changes of the directory, from which incremental updates are made.
 
-Owns that memory and the digests of each group's whole directory; the state notes each change here.
+Keeps them up to a limit, and the digest of each group's full directory; the state adds each change.
 """
 
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rowanrail.coordination.changes import DirectoryChange, GatewayStep
+from rowanrail.coordination.changes import DirectoryChange, GatewayChange
 from rowanrail.directory.digests import Digest, RecordKind, combined_digest
 from rowanrail.directory.messages import GatewayRecord
 from rowanrail.model.members import MemberRecord
 
-__all__ = ["REMEMBERED_CHANGES", "DirectoryHistory", "Touched"]
+__all__ = ["MAX_CHANGES", "DirectoryHistory", "ChangedNames"]
 
-# Changes. A gateway asks each second, and a start of 300 machines brings some 100 a second; one
-# that was cut off for longer gets the whole, which is smaller than so many differences.
-REMEMBERED_CHANGES = 500
+# A gateway that lacks more changes gets the full directory, which is then the smaller update.
+MAX_CHANGES = 500
 
 
 @dataclass(slots=True)
-class Touched:
-    """Names of what was changed for one group of gateways, the latest first."""
+class ChangedNames:
+    """Names of the records that changed for one group of gateways, the latest first."""
 
     members: dict[str, None] = field(default_factory=dict)
     neighbours: dict[str, None] = field(default_factory=dict)
-    others: dict[str, None] = field(default_factory=dict)
+    remote_holders: dict[str, None] = field(default_factory=dict)
 
 
 class DirectoryHistory:
-    """The latest changes of the directory, and digests of what each group knows of it.
+    """The latest changes of the directory, and the digest of each group's view of it.
 
     Parameters
     ----------
     revision : int
-        From which on changes are remembered.
+        The revision after which changes are kept.
     members : iterable of MemberRecord
         All members as of that revision.
     gateways : iterable of GatewayRecord
-        All gateways.
+        All gateways as of that revision.
     holders : iterable of GatewayRecord
-        Those of them that hold connections; see :mod:`rowanrail.coordination.holders`.
+        The gateways that hold connections; see :mod:`rowanrail.coordination.holders`.
     """
 
     def __init__(
@@ -50,56 +49,56 @@
         gateways: Iterable[GatewayRecord] = (),
         holders: Iterable[GatewayRecord] = (),
     ) -> None:
-        self._first = revision
-        self._changes: deque[tuple[DirectoryChange, list[GatewayStep]]] = deque()
+        self._oldest_revision = revision
+        self._changes: deque[tuple[DirectoryChange, list[GatewayChange]]] = deque()
         self._members = Digest(RecordKind.MEMBER, members)
         self._neighbours: dict[str, Digest] = {}
         self._holders: dict[str, Digest] = {}
         for gateway in gateways:
-            self._count(RecordKind.NEIGHBOUR, GatewayStep(None, gateway))
+            self._update_digest(RecordKind.NEIGHBOUR, GatewayChange(None, gateway))
         for holder in holders:
-            self._count(RecordKind.REMOTE_HOLDER, GatewayStep(None, holder))
+            self._update_digest(RecordKind.REMOTE_HOLDER, GatewayChange(None, holder))
 
-    def note(self, change: DirectoryChange, holders: list[GatewayStep]) -> None:
-        """Remember a change, and what it changed among the holders."""
+    def add(self, change: DirectoryChange, holders: list[GatewayChange]) -> None:
+        """Add a change of the directory and the resulting changes of holders."""
         self._changes.append((change, holders))
-        if len(self._changes) > REMEMBERED_CHANGES:
-            self._first = self._changes.popleft()[0].revision
+        if len(self._changes) > MAX_CHANGES:
+            self._oldest_revision = self._changes.popleft()[0].revision
         for member in change.members:
             self._members.replace(member.before, member.after)
         for gateway in change.gateways:
-            self._count(RecordKind.NEIGHBOUR, gateway)
+            self._update_digest(RecordKind.NEIGHBOUR, gateway)
         for holder in holders:
-            self._count(RecordKind.REMOTE_HOLDER, holder)
+            self._update_digest(RecordKind.REMOTE_HOLDER, holder)
 
     def digest(self, group: str) -> bytes:
-        """Return the digest of the directory as the gateways of a group know it."""
+        """Return the digest of the full directory as a group's gateways see it."""
         neighbours = self._neighbours.get(group)
         others = (digest.value for known, digest in self._holders.items() if known != group)
         own = neighbours.value if neighbours is not None else 0
         return combined_digest(self._members.value, own, *others)
 
-    def since(self, revision: int, group: str) -> Touched | None:
-        """Return what a group's gateways don't know as of a revision; None if not remembered."""
-        if revision < self._first:
+    def changes_since(self, revision: int, group: str) -> ChangedNames | None:
+        """Return what changed for a group after a revision; None if that is not kept any more."""
+        if revision < self._oldest_revision:
             return None
-        touched = Touched()
+        touched = ChangedNames()
         for change, holders in reversed(self._changes):
             if change.revision <= revision:
                 break
-            _touch(touched, change, holders, group)
+            _add_names(touched, change, holders, group)
         return touched
 
-    def _count(self, kind: RecordKind, step: GatewayStep) -> None:
+    def _update_digest(self, kind: RecordKind, change: GatewayChange) -> None:
         digests = self._neighbours if kind is RecordKind.NEIGHBOUR else self._holders
-        if step.before is not None:
-            digests[step.before.sharing_group].replace(step.before, None)
-        if step.after is not None:
-            digests.setdefault(step.after.sharing_group, Digest(kind)).replace(None, step.after)
+        if change.before is not None:
+            digests[change.before.sharing_group].replace(change.before, None)
+        if change.after is not None:
+            digests.setdefault(change.after.sharing_group, Digest(kind)).replace(None, change.after)
 
 
-def _touch(
-    touched: Touched, change: DirectoryChange, holders: list[GatewayStep], group: str
+def _add_names(
+    touched: ChangedNames, change: DirectoryChange, holders: list[GatewayChange], group: str
 ) -> None:
     for member in change.members:
         touched.members[member.instance] = None
@@ -110,4 +109,4 @@
     for holder in holders:
         for record in (holder.before, holder.after):
             if record is not None and record.sharing_group != group:
-                touched.others[record.name] = None
+                touched.remote_holders[record.name] = None
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -1,9 +1,8 @@
-"""Which control nodes vote: a target number, lost voters replaced by standbys.
+"""Keeps the number of voters at its target and replaces lost voters with standbys.
 
-A node beyond the target stays a learner, caught up and ready. Once a voter has been silent
-for a while and such a learner stands by, the voter goes and the learner takes its place, in
-two steps that each change one voter. A voter that was replaced though it lives
-rejoins as a learner.
+Nodes beyond the target stay learners. When a voter has been silent for a while and a learner is
+caught up, the voter is removed and the learner promoted, in two steps that each change one voter.
+A voter that was replaced while still alive rejoins as a learner.
 """
 
 from collections.abc import Callable
@@ -14,12 +13,16 @@
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
 
-STANDBY_BEHIND_ENTRIES = 50  # entries behind the leader; few beside what a restart misses
-SILENT_SECONDS = 2.0  # for which a voter is silent before a learner takes its vote; 4 elections
+MAX_STANDBY_LAG = 50  # entries behind the leader at which a learner still counts as caught up
+VOTER_SILENCE_SECONDS = 2.0  # until a learner may replace a silent voter: about four elections
 
 
-class NodeState(msgspec.Struct, frozen=True):
-    """What the leader knows of another node."""
+class ReplicationProgress(msgspec.Struct, frozen=True):
+    """How far a node has replicated the leader's log.
+
+    :param held: index up to which it is known to hold the log; 0 if it has confirmed nothing.
+    :param behind: number of entries that it lacks.
+    """
 
     held: int
     behind: int
@@ -27,17 +30,25 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the node holds nearly all of the log and answers."""
+        """Whether the node holds nearly all of the log and answers the leader."""
         if not self.held:
-            return False  # it has confirmed nothing yet, however short the log is
-        return self.behind <= STANDBY_BEHIND_ENTRIES and self.silent_seconds < SILENT_SECONDS
+            return False  # nothing is confirmed yet, even if the log is short
+        return self.behind <= MAX_STANDBY_LAG and self.silent_seconds < VOTER_SILENCE_SECONDS
 
 
 def next_membership(
-    membership: Membership, target: int, state: Callable[[str], NodeState]
+    membership: Membership, target: int, progress: Callable[[str], ReplicationProgress]
 ) -> Membership | None:
-    """Return the next step towards ``target`` live voters, None if there is nothing to do."""
-    ready = sorted(node for node in membership.learners if state(node).is_caught_up)
+    """Return the next membership towards ``target`` live voters; None if no change is needed.
+
+    Parameters
+    ----------
+    target : int
+        The number of voters to keep.
+    progress : callable
+        Returns a node's replication progress.
+    """
+    ready = sorted(node for node in membership.learners if progress(node).is_caught_up)
     if not ready:
         return None
     learner = ready[0]
@@ -46,30 +57,32 @@
         return without_voters(membership, replaced[:1])
     if len(membership.voters) < target:
         return with_voter(membership, learner)
-    silent = {node: state(node).silent_seconds for node in membership.voters}
+    silent = {node: progress(node).silent_seconds for node in membership.voters}
     longest = max(silent, key=lambda node: silent[node])
-    return without_voters(membership, [longest]) if silent[longest] >= SILENT_SECONDS else None
+    return (
+        without_voters(membership, [longest]) if silent[longest] >= VOTER_SILENCE_SECONDS else None
+    )
 
 
 class VoterManager(MembershipManager):
-    """Carries out :func:`next_membership` while its node leads."""
+    """Applies :func:`next_membership` while its node leads."""
 
     def __init__(
         self, node: ConsensusNode, cluster: str, target: int, now: Callable[[], float]
     ) -> None:
         super().__init__(node, cluster)
         self._target = target
-        self._clock = now
+        self._now = now
 
-    def _state(self, node: str) -> NodeState:
+    def _progress(self, node: str) -> ReplicationProgress:
         raft = self._node.raft
         if node == self._node.identity.node:
-            return NodeState(raft.log.last_index, 0, 0.0)
+            return ReplicationProgress(raft.log.last_index, 0, 0.0)
         held = raft.match_of(node)
         behind = raft.log.last_index - held
-        return NodeState(held, behind, raft.answered_seconds_ago(node, self._clock()))
+        return ReplicationProgress(held, behind, raft.answered_seconds_ago(node, self._now()))
 
-    async def _promote_one(self) -> None:
-        changed = next_membership(self._node.raft.membership, self._target, self._state)
+    async def _promote_learner(self) -> None:
+        changed = next_membership(self._node.raft.membership, self._target, self._progress)
         if changed is not None:
             await self._change(changed)
--- a/src/rowanrail/gateway/work/autocommit_write.py
+++ b/src/rowanrail/gateway/work/autocommit_write.py
@@ -1,7 +1,7 @@
-"""An autocommit write, at the primary; what may have run is never sent again.
+"""Execution of an autocommit write at the primary.
 
-For :class:`rowanrail.gateway.work.local.LocalExecutor`. Owns nothing beyond the statement.
-Relies on :mod:`rowanrail.gateway.work.attempts` for which refusals mean that nothing ran.
+A write that may have run is never sent again; :mod:`rowanrail.gateway.work.attempts` says which
+refusals mean that it did not run.
 """
 
 from rowanrail.gateway.work.attempts import (
@@ -20,36 +20,36 @@
 
 
 class AutocommitWrite(Operation):
-    """An autocommit write, at the primary; what may have run is never sent again."""
+    """An autocommit write at the primary; never sent again if it may have run."""
 
     def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
-        """Begin."""
+        """Start the write; ``respond`` is called once, with the answer."""
         self.statement = statement
         self.begin_statement(respond)
-        self._find_primary()
+        self._acquire_primary()
 
-    def _find_primary(self) -> None:
-        self.acquire_primary(self._find_primary, self._with_channel)
+    def _acquire_primary(self) -> None:
+        self.acquire_primary(self._acquire_primary, self._on_connection)
 
-    def move_to(self, work: StatementExecutor | None) -> bool:
-        """See :meth:`Operation.move_to`."""
-        return self._hand_to(work, self.statement, writes=True)
+    def forward_to(self, executor: StatementExecutor | None) -> bool:
+        """Forward the write if an executor is given; return whether it was forwarded."""
+        return self._forward(executor, self.statement, writes=True)
 
-    def _with_channel(self, channel: Channel | None, answer: Answer) -> None:
+    def _on_connection(self, channel: Channel | None, answer: Answer) -> None:
         if channel is None:
             self.service.primary.note_refused_connection(answer)
-            self.retry_later(self._find_primary, busy_answer(answer.message))
+            self.retry_later(self._acquire_primary, busy_answer(answer.message))
             return
         commands = self.service.policies.state_replay.commands(channel, self.session)
         commands += commands_for(self.statement, None, channel, self.session, self.names)
-        self.send(commands, self._answered)
+        self.send(commands, self._on_answer)
 
     @property
-    def kind(self) -> str:
-        """See :meth:`Operation.kind`."""
+    def latency_class(self) -> str:
+        """Name of the class of statements with about the same execution time."""
         return f"{self.route.name} writes"
 
-    def _answered(self, answer: Answer) -> None:
+    def _on_answer(self, answer: Answer) -> None:
         if self.respond is None:
             self.release()
             return
@@ -70,15 +70,15 @@
             case WriteStep.ANSWER:
                 self.finish(answer)
             case WriteStep.RETRY:
-                self.retry_later(self._find_primary, answer)
+                self.retry_later(self._acquire_primary, answer)
             case WriteStep.UNKNOWN:
                 refusal = refusal_without_answer(SentRequest.WRITE)
                 self.finish(Answer(refusal=refusal, message="the connection was lost"))
 
     def on_timeout(self) -> None:
-        """See :meth:`Operation.on_timeout`."""
+        """Reject a write that was not sent; otherwise its outcome is unknown."""
         if self.channel is None:
-            self.refuse_unplaced(busy_answer(NO_ANSWER_MESSAGE))
+            self.refuse_deferred(busy_answer(NO_ANSWER_MESSAGE))
             return
         self.finish(
             Answer(refusal=refusal_without_answer(SentRequest.WRITE), message=NO_ANSWER_MESSAGE)
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -1,9 +1,7 @@
-"""What all kinds of work share: admission, choice of a member, other gateways, the trace.
+"""Common base of reads, writes and transactions: admission, member selection, and forwarding.
 
-For reads, writes and transactions. Owns how often a statement was tried and who runs it if not
-this gateway. Relies on :mod:`rowanrail.gateway.work.attempts`, on
-:mod:`rowanrail.gateway.work.refusals` and on :mod:`rowanrail.scheduling.admission` for what is
-decided.
+The decisions are made by :mod:`rowanrail.gateway.work.attempts`,
+:mod:`rowanrail.gateway.work.refusals` and :mod:`rowanrail.scheduling.admission`.
 """
 
 from collections.abc import Callable
@@ -12,10 +10,10 @@
 from rowanrail.gateway.services.member_estimates import ReadRequirements
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_values import PreparedNames, SessionValues
-from rowanrail.gateway.work.attempts import is_prompt
+from rowanrail.gateway.work.attempts import can_meet_objective
 from rowanrail.gateway.work.connected import ConnectedStatement, Stage
 from rowanrail.gateway.work.ports import (
-    NO_OTHERS,
+    NO_OTHER_GATEWAYS,
     AutocommitExecution,
     OtherGateways,
     StatementExecutor,
@@ -38,16 +36,16 @@
 
 
 class Operation(ConnectedStatement):
-    """What all kinds of work share.
+    """Common base of reads, writes and transactions.
 
     Parameters
     ----------
     service, route, session, clock
-        See :class:`Statement`.
+        As for :class:`Statement`.
     names : PreparedNames
-        Names under which this gateway prepares shapes at members.
+        The gateway's names of prepared statements.
     others : OtherGateways
-        Where it may run if not on this gateway's connections.
+        Executors at other gateways, used if a member can't be reached from here.
     """
 
     def __init__(
@@ -57,20 +55,20 @@
         session: SessionValues,
         names: PreparedNames,
         clock: Scheduler,
-        others: OtherGateways = NO_OTHERS,
+        others: OtherGateways = NO_OTHER_GATEWAYS,
     ) -> None:
         super().__init__(service, route, session, clock)
         self.names = names
-        self.others = others
+        self.other_gateways = others
         self.attempts = 0
-        self.floor: Position | None = None  # what a member's log must hold
-        self.remote: AutocommitExecution | TransactionExecution | None = None
+        self.floor: Position | None = None  # log position that a member must have reached
+        self.remote_execution: AutocommitExecution | TransactionExecution | None = None
         service.used_at = clock.time()
 
     def trace(self) -> Trace:
-        """Return what decided about the statement so far."""
-        if self.remote is not None:
-            return self.remote.trace()
+        """Return how far the statement has come, for the log."""
+        if self.remote_execution is not None:
+            return self.remote_execution.trace()
         now = self.clock.time()
         tracker = self.service.primary
         failing = tracker.failing_since
@@ -86,95 +84,113 @@
         )
 
     def begin_statement(self, respond: AnswerCallback) -> None:
-        """See :meth:`Statement.begin_statement`."""
+        """Accept a statement, reset its attempts and start its timers."""
         self.attempts = 0
         super().begin_statement(respond)
 
-    def on_deferral_over(self) -> None:
-        """Reject what could not run so far if the primary is lost, or has no connection left."""
+    def on_deferral_end(self) -> None:
+        """Reject the statement if the primary is lost or has no connection left."""
         tracker = self.service.primary
-        trouble = primary_unavailable_reason(tracker.failing_since, tracker.is_at_connection_limit)
-        if self.channel is not None or not trouble:
+        reason = primary_unavailable_reason(tracker.failing_since, tracker.is_at_connection_limit)
+        if self.channel is not None or not reason:
             return
-        tracker.cancel_wait(self.floor_callback())
-        self.reject(RejectionCause.NO_PRIMARY, trouble, PRIMARY_RETRY_AFTER_MS)
+        tracker.cancel_wait(self.sample_callback())
+        self.reject(RejectionCause.NO_PRIMARY, reason, PRIMARY_RETRY_AFTER_MS)
 
-    def floor_callback(self) -> Callable[[Position | None], None] | None:
-        """Return what waits for a sample of the primary, if anything does."""
+    def sample_callback(self) -> Callable[[Position | None], None] | None:
+        """Return the callback that may be waiting for a sample of the primary, if any."""
         return None
 
-    def let_go(self, answer: Answer) -> None:
-        """See :meth:`Statement.let_go`."""
-        if self.remote is not None:
-            self.remote.finish(answer)  # nothing, if the answer is its own
-        super().let_go(answer)
+    def withdraw_requests(self, answer: Answer) -> None:
+        """End the execution at another gateway, if there is one, and leave the wait queue."""
+        if self.remote_execution is not None:
+            self.remote_execution.finish(answer)  # no effect if the answer came from there
+        super().withdraw_requests(answer)
 
     # Other gateways
 
-    def hand_over(self, statement: TypedStatement, writes: bool) -> bool:
-        """Have a gateway that reaches the primary run a statement of which nothing was sent.
+    def forward_to_detour(self, statement: TypedStatement, writes: bool) -> bool:
+        """Forward an unsent statement to a gateway that reaches the primary.
 
-        Returns False if no such gateway is known.
+        Returns
+        -------
+        bool
+            False if no such gateway is known.
         """
-        return self._hand_to(self.others.find_detour(), statement, writes)
+        return self._forward(self.other_gateways.find_detour(), statement, writes)
 
-    def hand_to_holder(self, statement: TypedStatement, writes: bool, instance: str = "") -> bool:
-        """Have the gateway run it that holds the connections to a member of another region.
+    def forward_to_holder(
+        self, statement: TypedStatement, writes: bool, instance: str = ""
+    ) -> bool:
+        """Forward a statement to the gateway that holds the connections to a remote member.
 
-        That is the primary if none is named. Returns False if the member is in this region, or
-        that gateway is not known.
+        Parameters
+        ----------
+        statement : TypedStatement
+            The statement.
+        writes : bool
+            Whether it writes.
+        instance : str
+            The member; empty for the primary.
+
+        Returns
+        -------
+        bool
+            False if the member is in this region, or the gateway is not known.
         """
-        holder = self.others.find_remote_holder(self.tenant, instance)
-        return self._hand_to(holder, statement, writes)
+        holder = self.other_gateways.find_remote_holder(self.tenant, instance)
+        return self._forward(holder, statement, writes)
 
-    def _hand_to(
-        self, work: StatementExecutor | None, statement: TypedStatement, writes: bool
+    def _forward(
+        self, executor: StatementExecutor | None, statement: TypedStatement, writes: bool
     ) -> bool:
-        if work is None:
+        if executor is None:
             return False
-        remote = work.autocommit(self.route_left(), self.session, writes)
-        self.remote = remote
+        remote = executor.autocommit(self.route_with_remaining_time(), self.session, writes)
+        self.remote_execution = remote
         self.stop_timers()
         remote.start(statement, self.finish)
         return True
 
     def acquire_primary(
-        self, again: Callable[[], None], take: Callable[[Channel | None, Answer], None]
+        self,
+        retry: Callable[[], None],
+        on_connection: Callable[[Channel | None, Answer], None],
     ) -> None:
-        """Wait for a connection to the primary, or have a gateway run it that reaches the primary.
+        """Request a connection to the primary, or forward to a gateway that reaches it.
 
         Parameters
         ----------
-        again : callable
-            Called in a moment if no primary is there.
-        take : callable
-            Gets the connection, or None with the reason.
+        retry : callable
+            Called after the retry interval if no primary is available.
+        on_connection : callable
+            Called with the connection, or with None and the reason.
         """
         self.stage = Stage.WAITS_FOR_PRIMARY
         tracker, pool = self.service.primary, self.service.primary_pool()
-        if self.move_to(self.others.find_remote_holder(self.tenant, "")):
+        if self.forward_to(self.other_gateways.find_remote_holder(self.tenant, "")):
             return
-        if tracker.failing_since and self.move_to(self.others.find_detour()):
+        if tracker.failing_since and self.forward_to(self.other_gateways.find_detour()):
             return
-        if self.reject_long_lost():
+        if self.refuse_if_primary_long_lost():
             return
         if pool is None or pool.is_failing:
             tracker.request_sample()
-            self.retry_later(again, busy_answer("no primary is known"))
-        elif not self.may_wait_at(pool):
-            self.reject_crowded(pool)
+            self.retry_later(retry, busy_answer("no primary is known"))
+        elif not self.can_wait_at(pool):
+            self.reject_overloaded(pool)
         else:
-            self.acquire(pool, take)
+            self.acquire(pool, on_connection)
 
-    def move_to(self, work: StatementExecutor | None) -> bool:
-        """Have another gateway run what writes, if one is named; return whether it does."""
+    def forward_to(self, executor: StatementExecutor | None) -> bool:
+        """Forward to another gateway if an executor is given; return whether it was forwarded."""
         raise NotImplementedError
 
-    def reject_long_lost(self) -> bool:
-        """Refuse at once what needs a primary that has been lost for long; return whether it was.
+    def refuse_if_primary_long_lost(self) -> bool:
+        """Refuse the statement if the primary is lost for long; return whether it was refused.
 
-        A successor would have been found by then, so that this gateway is probably cut off from
-        the primary. Its client still has time to try another gateway, and gets no Retry-After.
+        A successor would have been found by then, so this gateway is probably partitioned from the
+        primary. The client gets no Retry-After, as it still has time to try another gateway.
         """
         tracker = self.service.primary
         if not tracker.is_failover_overdue:
@@ -185,8 +201,8 @@
 
     # Admission
 
-    def entry(self) -> QueueEntry:
-        """See :meth:`ConnectedStatement.entry`."""
+    def queue_entry(self) -> QueueEntry:
+        """Return the statement's entry for a wait queue: urgency, tenant and deadline."""
         deadline = self.arrived_at + self.route.timeout_seconds
         return QueueEntry(
             self.route.priority,
@@ -197,67 +213,67 @@
             is_retrying=self.session.is_retrying,
         )
 
-    def past_deadline(self, pool: MemberPool) -> None:
-        """See :meth:`ConnectedStatement.past_deadline`."""
-        if not self.try_roomier(pool):
-            self.reject_crowded(pool, RejectionCause.PAST_DEADLINE)
+    def on_deadline_unreachable(self, pool: MemberPool) -> None:
+        """Move the statement to a less loaded member, or reject it."""
+        if not self.try_less_loaded_member(pool):
+            self.reject_overloaded(pool, RejectionCause.PAST_DEADLINE)
 
-    def may_wait_at(self, pool: MemberPool) -> bool:
-        """Return whether the statement can still be served at a member."""
-        forecast = pool.forecasts.for_entry(self.entry())
-        certain = pool.forecasts.errors.of(self.route.priority).reliable_share
-        verdict = decide_on_arrival(forecast, self.time_left_ms, self.time_given_ms, certain)
+    def can_wait_at(self, pool: MemberPool) -> bool:
+        """Return whether admission control accepts the statement at a member."""
+        forecast = pool.forecasts.for_entry(self.queue_entry())
+        reliable = pool.forecasts.errors.of(self.route.priority).reliable_share
+        verdict = decide_on_arrival(forecast, self.remaining_ms, self.timeout_ms, reliable)
         return isinstance(verdict, Admit)
 
-    def is_prompt(self, pool: MemberPool) -> bool:
-        """Return whether a member has room soon enough for an answer within the objective."""
-        forecast = pool.forecasts.for_entry(self.entry())
-        waited = self.time_given_ms - self.time_left_ms
-        return is_prompt(forecast, self.route.objective_seconds, waited)
+    def can_meet_objective(self, pool: MemberPool) -> bool:
+        """Return whether a member's queue is short enough to answer within the objective."""
+        forecast = pool.forecasts.for_entry(self.queue_entry())
+        waited = self.timeout_ms - self.remaining_ms
+        return can_meet_objective(forecast, self.route.objective_seconds, waited)
 
-    # Choice
+    # Member selection
 
     @property
-    def kind(self) -> str:
-        """Which statements take about as long as this one."""
+    def latency_class(self) -> str:
+        """Name of the class of statements with about the same execution time."""
         return self.route.name
 
-    def wanted(self) -> ReadRequirements:
-        """Return what the read asks of a member."""
-        return ReadRequirements(self.kind, self.entry(), self.floor)
+    def read_requirements(self) -> ReadRequirements:
+        """Return the requirements of the read for the selection of a member."""
+        return ReadRequirements(self.latency_class, self.queue_entry(), self.floor)
 
     def note_answer(self, answer: Answer) -> None:
-        """Have the choice of members learn from an answer to what was sent last."""
+        """Update the estimates of the member from its answer to the last request."""
         estimates = self.service.estimates
-        estimates.note_answer(self.member, self.kind, answer, self.sent_at, self.floor)
+        estimates.note_answer(self.member, self.latency_class, answer, self.sent_at, self.floor)
 
-    def roomier(self, excluded: set[str]) -> MemberPool | None:
-        """Return the member for a read that has room soon, else one where it can be served."""
-        for is_enough in (self.is_prompt, self.may_wait_at):
+    def find_pool_with_capacity(self, excluded: set[str]) -> MemberPool | None:
+        """Return a member that can meet the objective, else one that admits the read, else None."""
+        for has_capacity in (self.can_meet_objective, self.can_wait_at):
             pools = self.service.pools.items()
-            crowded = {instance for instance, pool in pools if not is_enough(pool)}
-            found = self.service.choose_member(excluded | crowded, self.wanted())
+            overloaded = {instance for instance, pool in pools if not has_capacity(pool)}
+            found = self.service.choose_member(excluded | overloaded, self.read_requirements())
             if found is not None:
                 return found
         return None
 
-    def prompt_or_roomier(self, pool: MemberPool, excluded: set[str]) -> MemberPool | None:
-        """Return a member if it is prompt, else a roomier one; without one, reject the read."""
-        found = pool if self.is_prompt(pool) else self.roomier(excluded)
+    def pool_with_capacity(self, pool: MemberPool, excluded: set[str]) -> MemberPool | None:
+        """Return the pool if it can meet the objective, else another; reject if there is none."""
+        found = pool if self.can_meet_objective(pool) else self.find_pool_with_capacity(excluded)
         if found is None:
-            self.reject_crowded(pool)
+            self.reject_overloaded(pool)
         return found
 
-    def reject_crowded(
+    def reject_overloaded(
         self, pool: MemberPool, cause: RejectionCause = RejectionCause.OVERLOADED
     ) -> None:
-        """Refuse, as not run, since all connections are in use for too long."""
+        """Reject the statement as not run: the member's queue is too long."""
         self.member = pool.record.instance
         self.stage = Stage.WAITS_FOR_CONNECTION
-        forecast = pool.forecasts.for_entry(self.entry())
+        forecast = pool.forecasts.for_entry(self.queue_entry())
         reason = f"{self.member} is crowded for {forecast.wait:.0f} ms"
-        self.reject(cause, reason, retry_after_base(forecast.wait, self.time_given_ms), forecast)
+        self.reject(cause, reason, retry_after_base(forecast.wait, self.timeout_ms), forecast)
 
-    def try_roomier(self, pool: MemberPool) -> bool:
-        """Go to a better member than one, if there is any; return whether it did."""
+    def try_less_loaded_member(self, pool: MemberPool) -> bool:
+        """Move to a less loaded member than that of the pool; return whether there is one."""
         return False
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -1,8 +1,8 @@
-"""Ports of work: where statements of a service run, whichever gateway that is at.
+"""Protocols of statement execution, at this gateway or at another one.
 
-For sessions, which don't know whether a statement runs here or at another gateway. Owns the
-protocols; :class:`rowanrail.gateway.work.local.LocalExecutor` and
-:class:`rowanrail.gateway.relay.forwarding.ForwardedWork` keep them.
+Sessions rely on these protocols alone. They are implemented by
+:class:`rowanrail.gateway.work.local.LocalExecutor` and
+:class:`rowanrail.gateway.relay.forwarding.ForwardedWork`.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from rowanrail.model.trace import Trace
 
 __all__ = [
-    "NO_OTHERS",
+    "NO_OTHER_GATEWAYS",
     "OtherGateways",
     "AutocommitExecution",
     "StatementExecutor",
@@ -24,43 +24,43 @@
 ]
 
 
-class _Traced(Protocol):
-    """Work that can say how far it came, and that ends when its client leaves."""
+class _Execution(Protocol):
+    """Execution that reports its progress, and that can be ended early."""
 
     def trace(self) -> Trace:
-        """Return what decided about the statement so far."""
+        """Return how far the statement has come, for the log."""
 
     def finish(self, answer: Answer) -> None:
-        """Give the statement's answer, once."""
+        """Answer the statement; ignored if it was answered before."""
 
 
-class AutocommitExecution(_Traced, Protocol):
-    """A read or write on its own."""
+class AutocommitExecution(_Execution, Protocol):
+    """Execution of one autocommit read or write."""
 
     def start(self, statement: TypedStatement, respond: AnswerCallback) -> None:
-        """Begin; ``respond`` gets the answer once."""
+        """Start the statement; ``respond`` is called once, with the answer."""
 
 
-class TransactionExecution(_Traced, Protocol):
-    """A transaction, from its first statement to its end."""
+class TransactionExecution(_Execution, Protocol):
+    """Execution of a transaction, from its first statement to its end."""
 
     def run(self, statement: TypedStatement, respond: AnswerCallback) -> None:
         """Run a read, a write or the commit."""
 
     def end(self) -> None:
-        """Roll back, if it is open."""
+        """Roll the transaction back if it is open."""
 
 
 class StatementExecutor(Protocol):
-    """Where statements of one service run."""
+    """Runs statements of one service."""
 
     def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
-        """Return the work for one read or write."""
+        """Return the execution of one autocommit read or write; it isn't started yet."""
 
     def transaction(
         self, route: Route, session: SessionValues, read_only: bool
     ) -> TransactionExecution:
-        """Return the work for a transaction."""
+        """Return the execution of a transaction; it starts with its first statement."""
 
 
 def _no_detour() -> None:
@@ -73,19 +73,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherGateways:
-    """Where statements of one service may run if not on this gateway's connections.
+    """Finds executors at other gateways for statements of one service.
 
     Parameters
     ----------
     find_detour : callable
-        Returns work at a gateway that reaches the primary, None if none is known.
+        Returns an executor at a gateway that reaches the primary, None if none is known.
     find_remote_holder : callable
-        Gets a tenant and a member's instance, empty for the primary. Returns work at the gateway
-        that holds the tenant's connections to that member, None if the member is in this region.
+        Called with a tenant and a member's instance, empty for the primary. Returns an executor at
+        the gateway that holds the tenant's connections to that member, None if the member is in
+        this region.
     """
 
     find_detour: Callable[[], StatementExecutor | None] = _no_detour
     find_remote_holder: Callable[[str, str], StatementExecutor | None] = _no_remote_holder
 
 
-NO_OTHERS = OtherGateways()
+NO_OTHER_GATEWAYS = OtherGateways()
--- a/tests/relay/test_serving_rules.py
+++ b/tests/relay/test_serving_rules.py
@@ -1,4 +1,4 @@
-"""What a holder does with a statement that another gateway sent."""
+"""Decisions of a holder about statements that another gateway sent."""
 
 import itertools
 import unittest
@@ -9,16 +9,16 @@
 
 
 class ArrivalTest(unittest.TestCase):
-    def test_a_transaction_that_was_ended_is_never_begun_in_the_middle(self):
+    def test_a_transaction_that_was_ended_is_never_resumed(self):
         for is_admitted, is_stopping in itertools.product(BOTH, BOTH):
             self.assertEqual(
                 decide_arrival(False, False, is_admitted, is_stopping), ArrivalDecision.ENDED
             )
 
-    def test_nothing_runs_for_a_withdrawn_key(self):
+    def test_nothing_runs_for_a_revoked_key(self):
         for is_open, is_stopping in itertools.product(BOTH, BOTH):
-            verdict = decide_arrival(is_open, True, False, is_stopping)
-            self.assertEqual(verdict, ArrivalDecision.DENIED)
+            decision = decide_arrival(is_open, True, False, is_stopping)
+            self.assertEqual(decision, ArrivalDecision.DENIED)
         self.assertEqual(decide_arrival(True, False, False, False), ArrivalDecision.DENIED)
 
     def test_during_a_stop_open_transactions_go_on_and_nothing_begins(self):
