--- a/src/rowanrail/cli/explain.py
+++ b/src/rowanrail/cli/explain.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from rowanrail.cli.output import ExitCode, fail
-from rowanrail.explain.diagnosis import AROUND_SECONDS, Diagnosis, diagnose
+from rowanrail.explain.diagnosis import CONTEXT_SECONDS, Diagnosis, diagnose
 from rowanrail.explain.lines import LogLine
 from rowanrail.explain.search import Source, search
 
@@ -28,7 +28,7 @@
 @click.option("--since", type=float, default=0.0, help="Only lines from this time (seconds).")
 @click.option("--member", help="Only lines that name this member, beside the request's own.")
 @click.option("--event", type=int, help="Only lines of this event, beside the request's own.")
-@click.option("--around", type=float, default=AROUND_SECONDS, help="Seconds shown around it.")
+@click.option("--around", type=float, default=CONTEXT_SECONDS, help="Seconds shown around it.")
 @click.option("--json", "as_json", is_flag=True, help="Print the story as JSON.")
 def explain(request: str, files: tuple[str, ...], **options: Any) -> None:
     """Print what became of REQUEST, its cause first, from the logs in FILES (- or none: stdin)."""
--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -1,9 +1,8 @@
-"""The table of causes: what a request's last log line and those around it say of its answer.
+"""The table of causes, which maps log lines to the reason for a request's answer.
 
-For :mod:`rowanrail.explain.diagnosis`. Owns the causes in the order in which they are tried, each
-with its condition, its sentence and the rule that decided. A new kind of refusal gets a row, before
-the rows whose condition holds of it too. Relies on the log fields of events 300, 301, 314, 332, 333
-and 420.
+The causes are tried in order, and the first whose condition matches is reported. A new kind of
+refusal gets a row before all rows whose condition matches it too. Uses the log fields of events
+300, 301, 314, 332, 333 and 420.
 """
 
 from collections.abc import Callable
@@ -13,30 +12,30 @@
 
 from rowanrail.coordination import events as control_events
 from rowanrail.explain.lines import LogLine
-from rowanrail.explain.rejections import why_rejected
+from rowanrail.explain.rejections import describe_rejection
 from rowanrail.gateway import events as gateway_events
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.model.statements import Refusal
 
-__all__ = ["CAUSES", "CauseRule", "Evidence", "cause_of"]
+__all__ = ["CAUSES", "CauseRule", "Evidence", "describe_cause"]
 
-ROUNDING_SECONDS = 0.0015  # log times are whole milliseconds; two lines may be rounded apart
+ROUNDING_SECONDS = 0.0015  # log times are rounded to whole milliseconds
 
 
 @dataclass(frozen=True)
 class Evidence:
-    """What is known of one answer.
+    """The log lines that explain one answer.
 
     Parameters
     ----------
     statement : LogLine
-        Of the answer.
-    around : list of LogLine
-        What may have decided about it.
+        The line of the answer itself.
+    context : list of LogLine
+        Lines of other events that may have determined it.
     """
 
     statement: LogLine
-    around: list[LogLine]
+    context: list[LogLine]
 
     @property
     def fields(self) -> dict[str, Any]:
@@ -45,250 +44,264 @@
 
     @property
     def outcome(self) -> Any:
-        """What the client was told."""
+        """Outcome that was reported to the client."""
         return self.fields.get("outcome")
 
     @property
     def reason(self) -> Any:
-        """The answer's message."""
+        """Message of the answer."""
         return self.fields.get("reason", "")
 
     @property
     def stage(self) -> Any:
-        """How far the statement came, see :class:`rowanrail.gateway.work.connected.Stage`."""
+        """Last :class:`rowanrail.gateway.work.connected.Stage` that the statement reached."""
         return self.fields.get("stage")
 
     @property
     def service(self) -> Any:
-        """The service that it was for."""
+        """Service that the statement addressed."""
         return self.fields.get("service", "?")
 
     @property
     def via(self) -> Any:
-        """The gateway that it was sent to, if that is another one."""
+        """Gateway that the statement was forwarded to, None if it was not forwarded."""
         return self.fields.get("via")
 
     @property
     def member(self) -> str:
-        """The member that was tried last, and through which gateway."""
+        """Member that was tried last, with the gateway through which it was reached."""
         member = self.fields.get("member") or "no member"
         return f"{member} through {self.via}" if self.via else str(member)
 
     @cached_property
-    def rejected(self) -> str:
-        """What admission decided, empty if it decided nothing."""
-        return why_rejected(self.fields)
+    def rejection(self) -> str:
+        """Why admission control rejected the statement, empty if it didn't."""
+        return describe_rejection(self.fields)
 
     @cached_property
-    def over_limit(self) -> str:
-        """How far its tenant was over a limit, empty if it was not refused for that."""
-        return _over_limit(self.statement, self.around)
+    def exceeded_limit(self) -> str:
+        """Which limit the tenant exceeded and by how much, empty if none."""
+        return _describe_exceeded_limit(self.statement, self.context)
 
     @cached_property
-    def lost(self) -> str:
-        """What was wrong with the primary, empty if nothing is known."""
-        return _primary_trouble(self.statement, self.around)
+    def primary_failure(self) -> str:
+        """What is known of a failure of the primary, empty if nothing."""
+        return _describe_primary_failure(self.statement, self.context)
 
 
 @dataclass(frozen=True, slots=True)
 class CauseRule:
-    """One cause.
+    """One row of the table of causes.
 
     Parameters
     ----------
     name : str
-        Short name, for readers of the table.
+        Short name; documentation only.
     rule : str
-        Path of the function that decided, for readers of the code; empty if none did. Not printed.
-    holds : callable
-        Whether it is the cause, if none before it is.
-    sentence : callable
-        What is printed.
+        Path of the function that decided, empty if none did; documentation only.
+    matches : callable
+        Condition, tried only if no earlier row matches.
+    message : callable
+        Returns the text that is printed.
     """
 
     name: str
     rule: str
-    holds: Callable[[Evidence], bool]
-    sentence: Callable[[Evidence], str]
+    matches: Callable[[Evidence], bool]
+    message: Callable[[Evidence], str]
 
 
-def _connection_sentence(known: Evidence) -> str:
-    short = f"{known.member} of {known.service} had no connection free in time ({known.reason})"
-    return f"{short}: {known.rejected}" if known.rejected else short
+def _no_connection_message(evidence: Evidence) -> str:
+    text = (
+        f"{evidence.member} of {evidence.service} had no connection free in time "
+        f"({evidence.reason})"
+    )
+    return f"{text}: {evidence.rejection}" if evidence.rejection else text
 
 
 _WORK = "rowanrail.gateway.work"
 CAUSES = (
     CauseRule(
-        "it succeeded",
+        "succeeded",
         "",
-        lambda known: known.outcome == "done",
-        lambda known: f"it ran at {known.member} in {known.fields.get('milliseconds')} ms",
+        lambda evidence: evidence.outcome == "done",
+        lambda evidence: f"it ran at {evidence.member} in {evidence.fields.get('milliseconds')} ms",
     ),
     CauseRule(
-        "no holder of the service's connections",
+        "no gateway of the zone holds connections to the service",
         "rowanrail.gateway.relay.forwarding_rules.without_holder",
-        lambda known: known.stage == Stage.WAITS_FOR_HOLDER.value and not known.rejected,
-        lambda known: (
-            f"no gateway of its zone held connections to {known.service} in time ({known.reason})"
+        lambda evidence: evidence.stage == Stage.WAITS_FOR_HOLDER.value and not evidence.rejection,
+        lambda evidence: (
+            f"no gateway of its zone held connections to {evidence.service} in time "
+            f"({evidence.reason})"
         ),
     ),
     CauseRule(
-        "the link to the gateway it was sent to was lost",
+        "connection lost to the gateway it was forwarded to",
         "rowanrail.gateway.policies.LinkOutcome.refusal",
-        lambda known: (
-            bool(known.via) and not known.fields.get("member") and known.stage == Stage.SENT.value
+        lambda evidence: (
+            bool(evidence.via)
+            and not evidence.fields.get("member")
+            and evidence.stage == Stage.SENT.value
+        ),
+        lambda evidence: (
+            f"it was sent to gateway {evidence.via}, whose link was lost ({evidence.reason})"
         ),
-        lambda known: f"it was sent to gateway {known.via}, whose link was lost ({known.reason})",
     ),
     CauseRule(
-        "its key was withdrawn",
+        "tenant key revoked",
         "rowanrail.gateway.policies.KeyCheck.holds",
-        lambda known: known.outcome == Refusal.DENIED.value,
-        lambda known: (
-            f"its key is no longer tenant {known.fields.get('tenant')}'s ({known.reason})"
+        lambda evidence: evidence.outcome == Refusal.DENIED.value,
+        lambda evidence: (
+            f"its key is no longer tenant {evidence.fields.get('tenant')}'s ({evidence.reason})"
         ),
     ),
     CauseRule(
-        "its tenant was over the limit",
+        "tenant limit exceeded",
         "rowanrail.tenants.quota.QuotaGuard.begin",
-        lambda known: bool(known.over_limit),
-        lambda known: known.over_limit,
+        lambda evidence: bool(evidence.exceeded_limit),
+        lambda evidence: evidence.exceeded_limit,
     ),
     CauseRule(
         "no route",
         "rowanrail.gateway.sessions.access.AccessControl.refuse_unknown_database",
-        lambda known: known.outcome == Refusal.UNKNOWN_DATABASE.value,
-        lambda known: _missing_route(known.statement, known.around),
+        lambda evidence: evidence.outcome == Refusal.UNKNOWN_DATABASE.value,
+        lambda evidence: _describe_missing_route(evidence.statement, evidence.context),
     ),
     CauseRule(
-        "the member's log lacked the floor",
+        "member's log behind the position that the read requires",
         f"{_WORK}.attempts.step_after_read",
-        lambda known: known.outcome == Refusal.BEHIND.value,
-        lambda known: (
-            f"the log of {known.member} lacked the position that the read must see{known.lost}"
+        lambda evidence: evidence.outcome == Refusal.BEHIND.value,
+        lambda evidence: (
+            f"the log of {evidence.member} lacked the position that the read must see"
+            f"{evidence.primary_failure}"
         ),
     ),
     CauseRule(
-        "its outcome is unknown",
+        "outcome unknown",
         f"{_WORK}.attempts.refusal_without_answer",
-        lambda known: known.outcome == Refusal.OUTCOME_UNKNOWN.value,
-        lambda known: (
-            f"it was sent to {known.member} and its answer did not come ({known.reason})"
-            f"{known.lost}"
+        lambda evidence: evidence.outcome == Refusal.OUTCOME_UNKNOWN.value,
+        lambda evidence: (
+            f"it was sent to {evidence.member} and its answer did not come ({evidence.reason})"
+            f"{evidence.primary_failure}"
         ),
     ),
     CauseRule(
-        "no connection free, with a primary that is well",
+        "no free connection while the primary is healthy",
         "rowanrail.scheduling.admission.decide_while_waiting",
-        lambda known: known.stage == Stage.WAITS_FOR_CONNECTION.value and not known.lost,
-        _connection_sentence,
+        lambda evidence: (
+            evidence.stage == Stage.WAITS_FOR_CONNECTION.value and not evidence.primary_failure
+        ),
+        _no_connection_message,
     ),
     CauseRule(
-        "rejected by admission; explain.rejections names the rule of each cause",
+        "rejected by admission control; explain.rejections names the rule of each rejection",
         "rowanrail.scheduling.admission.decide_on_arrival",
-        lambda known: bool(known.rejected),
-        lambda known: f"{known.reason}: {known.rejected}{known.lost}",
+        lambda evidence: bool(evidence.rejection),
+        lambda evidence: f"{evidence.reason}: {evidence.rejection}{evidence.primary_failure}",
     ),
     CauseRule(
-        "the member had too much to do",
+        "member overloaded",
         f"{_WORK}.attempts.step_after_write",
-        lambda known: known.stage == Stage.SENT.value and known.outcome == Refusal.BUSY.value,
-        lambda known: (
-            f"{known.member} of {known.service} had too much to do and refused it{known.lost}"
+        lambda evidence: (
+            evidence.stage == Stage.SENT.value and evidence.outcome == Refusal.BUSY.value
+        ),
+        lambda evidence: (
+            f"{evidence.member} of {evidence.service} had too much to do and refused it"
+            f"{evidence.primary_failure}"
         ),
     ),
     CauseRule(
-        "the primary was lost",
+        "primary failed",
         f"{_WORK}.refusals.primary_unavailable_reason",
-        lambda known: bool(known.lost),
-        lambda known: f"it could not run{known.lost}",
+        lambda evidence: bool(evidence.primary_failure),
+        lambda evidence: f"it could not run{evidence.primary_failure}",
     ),
     CauseRule(
-        "anything else",
+        "other",
         "",
-        lambda known: True,
-        lambda known: (
-            f"{known.reason or known.outcome} "
-            f"(stage {known.fields.get('stage', '?')}, at {known.member})"
+        lambda evidence: True,
+        lambda evidence: (
+            f"{evidence.reason or evidence.outcome} "
+            f"(stage {evidence.fields.get('stage', '?')}, at {evidence.member})"
         ),
     ),
 )
 
 
-def cause_of(statement: LogLine, around: list[LogLine]) -> str:
-    """Return the first cause of the table that holds, in words.
+def describe_cause(statement: LogLine, context: list[LogLine]) -> str:
+    """Return the message of the first cause that matches.
 
     Parameters
     ----------
     statement : LogLine
-        Of the request's last answer.
-    around : list of LogLine
-        What may have decided about it, in the order of time.
+        The line of the request's last answer.
+    context : list of LogLine
+        Lines of other events that may have determined it, in the order of time.
     """
-    known = Evidence(statement, around)
-    return next(cause.sentence(known) for cause in CAUSES if cause.holds(known))
+    evidence = Evidence(statement, context)
+    return next(cause.message(evidence) for cause in CAUSES if cause.matches(evidence))
 
 
-def _missing_route(statement: LogLine, around: list[LogLine]) -> str:
-    """Return which version lacked the route, and which control node called it the newest."""
+def _describe_missing_route(statement: LogLine, context: list[LogLine]) -> str:
+    """Return which version lacked the route, and which control node reported it as the newest."""
     fields = statement.fields
     cause = f"version {fields.get('version')} has no route for {fields.get('database')}"
-    for line in around:
-        same = line.process == statement.process and line.time == statement.time
-        if line.event != gateway_events.ROUTE_MISSING.number or not same:
+    for line in context:
+        is_same_event = line.process == statement.process and line.time == statement.time
+        if line.event != gateway_events.ROUTE_MISSING.number or not is_same_event:
             continue
-        control, heard = line.fields.get("control"), line.fields.get("heard_ms")
-        if heard is not None:
-            return f"{cause}; control node {control} had called it the newest {heard} ms before"
+        control, age_ms = line.fields.get("control"), line.fields.get("heard_ms")
+        if age_ms is not None:
+            return f"{cause}; control node {control} had called it the newest {age_ms} ms before"
     return cause
 
 
-def _over_limit(statement: LogLine, around: list[LogLine]) -> str:
-    """Return how far a tenant was over its limit when it was refused for that.
+def _describe_exceeded_limit(statement: LogLine, context: list[LogLine]) -> str:
+    """Return which limit a tenant exceeded when the statement was refused, empty if none.
 
-    The limit is logged between the statement's arrival and its answer. The lines of a session's
-    earlier statements say nothing of this one.
+    Only lines between the statement's arrival and its answer count: earlier ones belong to earlier
+    statements of the session.
     """
-    begin = (
+    started_at = (
         statement.time - float(statement.fields.get("milliseconds", 0)) / 1000 - ROUNDING_SECONDS
     )
-    for line in around:
+    for line in context:
         if line.event != gateway_events.OVER_QUOTA.number:
             continue
-        if not begin <= line.time <= statement.time:
+        if not started_at <= line.time <= statement.time:
             continue
-        seen = line.fields
+        limit = line.fields
         return (
-            f"tenant {seen.get('tenant')} may begin {seen.get('limit')} operations in a window; "
-            f"{seen.get('fleet')} had begun at all gateways and {seen.get('asked')} were asked for "
-            f"in a second, as known {seen.get('age_ms')} ms before"
+            f"tenant {limit.get('tenant')} may begin {limit.get('limit')} operations in a window; "
+            f"{limit.get('fleet')} had begun at all gateways and {limit.get('asked')} were asked "
+            f"for in a second, as known {limit.get('age_ms')} ms before"
         )
     return ""
 
 
-def _primary_trouble(statement: LogLine, around: list[LogLine]) -> str:
-    failing = float(statement.fields.get("primary_failing_for") or 0)
-    begin = statement.time - float(statement.fields.get("milliseconds", 0)) / 1000
-    lost = [
+def _describe_primary_failure(statement: LogLine, context: list[LogLine]) -> str:
+    failing_seconds = float(statement.fields.get("primary_failing_for") or 0)
+    started_at = statement.time - float(statement.fields.get("milliseconds", 0)) / 1000
+    losses = [
         line
-        for line in around
+        for line in context
         if line.event == gateway_events.PRIMARY_LOST.number and line.time <= statement.time + 1
     ]
-    decided = [line for line in around if line.event == control_events.PROMOTION_DECIDED.number]
-    if not failing and not (lost and lost[-1].time > begin - 1) and not decided:
+    promotions = [line for line in context if line.event == control_events.PROMOTION_DECIDED.number]
+    if not failing_seconds and not (losses and losses[-1].time > started_at - 1) and not promotions:
         return ""
     service = statement.fields.get("service", "?")
     text = f": the primary of {service} was lost"
-    if failing:
-        text += f" (for {failing} s at {statement.fields.get('via') or 'this proxy'})"
-    if decided:
-        order = decided[-1].fields
-        when = decided[-1].time - statement.time
+    if failing_seconds:
+        text += f" (for {failing_seconds} s at {statement.fields.get('via') or 'this proxy'})"
+    if promotions:
+        promotion = promotions[-1].fields
+        offset = promotions[-1].time - statement.time
         text += (
-            f"; {order.get('instance')} was promoted under token {order.get('token')}, "
-            f"{abs(when):.1f} s {'after' if when > 0 else 'before'} the answer, "
-            f"because {order.get('reason')}"
+            f"; {promotion.get('instance')} was promoted under token {promotion.get('token')}, "
+            f"{abs(offset):.1f} s {'after' if offset > 0 else 'before'} the answer, "
+            f"because {promotion.get('reason')}"
         )
     else:
         text += "; no order to replace it is in these logs"
--- a/src/rowanrail/explain/diagnosis.py
+++ b/src/rowanrail/explain/diagnosis.py
@@ -1,21 +1,21 @@
-"""From log lines to the diagnosis of one request: its cause, and what happened around it.
+"""Diagnosis of one request from log lines sorted by time.
 
-For ``rowanrail explain``. Owns which lines concern a request, what its answer promised, and what
-the logs do not show; the causes stand in :mod:`rowanrail.explain.causes`. Relies on lines that are
-in the order of their time.
+For ``rowanrail explain``. Selects the lines that are relevant to a request, says what its answer
+guaranteed the client and which information the logs lack. The causes are in
+:mod:`rowanrail.explain.causes`.
 """
 
 import msgspec
 
 from rowanrail.coordination import events as control_events
-from rowanrail.explain.causes import cause_of
+from rowanrail.explain.causes import describe_cause
 from rowanrail.explain.lines import LogLine
 from rowanrail.gateway import events as gateway_events
 from rowanrail.kernel import decisions
 from rowanrail.model.statements import NOT_RUN, Refusal
 
-AROUND_SECONDS = 6.0  # a replacement of a primary takes up to 4 s, with what led to it
-SHOWN_LINES = 40  # about a screen
+CONTEXT_SECONDS = 6.0  # covers a failover of up to 4 s and the events that led to it
+MAXIMUM_CONTEXT_LINES = 40  # about one screen
 
 STATEMENT_EVENTS = {gateway_events.ANSWERED.number, gateway_events.REFUSED.number}
 _PRIMARY_EVENTS = {
@@ -28,10 +28,10 @@
 
 
 class Diagnosis(msgspec.Struct):
-    """What became of a request.
+    """The outcome of a request, its cause and the events that led to it.
 
-    :param promise: what the answer promised the client.
-    :param missing: what the logs at hand do not show.
+    :param promise: what the answer guaranteed the client.
+    :param missing: information that the given logs lack.
     """
 
     request: str
@@ -44,39 +44,47 @@
 
 
 def diagnose(
-    request: str, lines: list[LogLine], around_seconds: float = AROUND_SECONDS
+    request: str, lines: list[LogLine], context_seconds: float = CONTEXT_SECONDS
 ) -> Diagnosis:
-    """Return the diagnosis of a request's statements; ``lines`` are in the order of their time."""
-    own = [
+    """Return the diagnosis of a request; ``lines`` must be sorted by time."""
+    answers = [
         line
         for line in lines
         if line.event in STATEMENT_EVENTS and line.fields.get("request") == request
     ]
-    if not own:
-        return Diagnosis(request, "unknown", _not_found(lines), "unknown", [], [], _gaps(lines))
-    last = own[-1]
+    if not answers:
+        return Diagnosis(
+            request,
+            "unknown",
+            _request_not_found(lines),
+            "unknown",
+            [],
+            [],
+            _missing_information(lines),
+        )
+    last = answers[-1]
     seconds = float(last.fields.get("milliseconds", 0)) / 1000
-    begin, end = last.time - seconds - around_seconds, last.time + around_seconds
-    around = [line for line in lines if begin <= line.time <= end and _concerns(line, last)]
+    begin, end = last.time - seconds - context_seconds, last.time + context_seconds
+    context = [line for line in lines if begin <= line.time <= end and _is_relevant(line, last)]
     outcome = str(last.fields.get("outcome", "?"))
     return Diagnosis(
         request,
         outcome,
-        cause_of(last, around),
-        _promise(outcome),
-        own,
-        around[:SHOWN_LINES],
-        _gaps(lines, last),
+        describe_cause(last, context),
+        _guarantee(outcome),
+        answers,
+        context[:MAXIMUM_CONTEXT_LINES],
+        _missing_information(lines, last),
     )
 
 
-def _not_found(lines: list[LogLine]) -> str:
+def _request_not_found(lines: list[LogLine]) -> str:
     if not lines:
         return "there is no line to read; name the logs of the proxies"
     return "no line names this request; perhaps it is in another process's log, or was left out"
 
 
-_USELESS_AGAIN = (
+_NOT_RETRYABLE = (
     Refusal.INVALID,
     Refusal.UNKNOWN_DATABASE,
     Refusal.TOO_LARGE,
@@ -89,15 +97,15 @@
 )
 
 
-def _concerns(line: LogLine, statement: LogLine) -> bool:
-    """Whether a line may have decided about the statement."""
+def _is_relevant(line: LogLine, statement: LogLine) -> bool:
+    """Return whether a line may explain the statement's answer."""
     if line.event in STATEMENT_EVENTS:
         return False
     if line.event in _PRIMARY_EVENTS:
         return line.fields.get("service") == statement.fields.get("service")
     if line.event in _TENANT_EVENTS:
-        same = line.fields.get("session") == statement.fields.get("session")
-        return same and line.process == statement.process
+        is_same_session = line.fields.get("session") == statement.fields.get("session")
+        return is_same_session and line.process == statement.process
     if line.event >= control_events.NODE_STARTED.number:
         return line.event != control_events.DOCUMENT_REFUSED.number
     if line.event == gateway_events.LINK_LOST.number:
@@ -105,27 +113,27 @@
     return line.process in (statement.process, statement.fields.get("via"))
 
 
-def _promise(outcome: str) -> str:
+def _guarantee(outcome: str) -> str:
     if outcome == "done":
         return "it succeeded"
-    known = {refusal.value: refusal for refusal in Refusal}
-    refusal = known.get(outcome)
+    refusals = {refusal.value: refusal for refusal in Refusal}
+    refusal = refusals.get(outcome)
     if refusal in NOT_RUN:
         return "nothing of it is kept; it may be sent again"
-    if refusal in _USELESS_AGAIN:
+    if refusal in _NOT_RETRYABLE:
         return "it did not run; sending it again will not help"
     return "nothing: it may or may not have run"
 
 
-def _gaps(lines: list[LogLine], statement: LogLine | None = None) -> list[str]:
-    """Return what the logs do not show."""
+def _missing_information(lines: list[LogLine], statement: LogLine | None = None) -> list[str]:
+    """Return which information the logs lack."""
     missing = []
     if not any(line.event >= control_events.NODE_STARTED.number for line in lines):
         missing.append("no log of a control node: promotions and committed versions are unknown")
-    left_out = [line for line in lines if line.event == decisions.LINES_DROPPED.number]
+    dropped = [line for line in lines if line.event == decisions.LINES_DROPPED.number]
     if statement is not None:
-        left_out = [line for line in left_out if line.process == statement.process]
-    other = sum(int(line.fields.get("other", 0)) for line in left_out)
+        dropped = [line for line in dropped if line.process == statement.process]
+    other = sum(int(line.fields.get("other", 0)) for line in dropped)
     if other:
         missing.append(f"{other} lines beside informative ones were left out by the budget")
     return missing
--- a/src/rowanrail/explain/lines.py
+++ b/src/rowanrail/explain/lines.py
@@ -1,7 +1,7 @@
-"""Reading decision logs: one JSON object a line, perhaps behind a prefix, perhaps damaged.
+"""Parser of decision logs, which hold one JSON object per line.
 
-For the search and the diagnosis. Owns what counts as a log line; relies on the fields that all
-events have and on the catalogue for an event's message.
+Text before the object, such as a collector's prefix, is ignored; lines that can't be parsed are
+counted. Event messages come from :data:`rowanrail.kernel.catalogue.CATALOGUE`.
 """
 
 from collections.abc import Iterable
@@ -18,8 +18,8 @@
 class LogLine(msgspec.Struct, frozen=True):
     """One line of a decision log.
 
-    :param time: time of day in seconds; clocks of machines may differ by a little.
-    :param fields: what the event carries beside the fields that all events have.
+    :param time: wall clock time in seconds; the clocks of machines may differ slightly.
+    :param fields: fields of the event beside those that all events have.
     """
 
     time: float
@@ -30,7 +30,7 @@
 
     @property
     def text(self) -> str:
-        """The event's message with its fields filled in, as far as they are there."""
+        """Message of the event, with its fields formatted into the template if all are present."""
         event = CATALOGUE.get(self.event)
         if event is None:
             return f"event {self.event} {self.fields}"
@@ -41,14 +41,14 @@
 
 
 class ReadResult(msgspec.Struct):
-    """The lines that could be read, and how many could not."""
+    """Parsed lines and the number of lines that could not be parsed."""
 
     lines: list[LogLine]
     damaged: int = 0
 
 
 class LineHead(msgspec.Struct, frozen=True, gc=False):
-    """What decides whether a line is of interest; nothing else of it is decoded."""
+    """Time and event of a line, decoded without its other fields."""
 
     time: float
     event: int
@@ -58,7 +58,7 @@
 
 
 def read_lines(raw: Iterable[str]) -> ReadResult:
-    """Return the lines in the order of their time; what is no log line is counted."""
+    """Return the lines sorted by time; lines that can't be parsed are counted."""
     result = ReadResult([])
     for text in raw:
         line = read_line(text)
@@ -71,7 +71,7 @@
 
 
 def read_head(text: str) -> LineHead | None:
-    """Return the time and event of a line, None if it is no log line."""
+    """Return the time and event of a line, None if it can't be parsed."""
     start = text.find("{")
     if start < 0:
         return None
@@ -82,7 +82,7 @@
 
 
 def read_line(text: str) -> LogLine | None:
-    """Return a line, None if it is no log line; a prefix before it is passed over."""
+    """Return a parsed line, None if it can't be parsed; text before the object is ignored."""
     start = text.find("{")
     return _parse(text[start:]) if start >= 0 else None
 
--- a/src/rowanrail/explain/rejections.py
+++ b/src/rowanrail/explain/rejections.py
@@ -1,7 +1,6 @@
-"""Why a statement was rejected, in words, from the fields of its log line.
+"""Messages for statements that admission control rejected, by cause.
 
-For the causes of a diagnosis. Owns the sentence of each decision of admission, with the rule that
-decided; relies on the fields of :class:`rowanrail.model.trace.Rejection`.
+Uses the fields of :class:`rowanrail.model.trace.Rejection` as they are logged.
 """
 
 from collections.abc import Callable
@@ -10,24 +9,24 @@
 
 from rowanrail.scheduling.admission import RejectionCause
 
-__all__ = ["REJECTIONS", "RejectionRule", "why_rejected"]
+__all__ = ["REJECTIONS", "RejectionRule", "describe_rejection"]
 
 
 @dataclass(frozen=True, slots=True)
 class RejectionRule:
-    """What is said of one cause of a rejection.
+    """Message for one cause of rejection.
 
     Parameters
     ----------
     rule : str
-        Path of the function that decided, for readers of the code; it isn't printed.
-    sentence : callable
-        Gets the forecast wait and run, the time left (milliseconds, "?" if not logged) and the
-        gateway it was to be sent to.
+        Path of the function that decided; documentation only.
+    message : callable
+        Takes the forecast wait and run time, the time left (milliseconds, "?" if not logged) and
+        the gateway to which the statement would have been forwarded.
     """
 
     rule: str
-    sentence: Callable[[Any, Any, Any, str], str]
+    message: Callable[[Any, Any, Any, str], str]
 
 
 _ADMISSION = "rowanrail.scheduling.admission"
@@ -59,24 +58,24 @@
 }
 
 
-def why_rejected(fields: dict[str, Any]) -> str:
-    """Return what a rejection rested on, empty if it was no decision of admission.
+def describe_rejection(fields: dict[str, Any]) -> str:
+    """Return why admission control rejected a statement, empty if it didn't.
 
     Parameters
     ----------
     fields : dict
-        Of the statement's line in a decision log.
+        Fields of the statement's line in a decision log.
 
     Examples
     --------
-    >>> why_rejected({"cause": "way-too-long", "run": 80, "left": 60, "return_in": 100})
+    >>> describe_rejection({"cause": "way-too-long", "run": 80, "left": 60, "return_in": 100})
     '60 ms were left and the way to its holder and back takes up to 80 ms; told to return in 0.10 s'
-    >>> why_rejected({"stage": "sent"})
+    >>> describe_rejection({"stage": "sent"})
     ''
     """
-    known = REJECTIONS.get(str(fields.get("cause")))
-    if known is None:
+    rule = REJECTIONS.get(str(fields.get("cause")))
+    if rule is None:
         return ""
     wait, run, left = fields.get("wait", "?"), fields.get("run", "?"), fields.get("left", "?")
-    text = known.sentence(wait, run, left, fields.get("via") or "its holder")
+    text = rule.message(wait, run, left, fields.get("via") or "its holder")
     return f"{text}; told to return in {fields.get('return_in', 0) / 1000:.2f} s"
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -1,4 +1,4 @@
-"""From a failed request's id to its cause, by the logs alone."""
+"""Diagnosis of failed requests from their logs."""
 
 import tempfile
 import unittest
@@ -24,7 +24,7 @@
     def setUp(self):
         self.played = PlayedGateway()
 
-    def story(self, request, extra=()):
+    def diagnose(self, request, extra=()):
         return diagnose(request, read_lines([*self.played.logs(), *extra]).lines)
 
     def control_log(self):
@@ -42,17 +42,17 @@
             file.seek(0)
             return file.read().decode().splitlines()
 
-    def test_in_doubt_during_a_replacement(self):
+    def test_outcome_unknown_during_a_failover(self):
         client = self.played.client("orders")
         client.run("WRITE a 1")
         self.played.primary.silent = True
         client.run("WRITE a 2", seconds=1.1)
-        story = self.story("q2", self.control_log())
-        self.assertEqual(story.outcome, Refusal.OUTCOME_UNKNOWN.value)
-        self.assertIn("sent to m1 and its answer did not come", story.cause)
-        self.assertIn("the primary of db was lost", story.cause)
-        self.assertIn("m3 was promoted under token 41", story.cause)
-        self.assertEqual(story.promise, "nothing: it may or may not have run")
+        diagnosis = self.diagnose("q2", self.control_log())
+        self.assertEqual(diagnosis.outcome, Refusal.OUTCOME_UNKNOWN.value)
+        self.assertIn("sent to m1 and its answer did not come", diagnosis.cause)
+        self.assertIn("the primary of db was lost", diagnosis.cause)
+        self.assertIn("m3 was promoted under token 41", diagnosis.cause)
+        self.assertEqual(diagnosis.promise, "nothing: it may or may not have run")
 
     def test_refused_for_a_route_that_the_newest_known_version_lacks(self):
         client = self.played.client("orders")
@@ -60,58 +60,60 @@
         self.played.gateway.access.note_control_up_to_date("c1:7")
         self.played.clock.advance(1.2)
         client.run("READ a")
-        story = self.story("q1")
-        self.assertIn("version 2 has no route for orders", story.cause)
-        self.assertIn("control node c1:7 had called it the newest 1200 ms before", story.cause)
+        diagnosis = self.diagnose("q1")
+        self.assertIn("version 2 has no route for orders", diagnosis.cause)
+        self.assertIn("control node c1:7 had called it the newest 1200 ms before", diagnosis.cause)
 
-    def test_a_session_of_an_unknown_database_is_logged_as_well(self):
+    def test_opening_a_session_of_an_unknown_database_is_logged(self):
         answer = self.played.gateway.open_session("nowhere", "secret")
         self.assertEqual(answer.refusal, Refusal.UNKNOWN_DATABASE)
         (line,) = [line for line in self.played.logs() if '"event":333' in line]
         self.assertIn('"database":"nowhere","version":1,"control":"","heard_ms":null', line)
         self.assertNotIn("secret", line)
 
-    def test_refused_over_a_limit(self):
+    def test_refused_for_an_exceeded_tenant_limit(self):
         self.played = TenantGateway()
         self.played.configure(2, rate=1.0, burst=1.0)
         self.played.gateway.access.quota.take_fleet(Report({}))
         client = self.played.client("orders")
         while client.run("WRITE a 1", seconds=0.01).refusal is None:
             pass
-        story = self.story(f"q{len(client.answers)}")
-        self.assertIn("tenant a may begin 6 operations in a window", story.cause)
-        self.assertEqual(story.promise, "nothing of it is kept; it may be sent again")
+        diagnosis = self.diagnose(f"q{len(client.answers)}")
+        self.assertIn("tenant a may begin 6 operations in a window", diagnosis.cause)
+        self.assertEqual(diagnosis.promise, "nothing of it is kept; it may be sent again")
 
-    def test_denied_with_a_withdrawn_key(self):
+    def test_denied_with_a_revoked_key(self):
         self.played = TenantGateway()
         client = self.played.client("orders")
         client.run("WRITE a 1", seconds=0.1)
         self.played.configure(2, keys={"key-of-b": "b"})
         client.run("WRITE a 2")
-        story = self.story("q2")
-        self.assertIn("its key is no longer tenant a's", story.cause)
-        self.assertEqual(story.promise, "it did not run; sending it again will not help")
-        self.assertIn(KEY_WITHDRAWN.number, [line.event for line in story.around])
+        diagnosis = self.diagnose("q2")
+        self.assertIn("its key is no longer tenant a's", diagnosis.cause)
+        self.assertEqual(diagnosis.promise, "it did not run; sending it again will not help")
+        self.assertIn(KEY_WITHDRAWN.number, [line.event for line in diagnosis.around])
 
-    def test_refused_as_behind(self):
+    def test_refused_by_replicas_that_lag_behind(self):
         client = self.played.client("carts")
         client.run("BEGIN READ")
         refusal = Answer(refusal=Refusal.BEHIND, message="m2")
         for member in self.played.members:
             member.script = [refusal] * 50
         client.run("READ a", seconds=1.5)
-        story = self.story("q2")
-        self.assertEqual(story.outcome, Refusal.BEHIND.value)
-        self.assertRegex(story.cause, r"the log of m\d lacked the position that the read must see")
-        self.assertEqual(story.promise, "nothing of it is kept; it may be sent again")
+        diagnosis = self.diagnose("q2")
+        self.assertEqual(diagnosis.outcome, Refusal.BEHIND.value)
+        self.assertRegex(
+            diagnosis.cause, r"the log of m\d lacked the position that the read must see"
+        )
+        self.assertEqual(diagnosis.promise, "nothing of it is kept; it may be sent again")
 
-    def test_refused_for_want_of_a_connection(self):
+    def test_refused_without_a_free_connection(self):
         self.played.configure(2, connections=9)
         clients = [self.played.client("orders") for _ in range(3)]
         for client in clients:
             client.run("BEGIN")
             client.ask("WRITE a 1")
-        for _ in range(6):  # transactions that rest for long would be ended
+        for _ in range(6):  # keeps two transactions from reaching their idle limit
             self.played.clock.advance(0.2)
             for client in clients[:2]:
                 client.run("READ a")
@@ -119,52 +121,52 @@
         self.assertTrue(waiting)
         lines = [line for line in self.played.logs() if '"outcome":"busy"' in line]
         request = lines[-1].split('"request":"')[1].split('"')[0]
-        story = self.story(request)
-        self.assertIn("m1 of db had no connection free in time", story.cause)
+        diagnosis = self.diagnose(request)
+        self.assertIn("m1 of db had no connection free in time", diagnosis.cause)
 
-    def fill(self, pool, ask):
-        """Have so many wait before a member that the last ones are turned away."""
+    def fill_queue(self, pool, ask):
+        """Queue enough statements for a member that further ones are rejected."""
         for _ in range(30):
             pool.connections.leases.note(500.0)
         self.played.primary.script = [None] * 500
         for _ in range(60):
             ask()
 
-    def test_turned_away_when_it_came(self):
+    def test_rejected_on_arrival(self):
         pool = self.played.gateway.services["db"].pools["m1"]
-        self.fill(pool, lambda: self.played.client("orders").ask("WRITE b 2"))
+        self.fill_queue(pool, lambda: self.played.client("orders").ask("WRITE b 2"))
         self.played.client("orders").run("WRITE a 1")
         line = [text for text in self.played.logs() if '"cause":"crowded"' in text][-1]
-        story = diagnose("q1", read_lines([line]).lines)
-        self.assertIn("m1 of db had no connection free in time (m1 is crowded for", story.cause)
+        diagnosis = diagnose("q1", read_lines([line]).lines)
+        self.assertIn("m1 of db had no connection free in time (m1 is crowded for", diagnosis.cause)
         self.assertRegex(
-            story.cause,
+            diagnosis.cause,
             r"when it came about \d+ ms of waiting lay before it and 1000 ms were left; "
             r"told to return in \d\.\d\d s$",
         )
-        self.assertEqual(story.promise, "nothing of it is kept; it may be sent again")
+        self.assertEqual(diagnosis.promise, "nothing of it is kept; it may be sent again")
 
-    def test_turned_away_while_it_waited(self):
+    def test_rejected_while_waiting(self):
         pool = self.played.gateway.services["db"].pools["m1"]
-        self.fill(pool, lambda: self.played.client("orders").ask("WRITE b 2"))
+        self.fill_queue(pool, lambda: self.played.client("orders").ask("WRITE b 2"))
         self.played.clock.advance(1.0)
         line = [text for text in self.played.logs() if '"cause":"hopeless"' in text][-1]
-        story = diagnose("q1", read_lines([line]).lines)
-        self.assertRegex(story.cause, r"while it waited about \d+ ms still lay before it and")
+        diagnosis = diagnose("q1", read_lines([line]).lines)
+        self.assertRegex(diagnosis.cause, r"while it waited about \d+ ms still lay before it and")
 
-    def test_turned_away_by_what_the_holder_had_told(self):
+    def test_rejected_by_the_load_that_the_holder_reported(self):
         self.played = zone = PlayedZone()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.3)
         pool = zone.first.gateway.services["db"].pools["m1"]
-        self.fill(pool, lambda: zone.last.client("orders").ask("WRITE b 2"))
+        self.fill_queue(pool, lambda: zone.last.client("orders").ask("WRITE b 2"))
         zone.clock.advance(0.05)
         client.run("WRITE b 2")
-        story = diagnose("q2", read_lines(zone.last.logs()).lines)
-        self.assertIn(f"{zone.first.name} had told of a line of", story.cause)
-        self.assertIn("so that it was not sent there", story.cause)
+        diagnosis = diagnose("q2", read_lines(zone.last.logs()).lines)
+        self.assertIn(f"{zone.first.name} had told of a line of", diagnosis.cause)
+        self.assertIn("so that it was not sent there", diagnosis.cause)
 
-    def test_a_write_whose_link_to_the_holder_was_lost(self):
+    def test_a_write_with_a_lost_connection_to_the_holder(self):
         zone = PlayedZone()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.1)
@@ -173,10 +175,10 @@
         zone.clock.advance(0.05)
         zone.kill(zone.first)
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
-        story = diagnose("q2", lines)
-        self.assertEqual(story.outcome, Refusal.OUTCOME_UNKNOWN.value)
-        self.assertIn(f"sent to gateway {zone.first.name}, whose link was lost", story.cause)
-        self.assertTrue([line for line in story.around if line.event == LINK_LOST.number])
+        diagnosis = diagnose("q2", lines)
+        self.assertEqual(diagnosis.outcome, Refusal.OUTCOME_UNKNOWN.value)
+        self.assertIn(f"sent to gateway {zone.first.name}, whose link was lost", diagnosis.cause)
+        self.assertTrue([line for line in diagnosis.around if line.event == LINK_LOST.number])
 
     def test_refused_while_no_gateway_of_the_zone_held_connections(self):
         zone = PlayedZone()
@@ -185,12 +187,11 @@
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.5)
         lines = read_lines(zone.last.logs()).lines
-        story = diagnose("q1", lines)
-        self.assertIn("no gateway of its zone held connections to db", story.cause)
-        self.assertEqual(story.promise, "nothing of it is kept; it may be sent again")
+        diagnosis = diagnose("q1", lines)
+        self.assertIn("no gateway of its zone held connections to db", diagnosis.cause)
+        self.assertEqual(diagnosis.promise, "nothing of it is kept; it may be sent again")
 
-    def test_waiting_for_a_sample_at_the_holder_is_no_lost_link(self):
-        # Found by hand on a played day.
+    def test_waiting_for_a_sample_at_the_holder_is_not_a_lost_link(self):
         zone = PlayedZone()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.1)
@@ -198,11 +199,11 @@
         zone.clock.advance(0.1)
         client.run("READ b", seconds=1.0)
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
-        story = diagnose("q2", lines)
-        self.assertEqual(story.outcome, Refusal.BUSY.value)
-        self.assertIn("it could not run: the primary of db was lost", story.cause)
+        diagnosis = diagnose("q2", lines)
+        self.assertEqual(diagnosis.outcome, Refusal.BUSY.value)
+        self.assertIn("it could not run: the primary of db was lost", diagnosis.cause)
 
-    def test_what_decided_at_the_holder_is_told_with_its_name(self):
+    def test_the_holder_that_decided_is_named(self):
         zone = PlayedZone()
         zone.primary.primary = False
         zone.last.client("orders").run("WRITE a 1", seconds=1.0)
@@ -213,12 +214,12 @@
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
         self.assertIn(f"it ran at m1 through {zone.first.name}", diagnose("q1", lines).cause)
 
-    def test_a_request_that_no_line_names(self):
-        story = self.story("nothing")
-        self.assertIn("no line names this request", story.cause)
-        self.assertIn("no log of a control node", " ".join(story.missing))
+    def test_a_request_without_log_lines(self):
+        diagnosis = self.diagnose("nothing")
+        self.assertIn("no line names this request", diagnosis.cause)
+        self.assertIn("no log of a control node", " ".join(diagnosis.missing))
 
-    def test_damaged_lines_are_counted_and_left_aside(self):
+    def test_damaged_lines_are_counted_and_ignored(self):
         self.played.client("orders").run("WRITE a 1")
         lines = self.played.logs()
         damaged = ["", "not a line", lines[0][:30], '{"time":"x","event":1}', "\x00\xff"]
@@ -245,7 +246,7 @@
 
 
 class DecisionLogTest(unittest.TestCase):
-    def test_the_volume_is_bounded_and_refusals_outlast_successes(self):
+    def test_volume_is_bounded_and_refusals_take_precedence_over_successes(self):
         now = 100.0
         with tempfile.TemporaryFile() as file:
             log = DecisionLog("p", file.fileno(), 5, 20, wall_clock=lambda: now)
@@ -277,7 +278,7 @@
         self.assertEqual([line.event for line in lines], [301])
         self.assertEqual(log.dropped_total, 0)
 
-    def test_a_reader_that_does_not_read_holds_nothing_up(self):
+    def test_flush_does_not_block_on_a_full_pipe(self):
         import os
 
         reading, writing = os.pipe()
@@ -293,7 +294,7 @@
         log.flush()
         os.close(writing)
 
-    def test_lines_that_nobody_can_read_any_more_are_counted(self):
+    def test_lines_for_a_closed_pipe_are_counted_as_dropped(self):
         import os
 
         from rowanrail.gateway.events import REFUSED
--- a/tests/explain/test_search.py
+++ b/tests/explain/test_search.py
@@ -1,4 +1,4 @@
-"""The search of many logs for one request, as a stream."""
+"""Streaming search of many logs for one request."""
 
 import json
 import unittest
@@ -39,7 +39,7 @@
         client.run("WRITE b 2", seconds=1.1)
         self.logs = self.played.logs()
 
-    def test_the_story_is_that_of_all_lines(self):
+    def test_search_gives_the_same_diagnosis_as_all_lines(self):
         damaged = ["", "not a line", '{"time":"x","event":1}']
         control = ['{"time":100.5,"event":410,"level":"info","process":"c","leader":"n","term":2}']
         logs = [self.logs, control, damaged]
@@ -49,7 +49,7 @@
             self.assertEqual(diagnose(request, found.lines), diagnose(request, everything.lines))
             self.assertEqual(found.damaged, everything.damaged)
 
-    def test_statements_of_others_are_not_kept(self):
+    def test_statements_of_other_requests_are_not_kept(self):
         many = [other_statement(number) for number in range(20_000)]
         found = search("q2", [Log(self.logs), Log(many)], 6.0)
         self.assertLess(len(found.lines), 20)
@@ -59,11 +59,11 @@
         search("q2", logs, 6.0)
         self.assertEqual([log.passes for log in logs], [2, 2])
 
-    def test_lines_before_the_given_time_are_left_aside(self):
+    def test_lines_before_the_given_time_are_ignored(self):
         found = search("q1", [Log(self.logs)], 6.0, since=1e9)
         self.assertEqual(found.lines, [])
 
-    def test_a_long_search_says_how_far_it_is(self):
+    def test_a_long_search_reports_progress(self):
         text = "\n".join(self.logs) + "\n"
         with mock.patch.object(command, "PROGRESS_SECONDS", 0.0):
             shown = CliRunner().invoke(main, ["explain", "q2"], input=text)
