--- a/src/rowanrail/explain/lines.py
+++ b/src/rowanrail/explain/lines.py
@@ -12,7 +12,7 @@
 from rowanrail.kernel.catalogue import CATALOGUE
 
 _decoder = msgspec.json.Decoder(dict[str, Any])
-_OWN_FIELDS = ("time", "event", "level", "process")
+_COMMON_FIELDS = ("time", "event", "level", "process")
 
 
 class LogLine(msgspec.Struct, frozen=True):
@@ -95,7 +95,7 @@
             int(content["event"]),
             str(content.get("level", "")),
             str(content.get("process", "")),
-            {name: value for name, value in content.items() if name not in _OWN_FIELDS},
+            {name: value for name, value in content.items() if name not in _COMMON_FIELDS},
         )
     except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
         return None  # counted as damaged
--- a/src/rowanrail/kernel/__init__.py
+++ b/src/rowanrail/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Plug-in registry, errors, events, lifecycle and the disk port."""
+"""Plug-in registry, errors, logging, metrics, HTTP, sockets and the clock and disk interfaces."""
--- a/src/rowanrail/kernel/catalogue.py
+++ b/src/rowanrail/kernel/catalogue.py
@@ -1,7 +1,7 @@
 """Numbered log events.
 
-Each event has a fixed number, level and message template. ``docs/EVENTS.md`` is the
-catalogue; a test holds it against :data:`CATALOGUE`.
+Each event has a fixed number, level and message template. ``docs/EVENTS.md`` is generated from
+:data:`CATALOGUE`.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class LogFormat(enum.Enum):
-    """How log events are written."""
+    """Output format of log events."""
 
     LINES = "lines"
     JSON = "json"
@@ -27,7 +27,7 @@
 class Event(msgspec.Struct, frozen=True):
     """One kind of log event.
 
-    :param meaning: what it tells an operator, and what to do about it.
+    :param meaning: explanation for operators, and what to do about it.
     """
 
     number: int
@@ -42,7 +42,7 @@
 def define(number: int, level: Level, template: str, meaning: str) -> Event:
     """Add an event to the catalogue.
 
-    :raises ValueError: if the number is taken.
+    :raises ValueError: if the number is already used.
     """
     if number in CATALOGUE:
         raise ValueError(f"event {number} is defined twice")
--- a/src/rowanrail/kernel/clock.py
+++ b/src/rowanrail/kernel/clock.py
@@ -1,7 +1,7 @@
-"""Steady time in milliseconds.
+"""Monotonic time and timers.
 
-The one clock of the code (:class:`Clock`), and the port on which it rests (:class:`Scheduler`), in
-seconds as event loops have them. Modules that still take a scheduler call it so.
+:class:`Clock` counts in milliseconds. It runs on a :class:`Scheduler`, the interface of event
+loops, which counts in seconds.
 """
 
 from collections.abc import Callable
@@ -11,24 +11,24 @@
 
 
 class Timer(Protocol):
-    """A call that is still to come."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Forget the call."""
+        """Cancel the call."""
 
 
 class Scheduler(Protocol):
-    """What a clock rests on: steady seconds and calls in the future, as an event loop has."""
+    """Monotonic time and delayed calls, as event loops provide them."""
 
     def time(self) -> float:
-        """Return the steady time in seconds."""
+        """Return the monotonic time in seconds."""
 
     def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> Timer:
         """Call ``callback`` after ``delay`` seconds."""
 
 
 class Clock:
-    """Steady time and timers in milliseconds.
+    """Monotonic time and timers in milliseconds.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
 
     @property
     def now(self) -> float:
-        """Steady time in milliseconds; only differences mean something."""
+        """Monotonic time in milliseconds from an arbitrary origin."""
         return self._scheduler.time() * 1000
 
     def call_in(self, delay: float, callback: Callable[..., Any], *args: Any) -> Timer:
--- a/src/rowanrail/kernel/disk.py
+++ b/src/rowanrail/kernel/disk.py
@@ -1,7 +1,6 @@
-"""The disk port: the few file operations that durable state needs.
+"""Interface for the file operations of durable state, and its implementation on a folder.
 
-:class:`FileDisk` works on a folder. The simulator has its own implementation, which
-loses on a crash whatever was not synced.
+The simulator has its own implementation, which discards unsynced data on a crash.
 """
 
 import errno
@@ -13,7 +12,10 @@
 
 
 class Disk(ABC):
-    """A folder of files. Contents last once :meth:`sync_file` and :meth:`sync_folder` return."""
+    """A folder of files.
+
+    Data survives a crash once :meth:`sync_file` and :meth:`sync_folder` have returned.
+    """
 
     @abstractmethod
     def list(self) -> list[str]:
@@ -28,15 +30,15 @@
 
     @abstractmethod
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file, creating it if need be."""
+        """Append to a file, creating it if missing."""
 
     @abstractmethod
     def replace(self, name: str, data: bytes) -> None:
-        """Put ``data`` in the place of the file, atomically and durably."""
+        """Replace the contents of a file atomically and durably."""
 
     @abstractmethod
     def truncate(self, name: str, length_bytes: int) -> None:
-        """Cut a file to the given length."""
+        """Truncate a file to the given length."""
 
     @abstractmethod
     def delete(self, name: str) -> None:
@@ -52,7 +54,7 @@
 
 
 class FileDisk(Disk):
-    """A folder of the operating system's file system."""
+    """A folder in the file system."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -63,18 +65,24 @@
         self._handles: dict[str, int] = {}
 
     def list(self) -> list[str]:
-        """See :meth:`Disk.list`."""
+        """Return the names of all files, sorted."""
         return sorted(entry.name for entry in self.folder.iterdir() if entry.is_file())
 
     def read(self, name: str) -> bytes:
-        """See :meth:`Disk.read`."""
+        """Return the contents of a file.
+
+        :raises StorageError: if it can't be read.
+        """
         try:
             return (self.folder / name).read_bytes()
         except OSError as error:
             raise _storage_error("read", self.folder / name, error) from error
 
     def append(self, name: str, data: bytes) -> None:
-        """See :meth:`Disk.append`."""
+        """Append to a file, creating it if missing.
+
+        :raises StorageError: if it can't be written.
+        """
         try:
             handle = self._handle(name)
             written = 0
@@ -84,7 +92,10 @@
             raise _storage_error("append", self.folder / name, error) from error
 
     def replace(self, name: str, data: bytes) -> None:
-        """See :meth:`Disk.replace`. Writes a temporary file, syncs it, renames it over."""
+        """Replace the contents of a file by renaming a synced temporary file.
+
+        :raises StorageError: if it can't be written.
+        """
         temporary = f"{name}.tmp"
         self.delete(temporary)
         self.append(temporary, data)
@@ -98,14 +109,20 @@
         self.sync_folder()
 
     def truncate(self, name: str, length_bytes: int) -> None:
-        """See :meth:`Disk.truncate`."""
+        """Truncate a file to the given length.
+
+        :raises StorageError: if it can't be written.
+        """
         try:
             os.ftruncate(self._handle(name), length_bytes)
         except OSError as error:
             raise _storage_error("truncate", self.folder / name, error) from error
 
     def delete(self, name: str) -> None:
-        """See :meth:`Disk.delete`."""
+        """Remove a file; a missing file is no error.
+
+        :raises StorageError: if it can't be removed.
+        """
         self._close(name)
         try:
             (self.folder / name).unlink(missing_ok=True)
@@ -113,14 +130,20 @@
             raise _storage_error("delete", self.folder / name, error) from error
 
     def sync_file(self, name: str) -> None:
-        """See :meth:`Disk.sync_file`."""
+        """Make a file's contents durable.
+
+        :raises StorageError: if they can't be synced.
+        """
         try:
             os.fdatasync(self._handle(name))
         except OSError as error:
             raise _storage_error("sync", self.folder / name, error) from error
 
     def sync_folder(self) -> None:
-        """See :meth:`Disk.sync_folder`."""
+        """Make creations, renames and removals durable.
+
+        :raises StorageError: if the folder can't be synced.
+        """
         handle = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
@@ -163,7 +186,7 @@
 
 
 class ReadOnlyDisk(FileDisk):
-    """A folder that is only read: changes are left out, so that inspecting alters nothing."""
+    """A folder that is only read: appends, truncations and syncs are ignored."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
--- a/src/rowanrail/kernel/errors.py
+++ b/src/rowanrail/kernel/errors.py
@@ -1,15 +1,15 @@
 """The error hierarchy.
 
-For the whole product. Every error carries the step and the peer at which it arose; the class says
-what a caller may rely on: not run, unknown, or its own mistake.
+Every error carries the step and the peer at which it arose. For errors that reach a client, the
+class tells whether the request was not run, may have run or was invalid.
 """
 
 
 class RowanrailError(Exception):
-    """Base of all errors of the product.
+    """Base class of all errors of the product.
 
-    :param step: what was being done, for example ``connect`` or ``commit``.
-    :param peer: the other party, for example a member's name; empty if none.
+    :param step: operation that failed, for example ``connect`` or ``commit``.
+    :param peer: the other end, for example a member's name; empty if none.
     """
 
     def __init__(self, message: str, *, step: str = "", peer: str = "") -> None:
@@ -19,12 +19,12 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        place = " ".join(part for part in (self.step, self.peer and f"[{self.peer}]") if part)
-        return f"{place}: {self.message}" if place else self.message
+        prefix = " ".join(part for part in (self.step, self.peer and f"[{self.peer}]") if part)
+        return f"{prefix}: {self.message}" if prefix else self.message
 
 
 class SettingsError(RowanrailError):
-    """Settings or configuration that can't be used; ``problems`` lists all of them."""
+    """Invalid settings or configuration; ``problems`` lists everything that is wrong."""
 
     def __init__(self, problems: list[str]) -> None:
         super().__init__("\n".join(problems), step="settings")
@@ -36,17 +36,17 @@
 
 
 class TransportError(RowanrailError):
-    """A message between our own processes could not be delivered or answered in time."""
+    """A message between the system's processes was not delivered or not answered in time."""
 
 
 class CallerError(RowanrailError):
-    """Base of the errors that a caller of the proxy can receive."""
+    """Base class of the errors that a client of the proxy can receive."""
 
 
 class NotRunError(CallerError):
-    """The request did not run and never will.
+    """The request was not run and will not be run later.
 
-    :param retry_after_seconds: when to come back; 0 if repeating will not help.
+    :param retry_after_seconds: delay before a retry; 0 if a retry won't help.
     """
 
     def __init__(
@@ -57,15 +57,15 @@
 
 
 class InvalidRequestError(NotRunError):
-    """The request did not run because of its own content; repeating will not help."""
+    """The request was not run because of its content; a retry won't help."""
 
 
 class UnknownDatabaseError(InvalidRequestError):
-    """No group serves the database that the request names."""
+    """No group serves the requested database."""
 
 
 class RequestConflictError(InvalidRequestError):
-    """The request id was used before, for different work, or is past its horizon."""
+    """The request id was already used for a different request, or has expired."""
 
 
 class OutcomeUnknownError(CallerError):
@@ -73,7 +73,7 @@
 
 
 class BackendRefusedError(CallerError):
-    """The back end ran the request and refused it; ``code`` is the back end's own."""
+    """The back end returned an error; ``code`` is the back end's error code."""
 
     def __init__(
         self, code: int, message: str, *, sqlstate: str = "HY000", step: str = "", peer: str = ""
@@ -84,8 +84,8 @@
 
 
 class BackendConnectError(RowanrailError):
-    """A back-end connection could not be opened; nothing was sent."""
+    """A back-end connection could not be opened; no request was sent."""
 
 
 class BackendLostError(RowanrailError):
-    """A back-end connection broke, or its answer is late, after a request was sent."""
+    """A back-end connection failed or timed out after a request was sent."""
--- a/src/rowanrail/kernel/events.py
+++ b/src/rowanrail/kernel/events.py
@@ -1,7 +1,6 @@
-"""Log events of the daemons with operators' logs, written through ``logbook``.
+"""Log events that are written through ``logbook``, for the SQL proxy and the control nodes.
 
-For the SQL side and the shell of control nodes. Owns the set-up of logging and who observes
-events; the catalogue owns their numbers.
+Observers can subscribe to events. :mod:`rowanrail.kernel.catalogue` defines the events.
 """
 
 import sys
@@ -34,7 +33,7 @@
 
 
 def emit(event: Event, **fields: object) -> None:
-    """Log ``event`` with its fields."""
+    """Log ``event`` with its fields and pass it to all observers."""
     message = event.template.format(**fields)
     for observer in _observers:
         observer(event, message)
@@ -69,5 +68,5 @@
 
 
 def disable_logging() -> None:
-    """Write no log lines; observers still get every event."""
+    """Write no log lines; observers still receive every event."""
     logbook.NullHandler().push_application()
--- a/src/rowanrail/kernel/http.py
+++ b/src/rowanrail/kernel/http.py
@@ -1,7 +1,6 @@
-"""A small HTTP/1.1 server and client on ``h11``, for programs that must start quickly.
+"""A minimal HTTP/1.1 server and client on ``h11``, for requests with JSON bodies.
 
-``aiohttp`` takes 0.28 s of processor time to import, more than a third of a gateway's start;
-``h11`` takes 0.03 s. The interface is what a few calls with JSON bodies need.
+For programs that must start quickly: ``aiohttp`` takes much longer to import.
 """
 
 import asyncio
@@ -13,12 +12,12 @@
 from rowanrail.kernel.errors import TransportError
 from rowanrail.kernel.lifecycle import listen_error
 
-MAXIMUM_BODY_BYTES = 8 * 1024 * 1024  # a configuration of tens of thousands of routes
+MAXIMUM_BODY_BYTES = 8 * 1024 * 1024  # holds a configuration with tens of thousands of routes
 JSON_TYPE = "application/json"
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """A request as a handler gets it; ``path`` is without its query."""
+    """A request as passed to a handler; ``path`` excludes the query string."""
 
     method: str
     path: str
@@ -26,7 +25,7 @@
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """A response; an empty body has no type."""
+    """A response; an empty body is sent without a content type."""
 
     status: int
     body: bytes = b""
@@ -37,12 +36,12 @@
 
 
 def error_response(status: int, message: str) -> HttpResponse:
-    """Return a response that says what is wrong and what to do."""
+    """Return a response with ``message`` as the ``error`` of a JSON body."""
     return HttpResponse(status, msgspec.json.encode({"error": message}))
 
 
 class _ServerProtocol(asyncio.Protocol):
-    """One connection; requests are answered one after the other."""
+    """One connection; its requests are served one at a time, in order."""
 
     def __init__(self, handler: Handler, protocols: "set[_ServerProtocol]") -> None:
         self._handler = handler
@@ -63,14 +62,14 @@
     def data_received(self, data: bytes) -> None:
         try:
             self._connection.receive_data(data)
-            self._advance()
+            self._process_events()
         except h11.RemoteProtocolError as error:
             self._refuse(error.error_status_hint or 400, str(error))
 
     def eof_received(self) -> bool:
         return False
 
-    def _advance(self) -> None:
+    def _process_events(self) -> None:
         while self._task is None:
             event = self._connection.next_event()
             if isinstance(event, h11.Request):
@@ -82,11 +81,11 @@
                     self._refuse(413, f"the body is larger than {MAXIMUM_BODY_BYTES} bytes")
                     return
             elif isinstance(event, h11.EndOfMessage):
-                self._task = asyncio.ensure_future(self._answer())
+                self._task = asyncio.ensure_future(self._respond())
             else:
                 return
 
-    async def _answer(self) -> None:
+    async def _respond(self) -> None:
         assert self._request is not None
         request = HttpRequest(
             self._request.method.decode("ascii"),
@@ -95,19 +94,19 @@
         )
         try:
             response = await self._handler(request)
-        except Exception as error:  # the caller gets the reason; the server stays
+        except Exception as error:  # reported to the client; the server keeps running
             response = error_response(500, f"{type(error).__name__}: {error}")
         self._task = None
         if self.transport.is_closing():
             return
-        self._send(response)
+        self._send_response(response)
         if self._connection.our_state is h11.MUST_CLOSE:
             self.transport.close()
             return
         self._connection.start_next_cycle()
-        self._advance()
+        self._process_events()
 
-    def _send(self, response: HttpResponse) -> None:
+    def _send_response(self, response: HttpResponse) -> None:
         headers = [("Content-Length", str(len(response.body)))]
         if response.body:
             headers.append(("Content-Type", response.content_type))
@@ -120,28 +119,28 @@
 
     def _refuse(self, status: int, message: str) -> None:
         if self._connection.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            self._send(error_response(status, message))
+            self._send_response(error_response(status, message))
         self.transport.close()
 
 
 class HttpServer:
-    """A served address."""
+    """A server that listens on one address."""
 
     def __init__(self, server: asyncio.Server, protocols: set[_ServerProtocol]) -> None:
         self._server = server
         self._protocols = protocols
 
     def close(self) -> None:
-        """Stop serving; connections are closed at once."""
+        """Stop listening and close all connections at once."""
         self._server.close()
         for protocol in list(self._protocols):
             protocol.transport.close()
 
 
 async def serve(address: str, handler: Handler) -> HttpServer:
-    """Serve ``host:port``.
+    """Start a server on ``host:port``.
 
-    :raises RowanrailError: if the address can't be used.
+    :raises RowanrailError: if the address can't be listened on.
     """
     host, _, port = address.rpartition(":")
     protocols: set[_ServerProtocol] = set()
@@ -163,9 +162,9 @@
     headers: dict[str, str],
     timeout_seconds: float,
 ) -> HttpResponse:
-    """Send one request on a connection of its own and return the response.
+    """Send a request on a new connection and return the response.
 
-    :raises TransportError: if none comes in time; the request may have been carried out.
+    :raises TransportError: if there is no response in time; the request may have been served.
     """
     try:
         async with asyncio.timeout(timeout_seconds):
--- a/src/rowanrail/kernel/lifecycle.py
+++ b/src/rowanrail/kernel/lifecycle.py
@@ -1,7 +1,4 @@
-"""Start and stop of daemons.
-
-For each program. Owns nothing; relies on the event loop for signals.
-"""
+"""Start and stop of daemons."""
 
 import asyncio
 import os
@@ -11,7 +8,7 @@
 
 
 async def wait_for_stop_signal() -> None:
-    """Return at the first SIGTERM or SIGINT; both mean a planned stop."""
+    """Wait for the first SIGTERM or SIGINT; both request a graceful shutdown."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/src/rowanrail/kernel/registry.py
+++ b/src/rowanrail/kernel/registry.py
@@ -1,8 +1,8 @@
 """Plug-in registry.
 
 Plug-ins register themselves with :func:`register` when their module is imported. A
-:class:`Registry` is a snapshot of what is registered in which a test laboratory may
-put another implementation in a plug-in's place; the product itself never does.
+:class:`Registry` is a snapshot of the registered plug-ins, in which tests and simulations may
+replace some.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 def register(kind: str, name: str) -> Callable[[PluginType], PluginType]:
     """Return a class decorator that registers the class as plug-in ``name`` of ``kind``.
 
-    :raises ValueError: if another class holds the name.
+    :raises ValueError: if the name is registered for another class.
     """
 
     def decorate(plugin: PluginType) -> PluginType:
@@ -51,5 +51,5 @@
         return plugin(*arguments)
 
     def names(self, kind: str) -> list[str]:
-        """Return the names registered for ``kind``."""
+        """Return the registered names of ``kind``, sorted."""
         return sorted(name for plugin_kind, name in self._plugins if plugin_kind == kind)
--- a/src/rowanrail/kernel/web.py
+++ b/src/rowanrail/kernel/web.py
@@ -1,6 +1,6 @@
-"""Serving ``aiohttp`` applications, for daemons with many routes.
+"""Server for ``aiohttp`` applications, used by the SQL proxy and its control nodes.
 
-For the daemons of the SQL side; the others serve with ``kernel.http``. Owns nothing.
+Other daemons use :mod:`rowanrail.kernel.http`, which starts faster.
 """
 
 from aiohttp import web
@@ -11,7 +11,7 @@
 async def serve_http(application: web.Application, address: str) -> web.AppRunner:
     """Serve a web application at ``host:port``.
 
-    :raises RowanrailError: if the address can't be used.
+    :raises RowanrailError: if the address can't be listened on.
     """
     runner = web.AppRunner(application, access_log=None, shutdown_timeout=1.0)
     await runner.setup()
