--- a/src/rowanrail/rpc/__init__.py
+++ b/src/rowanrail/rpc/__init__.py
@@ -1,5 +1,5 @@
 """Typed messages between the system's own processes.
 
-Owns frames, tags and connections; a plug-in of kind ``network`` is what programs use. Relies on
-``kernel`` only: what the messages say is up to the packages that register them.
+Programs use a plug-in of kind ``network``. Message types are defined and registered by the packages
+that exchange them; this package depends only on ``kernel``.
 """
--- a/src/rowanrail/rpc/address_translation.py
+++ b/src/rowanrail/rpc/address_translation.py
@@ -1,7 +1,4 @@
-"""A network with address translation, for sites whose links do not use the real addresses.
-
-Owns the table. Relies on the network below it for everything else.
-"""
+"""Network with address translation, for sites where peers are reached at other addresses."""
 
 import msgspec
 
@@ -9,28 +6,34 @@
 
 
 class AddressTranslatingNetwork(Network):
-    """Sends to ``routes[address]`` where the table names the address."""
+    """Wraps a network and translates peer addresses by a table; others are left unchanged."""
 
     def __init__(self, network: Network, routes: dict[str, str]) -> None:
         self._network = network
         self._routes = routes
 
     async def serve(self, address: str, handler: Handler) -> Listener:
-        """See :meth:`Network.serve`."""
+        """Listen on ``address``, which is not translated."""
         return await self._network.serve(address, handler)
 
     async def call(
         self, address: str, request: msgspec.Struct, timeout_seconds: float
     ) -> msgspec.Struct:
-        """See :meth:`Network.call`."""
+        """Send a request to the translated address and return its reply.
+
+        Raises
+        ------
+        TransportError
+            If there is no reply in time, or the peer reports a failure.
+        """
         return await self._network.call(
             self._routes.get(address, address), request, timeout_seconds
         )
 
     def notify(self, address: str, notice: msgspec.Struct) -> None:
-        """See :meth:`Network.notify`."""
+        """Send a one-way message to the translated address."""
         self._network.notify(self._routes.get(address, address), notice)
 
     async def close(self) -> None:
-        """See :meth:`Network.close`."""
+        """Close all connections of the wrapped network."""
         await self._network.close()
--- a/src/rowanrail/rpc/codec.py
+++ b/src/rowanrail/rpc/codec.py
@@ -1,10 +1,8 @@
 """Encoding of messages between the system's own processes.
 
-A frame is MessagePack: protocol version, frame kind, call id, message tag and body.
-Message types are ``msgspec.Struct`` classes registered with :func:`message` under a tag. The tag is
-what peers of other versions know: a class may be renamed, its tag stays.
-
-Owns the table of tags, filled by the modules that define messages. Does no I/O.
+A frame is a MessagePack array of protocol version, frame kind, call id, message tag and body.
+Message types are ``msgspec.Struct`` classes registered with :func:`message` under a tag. Peers of
+other versions know a type by its tag, so the tag must stay the same when the class is renamed.
 """
 
 import enum
@@ -16,7 +14,7 @@
 from rowanrail.kernel.errors import TransportError
 
 PROTOCOL_VERSION = 1
-MAXIMUM_RPC_FRAME_BYTES = 64 * 1024 * 1024  # chosen
+MAXIMUM_RPC_FRAME_BYTES = 64 * 1024 * 1024
 
 MessageType = TypeVar("MessageType", bound=type[msgspec.Struct])
 
@@ -26,7 +24,7 @@
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame is."""
+    """Type of a frame."""
 
     REQUEST = 1
     REPLY = 2
@@ -34,7 +32,7 @@
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True):
-    """One framed message. ``call`` matches a reply to its request on a connection."""
+    """A message with its header; ``call`` matches a reply to its request on a connection."""
 
     version: int
     kind: FrameKind
@@ -52,7 +50,7 @@
     Raises
     ------
     ValueError
-        If another class holds the tag.
+        If the tag is registered for another class.
     """
 
     def decorate(message_type: MessageType) -> MessageType:
@@ -67,7 +65,7 @@
 
 @message("Failure")
 class Failure(msgspec.Struct, frozen=True):
-    """The reply to a request that the peer could not serve."""
+    """Reply to a request that failed at the peer."""
 
     reason: str
 
@@ -84,7 +82,7 @@
     Raises
     ------
     TransportError
-        If the bytes are no valid frame of this protocol version.
+        If the bytes are not a valid frame of this protocol version.
     """
     try:
         frame = _frame_decoder.decode(data)
--- a/src/rowanrail/rpc/network.py
+++ b/src/rowanrail/rpc/network.py
@@ -1,7 +1,7 @@
-"""The network port between the system's own processes.
+"""Interface of the network between the system's own processes.
 
-Implementations register as plug-ins of kind ``network``: ``tcp`` for daemons; the simulator brings
-one of its own. Owns the port only; relies on nothing but the form of messages.
+Implementations are plug-ins of kind ``network``: ``tcp`` for daemons, and another one in the
+simulator.
 """
 
 from abc import ABC, abstractmethod
@@ -13,19 +13,19 @@
 
 
 class Listener(ABC):
-    """A served address."""
+    """A server that listens on one address."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Stop serving."""
+        """Stop listening."""
 
 
 class Network(ABC):
-    """Calls and notices between processes, addressed by ``host:port``."""
+    """Requests and one-way messages between processes, addressed by ``host:port``."""
 
     @abstractmethod
     async def serve(self, address: str, handler: Handler) -> Listener:
-        """Serve ``address``; the handler's return value is the reply to a call."""
+        """Listen on ``address``; the handler's return value is sent as the reply to a request."""
 
     @abstractmethod
     async def call(
@@ -41,7 +41,7 @@
 
     @abstractmethod
     def notify(self, address: str, notice: msgspec.Struct) -> None:
-        """Send a message with no reply; it may be lost."""
+        """Send a one-way message, without any guarantee of delivery."""
 
     @abstractmethod
     async def close(self) -> None:
--- a/src/rowanrail/rpc/tcp.py
+++ b/src/rowanrail/rpc/tcp.py
@@ -1,9 +1,8 @@
-"""Network over TCP: length-prefixed frames, one connection for each peer address.
+"""Network over TCP, with length-prefixed frames and one connection per peer address.
 
-A call that gets nothing at all in its time closes the connection, and those that were not used
-since: they may have fallen silent with it, without a reset.
-
-Owns the sockets. Relies on :mod:`codec` for frames.
+A call that times out on a connection that received no data closes that connection and all others
+that have been idle since the call began, because a network failure without a reset may have broken
+them too.
 """
 
 import asyncio
@@ -24,10 +23,8 @@
 )
 from rowanrail.rpc.network import Handler, Listener, Network
 
-# TCP sends an opening packet that was lost again only after a second; a new attempt is sooner.
-RPC_CONNECT_SECONDS = 0.3
-# Chosen: unsent bytes beyond which notices to a peer that does not read are dropped.
-NOTICE_BACKLOG_BYTES = 8 * 1024 * 1024
+RPC_CONNECT_SECONDS = 0.3  # less than the second after which TCP retransmits a lost SYN
+MAXIMUM_NOTICE_BACKLOG_BYTES = 8 * 1024 * 1024  # unsent data beyond which notices are dropped
 _LENGTH = struct.Struct("<I")
 
 
@@ -57,7 +54,7 @@
 
 
 class _Connection:
-    """A client's connection; replies are matched to calls by id."""
+    """Client side of a connection; replies are matched to requests by call id."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writer = writer
@@ -71,12 +68,12 @@
 
     @property
     def used_at(self) -> float:
-        """When something was last sent or received, in seconds on the steady clock."""
+        """Monotonic time in seconds when data was last sent or received."""
         return self._used_at
 
     @property
     def has_calls(self) -> bool:
-        """Whether callers wait for answers; they have time limits of their own."""
+        """Whether any request waits for its reply."""
         return bool(self._calls)
 
     def send_call(self, request: msgspec.Struct) -> "asyncio.Future[msgspec.Struct]":
@@ -89,7 +86,7 @@
         return future
 
     def send_notice(self, notice: msgspec.Struct) -> None:
-        if self.writer.transport.get_write_buffer_size() > NOTICE_BACKLOG_BYTES:
+        if self.writer.transport.get_write_buffer_size() > MAXIMUM_NOTICE_BACKLOG_BYTES:
             return
         self._write(encode_frame(FrameKind.NOTICE, 0, notice))
 
@@ -107,7 +104,7 @@
                 if kind is FrameKind.REPLY and future is not None and not future.done():
                     future.set_result(reply)
         except (OSError, EOFError, TransportError):
-            pass  # close() fails all calls that wait for an answer, and their callers log it
+            pass  # close() fails all pending calls, and their callers log it
         finally:
             self.close()
 
@@ -133,15 +130,21 @@
 
 @register("network", "tcp")
 class TcpNetwork(Network):
-    """Calls and notices over TCP; see the module's description."""
+    """Requests and one-way messages over TCP; see the module docstring."""
 
     def __init__(self) -> None:
         self._connections: dict[str, _Connection] = {}
         self._opening: dict[str, asyncio.Task[_Connection]] = {}
-        self._serving: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def serve(self, address: str, handler: Handler) -> Listener:
-        """See :meth:`Network.serve`."""
+        """Listen on ``address``; the handler's return value is sent as the reply to a request.
+
+        Raises
+        ------
+        RowanrailError
+            If the address can't be listened on.
+        """
         writers: set[asyncio.StreamWriter] = set()
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -167,10 +170,10 @@
             while True:
                 kind, call, body = decode_frame(await _read_frame(reader))
                 task = asyncio.ensure_future(self._answer(writer, handler, kind, call, body))
-                self._serving.add(task)
-                task.add_done_callback(self._serving.discard)
+                self._tasks.add(task)
+                task.add_done_callback(self._tasks.discard)
         except (OSError, EOFError, TransportError):
-            return  # the caller is gone, or sent what is no frame; its own end logs the loss
+            return  # the client disconnected or sent an invalid frame; it logs the lost connection
 
     @staticmethod
     async def _answer(
@@ -182,7 +185,7 @@
     ) -> None:
         try:
             reply = await handler(body)
-        except Exception as error:  # the peer gets the reason; the connection stays
+        except Exception as error:  # reported to the peer; the connection stays open
             reply = Failure(f"{type(error).__name__}: {error}")
         if kind is FrameKind.REQUEST and not writer.is_closing():
             _write_frame(writer, encode_frame(FrameKind.REPLY, call, reply or Failure("no reply")))
@@ -190,11 +193,17 @@
     async def call(
         self, address: str, request: msgspec.Struct, timeout_seconds: float
     ) -> msgspec.Struct:
-        """See :meth:`Network.call`."""
+        """Send a request and return its reply.
+
+        Raises
+        ------
+        TransportError
+            If there is no reply in time, or the peer reports a failure.
+        """
         step = type(request).__name__
         connection: _Connection | None = None
         received = 0
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         try:
             async with asyncio.timeout(timeout_seconds):
                 connection = await self._connect(address)
@@ -202,8 +211,8 @@
                 reply = await connection.send_call(request)
         except TimeoutError as error:
             if connection is not None and connection.received == received:
-                connection.close()  # nothing came at all: the path may be cut, so begin anew
-                self._close_unused_since(began)
+                connection.close()  # no data received: the network path may be broken
+                self._close_idle_since(started_at)
             raise TransportError("no answer in time", step=step, peer=address) from error
         except OSError as error:
             raise TransportError(str(error), step=step, peer=address) from error
@@ -211,32 +220,32 @@
             raise TransportError(reply.reason, step=step, peer=address)
         return reply
 
-    def _close_unused_since(self, moment: float) -> None:
-        """Close the connections that nothing was sent on since another one fell silent.
+    def _close_idle_since(self, moment: float) -> None:
+        """Close the connections that have been idle since a time and have no pending calls.
 
-        They may have fallen silent with it, without a reset. Their next call would wait for as
-        long again (1.6 s for a gateway at each control node); a new connection costs 2 trips.
+        They may be broken too, without a reset, and each next call would run into its timeout. A
+        new connection costs two round trips.
         """
         for connection in list(self._connections.values()):
             if connection.used_at < moment and not connection.has_calls:
                 connection.close()
 
     def notify(self, address: str, notice: msgspec.Struct) -> None:
-        """See :meth:`Network.notify`."""
+        """Send a one-way message; it is dropped if the peer is unreachable or reads too slowly."""
         connection = self._connections.get(address)
         if connection is not None and not connection.closed:
             connection.send_notice(notice)
             return
         task = asyncio.ensure_future(self._connect_and_notify(address, notice))
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _connect_and_notify(self, address: str, notice: msgspec.Struct) -> None:
         try:
             connection = await self._connect(address)
             connection.send_notice(notice)
         except (OSError, TimeoutError, TransportError):
-            return  # a notice may be lost: whoever sends one repeats it, or polls as well
+            return  # notices may be lost: senders repeat them or poll as well
 
     async def _connect(self, address: str) -> _Connection:
         connection = self._connections.get(address)
@@ -246,13 +255,13 @@
         if opening is None:
             opening = asyncio.ensure_future(self._open(address))
             self._opening[address] = opening
-            opening.add_done_callback(lambda task: self._opened(address, task))
+            opening.add_done_callback(lambda task: self._finish_opening(address, task))
         return await asyncio.shield(opening)
 
-    def _opened(self, address: str, task: "asyncio.Task[_Connection]") -> None:
+    def _finish_opening(self, address: str, task: "asyncio.Task[_Connection]") -> None:
         self._opening.pop(address, None)
         if not task.cancelled():
-            task.exception()  # taken, since whoever asked may have given up before
+            task.exception()  # retrieved here because all waiting callers may have timed out
 
     async def _open(self, address: str) -> _Connection:
         host, port = split_address(address)
@@ -264,8 +273,8 @@
         return connection
 
     async def close(self) -> None:
-        """See :meth:`Network.close`."""
+        """Close all connections and cancel requests that are being served."""
         for connection in self._connections.values():
             connection.close()
-        for task in list(self._serving):
+        for task in list(self._tasks):
             task.cancel()
--- a/tests/unit/test_tcp.py
+++ b/tests/unit/test_tcp.py
@@ -1,4 +1,4 @@
-"""Calls over TCP to peers that are silent."""
+"""Calls over TCP to peers that do not answer."""
 
 import asyncio
 import gc
@@ -12,9 +12,8 @@
 
 
 class SilentPeerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_call_after_a_silent_one_begins_a_new_connection(self):
-        # Found on a played day: after a cut had healed, calls still waited on the old
-        # connection, whose bytes were sent again only after a growing pause.
+    async def test_a_call_after_a_timeout_opens_a_new_connection(self):
+        # After a partition heals, TCP retransmits on the old connection only after long intervals.
         connections = []
 
         async def accept(reader, writer):
@@ -31,11 +30,11 @@
         await network.close()
         server.close()
 
-    async def test_an_attempt_that_outlives_its_caller_ends_without_a_word(self):
-        # Found on a played day: "Task exception was never retrieved", with its trace, in the log.
-        complaints = []
+    async def test_a_connection_attempt_that_fails_after_its_caller_timed_out_logs_nothing(self):
+        # Guards against "Task exception was never retrieved" in the log.
+        errors = []
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda loop, context: complaints.append(context))
+        loop.set_exception_handler(lambda loop, context: errors.append(context))
         network = TcpNetwork()
 
         async def fails_late(address):
@@ -47,9 +46,9 @@
             await network.call("127.0.0.1:1", BarrierRequest(), 0.01)
         await asyncio.sleep(0.1)
         gc.collect()
-        self.assertEqual(complaints, [])
+        self.assertEqual(errors, [])
 
-    async def test_a_slow_call_leaves_the_connection_to_the_others(self):
+    async def test_a_slow_call_does_not_block_others_on_the_connection(self):
         network = TcpNetwork()
 
         async def answer(request):
@@ -64,7 +63,7 @@
         while not self.asked:
             await asyncio.sleep(0.01)
         quick = await network.call("127.0.0.1:18977", BarrierRequest(), 10.0)
-        self.assertFalse(slow.done())  # the quick one did not wait for it
+        self.assertFalse(slow.done())
         with self.assertRaises(TransportError):
             await slow
         self.assertEqual(quick, BarrierReply(2))
@@ -73,12 +72,12 @@
         await network.close()
 
 
-class SwallowingRelay:
-    """Passes bytes between a caller and a peer, until its open connections go silent."""
+class DroppingRelay:
+    """Forwards data between a client and a peer until its open connections are made to drop it."""
 
     def __init__(self, peer):
         self._peer = peer
-        self._silent_before = 0
+        self._dropped_before = 0
         self._tasks = []
         self.connections = 0
 
@@ -87,9 +86,9 @@
         host, port = self._server.sockets[0].getsockname()
         return f"{host}:{port}"
 
-    def silence(self):
-        """Swallow all that open connections carry from now on; new ones work."""
-        self._silent_before = self.connections
+    def drop_open_connections(self):
+        """Drop all further data of open connections; new connections work."""
+        self._dropped_before = self.connections
 
     def close(self):
         self._server.close()
@@ -106,16 +105,15 @@
 
     async def _pump(self, number, source, target):
         while data := await source.read(4096):
-            if number >= self._silent_before:
+            if number >= self._dropped_before:
                 target.write(data)
         target.close()
 
 
 class SilentConnectionsTest(unittest.IsolatedAsyncioTestCase):
-    """All open connections go silent for good at one moment, without a reset; new ones work.
+    """All open connections lose their data from one moment on, without a reset; new ones work.
 
-    Seen on played days: gateways then asked one control node after the other on connections that
-    had been open since their start, and waited 1.6 s at each; a route was missing for 4.5 s.
+    Guards against one timeout for each peer in turn, before a peer answers.
     """
 
     async def asyncSetUp(self):
@@ -124,13 +122,13 @@
         for number in range(3):
             address = f"127.0.0.1:{18980 + number}"
             self.listeners.append(await self.network.serve(address, self.answer))
-            relay = SwallowingRelay(address)
+            relay = DroppingRelay(address)
             self.relays.append(relay)
             self.addresses.append(await relay.start())
         for address in self.addresses:
             await self.call(address)
         for relay in self.relays:
-            relay.silence()
+            relay.drop_open_connections()
 
     async def asyncTearDown(self):
         await self.network.close()
@@ -145,13 +143,13 @@
     async def call(self, address):
         return await self.network.call(address, BarrierRequest(), 0.3)
 
-    async def test_after_one_silent_call_the_next_peer_is_asked_on_a_new_connection(self):
+    async def test_after_a_timeout_the_next_peer_is_called_on_a_new_connection(self):
         with self.assertRaises(TransportError):
             await self.call(self.addresses[0])
         for address in self.addresses:
             await self.call(address)
 
-    async def test_connections_in_use_stay(self):
+    async def test_connections_with_pending_calls_stay_open(self):
         slow = asyncio.Event()
         self.answer = self.answer_slowly(slow)
         listener = await self.network.serve("127.0.0.1:18983", self.answer)
@@ -171,9 +169,9 @@
         return answer
 
 
-class KeptAliveTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_kernel_probes_idle_connections_at_both_ends(self):
-        # A served connection whose caller is gone without a word would keep its descriptor.
+class KeepaliveTest(unittest.IsolatedAsyncioTestCase):
+    async def test_keepalive_is_enabled_at_both_ends(self):
+        # Otherwise the connection of a client that vanished would keep its file descriptor.
         kept = []
 
         async def accept(reader, writer):
