--- a/src/rowanrail/mysql/__init__.py
+++ b/src/rowanrail/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""MySQL protocol adapters towards callers and back ends."""
+"""MySQL protocol: the server for clients and the driver for back ends."""
--- a/src/rowanrail/mysql/backend.py
+++ b/src/rowanrail/mysql/backend.py
@@ -1,7 +1,7 @@
 """Back-end connections over the MySQL protocol, with ``asyncmy``.
 
-A member tells its position in the information string of the OK packet, as
-``position=TERM:INDEX``, and its status as the answer to :data:`STATUS_QUERY`.
+A member reports its log position in the information string of OK packets, as
+``position=TERM:INDEX``, and its status as the result of :data:`STATUS_QUERY`.
 """
 
 import asyncio
@@ -25,40 +25,44 @@
 )
 
 STATUS_QUERY = "SHOW GROUP MEMBER STATUS"
-FIRST_CLIENT_CODE = 2000
-LAST_CLIENT_CODE = 2999
+FIRST_CLIENT_ERROR = 2000  # MySQL reserves this range for errors of the client library
+LAST_CLIENT_ERROR = 2999
 _POSITION = re.compile(rb"position=(\d+):(\d+)")
 
 
 class MysqlConnection(BackendConnection):
-    """See the module's description."""
+    """A connection to a member; it closes itself when an exchange fails."""
 
     def __init__(self, connection: Any, peer: str) -> None:
         self._connection = connection
         self._peer = peer
-        self._waiting = False
-        self._clean = True
-        self._watch_input()
+        self._is_executing = False
+        self._is_clean = True
+        self._detect_unexpected_input()
 
-    def _watch_input(self) -> None:
-        """Note bytes that arrive while no statement runs: they answer nothing."""
+    def _detect_unexpected_input(self) -> None:
+        """Mark the connection as not clean when data arrives while no statement runs."""
         protocol = self._connection._proto
         original = protocol.buffer_updated
 
         def buffer_updated(size: int) -> None:
-            if not self._waiting:
-                self._clean = False
+            if not self._is_executing:
+                self._is_clean = False
             original(size)
 
         protocol.buffer_updated = buffer_updated
 
     def is_clean(self) -> bool:
-        """See :meth:`BackendConnection.is_clean`."""
-        return self._clean
+        """Return whether no data has arrived outside of a statement."""
+        return self._is_clean
 
     async def execute(self, sql: str) -> StatementResult:
-        """See :meth:`BackendConnection.execute`."""
-        self._waiting = True
+        """Run a statement and return its result.
+
+        :raises BackendRefusedError: if the member returns an error.
+        :raises BackendLostError: if the connection fails; it is closed then.
+        """
+        self._is_executing = True
         try:
             await self._connection.query(sql)
         except MySQLError as error:
@@ -67,19 +71,23 @@
             self.close()
             raise BackendLostError(str(error), step="execute", peer=self._peer) from error
         finally:
-            self._waiting = False
+            self._is_executing = False
         return _to_result(self._connection._result)
 
     def _translate(self, error: Any) -> BackendLostError | BackendRefusedError:
         code = error.args[0] if error.args and isinstance(error.args[0], int) else 0
         message = str(error.args[1]) if len(error.args) > 1 else str(error)
-        if code == 0 or FIRST_CLIENT_CODE <= code <= LAST_CLIENT_CODE:
+        if code == 0 or FIRST_CLIENT_ERROR <= code <= LAST_CLIENT_ERROR:
             self.close()
             return BackendLostError(message, step="execute", peer=self._peer)
         return BackendRefusedError(code, message, step="execute", peer=self._peer)
 
     async def status(self) -> MemberStatus:
-        """See :meth:`BackendConnection.status`."""
+        """Return the member's role, term, positions and incarnation.
+
+        :raises BackendRefusedError: if the member returns an error.
+        :raises BackendLostError: if the connection fails; it is closed then.
+        """
         result = await self.execute(STATUS_QUERY)
         values = [value.decode() if value is not None else "" for value in result.rows[0]]
         role, term, received, committed, leaving, incarnation = values
@@ -93,12 +101,12 @@
         )
 
     def close(self) -> None:
-        """See :meth:`BackendConnection.close`."""
+        """Close the connection at once."""
         self._connection.close()
 
 
 def parse_position(text: str) -> Position:
-    """Return the position written as ``TERM:INDEX``."""
+    """Return the position of the form ``TERM:INDEX``."""
     term, _, index = text.partition(":")
     return Position(int(term), int(index))
 
@@ -127,7 +135,10 @@
     async def connect(
         self, address: str, user: str, password: str, database: str
     ) -> BackendConnection:
-        """See :meth:`BackendDriver.connect`."""
+        """Open a connection to a member.
+
+        :raises BackendConnectError: if it can't be opened or the login fails.
+        """
         host, port = split_address(address)
         try:
             connection = await asyncmy.connect(
--- a/src/rowanrail/mysql/errors.py
+++ b/src/rowanrail/mysql/errors.py
@@ -1,6 +1,7 @@
-"""Errors as callers see them in the MySQL protocol.
+"""Conversion of errors to MySQL errors for clients.
 
-The three kinds never share a code: not run, outcome unknown, and the back end's own.
+Requests that were not run, requests with an unknown outcome and errors of the back end have
+distinct error codes.
 """
 
 import enum
@@ -20,10 +21,11 @@
 )
 
 
-class CallerCode(enum.IntEnum):
-    """Error codes of the proxy; members use codes below 16000.
+class ProxyErrorCode(enum.IntEnum):
+    """Error codes of the proxy.
 
-    Some drivers read codes as signed 16-bit numbers, so they stay below 32768.
+    Members use codes below 16000. Some drivers read codes as signed 16-bit integers, so all are
+    below 32768.
     """
 
     UNKNOWN_DATABASE = 1049
@@ -36,26 +38,26 @@
 
 @lru_cache(maxsize=1000)
 def _code(number: int) -> enum.IntEnum:
-    """Return a one-member enumeration: the protocol library takes codes only as such."""
-    make: Any = enum.IntEnum
-    return next(iter(make("BackendCode", {f"CODE_{number}": number})))  # type: ignore[no-any-return]
+    """Return an error code as a member of an enumeration, which the protocol library requires."""
+    make_enum: Any = enum.IntEnum
+    return next(iter(make_enum("BackendCode", {f"CODE_{number}": number})))  # type: ignore[no-any-return]
 
 
 def to_mysql_error(error: RowanrailError) -> MysqlError:
-    """Return the protocol library's error for a caller's error."""
+    """Return the protocol library's error for an error that a client receives."""
     if isinstance(error, BackendRefusedError):
         return MysqlError(error.message, _code(error.code))
     if isinstance(error, UnknownDatabaseError):
-        return MysqlError(f"not run: {error}", CallerCode.UNKNOWN_DATABASE)
+        return MysqlError(f"not run: {error}", ProxyErrorCode.UNKNOWN_DATABASE)
     if isinstance(error, RequestConflictError):
-        return MysqlError(f"not run: {error}", CallerCode.REQUEST_CONFLICT)
+        return MysqlError(f"not run: {error}", ProxyErrorCode.REQUEST_CONFLICT)
     if isinstance(error, InvalidRequestError):
-        return MysqlError(f"not run: {error}", CallerCode.INVALID_REQUEST)
+        return MysqlError(f"not run: {error}", ProxyErrorCode.INVALID_REQUEST)
     if isinstance(error, NotRunError):
         hint = (
             f"; retry after {error.retry_after_seconds:.3f} s" if error.retry_after_seconds else ""
         )
-        return MysqlError(f"not run: {error}{hint}", CallerCode.NOT_RUN)
+        return MysqlError(f"not run: {error}{hint}", ProxyErrorCode.NOT_RUN)
     if isinstance(error, OutcomeUnknownError):
-        return MysqlError(f"outcome unknown: {error}", CallerCode.OUTCOME_UNKNOWN)
-    return MysqlError(f"outcome unknown: {error}", CallerCode.INTERNAL)
+        return MysqlError(f"outcome unknown: {error}", ProxyErrorCode.OUTCOME_UNKNOWN)
+    return MysqlError(f"outcome unknown: {error}", ProxyErrorCode.INTERNAL)
--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -1,7 +1,7 @@
-"""The MySQL server towards callers.
+"""The MySQL server for clients, a plug-in of kind ``frontend``.
 
-A plug-in of kind ``frontend``. Owns the callers' connections and their identities; relies on the
-proxy's core for sessions, and on ``wire`` for the protocol.
+Manages client connections and logins; :class:`rowanrail.sql_proxy.core.ProxyCore` manages sessions,
+and :mod:`rowanrail.mysql.wire` implements the protocol.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.kernel.lifecycle import listen_error
 from rowanrail.kernel.registry import register
-from rowanrail.mysql.errors import CallerCode, to_mysql_error
+from rowanrail.mysql.errors import ProxyErrorCode, to_mysql_error
 from rowanrail.mysql.values import result_column
 from rowanrail.mysql.wire import Server, ServerConnection, ServerSession
 from rowanrail.rpc.tcp import split_address
@@ -25,46 +25,46 @@
 from rowanrail.sql_proxy.core import STOP_RETRY_AFTER_SECONDS, ProxyCore
 from rowanrail.sql_proxy.session import SqlSession
 
-LISTEN_BACKLOG = 1024  # connections that the kernel accepts ahead; chosen
+LISTEN_BACKLOG = 1024
 NO_PASSWORD_HASH = "0" * 40
-# Seconds for callers to read that the proxy stops, before their connections close. Chosen.
-CLOSE_GRACE_SECONDS = 1.0
+CLOSE_GRACE_SECONDS = 1.0  # for clients to read that the proxy stops, before they are disconnected
 
 
-class CallerIdentities(IdentityProvider):  # type: ignore[misc]
-    """Users of the configuration in force, with native password hashes."""
+class ClientIdentities(IdentityProvider):  # type: ignore[misc]
+    """Users of the current configuration, with native password hashes."""
 
     def __init__(self, core: ProxyCore) -> None:
         self._core = core
 
     def get_plugins(self) -> list[Any]:
-        """Return the authentication plug-ins that callers may use."""
+        """Return the authentication plug-ins that clients may use."""
         return [NativePasswordAuthPlugin()]
 
     async def get_user(self, username: str) -> User:
-        """Return a user. An unknown one gets a hash that no password has, so that a login
-        fails the same way for unknown users and wrong passwords.
+        """Return a user; an unknown one gets a hash that matches no password.
+
+        A login thus fails in the same way for unknown users and wrong passwords.
         """
         stored = self._core.stored_password_hash(username)
         return User(name=username, auth_string=stored or NO_PASSWORD_HASH)
 
 
-class CallerSession(ServerSession):
-    """Joins one MySQL connection to one session of the core."""
+class ClientSession(ServerSession):
+    """Connects a MySQL connection to a session of the core."""
 
-    def __init__(self, core: ProxyCore, on_close: Callable[["CallerSession"], None]) -> None:
+    def __init__(self, core: ProxyCore, on_close: Callable[["ClientSession"], None]) -> None:
         super().__init__()
         self._core = core
         self._on_close = on_close
         self.session: SqlSession | None = None
-        self._replaced: SqlSession | None = None
+        self._replaced_session: SqlSession | None = None
 
     def begin_session(self, connection: ServerConnection) -> MysqlError | None:
-        """Open the session, with a token from the connection attributes if there is one."""
+        """Open the session, with the token from the connection attributes if there is one."""
         super().begin_session(connection)
         assert self.username is not None
         if self.session is not None and self.session.user == self.username:
-            return None  # COM_CHANGE_USER to the same user; reset() follows
+            return None  # COM_CHANGE_USER to the same user; the library calls reset() next
         try:
             session = self._core.open_session(self.username, self.database or "")
             token = connection.client_connect_attrs.get(TOKEN_VARIABLE)
@@ -72,12 +72,12 @@
                 session.take_token(token)
         except RowanrailError as error:
             return to_mysql_error(error)
-        self._replaced, self.session = self.session, session
+        self._replaced_session, self.session = self.session, session
         return None
 
     async def handle_query(self, sql: str, attrs: dict[str, str]) -> ResultSet | None:
         """Run a statement and return its rows, if it has any."""
-        session, connection = self._joined()
+        session, connection = self._require_open()
         try:
             result = await session.execute(sql, attrs)
         except RowanrailError as error:
@@ -90,14 +90,14 @@
         connection.set_ok(result.affected_rows, result.insert_id, result.warnings)
         return None
 
-    def _joined(self) -> tuple[SqlSession, ServerConnection]:
+    def _require_open(self) -> tuple[SqlSession, ServerConnection]:
         if self.session is None or self.connection is None:
             raise ConnectionClosed
         return self.session, self.connection
 
     async def use(self, database: str) -> None:
         """Change the default database (COM_INIT_DB)."""
-        session, _ = self._joined()
+        session, _ = self._require_open()
         try:
             session.use(database)
         except RowanrailError as error:
@@ -105,37 +105,37 @@
 
     async def reset(self) -> None:
         """Reset the session (COM_RESET_CONNECTION and COM_CHANGE_USER)."""
-        session, connection = self._joined()
+        session, connection = self._require_open()
         await session.reset()
-        if self._replaced is not None:
-            await self._replaced.close()
-            self._replaced = None
+        if self._replaced_session is not None:
+            await self._replaced_session.close()
+            self._replaced_session = None
         connection.set_status(False, True)
 
     async def close(self) -> None:
         """End the session."""
         self._on_close(self)
-        for session in (self.session, self._replaced):
+        for session in (self.session, self._replaced_session):
             if session is not None:
                 await session.close()
 
 
 @register("frontend", "mysql")
 class MysqlFrontend:
-    """Listens for callers and drives the core."""
+    """Listens for clients and runs their statements in the core."""
 
     def __init__(self, core: ProxyCore) -> None:
         self._core = core
         self._server = Server(
-            session_factory=self._new_session, identity_provider=CallerIdentities(core)
+            session_factory=self._new_session, identity_provider=ClientIdentities(core)
         )
         core.on_session_ended_by_stop = self._end_session
-        self._callers: set[CallerSession] = set()
+        self._client_sessions: set[ClientSession] = set()
         self._announcements: list[asyncio.Task[None]] = []
 
-    def _new_session(self) -> CallerSession:
-        session = CallerSession(self._core, self._callers.discard)
-        self._callers.add(session)
+    def _new_session(self) -> ClientSession:
+        session = ClientSession(self._core, self._client_sessions.discard)
+        self._client_sessions.add(session)
         return session
 
     async def start(self, address: str) -> None:
@@ -150,34 +150,36 @@
             raise listen_error(address, error) from error
 
     def stop_accepting(self) -> None:
-        """Accept no further connections."""
+        """Stop accepting connections."""
         self._server.close()
 
     async def finish(self) -> None:
-        """Wait until the callers that were told of the stop have had time to read it.
+        """Wait until the clients that were notified of the stop have had time to read it.
 
-        A process that ends with requests unread resets its connections, and a reset discards
-        what the other end has not read yet (RFC 1122, 4.2.2.13).
+        A process that exits with unread requests resets its connections, which discards data that
+        the client has not read yet (RFC 1122, 4.2.2.13).
         """
         await asyncio.gather(*self._announcements)
 
     def _end_session(self, session: SqlSession) -> None:
-        """Tell a caller between statements that the proxy stops, and close after that.
+        """Notify an idle client that the proxy stops, and close its connection afterwards.
 
-        The packet has the sequence number of an answer: a caller whose next request is on
-        its way takes it as that request's answer, which is true, since it will not run.
+        The packet has the sequence number of a response. A client whose next request is already in
+        transit takes it as the response to that request, which is correct: it won't be run.
         """
-        for caller in self._callers:
-            if caller.session is session and caller.connection is not None:
-                self._announcements.append(asyncio.ensure_future(_announce_stop(caller.connection)))
-                self._callers.discard(caller)
+        for client_session in self._client_sessions:
+            if client_session.session is session and client_session.connection is not None:
+                self._announcements.append(
+                    asyncio.ensure_future(_announce_stop(client_session.connection))
+                )
+                self._client_sessions.discard(client_session)
                 return
 
 
 async def _announce_stop(connection: ServerConnection) -> None:
     error = MysqlError(
         f"not run: this proxy is stopping; retry after {STOP_RETRY_AFTER_SECONDS:.3f} s",
-        CallerCode.NOT_RUN,
+        ProxyErrorCode.NOT_RUN,
     )
     with contextlib.suppress(ConnectionError, RuntimeError):
         next(connection.stream.seq)
--- a/src/rowanrail/mysql/prepared.py
+++ b/src/rowanrail/mysql/prepared.py
@@ -1,7 +1,7 @@
-"""Prepared statements: placeholders, binary parameters, and the text that they make.
+"""Prepared statements: decodes binary parameters and inserts them into the text as literals.
 
-The server library puts parameters into the text without escaping, knows no dates, and
-needs the types with each execution. Therefore this part of the protocol is done here:
+Replaces this part of the server library, which doesn't escape parameters, lacks date types and
+requires parameter types with each execution. Protocol:
 https://dev.mysql.com/doc/dev/mysql-server/latest/page_protocol_com_stmt_execute.html
 """
 
@@ -30,10 +30,10 @@
     read_uint_len,
 )
 
-# Flags of the protocol: of an execution, and in the second byte of a parameter's type.
+# Flags of COM_STMT_EXECUTE.
 CURSOR_FLAG = 1
 PARAMETER_COUNT_FLAG = 8
-UNSIGNED_PARAMETER_FLAG = 0x80
+UNSIGNED_PARAMETER_FLAG = 0x80  # in the second byte of a parameter's type
 _TOKENS = re.compile(
     r"""'(?:[^'\\]|\\.|'')*' | "(?:[^"\\]|\\.|"")*" | `[^`]*` | /\*.*?\*/ | --\s[^\n]* |
     \#[^\n]* | (\?)""",
@@ -58,7 +58,10 @@
 
 
 def split_placeholders(sql: str) -> list[str]:
-    """Return the pieces of a statement between its placeholders."""
+    """Return the parts of a statement between its placeholders.
+
+    Question marks in strings, quoted identifiers and comments are not placeholders.
+    """
     pieces = []
     start = 0
     for token in _TOKENS.finditer(sql):
@@ -69,7 +72,7 @@
 
 
 class BoundStatement(PreparedStatement):  # type: ignore[misc]
-    """A prepared statement with its pieces and the types of its last execution."""
+    """A prepared statement, split at its placeholders, with the parameter types last sent."""
 
     def __init__(self, statement_id: int, sql: str) -> None:
         self.pieces = split_placeholders(sql)
@@ -77,7 +80,7 @@
         super().__init__(stmt_id=statement_id, sql=sql, num_params=len(self.pieces) - 1)
 
     def fill(self, literals: list[str]) -> str:
-        """Return the statement's text with literals for its placeholders."""
+        """Return the statement with its placeholders replaced by literals."""
         text = self.pieces[0]
         for literal, piece in zip(literals, self.pieces[1:], strict=True):
             text += literal + piece
@@ -87,9 +90,9 @@
 def read_execution(
     reader: io.BytesIO, statement: BoundStatement, flags: int, capabilities: Capabilities
 ) -> tuple[str, dict[str, str]]:
-    """Return the text and the query attributes of an execution.
+    """Return the SQL text and the query attributes of a COM_STMT_EXECUTE packet.
 
-    :param reader: the packet, after its iteration count.
+    :param reader: the packet, positioned after its iteration count.
     :raises MysqlError: if the packet is malformed.
     """
     with_attributes = Capabilities.CLIENT_QUERY_ATTRIBUTES in capabilities
@@ -107,13 +110,13 @@
     buffers = statement.param_buffers or {}
     literals = []
     for index in range(count):
-        kind, unsigned = statement.types[index]
+        column_type, unsigned = statement.types[index]
         if index in buffers:
-            literals.append(_bytes_literal(bytes(buffers[index]), kind))
+            literals.append(_bytes_literal(bytes(buffers[index]), column_type))
         elif nulls.is_flipped(index):
             literals.append("NULL")
         else:
-            literals.append(_read_literal(reader, kind, unsigned))
+            literals.append(_read_literal(reader, column_type, unsigned))
     attributes = {
         names[index]: literals[index].strip("'")
         for index in range(statement.num_params, count)
@@ -128,26 +131,26 @@
     names = []
     statement.types = []
     for _ in range(count):
-        kind = ColumnType(read_uint_1(reader))
-        statement.types.append((kind, bool(read_uint_1(reader) & UNSIGNED_PARAMETER_FLAG)))
+        column_type = ColumnType(read_uint_1(reader))
+        statement.types.append((column_type, bool(read_uint_1(reader) & UNSIGNED_PARAMETER_FLAG)))
         names.append(read_str_len(reader).decode() if with_names else "")
     return names
 
 
-def _read_literal(reader: io.BytesIO, kind: ColumnType, unsigned: bool) -> str:
-    if kind is ColumnType.NULL:
+def _read_literal(reader: io.BytesIO, column_type: ColumnType, unsigned: bool) -> str:
+    if column_type is ColumnType.NULL:
         return "NULL"
-    if kind in _INTEGER_READERS:
-        return str(_INTEGER_READERS[kind][unsigned](reader))
-    if kind is ColumnType.FLOAT:
+    if column_type in _INTEGER_READERS:
+        return str(_INTEGER_READERS[column_type][unsigned](reader))
+    if column_type is ColumnType.FLOAT:
         return repr(read_float(reader))
-    if kind is ColumnType.DOUBLE:
+    if column_type is ColumnType.DOUBLE:
         return repr(read_double(reader))
-    if kind in _DATE_TYPES:
+    if column_type in _DATE_TYPES:
         return _read_date(reader)
-    if kind is ColumnType.TIME:
+    if column_type is ColumnType.TIME:
         return _read_time(reader)
-    return _bytes_literal(read_str_len(reader), kind)
+    return _bytes_literal(read_str_len(reader), column_type)
 
 
 def _read_date(reader: io.BytesIO) -> str:
@@ -172,14 +175,14 @@
     return f"'{text}'"
 
 
-def _bytes_literal(value: bytes, kind: ColumnType) -> str:
-    if kind in _BLOB_TYPES:
+def _bytes_literal(value: bytes, column_type: ColumnType) -> str:
+    if column_type in _BLOB_TYPES:
         return f"X'{value.hex()}'"
     try:
         text = value.decode()
     except UnicodeDecodeError:
         return f"X'{value.hex()}'"
     if "\\" in text or "\x00" in text:
-        # Whether a backslash escapes depends on the session's SQL mode; hex does not.
+        # Hex is safe in every SQL mode; backslashes are escapes only in some.
         return f"_utf8mb4 X'{value.hex()}'"
     return "'" + text.replace("'", "''") + "'"
--- a/src/rowanrail/mysql/values.py
+++ b/src/rowanrail/mysql/values.py
@@ -1,7 +1,4 @@
-"""Result columns and values between a member's text encoding and a caller's protocol.
-
-For the frontend. Owns nothing: pure functions on columns and values.
-"""
+"""Conversion of result columns and values from a member's text encoding to a client's protocol."""
 
 import struct
 from collections.abc import Callable
@@ -14,7 +11,7 @@
 
 from rowanrail.sql_proxy.backend import Column
 
-UNSIGNED_COLUMN_FLAG = 32  # of the protocol, in a column's definition
+UNSIGNED_COLUMN_FLAG = 32  # UNSIGNED_FLAG in a column definition of the protocol
 _INTEGER_FORMATS = {
     ColumnType.TINY: "b",
     ColumnType.SHORT: "h",
@@ -30,7 +27,7 @@
     ColumnType.TIMESTAMP: convert_datetime,
     ColumnType.TIME: convert_timedelta,
 }
-# Types that the protocol library writes but a member never sends as such.
+# Column types of the protocol library that members never send, with their replacements.
 _REPLACED_TYPES = {ColumnType.NULL: ColumnType.VAR_STRING, ColumnType.BOOL: ColumnType.TINY}
 
 
@@ -62,36 +59,36 @@
     def encode(column: Any, value: Any) -> bytes:
         converted = convert(value.decode() if isinstance(value, bytes) else value)
         if isinstance(converted, str | bytes | None):
-            return b"\x00"  # a zero date has no parts
+            return b"\x00"  # a zero date is encoded with length 0
         return default(column, converted)
 
     return encode
 
 
 def result_column(column: Column) -> ResultColumn:
-    """Return the protocol library's column, with encoders that take text values."""
-    kind = ColumnType(column.type_code)
-    kind = _REPLACED_TYPES.get(kind, kind)
+    """Return a column of the protocol library whose encoders take text values."""
+    column_type = ColumnType(column.type_code)
+    column_type = _REPLACED_TYPES.get(column_type, column_type)
     result = ResultColumn(
         name=column.name,
-        type=kind,
+        type=column_type,
         character_set=_character_set(column.charset),
         text_encoder=_text,
     )
-    result.binary_encoder = _binary_encoder(kind, column.flags, result.binary_encoder)
+    result.binary_encoder = _binary_encoder(column_type, column.flags, result.binary_encoder)
     return result
 
 
 def _binary_encoder(
-    kind: ColumnType, flags: int, default: Callable[[Any, Any], bytes]
+    column_type: ColumnType, flags: int, default: Callable[[Any, Any], bytes]
 ) -> Callable[[Any, Any], bytes]:
-    if kind in _INTEGER_FORMATS:
-        code = _INTEGER_FORMATS[kind]
+    if column_type in _INTEGER_FORMATS:
+        code = _INTEGER_FORMATS[column_type]
         return _binary_integer(code.upper() if flags & UNSIGNED_COLUMN_FLAG else code)
-    if kind in _FLOAT_FORMATS:
-        return _binary_float(_FLOAT_FORMATS[kind])
-    if kind in _DATE_CONVERTERS:
-        return _binary_date(_DATE_CONVERTERS[kind], default)
+    if column_type in _FLOAT_FORMATS:
+        return _binary_float(_FLOAT_FORMATS[column_type])
+    if column_type in _DATE_CONVERTERS:
+        return _binary_date(_DATE_CONVERTERS[column_type], default)
     return _binary_string
 
 
--- a/src/rowanrail/mysql/wire.py
+++ b/src/rowanrail/mysql/wire.py
@@ -1,10 +1,10 @@
-"""What the MySQL server library leaves open, for the proxy and for the lab's members alike.
+"""Extensions and corrections of the MySQL server library, for the proxy and simulated members.
 
-- A failed login must end the connection.
-- Resetting a connection must reset the session; resetting a statement must not.
-- Prepared statements take all types, escaped (see ``prepared``).
+- A failed login closes the connection.
+- Resetting a connection resets the session; resetting a statement does not.
+- Prepared statements take parameters of all types and escape them (see ``prepared``).
 - OK packets carry affected rows, insert id and an information string.
-- Packet headers may arrive in pieces.
+- Packets may arrive in fragments.
 """
 
 import asyncio
@@ -33,19 +33,19 @@
 
 from rowanrail.mysql.prepared import CURSOR_FLAG, BoundStatement, read_execution
 
-ROWS_BETWEEN_PAUSES = 1000  # of a long result, after which other callers get a turn; chosen
+ROWS_PER_YIELD = 1000  # of a long result, after which the event loop serves other clients
 SERVER_VERSION = "8.0.36-rowanrail"
 logging.getLogger("mysql_mimic").setLevel(logging.CRITICAL)
 
 
-class WholeReader:
-    """A stream reader whose ``read`` returns all the bytes asked for, or none at the end."""
+class ExactReader:
+    """A stream reader whose ``read`` returns exactly the requested bytes, or none at the end."""
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
         self._reader = reader
 
     async def read(self, size: int) -> bytes:
-        """Return ``size`` bytes, or nothing at the end of the stream."""
+        """Return ``size`` bytes, or no bytes at the end of the stream."""
         try:
             return await self._reader.readexactly(size)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -63,7 +63,7 @@
 
 
 class ServerSession(BaseSession):  # type: ignore[misc]
-    """Base of sessions that are served over the wire."""
+    """Base class of the sessions of server connections."""
 
     def __init__(self) -> None:
         self.variables = SessionVariables(GlobalVariables())
@@ -73,13 +73,13 @@
         self.connection: ServerConnection | None = None
 
     def begin_session(self, connection: "ServerConnection") -> MysqlError | None:
-        """Begin the session of an authenticated user, or return why it is refused."""
+        """Start the session of an authenticated user, or return the error if it is refused."""
         self.connection = connection
         return None
 
 
 class ServerConnection(Connection):  # type: ignore[misc]
-    """One connection, with the gaps of the library filled."""
+    """A connection with the extensions and corrections listed in the module docstring."""
 
     ok_information = b""
     ok_affected_rows = 0
@@ -95,7 +95,7 @@
     def set_ok(
         self, affected_rows: int, insert_id: int, warnings: int = 0, information: bytes = b""
     ) -> None:
-        """Set what the next OK packet without rows says."""
+        """Set the contents of the next OK packet of a statement without rows."""
         self.ok_affected_rows = affected_rows
         self.ok_insert_id = insert_id
         self.ok_warnings = warnings
@@ -111,7 +111,7 @@
         self.status_flags = flags
 
     def ok(self, **arguments: Any) -> bytes:
-        """Return an OK packet, or the error of a login that the session refuses."""
+        """Return an OK packet, or an error packet if the session refuses the login."""
         if self.login_pending:
             self.login_pending = False
             error = self.session.begin_session(self)
@@ -128,7 +128,10 @@
         return bytes(super().ok(**arguments)) + information
 
     async def authenticate(self, **arguments: Any) -> None:
-        """Authenticate; a failed login ends the connection."""
+        """Authenticate the client.
+
+        :raises ConnectionClosed: if the login fails.
+        """
         self.session.username = None
         self.login_pending = True
         await super().authenticate(**arguments)
@@ -155,7 +158,7 @@
         if not result:
             await self.stream.write(self.ok())
             return
-        await self._write_binary_head(result.columns)
+        await self._write_column_definitions(result.columns)
         rows = self._binary_rows(result)
         if flags & CURSOR_FLAG:
             statement.cursor = rows
@@ -168,7 +171,7 @@
             await self.stream.write(row, drain=False)
         await self.stream.write(self.ok_or_eof())
 
-    async def _write_binary_head(self, columns: Sequence[ResultColumn]) -> None:
+    async def _write_column_definitions(self, columns: Sequence[ResultColumn]) -> None:
         await self.stream.write(uint_len(len(columns)), drain=False)
         for column in columns:
             definition = make_column_definition_41(
@@ -182,7 +185,7 @@
     @staticmethod
     async def _binary_rows(result: ResultSet) -> AsyncIterator[bytes]:
         for number, row in enumerate(result.rows):
-            if number % ROWS_BETWEEN_PAUSES == ROWS_BETWEEN_PAUSES - 1:
+            if number % ROWS_PER_YIELD == ROWS_PER_YIELD - 1:
                 await asyncio.sleep(0)
             yield make_binary_resultrow(row, result.columns)
 
@@ -193,7 +196,7 @@
         await self.stream.write(self.ok())
 
     async def handle_stmt_reset(self, data: bytes) -> None:
-        """Reset a prepared statement, and nothing else (COM_STMT_RESET)."""
+        """Reset a prepared statement without resetting the session (COM_STMT_RESET)."""
         statement = self.get_stmt(parse_com_stmt_reset(data).stmt_id)
         statement.param_buffers = None
         statement.cursor = None
@@ -201,7 +204,7 @@
 
 
 class Server(MysqlServer):  # type: ignore[misc]
-    """A MySQL server that makes :class:`ServerConnection` objects."""
+    """A MySQL server whose connections are :class:`ServerConnection` objects."""
 
     async def _client_connected_cb(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -209,7 +212,7 @@
         session = self.session_factory()
         if inspect.isawaitable(session):
             session = await session
-        stream = MysqlStream(WholeReader(reader), writer)
+        stream = MysqlStream(ExactReader(reader), writer)
         connection = ServerConnection(
             stream=stream,
             session=session,
@@ -227,7 +230,7 @@
         try:
             await connection.start()
         except (ConnectionClosed, ConnectionError, MysqlError, struct.error):
-            pass  # the caller is gone, or speaks no MySQL
+            pass  # the client disconnected or violated the protocol
         finally:
             writer.close()
             await self.control.remove(connection.connection_id)
--- a/tests/unit/test_prepared.py
+++ b/tests/unit/test_prepared.py
@@ -10,7 +10,7 @@
 
 
 def packet(values):
-    """Return an execution's packet after its iteration count."""
+    """Return the part of a COM_STMT_EXECUTE packet after its iteration count."""
     types = b"".join(bytes([kind, 0]) for kind, _ in values)
     return b"\x00" * ((len(values) + 7) // 8) + b"\x01" + types + b"".join(v for _, v in values)
 
@@ -25,18 +25,18 @@
         reader = io.BytesIO(packet(values))
         return read_execution(reader, statement, 0, Capabilities(0))[0]
 
-    def test_placeholders_in_strings_and_comments_do_not_count(self):
+    def test_question_marks_in_strings_and_comments_are_not_placeholders(self):
         sql = "SELECT '?', \"?\", `?`, ? /* ? */ -- ?\n FROM t WHERE a = ?"
         self.assertEqual(len(split_placeholders(sql)), 3)
 
-    def test_values_can_not_leave_their_literal(self):
-        evil = b"x' OR '1'='1"
-        sql = self.execute("SELECT ?", [(ColumnType.VAR_STRING, text(evil))])
+    def test_quotes_and_backslashes_are_escaped(self):
+        injection = b"x' OR '1'='1"
+        sql = self.execute("SELECT ?", [(ColumnType.VAR_STRING, text(injection))])
         self.assertEqual(sql, "SELECT 'x'' OR ''1''=''1'")
-        slash = self.execute("SELECT ?", [(ColumnType.VAR_STRING, text(b"\\' --"))])
-        self.assertEqual(slash, "SELECT _utf8mb4 X'5c27202d2d'")
+        backslash = self.execute("SELECT ?", [(ColumnType.VAR_STRING, text(b"\\' --"))])
+        self.assertEqual(backslash, "SELECT _utf8mb4 X'5c27202d2d'")
 
-    def test_a_question_mark_in_a_value_is_no_placeholder(self):
+    def test_a_question_mark_in_a_value_is_not_a_placeholder(self):
         values = [(ColumnType.VAR_STRING, text(b"a?")), (ColumnType.TINY, b"\xff")]
         self.assertEqual(self.execute("SELECT ?, ?", values), "SELECT 'a?', -1")
 
