--- a/src/rowanrail/config/__init__.py
+++ b/src/rowanrail/config/__init__.py
@@ -1,1 +1,1 @@
-"""Declarative configuration and daemon settings."""
+"""Declarative configuration and settings of the daemons."""
--- a/src/rowanrail/config/addresses.py
+++ b/src/rowanrail/config/addresses.py
@@ -1,7 +1,4 @@
-"""Check of the addresses in settings and configurations.
-
-For the modules that read either. Owns nothing: pure functions that return the problem as a text.
-"""
+"""Validation of addresses in settings and configurations."""
 
 import socket
 
@@ -9,7 +6,7 @@
 
 
 def check_address(address: str) -> str | None:
-    """Return what is wrong with an ``IP:port`` address, or None."""
+    """Return the problem of an ``IP:port`` address, None if it is valid."""
     host, separator, port = address.rpartition(":")
     if not separator or not port.isdigit() or not 0 < int(port) < 65536:
         return f"{address!r} is not IP:port; write for example 10.0.0.5:3306"
--- a/src/rowanrail/config/checks.py
+++ b/src/rowanrail/config/checks.py
@@ -1,7 +1,6 @@
-"""Checks across the fields of a configuration.
+"""Validation of a configuration beyond the types of its fields.
 
-For the loader and for control nodes. Each problem names a path and a mend. Owns nothing: pure
-functions on the model.
+Each problem names the path of the field and how to fix it.
 """
 
 import re
@@ -10,14 +9,14 @@
 from rowanrail.config.addresses import check_address
 from rowanrail.config.model import Configuration, GroupSpec, LimitsSpec
 
-HIDDEN_SECRET = "(hidden)"
+REDACTED_SECRET = "(hidden)"
 MINIMUM_MEMBERS = 3
 _NAME = re.compile(r"^[a-z0-9][a-z0-9._-]{0,62}$")
 _HASH = re.compile(r"^\*?[0-9A-Fa-f]{40}$")
 
 
 def check_configuration(configuration: Configuration) -> list[str]:
-    """Return all problems of a configuration."""
+    """Return all problems of a configuration, an empty list if it is valid."""
     problems: list[str] = []
     problems += _duplicates("sites", [site.name for site in configuration.sites])
     zones = [zone for site in configuration.sites for zone in site.zones]
@@ -60,9 +59,9 @@
     problems += _duplicates(f"{path}.members", [member.name for member in group.members])
     problems += _duplicates(f"{path}.members", [member.address for member in group.members])
     for position, member in enumerate(group.members):
-        wrong = check_address(member.address)
-        if wrong:
-            problems.append(f"{path}.members[{position}].address: {wrong}")
+        problem = check_address(member.address)
+        if problem:
+            problems.append(f"{path}.members[{position}].address: {problem}")
         if member.zone not in zones:
             problems.append(
                 f"{path}.members[{position}].zone: {member.zone!r} is in no site; add it to one"
@@ -70,9 +69,9 @@
     for site in group.sites:
         if site not in sites:
             problems.append(f"{path}.sites: {site!r} is not declared; add it under sites")
-    if group.backend.password == HIDDEN_SECRET:
+    if group.backend.password == REDACTED_SECRET:
         problems.append(
-            f"{path}.backend.password: {HIDDEN_SECRET!r} is what `rowanrail get` shows in place "
+            f"{path}.backend.password: {REDACTED_SECRET!r} is what `rowanrail get` shows in place "
             "of a secret; write the password"
         )
     return problems + _check_limits(f"{path}.limits", group.limits)
--- a/src/rowanrail/config/diff.py
+++ b/src/rowanrail/config/diff.py
@@ -1,19 +1,18 @@
-"""Differences between two configurations, and hiding of secrets.
+"""Differences between two configurations, and redaction of secrets.
 
-For the history of changes and what operators are shown. Owns nothing: pure functions on the model;
-no secret leaves them in the clear.
+For the change history and the output for operators. No result contains a secret.
 """
 
 from typing import Any
 
 import msgspec
 
-from rowanrail.config.checks import HIDDEN_SECRET
+from rowanrail.config.checks import REDACTED_SECRET
 from rowanrail.config.model import Configuration
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One changed path; an empty side means that the path is not there."""
+    """A changed path with its values; an empty value means that the path doesn't exist."""
 
     path: str
     before: str
@@ -21,18 +20,18 @@
 
 
 def redact_secrets(configuration: Configuration) -> dict[str, Any]:
-    """Return a configuration as plain values, with its secrets redacted."""
+    """Return a configuration as built-in types, with its secrets redacted."""
     content: dict[str, Any] = msgspec.to_builtins(configuration)
     for group in content["groups"]:
         if group["backend"]["password"]:
-            group["backend"]["password"] = HIDDEN_SECRET
+            group["backend"]["password"] = REDACTED_SECRET
     for user in content["users"]:
-        user["password_hash"] = HIDDEN_SECRET
+        user["password_hash"] = REDACTED_SECRET
     return content
 
 
 def diff_configurations(before: Configuration, after: Configuration) -> list[Change]:
-    """Return what changed; secrets are compared but not shown."""
+    """Return the changes sorted by path; secrets are compared but redacted."""
     old = _flatten(msgspec.to_builtins(_without_common(before, after)), "")
     new = _flatten(msgspec.to_builtins(_without_common(after, before)), "")
     changes = []
@@ -44,7 +43,10 @@
 
 
 def _without_common(configuration: Configuration, other: Configuration) -> Configuration:
-    """Return only what is not the same in ``other``: comparing is cheaper than flattening."""
+    """Return a configuration without the specs that ``other`` has too.
+
+    Comparing them is cheaper than flattening them.
+    """
     sites = {spec.name: spec for spec in other.sites}
     groups = {spec.name: spec for spec in other.groups}
     users = {spec.name: spec for spec in other.users}
@@ -58,7 +60,7 @@
 def _show(value: object, secret: bool) -> str:
     if value is None:
         return ""
-    return HIDDEN_SECRET if secret else str(value)
+    return REDACTED_SECRET if secret else str(value)
 
 
 def _flatten(value: Any, path: str) -> dict[str, object]:
--- a/src/rowanrail/config/load.py
+++ b/src/rowanrail/config/load.py
@@ -1,7 +1,6 @@
-"""Loading a configuration from a file, or from a folder of files, as a whole.
+"""Loading and validation of a configuration from a file or a folder of files.
 
-For the commands and the operators' interface. Owns nothing; relies on ``reader`` for a file's form
-and on ``checks`` for what holds across fields. All problems are returned at once.
+All problems are returned at once.
 """
 
 from pathlib import Path
@@ -19,7 +18,7 @@
 def load_configuration(path: Path) -> Result[Configuration, list[str]]:
     """Return the configuration in ``path``, or all problems.
 
-    The files of a folder are joined section by section, in the order of their names.
+    The files of a folder are merged section by section, sorted by name.
     """
     files = _files(path)
     if not files:
@@ -44,7 +43,7 @@
 
 
 def parse_configuration(content: Any, source: str) -> Result[Configuration, list[str]]:
-    """Return the configuration in a plain value, or all problems."""
+    """Return the configuration in a value of built-in types, or all problems."""
     converted = convert(content, Configuration, source)
     if isinstance(converted, Failure):
         return converted
--- a/src/rowanrail/config/model.py
+++ b/src/rowanrail/config/model.py
@@ -1,6 +1,6 @@
 """The declarative configuration that operators apply as a whole.
 
-The field documentation in :data:`FIELD_HELP` feeds the generated reference page.
+The reference page is generated from :data:`FIELD_HELP`.
 """
 
 import enum
@@ -17,7 +17,7 @@
 
 
 class RuleKind(enum.Enum):
-    """Statement kinds that rules can name."""
+    """Statement kinds that routing rules can match."""
 
     SELECT = "select"
     SHOW = "show"
@@ -47,7 +47,7 @@
 
 
 class RuleSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One routing rule; empty lists match everything, the first match decides."""
+    """A routing rule; empty lists match everything, and the first matching rule applies."""
 
     replica: bool
     kinds: list[RuleKind] = []
@@ -57,14 +57,14 @@
 
 
 class BackendSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the proxy logs in at the members."""
+    """Credentials of the proxy at the members."""
 
     user: str = "rowanrail"
     password: str = ""
 
 
 class GroupSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A database group: members that hold the same data under one primary."""
+    """A database group: a primary and its replicas."""
 
     name: str
     databases: list[str]
@@ -78,7 +78,7 @@
 
 
 class SiteSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A site: zones of one region."""
+    """A site, which consists of zones of one region."""
 
     name: str
     region: str
@@ -86,7 +86,10 @@
 
 
 class UserSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A caller of the proxy. ``password_hash`` is the double SHA-1 of MySQL, in hex."""
+    """A user who may log in at the proxy.
+
+    ``password_hash`` is the double SHA-1 of the native password authentication of MySQL, in hex.
+    """
 
     name: str
     password_hash: str
@@ -94,7 +97,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All that operators declare."""
+    """The complete configuration: sites, groups and users."""
 
     sites: list[SiteSpec] = []
     groups: list[GroupSpec] = []
@@ -106,9 +109,9 @@
 
 
 class VersionedConfiguration(msgspec.Struct, frozen=True):
-    """A configuration with the version at which it was accepted.
+    """A configuration with its version.
 
-    :param drained: members that operators have drained, as ``group/member``.
+    :param drained: members that are drained, as ``group/member``.
     """
 
     version: int = 0
@@ -116,16 +119,16 @@
     drained: list[str] = []
 
     def digest(self) -> str:
-        """Return a digest of the contents, equal for equal contents."""
+        """Return a digest that is equal for equal contents."""
         import hashlib
 
         return hashlib.sha256(msgspec.msgpack.encode(self)).hexdigest()[:16]
 
 
 FIELD_HELP: dict[str, str] = {
-    "Configuration.sites": "Sites and their zones. Every zone that a member names must be here.",
+    "Configuration.sites": "Sites and their zones. The zones of all members must be listed here.",
     "Configuration.groups": "Database groups.",
-    "Configuration.users": "Callers that may log in at the proxies.",
+    "Configuration.users": "Users who may log in at the proxies.",
     "SiteSpec.name": "Name of the site.",
     "SiteSpec.region": "Region of the site.",
     "SiteSpec.zones": "Zones of the site; a zone belongs to one site.",
@@ -133,34 +136,34 @@
     "GroupSpec.databases": "Databases that the group serves; a database belongs to one group.",
     "GroupSpec.members": "Members of the group; an odd number of at least three.",
     "GroupSpec.sites": "Sites whose proxies serve the group; empty means all.",
-    "GroupSpec.consistency": "`session`: a session sees its own changes, and a new session all "
-    "that was acknowledged before it opened. `strict`: each read sees all that was acknowledged "
-    "before it. `bounded`: reads may be late by `maximum_staleness_seconds`, but a session sees "
-    "its own changes.",
-    "GroupSpec.maximum_staleness_seconds": "Bound for `bounded`.",
+    "GroupSpec.consistency": "`session`: a session sees its own changes and all changes that were "
+    "acknowledged before it was opened. `strict`: a read sees all changes that were acknowledged "
+    "before it. `bounded`: reads may be stale by up to `maximum_staleness_seconds`, but a session "
+    "sees its own changes.",
+    "GroupSpec.maximum_staleness_seconds": "Maximum staleness of reads with `bounded`.",
     "GroupSpec.limits": "Limits of the group.",
-    "GroupSpec.rules": "Routing rules for reads; the first that matches decides. Without a match "
+    "GroupSpec.rules": "Routing rules for reads; the first matching rule applies. Without a match "
     "a read may go to a replica.",
-    "GroupSpec.backend": "Login at the members.",
+    "GroupSpec.backend": "Credentials at the members.",
     "MemberSpec.name": "Name of the member, unique in the group.",
     "MemberSpec.zone": "Zone of the member.",
     "MemberSpec.address": "`host:port` of the member; the host is an IP number.",
-    "LimitsSpec.connections_per_member": "Connections that all proxies together may hold to a "
-    "member. Each proxy gets an equal share of it.",
-    "LimitsSpec.slots_per_member": "Statements that a member runs at a time.",
-    "LimitsSpec.queue_length": "Statements that may wait at a proxy for the group.",
-    "LimitsSpec.statement_deadline_seconds": "Time a statement may take, waiting included.",
-    "LimitsSpec.transaction_idle_seconds": "Time an open transaction may be idle.",
-    "LimitsSpec.transaction_seconds": "Time a transaction may take.",
-    "LimitsSpec.open_transactions": "Transactions that may be open at a proxy for the group.",
+    "LimitsSpec.connections_per_member": "Maximum number of connections of all proxies together to "
+    "a member. Each proxy gets an equal share.",
+    "LimitsSpec.slots_per_member": "Maximum number of concurrent statements at a member.",
+    "LimitsSpec.queue_length": "Maximum number of statements that wait at a proxy for the group.",
+    "LimitsSpec.statement_deadline_seconds": "Maximum duration of a statement, including waiting.",
+    "LimitsSpec.transaction_idle_seconds": "Maximum idle time of an open transaction.",
+    "LimitsSpec.transaction_seconds": "Maximum duration of a transaction.",
+    "LimitsSpec.open_transactions": "Maximum number of open transactions at a proxy for the group.",
     "LimitsSpec.request_horizon_seconds": "Time for which request ids are remembered.",
     "LimitsSpec.failover_wait_seconds": "Time a write waits for a new primary before it is "
     "refused as not run.",
     "RuleSpec.replica": "Whether matching reads may go to a replica.",
-    "RuleSpec.kinds": "Statement kinds that the rule is for.",
-    "RuleSpec.schemas": "Databases that the rule is for.",
-    "RuleSpec.tables": "Tables that the rule is for; all tables of the statement must be listed.",
-    "RuleSpec.users": "Users that the rule is for.",
+    "RuleSpec.kinds": "Statement kinds that the rule matches.",
+    "RuleSpec.schemas": "Databases that the rule matches.",
+    "RuleSpec.tables": "Tables that the rule matches; all tables of a statement must be listed.",
+    "RuleSpec.users": "Users that the rule matches.",
     "BackendSpec.user": "User at the members.",
     "BackendSpec.password": "Password at the members; never shown.",
     "UserSpec.name": "Name of the user.",
--- a/src/rowanrail/config/reader.py
+++ b/src/rowanrail/config/reader.py
@@ -1,11 +1,9 @@
-"""Reading YAML into typed settings, with all problems at once.
+"""Conversion of YAML files to typed settings, which reports all problems at once.
 
-``msgspec`` converts a value and stops at its first problem. This module walks the
-types so that each field is converted by itself, and every problem names its file, its
-path and how to mend it.
+``msgspec`` stops at the first problem, so this module converts each field separately. Every problem
+names its file, its path and how to fix it.
 
-JSON is YAML. A document that is JSON is read as such: the parser of YAML takes a tenth of the
-time in which a program starts, and a program that is late keeps its clients waiting.
+JSON documents are parsed without the YAML parser, whose import slows down the start of a program.
 """
 
 import types
@@ -18,7 +16,7 @@
 
 StructType = TypeVar("StructType", bound=msgspec.Struct)
 
-MAXIMUM_FILE_BYTES = 8 * 1024 * 1024  # a larger file is refused; chosen
+MAXIMUM_FILE_BYTES = 8 * 1024 * 1024
 
 
 def read_yaml(path: Path) -> Result[Any, list[str]]:
@@ -33,12 +31,12 @@
         try:
             return Success(msgspec.json.decode(data))
         except msgspec.DecodeError:
-            pass  # YAML may begin so, too; what is wrong with it is told by its parser
+            pass  # may be a YAML flow mapping; otherwise the YAML parser reports the problem
     return _parse_yaml(path, data)
 
 
 def _parse_yaml(path: Path, data: bytes) -> Result[Any, list[str]]:
-    import yaml  # only where a document needs it
+    import yaml  # slow to import
 
     try:
         return Success(yaml.safe_load(data))
@@ -51,34 +49,36 @@
         return Failure([f"{path}:{place} is not valid YAML: {problem}; mend the syntax"])
 
 
-def convert(value: Any, kind: type[StructType], source: str) -> Result[StructType, list[str]]:
-    """Convert a plain value to ``kind``, or return all problems."""
+def convert(
+    value: Any, target_type: type[StructType], source: str
+) -> Result[StructType, list[str]]:
+    """Convert a value of built-in types to ``target_type``, or return all problems."""
     problems: list[str] = []
-    _check(value, kind, "", source, problems)
+    _check(value, target_type, "", source, problems)
     if problems:
         return Failure(problems)
     try:
-        return Success(msgspec.convert(value, kind))
+        return Success(msgspec.convert(value, target_type))
     except msgspec.ValidationError as error:
         return Failure([f"{source}: {error}"])
 
 
-def _check(value: Any, kind: Any, path: str, source: str, problems: list[str]) -> None:
-    origin = typing.get_origin(kind)
-    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        _check_struct(value, kind, path, source, problems)
+def _check(value: Any, target_type: Any, path: str, source: str, problems: list[str]) -> None:
+    origin = typing.get_origin(target_type)
+    if isinstance(target_type, type) and issubclass(target_type, msgspec.Struct):
+        _check_struct(value, target_type, path, source, problems)
     elif origin is list:
-        _check_list(value, typing.get_args(kind)[0], path, source, problems)
+        _check_list(value, typing.get_args(target_type)[0], path, source, problems)
     elif origin is dict:
-        _check_dict(value, typing.get_args(kind)[1], path, source, problems)
+        _check_dict(value, typing.get_args(target_type)[1], path, source, problems)
     elif origin in (typing.Union, types.UnionType) and value is None:
         return
     else:
-        _check_leaf(value, kind, path, source, problems)
+        _check_scalar(value, target_type, path, source, problems)
 
 
 def _check_struct(
-    value: Any, kind: type[msgspec.Struct], path: str, source: str, problems: list[str]
+    value: Any, target_type: type[msgspec.Struct], path: str, source: str, problems: list[str]
 ) -> None:
     if not isinstance(value, dict):
         found = "nothing" if value is None else type(value).__name__
@@ -86,10 +86,10 @@
             f"{source}: {path or 'the document'}: expected keys with values, found {found}"
         )
         return
-    fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
+    fields = {field.encode_name: field for field in msgspec.structs.fields(target_type)}
     for key in value:
         if key not in fields:
-            import difflib  # only where something is wrong
+            import difflib  # imported only for error messages
 
             close = difflib.get_close_matches(str(key), fields, n=1)
             hint = f"did you mean {close[0]!r}?" if close else f"known: {', '.join(fields)}"
@@ -101,29 +101,31 @@
             problems.append(f"{source}: {_join(path, name)}: missing; add it")
 
 
-def _check_list(value: Any, kind: Any, path: str, source: str, problems: list[str]) -> None:
+def _check_list(value: Any, target_type: Any, path: str, source: str, problems: list[str]) -> None:
     if not isinstance(value, list):
         problems.append(f"{source}: {path}: expected a list, found {type(value).__name__}")
         return
     for position, item in enumerate(value):
-        _check(item, kind, f"{path}[{position}]", source, problems)
+        _check(item, target_type, f"{path}[{position}]", source, problems)
 
 
-def _check_dict(value: Any, kind: Any, path: str, source: str, problems: list[str]) -> None:
+def _check_dict(value: Any, target_type: Any, path: str, source: str, problems: list[str]) -> None:
     if not isinstance(value, dict):
         problems.append(f"{source}: {path}: expected keys with values")
         return
     for key, item in value.items():
-        _check(item, kind, _join(path, key), source, problems)
+        _check(item, target_type, _join(path, key), source, problems)
 
 
-def _check_leaf(value: Any, kind: Any, path: str, source: str, problems: list[str]) -> None:
+def _check_scalar(
+    value: Any, target_type: Any, path: str, source: str, problems: list[str]
+) -> None:
     try:
-        msgspec.convert(value, kind)
+        msgspec.convert(value, target_type)
     except msgspec.ValidationError as error:
         hint = ""
-        if isinstance(kind, type) and hasattr(kind, "__members__"):
-            hint = f"; one of: {', '.join(str(member.value) for member in kind)}"  # type: ignore[attr-defined]
+        if isinstance(target_type, type) and hasattr(target_type, "__members__"):
+            hint = f"; one of: {', '.join(str(member.value) for member in target_type)}"  # type: ignore[attr-defined]
         problems.append(f"{source}: {path}: {str(error).split(' - at')[0]}{hint}")
 
 
--- a/src/rowanrail/config/settings.py
+++ b/src/rowanrail/config/settings.py
@@ -1,7 +1,6 @@
-"""Settings files of the daemons.
+"""Settings files of the daemons: fields, defaults and validation.
 
-For each program's start. Owns the fields, their defaults and their checks, which files in use rely
-on; relies on ``reader`` and ``addresses``. All problems are returned at once.
+All problems of a file are returned at once. Deployed files depend on names and defaults.
 """
 
 import enum
@@ -17,7 +16,7 @@
 
 
 class Daemon(enum.Enum):
-    """Which daemon a settings file is for."""
+    """Daemon that a settings file belongs to."""
 
     PROXY = "proxy"
     CONTROL = "control"
@@ -26,14 +25,14 @@
 
 
 class HolderSelection(enum.Enum):
-    """How it is decided which gateways hold a service's connections."""
+    """How the gateways that hold a service's connections are selected."""
 
     HASHED = "hashed"
     PLANNED = "planned"
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Logging of a daemon."""
+    """Log settings of a daemon."""
 
     format: LogFormat = LogFormat.LINES
     level: Level = Level.INFO
@@ -57,7 +56,7 @@
 
 
 class NodeAddress(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A control node as the others reach it."""
+    """Name and address of a control node."""
 
     name: str
     address: str
@@ -88,11 +87,11 @@
     log: LogSettings = LogSettings()
 
 
-TENANTS_FEATURE = "tenants"  # member connections belong to tenants
+TENANTS_FEATURE = "tenants"  # each connection to a member belongs to one tenant
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of a gateway: the proxy for clients that send typed statements."""
+    """Settings of a gateway, the proxy for clients that send typed statements."""
 
     name: str
     zone: str
@@ -114,7 +113,10 @@
 
     @property
     def sharing_group(self) -> str:
-        """The region if connections belong to tenants, whose reuse wants few holders; else ''."""
+        """Region whose gateways share connections, empty if connections don't belong to tenants.
+
+        Sharing lets few gateways hold a tenant's connections, so that they are reused more often.
+        """
         return self.regions.get(self.zone, "") if TENANTS_FEATURE in self.features else ""
 
 
@@ -142,93 +144,99 @@
 
     @property
     def rpc_listen(self) -> str:
-        """Address for the other processes of the system."""
+        """Address on which the node serves the system's other processes."""
         return f"{self.host}:{self.rpc_port}"
 
     @property
     def peers(self) -> list[str]:
-        """Addresses of the control nodes that the settings name, for the system's own calls."""
+        """RPC addresses of the control nodes in the settings."""
         return rpc_addresses(self.control_nodes, self.rpc_port)
 
     @property
     def voters(self) -> int:
-        """How many control nodes vote: a majority is left after the tolerated losses."""
+        """Number of voting control nodes, so that a majority survives the tolerated losses."""
         return max(3, 2 * self.tolerated_losses + 1)
 
 
 def rpc_addresses(control_nodes: list[str], rpc_port: int) -> list[str]:
-    """Return where the control nodes take the system's own calls: same host, other port."""
+    """Return the RPC addresses of control nodes, which differ from the others in the port only."""
     return [f"{address.rpartition(':')[0]}:{rpc_port}" for address in control_nodes]
 
 
 FIELD_HELP: dict[str, str] = {
     "ProxySettings.name": "Name of the proxy, unique in the system.",
     "ProxySettings.zone": "Zone that the proxy is in.",
-    "ProxySettings.listen": "`IP:port` for callers (MySQL protocol).",
+    "ProxySettings.listen": "`IP:port` for clients (MySQL protocol).",
     "ProxySettings.admin_listen": "`IP:port` for metrics, health and readiness (HTTP).",
     "ProxySettings.rpc_listen": "`IP:port` for the other proxies of the zone.",
-    "ProxySettings.controls": "`IP:port` of the control nodes, the nearest first.",
+    "ProxySettings.controls": "`IP:port` of the control nodes, nearest first.",
     "ProxySettings.zone_peers": "`IP:port` (their `rpc_listen`) of other proxies of the zone.",
-    "ProxySettings.region_peers": "`IP:port` of proxies elsewhere, asked when the zone is silent.",
+    "ProxySettings.region_peers": "`IP:port` of proxies in other zones, used if no peer in the "
+    "zone answers.",
     "ProxySettings.routes": "Address translation: a member's configured address to the address at "
     "which this proxy reaches it.",
     "ProxySettings.directory": "URL of the platform's list of live and leaving machines.",
-    "ProxySettings.stop_seconds": "Longest time that a planned stop waits for open transactions.",
+    "ProxySettings.stop_seconds": "Maximum time that a planned stop waits for open transactions.",
     "ProxySettings.log": "Logging.",
     "GatewaySettings.name": "Name of the gateway, unique in the system.",
     "GatewaySettings.zone": "Zone that the gateway is in.",
     "GatewaySettings.listen": "`IP:port` for clients.",
-    "GatewaySettings.ready_listen": "`IP:port` for the question whether clients are welcome.",
-    "GatewaySettings.control_nodes": "`IP:port` of control nodes; the port is the operators'.",
-    "GatewaySettings.rpc_port": "Port of the control nodes for the system's own calls.",
-    "GatewaySettings.protocol": "Name of the plug-ins that speak to clients and members.",
-    "GatewaySettings.stop_seconds": "Longest time that a planned stop may take.",
-    "GatewaySettings.regions": "Region of each zone; members of the own region are preferred.",
-    "GatewaySettings.features": "What the deployment has in force; `tenants`: connections to "
-    "members belong to tenants, and the gateways of a region share them. Others are passed over.",
-    "GatewaySettings.quota_window_seconds": "Span over which operations of a tenant are counted.",
-    "GatewaySettings.quota_excess": "Share of a tenant's limit that is tolerated beyond it.",
-    "GatewaySettings.quota_slack": "Operations that are tolerated beyond that.",
-    "GatewaySettings.holders": "Who holds a service's connections: `hashed`, or `planned` by the "
-    "control nodes as demand asks for it. A gateway that says `hashed` passes plans over: set it "
-    "alike everywhere, control nodes included.",
-    "GatewaySettings.metrics": "`PORT/PATH` on the listening IP for metrics; empty for none.",
-    "GatewaySettings.log_lines_per_second": "Budget of the decision log; a tenth of it is for "
-    "successes.",
+    "GatewaySettings.ready_listen": "`IP:port` for readiness checks.",
+    "GatewaySettings.control_nodes": "`IP:port` of control nodes, with the port for operators.",
+    "GatewaySettings.rpc_port": "Port of the control nodes for RPC between the system's processes.",
+    "GatewaySettings.protocol": "Name of the protocol plug-ins for clients and members.",
+    "GatewaySettings.stop_seconds": "Maximum duration of a planned stop.",
+    "GatewaySettings.regions": "Region of each zone; members in the same region are preferred.",
+    "GatewaySettings.features": "Enabled features. `tenants`: each connection to a member belongs "
+    "to a tenant, and the gateways of a region share them. Unknown features are ignored.",
+    "GatewaySettings.quota_window_seconds": "Length of the window in which a tenant's operations "
+    "are counted.",
+    "GatewaySettings.quota_excess": "Fraction of a tenant's limit by which it may be exceeded.",
+    "GatewaySettings.quota_slack": "Number of operations that are tolerated in addition.",
+    "GatewaySettings.holders": "Selection of the gateways that hold a service's connections: "
+    "`hashed`, or `planned` by the control nodes according to demand. Gateways set to `hashed` "
+    "ignore plans, so set the same value on all gateways and control nodes.",
+    "GatewaySettings.metrics": "`PORT/PATH` for metrics, on the IP of `listen`; empty for none.",
+    "GatewaySettings.log_lines_per_second": "Rate limit of the decision log; successes may use a "
+    "tenth of it.",
     "GatewaySettings.log_level": "Lowest level of the decision log: `info`, `warning`, `error`.",
     "CoordinatorSettings.log_level": "Lowest level of the decision log: `info`, `warning`, "
     "`error`.",
-    "CoordinatorSettings.metrics": "`PORT/PATH` on `host` for metrics; empty for none.",
-    "CoordinatorSettings.log_lines_per_second": "Budget of the decision log.",
-    "CoordinatorSettings.name": "Name of the control node; it is told to the platform.",
+    "CoordinatorSettings.metrics": "`PORT/PATH` for metrics, on the IP of `host`; empty for none.",
+    "CoordinatorSettings.log_lines_per_second": "Rate limit of the decision log.",
+    "CoordinatorSettings.name": "Name of the control node, as reported to the platform.",
     "CoordinatorSettings.zone": "Zone that the node is in.",
     "CoordinatorSettings.data_folder": "Folder for the node's durable state.",
     "CoordinatorSettings.listen": "`IP:port` for operators and members.",
-    "CoordinatorSettings.host": "IP of the node for the system's own calls.",
-    "CoordinatorSettings.control_nodes": "`IP:port` of control nodes; the port is the operators'.",
-    "CoordinatorSettings.rpc_port": "Port of all control nodes for the system's own calls.",
-    "CoordinatorSettings.protocol": "Name of the plug-ins that speak to operators and members.",
-    "CoordinatorSettings.bootstrap": "First start of a new system, with empty folders.",
-    "CoordinatorSettings.tolerated_losses": "Nodes that may be lost at once.",
-    "CoordinatorSettings.promoter_address": "`IP:port` of the platform's calls; empty for none.",
-    "CoordinatorSettings.holders": "Whether holders of connections are `planned` by demand; with "
-    "`hashed` a plan that is in force is ended.",
+    "CoordinatorSettings.host": "IP of the node for RPC between the system's processes.",
+    "CoordinatorSettings.control_nodes": "`IP:port` of control nodes, with the port for operators.",
+    "CoordinatorSettings.rpc_port": "Port of all control nodes for RPC between the system's "
+    "processes.",
+    "CoordinatorSettings.protocol": "Name of the protocol plug-ins for operators and members.",
+    "CoordinatorSettings.bootstrap": "Whether this is the first start of a new system, with empty "
+    "data folders.",
+    "CoordinatorSettings.tolerated_losses": "Number of control nodes that may fail at once.",
+    "CoordinatorSettings.promoter_address": "`IP:port` of the platform's API for promotions; empty for none.",
+    "CoordinatorSettings.holders": "Selection of the gateways that hold a service's connections: "
+    "`planned` according to demand, or `hashed`, which ends a plan that is in force.",
     "CoordinatorSettings.heartbeat_seconds": "Interval of the leader's heartbeats.",
-    "CoordinatorSettings.election_timeout_seconds": "Silence after which a leader is elected.",
+    "CoordinatorSettings.election_timeout_seconds": "Time without a heartbeat after which an "
+    "election starts.",
     "CoordinatorSettings.snapshot_entries": "Log entries after which a snapshot is taken.",
     "LogSettings.format": "`lines` or `json`.",
-    "LogSettings.level": "Lowest level that is written: `info`, `warning` or `error`.",
+    "LogSettings.level": "Lowest level that is logged: `info`, `warning` or `error`.",
     "ControlSettings.name": "Name of the control node.",
     "ControlSettings.zone": "Zone that the node is in.",
-    "ControlSettings.cluster": "Name of the system; a data folder of another one is refused.",
+    "ControlSettings.cluster": "Name of the system; data folders of other systems are rejected.",
     "ControlSettings.data_folder": "Folder for the node's durable state.",
     "ControlSettings.rpc_listen": "`IP:port` for control nodes and proxies.",
     "ControlSettings.http_listen": "`IP:port` for operators (HTTP and JSON).",
-    "ControlSettings.nodes": "The first control nodes, this one included, with their `rpc_listen`.",
+    "ControlSettings.nodes": "Initial control nodes, including this one, with their `rpc_listen`.",
     "ControlSettings.operators": "Operators and the SHA-256 hex of their tokens.",
     "ControlSettings.routes": "Address translation between control nodes.",
     "ControlSettings.heartbeat_seconds": "Interval of the leader's heartbeats.",
-    "ControlSettings.election_timeout_seconds": "Silence after which a new leader is elected.",
+    "ControlSettings.election_timeout_seconds": "Time without a heartbeat after which an election "
+    "starts.",
     "ControlSettings.snapshot_entries": "Log entries after which a snapshot is taken.",
     "ControlSettings.log": "Logging.",
     "NodeAddress.name": "Name of the control node.",
@@ -244,7 +252,7 @@
 def load_settings(
     path: Path, daemon: Daemon, overrides: dict[str, Any]
 ) -> Result[AnySettings, list[str]]:
-    """Return a daemon's settings with flags laid over them, or all problems."""
+    """Return a daemon's settings with the given overrides applied, or all problems."""
     document = read_yaml(path)
     if isinstance(document, Failure):
         return document
@@ -287,15 +295,15 @@
 
 
 def _gateway_addresses(settings: GatewaySettings) -> dict[str, str]:
-    own = {"listen": settings.listen, "ready_listen": settings.ready_listen}
-    return own | _control_node_addresses(settings.control_nodes)
+    addresses = {"listen": settings.listen, "ready_listen": settings.ready_listen}
+    return addresses | _control_node_addresses(settings.control_nodes)
 
 
 def _coordinator_addresses(settings: CoordinatorSettings) -> dict[str, str]:
-    own = {"listen": settings.listen, "host with rpc_port": settings.rpc_listen}
+    addresses = {"listen": settings.listen, "host with rpc_port": settings.rpc_listen}
     if settings.promoter_address:
-        own["promoter_address"] = settings.promoter_address
-    return own | _control_node_addresses(settings.control_nodes)
+        addresses["promoter_address"] = settings.promoter_address
+    return addresses | _control_node_addresses(settings.control_nodes)
 
 
 def _control_addresses(settings: ControlSettings) -> dict[str, str]:
@@ -307,9 +315,9 @@
 
 def _checked(settings: Any, addresses: dict[str, str], source: str) -> Result[Any, list[str]]:
     problems = [
-        f"{source}: {path}: {wrong}"
+        f"{source}: {path}: {problem}"
         for path, address in addresses.items()
-        if (wrong := check_address(address))
+        if (problem := check_address(address))
     ]
     if isinstance(settings, ControlSettings):
         problems += _check_control(settings, source)
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -1,4 +1,4 @@
-"""Reading, checking and comparing configurations."""
+"""Loading, validation and comparison of configurations and settings."""
 
 import tempfile
 import unittest
@@ -36,7 +36,7 @@
     def test_valid_configuration_is_accepted(self):
         self.assertIsInstance(parse_configuration(valid(), "file.yaml"), Success)
 
-    def test_all_problems_are_named_at_once_with_file_path_and_mend(self):
+    def test_all_problems_are_reported_with_file_path_and_fix(self):
         content = valid()
         content["groups"][0]["databse"] = ["x"]
         content["groups"][0]["limits"] = {"queue_length": "many"}
@@ -50,7 +50,7 @@
         self.assertIn("sites[0].zones: expected a list", problems)
         self.assertIn("users[0].password_hash: missing; add it", problems)
 
-    def test_cross_checks(self):
+    def test_problems_across_fields_are_reported(self):
         content = valid()
         content["groups"][0]["members"] = [member(1, "nowhere"), member(1)]
         content["groups"][0]["consistency"] = "session"
@@ -64,19 +64,19 @@
         ):
             self.assertIn(expected, problems)
 
-    def test_wrong_enumeration_names_the_choices(self):
+    def test_an_invalid_enumeration_value_lists_the_valid_ones(self):
         content = valid()
         content["groups"][0]["consistency"] = "eventual"
         self.assertIn("one of: session, strict, bounded", self.problems(content))
 
-    def test_shown_secret_is_refused_when_applied(self):
+    def test_a_redacted_secret_is_rejected_when_applied(self):
         content = valid()
         content["groups"][0]["backend"] = {"password": "secret"}
-        shown = redact_secrets(parse_configuration(content, "f").unwrap())
-        self.assertNotIn("secret", str(shown))
-        self.assertIn("in place of a secret", self.problems(shown))
+        redacted = redact_secrets(parse_configuration(content, "f").unwrap())
+        self.assertNotIn("secret", str(redacted))
+        self.assertIn("in place of a secret", self.problems(redacted))
 
-    def test_difference_names_paths_and_hides_secrets(self):
+    def test_a_diff_names_paths_and_redacts_secrets(self):
         before = parse_configuration(valid(), "f").unwrap()
         content = valid()
         content["groups"][0]["limits"] = {"queue_length": 7}
@@ -86,7 +86,7 @@
         self.assertEqual(paths["groups[g1].limits.queue_length"].after, "7")
         self.assertNotIn("secret", str(changes))
 
-    def test_folder_is_joined_and_broken_yaml_names_its_line(self):
+    def test_files_of_a_folder_are_merged_and_syntax_errors_name_their_line(self):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             (folder / "a.yaml").write_text("sites: [{name: s, region: r, zones: [z1]}]\n")
@@ -104,14 +104,14 @@
             path.write_text(text)
             return load_settings(path, daemon, overrides)
 
-    def test_flag_overrides_the_file(self):
+    def test_overrides_take_precedence_over_the_file(self):
         text = (
             "name: p\nzone: z\nlisten: 127.0.0.1:1\nadmin_listen: 127.0.0.1:2\n"
             "rpc_listen: 127.0.0.1:3\ncontrols: [127.0.0.1:4]\n"
         )
         self.assertEqual(self.load(Daemon.PROXY, text, zone="y").unwrap().zone, "y")
 
-    def test_wrong_settings_are_named(self):
+    def test_invalid_settings_are_reported(self):
         text = (
             "name: c\nzone: z\ncluster: x\ndata_folder: d\nrpc_listen: host:1\n"
             "http_listen: 127.0.0.1:99999\nnodes: [{name: a, address: 127.0.0.1:1}]\n"
--- a/tests/unit/test_reader.py
+++ b/tests/unit/test_reader.py
@@ -1,4 +1,4 @@
-"""Settings files in YAML, and in the part of it that JSON is."""
+"""Settings files in YAML and JSON, and validation of addresses."""
 
 import subprocess
 import sys
@@ -19,22 +19,21 @@
             path.write_text(text)
             return read_yaml(path)
 
-    def test_json_reads_as_the_same_yaml(self):
+    def test_json_and_yaml_give_the_same_settings(self):
         text = '{"name": "a", "zones": {"a1": "a"}, "seeds": ["1:2"], "share": 0.5, "live": true}'
         block = "name: a\nzones: {a1: a}\nseeds: ['1:2']\nshare: 0.5\nlive: true\n"
         self.assertEqual(self.read(text), self.read(block))
 
-    def test_yaml_that_begins_like_json_is_read(self):
+    def test_yaml_flow_mappings_are_read(self):
         self.assertEqual(self.read("{name: a, live: yes}"), Success({"name": "a", "live": True}))
 
-    def test_what_is_neither_names_its_line(self):
+    def test_a_syntax_error_is_reported_with_its_line(self):
         result = self.read('{"name": "a",\n "zone": }\n}\n')
         self.assertIsInstance(result, Failure)
         self.assertIn("line", result.failure()[0])
 
-    def test_a_program_whose_settings_are_json_loads_no_parser_of_yaml(self):
-        # Found on the twins of hb-subrail-large: a gateway that loads for longer keeps all of
-        # its clients waiting after a loss of power.
+    def test_json_settings_do_not_import_the_yaml_parser(self):
+        # Importing it would delay the start of a gateway.
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.json"
             path.write_text('{"name": "a"}')
@@ -49,9 +48,9 @@
 
 class AddressTest(unittest.TestCase):
     def test_only_ip_numbers_with_a_port_are_addresses(self):
-        for good in ("10.0.0.5:3306", "[::1]:1", "127.0.0.1:65535"):
-            self.assertIsNone(check_address(good), good)
-        for wrong in (
+        for valid in ("10.0.0.5:3306", "[::1]:1", "127.0.0.1:65535"):
+            self.assertIsNone(check_address(valid), valid)
+        for invalid in (
             "db.local:3306",
             "10.0.0.5",
             "10.0.0:80",
@@ -59,4 +58,4 @@
             "10.0.0.5:99999",
             ":5",
         ):
-            self.assertIsNotNone(check_address(wrong), wrong)
+            self.assertIsNotNone(check_address(invalid), invalid)
