--- a/src/rowanrail/config/model.py
+++ b/src/rowanrail/config/model.py
@@ -86,10 +86,7 @@
 
 
 class UserSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A user who may log in at the proxy.
-
-    ``password_hash`` is the double SHA-1 of the native password authentication of MySQL, in hex.
-    """
+    """A user who may log in at the proxy. ``password_hash`` is MySQL's double SHA-1, in hex."""
 
     name: str
     password_hash: str
--- a/src/rowanrail/config/settings.py
+++ b/src/rowanrail/config/settings.py
@@ -216,7 +216,8 @@
     "CoordinatorSettings.bootstrap": "Whether this is the first start of a new system, with empty "
     "data folders.",
     "CoordinatorSettings.tolerated_losses": "Number of control nodes that may fail at once.",
-    "CoordinatorSettings.promoter_address": "`IP:port` of the platform's API for promotions; empty for none.",
+    "CoordinatorSettings.promoter_address": "`IP:port` of the platform's API for "
+    "promotions; empty for none.",
     "CoordinatorSettings.holders": "Selection of the gateways that hold a service's connections: "
     "`planned` according to demand, or `hashed`, which ends a plan that is in force.",
     "CoordinatorSettings.heartbeat_seconds": "Interval of the leader's heartbeats.",
