--- a/src/rowanrail/cli/backup.py
+++ b/src/rowanrail/cli/backup.py
@@ -1,8 +1,4 @@
-"""``rowanrail backup`` and ``rowanrail restore``.
-
-For operators at a control node's machine. Owns nothing; relies on
-``sql_control.backup`` for the contents and on the folder's storage.
-"""
+"""``rowanrail backup`` and ``rowanrail restore``, to be run on a control node's machine."""
 
 from pathlib import Path
 
--- a/src/rowanrail/cli/client.py
+++ b/src/rowanrail/cli/client.py
@@ -1,7 +1,6 @@
-"""HTTP client of the operators' commands.
+"""HTTP client for the operators' interface of control nodes, ``sql_control.http_api``.
 
-Tries the control nodes one after the other, since any of them answers. Owns nothing between
-requests; relies on the operators' interface in ``sql_control.http_api``.
+Any control node can answer, so the nodes are tried one after the other.
 """
 
 import asyncio
@@ -12,9 +11,9 @@
 
 from rowanrail.kernel.errors import RowanrailError
 
-# Seconds for a control node's answer, and for a connection to it, before the next is asked. Chosen.
-TIMEOUT_SECONDS = 12.0
-CONNECT_SECONDS = 3.0
+# For each control node, before the next one is tried.
+REQUEST_TIMEOUT_SECONDS = 12.0
+CONNECT_TIMEOUT_SECONDS = 3.0
 
 
 class ControlAnswer(msgspec.Struct):
@@ -29,7 +28,7 @@
 
 
 class ControlClient:
-    """Talks to whichever control node answers."""
+    """Sends requests to the first control node that answers."""
 
     def __init__(self, controls: list[str], token: str) -> None:
         self._controls = controls
@@ -38,15 +37,17 @@
     def request(self, method: str, path: str, body: Any = None) -> ControlAnswer:
         """Send a request and return the answer.
 
-        A change may be sent to several nodes: its change id makes that safe.
+        A change may reach several nodes; its change id makes it idempotent.
 
-        :raises ControlUnavailableError: if no node serves it.
+        :raises ControlUnavailableError: if no node serves the request.
         """
         return asyncio.run(self._request(method, path, body))
 
     async def _request(self, method: str, path: str, body: Any) -> ControlAnswer:
         problems: list[str] = []
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS, connect=CONNECT_SECONDS)
+        timeout = aiohttp.ClientTimeout(
+            total=REQUEST_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS
+        )
         headers = {"Authorization": f"Bearer {self._token}"}
         data = msgspec.json.encode(body) if body is not None else None
         async with aiohttp.ClientSession(timeout=timeout, headers=headers) as session:
--- a/src/rowanrail/cli/explain.py
+++ b/src/rowanrail/cli/explain.py
@@ -1,7 +1,6 @@
 """``rowanrail explain``: the diagnosis of one request from decision logs.
 
-For operators. Owns reading the logs, standard input too, and how a diagnosis is printed; relies on
-:mod:`rowanrail.explain` for what it says.
+Reads the logs and prints the diagnosis; :mod:`rowanrail.explain` derives it.
 """
 
 import sys
@@ -19,7 +18,7 @@
 from rowanrail.explain.lines import LogLine
 from rowanrail.explain.search import Source, search
 
-PROGRESS_SECONDS = 2.0  # between lines on standard error, for a search of many logs
+PROGRESS_INTERVAL_SECONDS = 2.0  # between progress reports on standard error
 
 
 @click.command("explain")
@@ -34,29 +33,29 @@
     """Print what became of REQUEST, its cause first, from the logs in FILES (- or none: stdin)."""
     with tempfile.TemporaryFile("w+", errors="replace") as spool:
         sources: list[Source] = [
-            _Input(sys.stdin, spool) if name == "-" else _File(Path(name))
+            _StandardInput(sys.stdin, spool) if name == "-" else _LogFile(Path(name))
             for name in files or ("-",)
         ]
         progress = _Progress(len(sources))
-        result = search(request, sources, options["around"], options["since"], progress.note)
+        result = search(request, sources, options["around"], options["since"], progress.report)
     diagnosis = diagnose(request, result.lines, options["around"])
-    diagnosis.around = _filtered(diagnosis.around, options["member"], options["event"])
+    diagnosis.around = _filter_lines(diagnosis.around, options["member"], options["event"])
     if options["as_json"]:
         click.echo(msgspec.json.encode(diagnosis))
     else:
-        _print(diagnosis, result.damaged)
+        _print_diagnosis(diagnosis, result.damaged)
     if not diagnosis.statements:
         raise SystemExit(ExitCode.FAILED)
 
 
-class _File:
+class _LogFile:
     """A log in a file."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
 
     def lines(self) -> Iterator[str]:
-        """See :meth:`rowanrail.explain.search.Source.lines`."""
+        """Return the lines of the file; exits with a message if it can't be read."""
         try:
             with self._path.open(errors="replace") as file:
                 yield from file
@@ -64,8 +63,8 @@
             fail([f"{self._path}: can't be read: {error.strerror}; check the name and its rights"])
 
 
-class _Input:
-    """A log from standard input, kept in a temporary file since it is read twice."""
+class _StandardInput:
+    """A log from standard input, copied to a temporary file because it is read twice."""
 
     def __init__(self, stream: IO[str], spool: IO[str]) -> None:
         self._spool = spool
@@ -73,29 +72,31 @@
             spool.write(line)
 
     def lines(self) -> Iterator[str]:
-        """See :meth:`rowanrail.explain.search.Source.lines`."""
+        """Return the lines of the copy."""
         self._spool.seek(0)
         yield from self._spool
 
 
 class _Progress:
-    """Says on standard error how far a long search has come."""
+    """Reports the progress of a long search on standard error."""
 
     def __init__(self, sources: int) -> None:
         self._sources = sources
         self._read = 0
         self._reported_at = time.monotonic()
 
-    def note(self, passed: int, source: Source) -> None:
-        """Note that a log is about to be read."""
+    def report(self, pass_number: int, source: Source) -> None:
+        """Count a log that is about to be read, and report progress if it is time."""
         now = time.monotonic()
-        if now - self._reported_at >= PROGRESS_SECONDS:
+        if now - self._reported_at >= PROGRESS_INTERVAL_SECONDS:
             self._reported_at = now
-            click.echo(f"read {self._read} of {2 * self._sources} logs, pass {passed}", err=True)
+            click.echo(
+                f"read {self._read} of {2 * self._sources} logs, pass {pass_number}", err=True
+            )
         self._read += 1
 
 
-def _filtered(lines: list[LogLine], member: str | None, event: int | None) -> list[LogLine]:
+def _filter_lines(lines: list[LogLine], member: str | None, event: int | None) -> list[LogLine]:
     if event is not None:
         lines = [line for line in lines if line.event == event]
     if member is not None:
@@ -103,7 +104,7 @@
     return lines
 
 
-def _print(diagnosis: Diagnosis, damaged: int) -> None:
+def _print_diagnosis(diagnosis: Diagnosis, damaged: int) -> None:
     click.echo(f"request {diagnosis.request}: {diagnosis.outcome}")
     click.echo(f"cause: {diagnosis.cause}")
     click.echo(f"promise to the client: {diagnosis.promise}")
--- a/src/rowanrail/cli/inspect.py
+++ b/src/rowanrail/cli/inspect.py
@@ -1,7 +1,6 @@
-"""``rowanrail inspect``: what a control node's data folder holds, or the load of the fleet.
+"""``rowanrail inspect``: the contents of a control node's data folder, or the load of the fleet.
 
-For operators. Owns the report of a folder, which is read without a change of it;
-relies on :mod:`rowanrail.consensus.storage` for the records.
+The folder is opened read-only.
 """
 
 from pathlib import Path
@@ -19,7 +18,7 @@
 
 
 class FolderView(msgspec.Struct):
-    """What a folder holds."""
+    """Contents of a data folder, as printed."""
 
     cluster: str
     node: str
@@ -34,7 +33,7 @@
 
 
 def read_folder(folder: Path) -> FolderView:
-    """Return what a folder holds, without changing it.
+    """Return the contents of a data folder, without changing it.
 
     :raises StorageError: if it is empty or damaged.
     """
@@ -60,13 +59,13 @@
     )
 
 
-class _FolderByDefault(click.Group):
-    """A group for which a word that is none of its commands is a folder."""
+class _DefaultToFolder(click.Group):
+    """A command group that treats an unknown first argument as the folder to inspect."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """Return the command that the first word names, else the one for folders."""
+        """Return the command named by the first argument, or else the one for folders."""
         if args and args[0] not in self.commands:
             args = [inspect_folder.name or "", *args]
         return super().resolve_command(ctx, args)
@@ -87,6 +86,6 @@
     show(OutputFormat(output), view, format_table(("FIELD", "VALUE"), rows))
 
 
-@click.group(cls=_FolderByDefault, commands=[inspect_folder, inspect_load])
+@click.group(cls=_DefaultToFolder, commands=[inspect_folder, inspect_load])
 def inspect() -> None:
     """Show a control node's data folder (DIR or `folder DIR`), or the fleet's load (`load`)."""
--- a/src/rowanrail/cli/inspect_load.py
+++ b/src/rowanrail/cli/inspect_load.py
@@ -1,7 +1,6 @@
-"""``rowanrail inspect load``: services, members, tenants and refusals over all gateways.
+"""``rowanrail inspect load``: services, members, tenants and refusals of all gateways.
 
-For operators. Owns reading the sources and the tables; relies on :mod:`rowanrail.cli.load_view` for
-the sums.
+Reads the sources and formats the tables; :mod:`rowanrail.cli.load_view` aggregates.
 """
 
 import urllib.error
@@ -23,8 +22,7 @@
 )
 from rowanrail.cli.output import ExitCode, OutputFormat, fail, format_table, show
 
-# A gateway answers within milliseconds; one that is dark must not hold up the others for long.
-READ_SECONDS = 0.5
+READ_TIMEOUT_SECONDS = 0.5  # keeps unreachable gateways from delaying the others
 MEMBER_COLUMNS = (
     "SERVICE",
     "MEMBER",
@@ -47,16 +45,16 @@
     SOURCE: `IP:PORT/PATH` of a gateway's metrics (setting `metrics`), or a file with such a text.
     """
     gateways: list[list[Sample]] = []
-    silent: list[str] = []
+    unreachable: list[str] = []
     for source in sources:
         try:
             gateways.append(read_samples(_read(source)))
         except (OSError, ValueError) as error:
-            silent.append(f"{source}: {error}")
+            unreachable.append(f"{source}: {error}")
     if not gateways:
-        fail(silent, ExitCode.UNAVAILABLE)
+        fail(unreachable, ExitCode.UNAVAILABLE)
     fleet = summarize(gateways)
-    fleet.silent = silent
+    fleet.silent = unreachable
     show(OutputFormat(output), fleet, _tables(fleet))
 
 
@@ -65,7 +63,7 @@
     if path.exists():
         return path.read_text()
     try:
-        with urllib.request.urlopen(f"http://{source}", timeout=READ_SECONDS) as answer:
+        with urllib.request.urlopen(f"http://{source}", timeout=READ_TIMEOUT_SECONDS) as answer:
             content: bytes = answer.read()
     except urllib.error.URLError as error:
         raise OSError(f"can't be read ({error.reason}); name a file or IP:PORT/PATH") from error
--- a/src/rowanrail/cli/load_view.py
+++ b/src/rowanrail/cli/load_view.py
@@ -1,7 +1,7 @@
-"""What the metrics of all gateways say together: services, members, tenants, refusals.
+"""Aggregation of the metrics of all gateways by service, member, tenant and refusal.
 
-For ``rowanrail inspect load``. Owns the sums over gateways; relies on the names and labels of the
-gateways' metrics. ``FleetLoad`` is printed as JSON, so that its field names are an edge.
+For ``rowanrail inspect load``. Depends on the names and labels of the gateways' metrics. The field
+names of :class:`FleetLoad` are part of the JSON output.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,12 +20,12 @@
     "summarize",
 ]
 
-PREFIX = "rowanrail_gateway_"
+METRIC_PREFIX = "rowanrail_gateway_"
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One value of a gateway's metrics; ``name`` without the prefix of gateways."""
+    """A sample of a gateway's metrics; ``name`` excludes the prefix of gateways."""
 
     name: str
     labels: Mapping[str, str]
@@ -33,22 +33,22 @@
 
 
 class MemberLoad(msgspec.Struct):
-    """One member as all gateways use it.
+    """Load of a member, aggregated over all gateways.
 
     Parameters
     ----------
     holders : int
-        Gateways that hold connections to it.
+        Number of gateways that hold connections to it.
     under_way : int
-        Statements and openings under way there.
+        Number of statements in progress and of connections being opened.
     limit : int
-        How many the gateways let be under way together.
+        Sum of the gateways' concurrency limits.
     waiting : int
-        Statements that wait for room there.
+        Number of statements that wait in the gateways' queues.
     longest_wait : float
-        Seconds for which the first of these has waited.
+        Longest time that any of these has waited, in seconds.
     weight : float
-        The lowest that any holder gives it, 1 for a member that is well.
+        Lowest weight at any gateway, 1 for a healthy member.
     """
 
     service: str
@@ -64,7 +64,7 @@
 
 
 class ServiceLoadView(msgspec.Struct):
-    """One service over all gateways; ages in seconds."""
+    """State of a service, aggregated over all gateways; ages in seconds."""
 
     service: str
     gateways: int = 0
@@ -73,7 +73,10 @@
 
 
 class TenantLoad(msgspec.Struct):
-    """One tenant over all gateways; operations in a window, refused since the gateways' starts."""
+    """Load of a tenant, aggregated over all gateways.
+
+    Operations are those of the current window, refusals those since the gateways started.
+    """
 
     tenant: str
     limit: float = 0.0
@@ -83,7 +86,7 @@
 
 
 class RefusalCount(msgspec.Struct):
-    """Statements that were refused, by what was said and how far they came."""
+    """Number of refused statements by kind, outcome and the last stage they reached."""
 
     kind: str
     outcome: str
@@ -92,7 +95,7 @@
 
 
 class RejectionCount(msgspec.Struct):
-    """Statements that gateways rejected, by cause and urgency of their route."""
+    """Number of rejected statements by cause and urgency of their route."""
 
     cause: str
     urgency: str
@@ -101,16 +104,16 @@
 
 @dataclass(slots=True)
 class FleetLoad:
-    """All gateways together.
+    """Load of all gateways.
 
     Parameters
     ----------
     gateways : int
-        How many were read.
+        Number of gateways that were read.
     silent : list of str
-        Sources that gave nothing, with the reason.
+        Sources that could not be read, with the reason.
     heard_share : float
-        The smallest share of the fleet that any gateway hears for tenants' limits.
+        Smallest share of the fleet from which any gateway has current reports for tenant limits.
     """
 
     gateways: int = 0
@@ -134,14 +137,14 @@
     from prometheus_client.parser import text_string_to_metric_families
 
     return [
-        Sample(sample.name.removeprefix(PREFIX), sample.labels, sample.value)
+        Sample(sample.name.removeprefix(METRIC_PREFIX), sample.labels, sample.value)
         for family in text_string_to_metric_families(text)
         for sample in family.samples
     ]
 
 
 def summarize(gateways: Iterable[list[Sample]]) -> FleetLoad:
-    """Return what the samples of many gateways say together.
+    """Return the load of the fleet, aggregated from the samples of its gateways.
 
     Examples
     --------
@@ -150,14 +153,14 @@
     >>> fleet.gateways, fleet.members[0].connections, fleet.members[0].holders
     (2, 6, 2)
     """
-    summary = _Summary()
+    summary = _FleetSummary()
     for samples in gateways:
         summary.add(samples)
     return summary.result()
 
 
-class _Summary:
-    """Sums over gateways while they are read."""
+class _FleetSummary:
+    """Accumulates the samples of gateways."""
 
     def __init__(self) -> None:
         self._fleet = FleetLoad()
@@ -168,7 +171,7 @@
         self._rejections: dict[tuple[str, str], int] = {}
 
     def add(self, samples: list[Sample]) -> None:
-        """Take the samples of one gateway."""
+        """Add the samples of one gateway."""
         self._fleet.gateways += 1
         for sample in samples:
             if "member" in sample.labels:
@@ -243,7 +246,7 @@
         self._refusals[key] = self._refusals.get(key, 0) + int(sample.value)
 
     def result(self) -> FleetLoad:
-        """Return the sums: the fullest members and the largest tenants first."""
+        """Return the totals, with the most loaded members and tenants first."""
         fleet = self._fleet
         fleet.services = [self._services[name] for name in sorted(self._services)]
         fleet.members = sorted(
--- a/src/rowanrail/cli/main.py
+++ b/src/rowanrail/cli/main.py
@@ -1,7 +1,6 @@
-"""The ``rowanrail`` command.
+"""The ``rowanrail`` command, which starts daemons, checks files and hashes secrets.
 
-Reads settings and starts the daemons, checks files and hashes secrets. Owns nothing; the
-operators' commands are added by the modules beside it.
+The other modules of this package define the commands for operators.
 """
 
 import asyncio
@@ -36,15 +35,15 @@
     """
 
 
-def _settings(path: str, daemon: Daemon, overrides: dict[str, Any]) -> Any:
-    given = {name: value for name, value in overrides.items() if value is not None}
-    loaded = load_settings(Path(path), daemon, given)
+def _load_settings(path: str, daemon: Daemon, overrides: dict[str, Any]) -> Any:
+    present = {name: value for name, value in overrides.items() if value is not None}
+    loaded = load_settings(Path(path), daemon, present)
     if isinstance(loaded, Failure):
         fail(loaded.failure(), ExitCode.USAGE)
     return loaded.unwrap()
 
 
-def _run(daemon: Any) -> None:
+def _run_daemon(daemon: Any) -> None:
     try:
         asyncio.run(daemon)
     except RowanrailError as error:
@@ -63,9 +62,9 @@
     from rowanrail.mysql import frontend as _frontend_plugin  # noqa: F401
     from rowanrail.sql_proxy.daemon import run_proxy
 
-    settings: ProxySettings = _settings(path, Daemon.PROXY, overrides)
+    settings: ProxySettings = _load_settings(path, Daemon.PROXY, overrides)
     configure_logging(settings.log.format, settings.log.level)
-    _run(run_proxy(settings))
+    _run_daemon(run_proxy(settings))
 
 
 @main.command()
@@ -79,9 +78,9 @@
     """Run a control node until SIGTERM."""
     from rowanrail.sql_control.daemon import run_control
 
-    settings: ControlSettings = _settings(path, Daemon.CONTROL, overrides)
+    settings: ControlSettings = _load_settings(path, Daemon.CONTROL, overrides)
     configure_logging(settings.log.format, settings.log.level)
-    _run(run_control(settings, bootstrap))
+    _run_daemon(run_control(settings, bootstrap))
 
 
 @main.command()
--- a/src/rowanrail/cli/operator.py
+++ b/src/rowanrail/cli/operator.py
@@ -1,8 +1,4 @@
-"""Operators' commands.
-
-All talk HTTP and JSON to any control node. Own nothing; rely on the client for the request and on
-``output`` for what is shown.
-"""
+"""Commands for operators, which send HTTP requests with JSON bodies to any control node."""
 
 import os
 import sys
@@ -20,18 +16,18 @@
 from rowanrail.config.load import load_configuration
 
 DEFAULT_CONTROL = "127.0.0.1:7080"
-WAIT_POLL_SECONDS = 0.1  # between questions whether what is waited for has happened; chosen
-VOTE_POLLS = 300  # questions whether a new control node has its vote; chosen
+POLL_INTERVAL_SECONDS = 0.1
+MAXIMUM_VOTE_POLLS = 300  # about 30 s for a new control node to become a voter
 
 
 class OperatorContext(msgspec.Struct):
-    """Options that all operators' commands share."""
+    """Options that are common to all commands for operators."""
 
     client: ControlClient
     output: OutputFormat
 
     def request(self, method: str, path: str, body: Any = None) -> ControlAnswer:
-        """Send a request; a failure ends the command with a message."""
+        """Send a request and return the answer; a failure exits with a message."""
         try:
             answer = self.client.request(method, path, body)
         except ControlUnavailableError as error:
@@ -42,7 +38,7 @@
 
 
 def operator_options(function: Any) -> Any:
-    """Add the options that all operators' commands share."""
+    """Add the options that are common to all commands for operators."""
 
     def with_context(controls: tuple[str, ...], token: str, output: str, **arguments: Any) -> Any:
         names = [name for value in controls for name in value.split(",") if name]
@@ -71,7 +67,7 @@
     )(decorated)
 
 
-def _load(path: str) -> Any:
+def _load_configuration(path: str) -> Any:
     loaded = load_configuration(Path(path))
     if isinstance(loaded, Failure):
         fail(
@@ -92,7 +88,7 @@
 @operator_options
 def diff(context: OperatorContext, path: str) -> None:
     """Show what applying FILE would change. Exits 0 if nothing, 1 if something would."""
-    body = {"change_id": "diff", "configuration": _load(path)}
+    body = {"change_id": "diff", "configuration": _load_configuration(path)}
     answer = context.request("POST", "/v1/diff", body)
     changes = answer.body["changes"]
     show(context.output, answer.body, _changes_table(changes))
@@ -118,7 +114,7 @@
     body = {
         "change_id": change_id or str(uuid.uuid4()),
         "expected_version": expect_version,
-        "configuration": _load(path),
+        "configuration": _load_configuration(path),
     }
     outcome = _submit(context, "/v1/configuration", body)
     if wait:
@@ -156,7 +152,7 @@
                 click.echo(f"zone {zone}: version {in_force} in force after {elapsed:.2f} s")
         if reported and reported >= set(status["zones"]):
             return
-        time.sleep(WAIT_POLL_SECONDS)
+        time.sleep(POLL_INTERVAL_SECONDS)
     late = sorted(set(status["zones"]) - reported) or ["no zone has a proxy that reports"]
     fail([f"version {version} is not in force everywhere yet: {', '.join(late)}"])
 
@@ -222,7 +218,7 @@
             report["proxy"],
             report["zone"],
             report["version"],
-            _share(report),
+            _replica_read_share(report),
             f"{report['seconds_ago']:.1f}",
         )
         for report in body["proxies"]
@@ -250,7 +246,7 @@
     return "\n".join([*lines, "", format_table(header, rows)])
 
 
-def _share(report: Any) -> str:
+def _replica_read_share(report: Any) -> str:
     reads = report["replica_reads"] + report["primary_reads"]
     return f"{report['replica_reads'] / reads:.1%}" if reads else "-"
 
@@ -317,12 +313,12 @@
 @operator_options
 def member_add(context: OperatorContext, name: str) -> None:
     """Wait until the new control node NAME, started with an empty folder, has its vote."""
-    for _ in range(VOTE_POLLS):
+    for _ in range(MAXIMUM_VOTE_POLLS):
         body = context.request("GET", "/v1/nodes").body
         if any(node["name"] == name and node["voter"] for node in body["nodes"]):
             _show_nodes(context, body)
             return
-        time.sleep(WAIT_POLL_SECONDS)
+        time.sleep(POLL_INTERVAL_SECONDS)
     fail([f"{name} has no vote yet; start `rowanrail control` there and look at its log"])
 
 
@@ -331,6 +327,6 @@
 
 
 def read_password() -> str:
-    """Return the password from the environment, or ask for it."""
-    given = os.environ.get(PASSWORD_VARIABLE)
-    return given if given is not None else str(click.prompt("Password", hide_input=True))
+    """Return the password from the environment, or prompt for it."""
+    password = os.environ.get(PASSWORD_VARIABLE)
+    return password if password is not None else str(click.prompt("Password", hide_input=True))
--- a/src/rowanrail/cli/output.py
+++ b/src/rowanrail/cli/output.py
@@ -1,6 +1,7 @@
-"""Output of the operators' commands: tables, JSON or YAML, and errors without traces.
+"""Output and exit codes of the commands.
 
-For all commands. Owns the exit codes, which scripts rely on.
+Results are printed as tables, JSON or YAML, errors without tracebacks. Scripts depend on the exit
+codes.
 """
 
 import enum
@@ -14,7 +15,7 @@
 
 
 class OutputFormat(enum.Enum):
-    """How a command shows its answer."""
+    """Output format of a command."""
 
     TABLE = "table"
     JSON = "json"
@@ -32,7 +33,7 @@
 
 
 def show(output: OutputFormat, value: Any, table: str) -> None:
-    """Print ``value`` as JSON or YAML, or the prepared table."""
+    """Print ``value`` as JSON or YAML, or else ``table``."""
     if output is OutputFormat.JSON:
         click.echo(msgspec.json.format(msgspec.json.encode(value)).decode())
     elif output is OutputFormat.YAML:
--- a/tests/explain/test_search.py
+++ b/tests/explain/test_search.py
@@ -65,7 +65,7 @@
 
     def test_a_long_search_reports_progress(self):
         text = "\n".join(self.logs) + "\n"
-        with mock.patch.object(command, "PROGRESS_SECONDS", 0.0):
+        with mock.patch.object(command, "PROGRESS_INTERVAL_SECONDS", 0.0):
             shown = CliRunner().invoke(main, ["explain", "q2"], input=text)
         self.assertIn("read 1 of 2 logs, pass 2", shown.output)
         self.assertIn("cause: ", shown.output)
--- a/tests/unit/test_inspect_load.py
+++ b/tests/unit/test_inspect_load.py
@@ -1,4 +1,4 @@
-"""The load of a fleet from the metrics of its gateways."""
+"""Output of ``inspect load`` from the metrics of several gateways."""
 
 import json
 import tempfile
@@ -15,7 +15,7 @@
 
 
 def metrics_of(played, refused):
-    """Return the metrics of a gateway whose tenant was refused some times."""
+    """Return the metrics of a gateway that refused a tenant the given number of times."""
     quota = played.gateway.access.quota
     quota.set_tenants(Tenants({"anna": Tenant("anna", rate=1, burst=1)}))
     while quota.begin("anna") is None or sum(one.refused for one in quota.largest(1)) < refused:
@@ -44,7 +44,7 @@
     def run_command(self, *arguments):
         return CliRunner().invoke(main, ["inspect", "load", *arguments])
 
-    def test_the_gateways_are_summed(self):
+    def test_totals_over_gateways(self):
         result = self.run_command(*self.sources, "--output", "json")
         self.assertEqual(result.exit_code, 0, result.output)
         fleet = json.loads(result.output)
@@ -59,21 +59,21 @@
         self.assertEqual(sorted(members), ["m1", "m2", "m3"])
         self.assertEqual(members["m2"]["holders"], 2)
 
-    def test_the_table_names_members_tenants_and_refusals(self):
+    def test_the_table_lists_members_tenants_and_refusals(self):
         result = self.run_command(*self.sources)
         for word in ("2 gateways", "m2", "anna", "waits-for-connection", "crowded"):
             self.assertIn(word, result.output)
 
-    def test_a_gateway_that_is_silent_is_named_and_the_others_are_shown(self):
+    def test_an_unreachable_gateway_is_reported_and_the_others_are_shown(self):
         result = self.run_command(self.sources[0], "127.0.0.1:1/metrics")
         self.assertEqual(result.exit_code, 0)
         self.assertIn("silent: 127.0.0.1:1/metrics: can't be read", result.output)
 
-    def test_nothing_but_silence_is_an_error(self):
+    def test_no_reachable_gateway_is_an_error(self):
         result = self.run_command("127.0.0.1:1/metrics")
         self.assertEqual(result.exit_code, 4)
 
-    def test_a_text_that_holds_no_metrics_is_named(self):
+    def test_a_file_without_metrics_is_reported(self):
         broken = self.folder / "broken"
         broken.write_text("not { metrics")
         result = self.run_command(self.sources[0], str(broken))
