--- a/src/rowanlab/simulator/permissive.py
+++ b/src/rowanlab/simulator/permissive.py
@@ -61,7 +61,7 @@
 class EverythingNotRun(OutcomeClassification):
     """Whatever is lost counts as not run."""
 
-    def after_loss(
+    def connection_lost_error(
         self, message: str, *, sent: bool, retry_after_seconds: float, step: str, peer: str
     ) -> CallerError:
         """See the guard."""
@@ -71,7 +71,7 @@
 class NoRecord(RequestRecord):
     """Request ids are not recorded."""
 
-    def is_recorded(self) -> bool:
+    def records_requests(self) -> bool:
         """See the guard."""
         return False
 
--- a/src/rowanlab/simulator/proxies.py
+++ b/src/rowanlab/simulator/proxies.py
@@ -133,11 +133,13 @@
             world.wall_clock,
         )
         self.core = core
-        core.on_session_ended_by_stop = self._end_session
+        core.on_session_shutdown = self._end_session
         core.start()
         if configuration is not None:
             core.apply(configuration)
-            core.set_users({group.name: PROXIES for group in configuration.configuration.groups})
+            core.set_proxy_counts(
+                {group.name: PROXIES for group in configuration.configuration.groups}
+            )
         if self._controls:
             await self._watch(process, core)
         address = f"{self.host}:{self.port}"
@@ -161,7 +163,7 @@
             return ProxyReport(self.name, self.zone, incarnation, core.in_force.version)
 
         watch = ConfigurationWatch(core, network, self._controls, self._peers, report)
-        await network.serve(f"{self.name}:7000", watch.answer_peer)
+        await network.serve(f"{self.name}:7000", watch.handle_peer_request)
         watch.start()
 
     async def stop(self, limit_seconds: float) -> None:
--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -69,7 +69,7 @@
             session = self._core.open_session(self.username, self.database or "")
             token = connection.client_connect_attrs.get(TOKEN_VARIABLE)
             if token:
-                session.take_token(token)
+                session.merge_token(token)
         except RowanrailError as error:
             return to_mysql_error(error)
         self._replaced, self.session = self.session, session
@@ -129,7 +129,7 @@
         self._server = Server(
             session_factory=self._new_session, identity_provider=CallerIdentities(core)
         )
-        core.on_session_ended_by_stop = self._end_session
+        core.on_session_shutdown = self._end_session
         self._callers: set[CallerSession] = set()
         self._announcements: list[asyncio.Task[None]] = []
 
--- a/src/rowanrail/sql_proxy/config_watch.py
+++ b/src/rowanrail/sql_proxy/config_watch.py
@@ -43,7 +43,7 @@
     def apply(self, offered: VersionedConfiguration) -> bool:
         """Put a configuration in force if it is newer; return whether it was."""
 
-    def set_users(self, users: dict[str, int]) -> None:
+    def set_proxy_counts(self, counts: dict[str, int]) -> None:
         """Note how many proxies use each group."""
 
 
@@ -77,7 +77,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def answer_peer(self, request: msgspec.Struct) -> msgspec.Struct | None:
+    async def handle_peer_request(self, request: msgspec.Struct) -> msgspec.Struct | None:
         """Answer another proxy that asks for the configuration in force here."""
         if not isinstance(request, PeerConfigurationRequest):
             raise TransportError(f"unexpected {type(request).__name__}", step="handle")
@@ -138,7 +138,7 @@
             self._next_control += 1
             return False
         self._take(reply)
-        self._core.set_users(reply.users)
+        self._core.set_proxy_counts(reply.users)
         return True
 
     async def _ask(self, address: str, wait_seconds: float) -> WatchReply | None:
--- a/src/rowanrail/sql_proxy/core.py
+++ b/src/rowanrail/sql_proxy/core.py
@@ -44,7 +44,7 @@
         self.in_force = VersionedConfiguration()
         self.sessions: dict[SqlSession, None] = {}  # in the order of their opening
         self.stopping = False
-        self.on_session_ended_by_stop: Callable[[SqlSession], None] = lambda session: None
+        self.on_session_shutdown: Callable[[SqlSession], None] = lambda session: None
         self.groups = GroupTable(zone, routes, driver, registry, randomness, wall_clock)
         self._wall_clock = wall_clock
         self._monotonic: VersionMonotonic = registry.create("control-guard", "version-monotonic")
@@ -73,11 +73,11 @@
         """Note which member addresses the platform lists as leaving."""
         self.groups.set_listed_leaving(addresses)
 
-    def set_users(self, users: dict[str, int]) -> None:
+    def set_proxy_counts(self, counts: dict[str, int]) -> None:
         """Note how many proxies use each group."""
-        self.groups.set_users(users)
+        self.groups.set_proxy_counts(counts)
 
-    def services(self) -> list[GroupServices]:
+    def watched_groups(self) -> list[GroupServices]:
         """Return what serves the groups that are watched, by name."""
         return self.groups.running()
 
@@ -180,7 +180,7 @@
                 if self._drain_wait.must_wait(session.busy, session.in_transaction):
                     waiting = True
                 else:
-                    self.on_session_ended_by_stop(session)
+                    self.on_session_shutdown(session)
                     self.sessions.pop(session, None)
             if waiting:
                 await asyncio.sleep(STOP_POLL_SECONDS)
--- a/src/rowanrail/sql_proxy/daemon.py
+++ b/src/rowanrail/sql_proxy/daemon.py
@@ -70,7 +70,7 @@
     core = ProxyCore(settings.zone, settings.routes, driver, registry, randomness)
     watch = _make_watch(settings, core, network, incarnation)
     frontend = registry.create("frontend", "mysql", core)
-    listener = await network.serve(settings.rpc_listen, watch.answer_peer)
+    listener = await network.serve(settings.rpc_listen, watch.handle_peer_request)
     runner = await serve_http(admin_application(core), settings.admin_listen)
     await frontend.start(settings.listen)
     core.start()
--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -113,7 +113,7 @@
         now = asyncio.get_running_loop().time()
         return max(1, self._connection_share.connections(limit, now) - 1)
 
-    def set_users(self, proxies: int) -> None:
+    def set_proxy_count(self, proxies: int) -> None:
         """Note how many proxies use the group, this one included; 0 if that is not known."""
         self._connection_share.observe(proxies, asyncio.get_running_loop().time())
         share = self._share()
@@ -129,7 +129,7 @@
     def keep_share(self, older: "GroupRuntime") -> None:
         """Go on with the share of the runtime that this one takes the place of."""
         self._connection_share = older._connection_share
-        self.set_users(UNKNOWN_PROXIES)
+        self.set_proxy_count(UNKNOWN_PROXIES)
 
     def start(self) -> None:
         """Begin to watch the members."""
--- a/src/rowanrail/sql_proxy/groups.py
+++ b/src/rowanrail/sql_proxy/groups.py
@@ -139,11 +139,11 @@
             await asyncio.sleep(RETIRE_POLL_SECONDS)
         services.group.stop()
 
-    def set_users(self, users: dict[str, int]) -> None:
+    def set_proxy_counts(self, counts: dict[str, int]) -> None:
         """Note how many proxies use each group."""
-        self._note_shared(users)
+        self._note_shared(counts)
         for name, services in self._running.items():
-            services.group.set_users(users.get(name, UNKNOWN_PROXIES))
+            services.group.set_proxy_count(counts.get(name, UNKNOWN_PROXIES))
 
     def used(self) -> list[str]:
         """Return the names of the groups that are watched: to them, connections may be open."""
--- a/src/rowanrail/sql_proxy/lease.py
+++ b/src/rowanrail/sql_proxy/lease.py
@@ -52,7 +52,7 @@
         self, outcomes: OutcomeClassification, error: BackendLostError, step: str
     ) -> CallerError:
         """Return the caller's error for a statement that was sent and whose answer did not come."""
-        return outcomes.after_loss(
+        return outcomes.connection_lost_error(
             str(error),
             sent=True,
             retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
--- a/src/rowanrail/sql_proxy/policies.py
+++ b/src/rowanrail/sql_proxy/policies.py
@@ -55,7 +55,7 @@
         )
         return holders > members // 2
 
-    def is_replaced(
+    def is_superseded(
         self, position: Position, statuses: Sequence[MemberStatus], members: int
     ) -> bool:
         """Return whether a majority has left the term, so that no confirmation can come."""
@@ -84,7 +84,7 @@
 class OutcomeClassification:
     """Only what was never sent, or what the back end itself refused, counts as not run."""
 
-    def after_loss(
+    def connection_lost_error(
         self, message: str, *, sent: bool, retry_after_seconds: float, step: str, peer: str
     ) -> CallerError:
         """Return the caller's error for a request whose connection was lost."""
@@ -97,7 +97,7 @@
 class RequestRecord:
     """A request id is recorded in the same database transaction as the work."""
 
-    def is_recorded(self) -> bool:
+    def records_requests(self) -> bool:
         """Return whether ids are recorded and looked up."""
         return True
 
--- a/src/rowanrail/sql_proxy/positions.py
+++ b/src/rowanrail/sql_proxy/positions.py
@@ -21,7 +21,7 @@
         """Return the token that carries the positions to another connection."""
         return encode_token(self._positions)
 
-    def take_token(self, token: str) -> None:
+    def merge_token(self, token: str) -> None:
         """See at least what ``token`` stands for.
 
         :raises InvalidRequestError: if the token is damaged.
--- a/src/rowanrail/sql_proxy/report.py
+++ b/src/rowanrail/sql_proxy/report.py
@@ -24,10 +24,12 @@
 
 def make_report(core: ProxyCore, name: str, zone: str, incarnation: str) -> ProxyReport:
     """Return the proxy's report."""
-    replica_reads = sum(services.statistics.replica_reads for services in core.services())
-    primary_reads = sum(services.statistics.primary_reads for services in core.services())
-    primary_only_reads = sum(services.statistics.primary_only_reads for services in core.services())
-    newest = sorted(core.services(), key=lambda services: services.used_at, reverse=True)
+    replica_reads = sum(services.statistics.replica_reads for services in core.watched_groups())
+    primary_reads = sum(services.statistics.primary_reads for services in core.watched_groups())
+    primary_only_reads = sum(
+        services.statistics.primary_only_reads for services in core.watched_groups()
+    )
+    newest = sorted(core.watched_groups(), key=lambda services: services.used_at, reverse=True)
     groups = [
         report for services in newest[:REPORTED_GROUPS] for report in _group_reports(services)
     ]
@@ -105,7 +107,7 @@
         """Return the metrics in Prometheus' text format."""
         self._sessions.set(len(self._core.sessions))
         self._version.set(self._core.in_force.version)
-        for services in self._core.services():
+        for services in self._core.watched_groups():
             group = services.spec.name
             for name, gauge in self._groups.items():
                 gauge.labels(group).set(getattr(services.statistics, name))
--- a/src/rowanrail/sql_proxy/rounds.py
+++ b/src/rowanrail/sql_proxy/rounds.py
@@ -68,7 +68,7 @@
         members = len(self._monitors)
         if self._confirmation.is_confirmed(position, statuses, members):
             return True
-        if self._confirmation.is_replaced(position, statuses, members):
+        if self._confirmation.is_superseded(position, statuses, members):
             return False
         return None
 
--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -45,7 +45,7 @@
         records = registry.create("proxy-guard", "request-record")
         self.reader = ReadRunner(self.group, self.outcomes, self.statistics)
         self.writer = WriteRunner(self.group, self.outcomes, records, self.statistics, wall_clock)
-        self.transactions = 0
+        self.open_transactions = 0
         self.used_at = 0.0
         self._floor_round: asyncio.Task[Position] | None = None
         self._recent_floor = (float("-inf"), Position())
@@ -57,7 +57,7 @@
 
     def is_busy(self) -> bool:
         """Return whether statements run or wait, or transactions are open."""
-        return self.transactions > 0 or self.group.outstanding > 0
+        return self.open_transactions > 0 or self.group.outstanding > 0
 
     async def floor(self, known: Position | None, deadline: float) -> Position:
         """Return the position that a read must see, by the group's consistency.
@@ -89,7 +89,7 @@
         :raises NotRunError: if the limit is reached.
         """
         limit = self.spec.limits.open_transactions
-        if not may_begin(self.transactions, limit):
+        if not may_begin(self.open_transactions, limit):
             raise NotRunError(
                 f"{limit} transactions are open at this proxy",
                 retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -77,12 +77,12 @@
         """Return the session's token."""
         return self._positions.token()
 
-    def take_token(self, token: str) -> None:
+    def merge_token(self, token: str) -> None:
         """Make the session see at least what ``token`` stands for.
 
         :raises InvalidRequestError: if the token is damaged.
         """
-        self._positions.take_token(token)
+        self._positions.merge_token(token)
 
     def use(self, database: str) -> None:
         """Change the default database.
@@ -121,7 +121,7 @@
     def _take_attributes(self, attributes: dict[str, str]) -> None:
         token = attributes.get(TOKEN_VARIABLE)
         if token:
-            self.take_token(token)
+            self.merge_token(token)
         request_id = attributes.get(REQUEST_ATTRIBUTE) or attributes.get(REQUEST_VARIABLE)
         if request_id:
             self._variables.request_id = request_id
@@ -222,7 +222,7 @@
     async def _set(self, sql: str, deadline: float) -> StatementResult:
         command = parse_set(sql)
         if command.kind is SetKind.TOKEN:
-            self.take_token(command.value)
+            self.merge_token(command.value)
         elif command.kind is SetKind.REQUEST_ID:
             self._variables.request_id = command.value
         elif command.kind is SetKind.AUTOCOMMIT:
@@ -295,7 +295,7 @@
         transaction = SqlTransaction(lease, services, self._pinning, may_write=not on_replica)
         result = await transaction.begin(sql, before, deadline)
         self.transaction = transaction
-        services.transactions += 1
+        services.open_transactions += 1
         return result
 
     async def _commit(self, deadline: float) -> StatementResult:
@@ -327,7 +327,7 @@
 
     def _end_transaction(self) -> None:
         if self.transaction is not None:
-            self.transaction.services.transactions -= 1
+            self.transaction.services.open_transactions -= 1
             self.transaction = None
 
     def check_limits(self, now: float) -> None:
--- a/src/rowanrail/sql_proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -40,7 +40,7 @@
 )
 from rowanrail.sql_proxy.statistics import GroupStatistics
 
-CLEAN_UP_EVERY_WRITES = 1000  # recorded writes between removals of old records; chosen
+CLEANUP_INTERVAL_WRITES = 1000  # recorded writes between removals of old records; chosen
 
 
 class WriteRunner:
@@ -75,7 +75,7 @@
         :raises CallerError: the caller's error.
         """
         self._statistics.writes += 1
-        if request_id and self._records.is_recorded():
+        if request_id and self._records.records_requests():
             return await self._run_recorded(sql, request_id, settings, deadline)
         return await self._run_once(sql, settings, deadline, bool(request_id), floor)
 
@@ -312,7 +312,7 @@
 
     def _count_recorded(self, lease: Lease) -> None:
         self._recorded_writes += 1
-        if self._recorded_writes % CLEAN_UP_EVERY_WRITES:
+        if self._recorded_writes % CLEANUP_INTERVAL_WRITES:
             lease.release()
             return
         asyncio.ensure_future(self._clean_up(lease))
--- a/tests/forms/names.py
+++ b/tests/forms/names.py
@@ -192,7 +192,7 @@
                 labels |= set(_labels(node))
     core = mock.Mock(sessions=[])
     core.in_force.version = 1
-    core.services.return_value = []
+    core.watched_groups.return_value = []
     fixed = Metrics("rowanrail_gateway", list).render() + ProxyMetrics(core).render()
     kinds = [line[7:] for line in fixed.decode().splitlines() if line.startswith("# TYPE ")]
     return {
--- a/tests/simulation/test_regressions.py
+++ b/tests/simulation/test_regressions.py
@@ -44,7 +44,7 @@
 
         async def scenario(core):
             session = core.open_session("caller", "data")
-            writer = core.services()[0].writer
+            writer = core.watched_groups()[0].writer
             lease_primary = writer.lease_primary
 
             async def lease_and_lose_status(*arguments):
@@ -68,7 +68,7 @@
             session = core.open_session("caller", "data")
             await session.execute("INSERT INTO edits (operation) VALUES ('x')", {})
             self.isolate_primary_and_proxy()
-            session.take_token(encode_token({"group": Position(99, 1)}))
+            session.merge_token(encode_token({"group": Position(99, 1)}))
             with self.assertRaises(NotRunError):
                 await session.execute("BEGIN", {})
                 await session.execute("SELECT COUNT(*) FROM edits", {})
@@ -158,12 +158,12 @@
             session = core.open_session("caller", "data")
             await session.execute("BEGIN", {})
             await session.execute("INSERT INTO edits (operation) VALUES ('x')", {})
-            before = core.services()[0]
+            before = core.watched_groups()[0]
             self.change_limit(core)
-            after = core.services()[0]
+            after = core.watched_groups()[0]
             self.assertIsNot(before, after)
             await session.execute("COMMIT", {})
-            self.assertEqual((before.transactions, after.transactions), (0, 0))
+            self.assertEqual((before.open_transactions, after.open_transactions), (0, 0))
             await asyncio.sleep(0.5)
             self.assertEqual(core.groups.retiring, 0)
 
--- a/tests/simulation/test_requests.py
+++ b/tests/simulation/test_requests.py
@@ -8,7 +8,7 @@
 from rowanlab.simulator.world import FIRST_WALL_CLOCK, World
 from rowanrail.kernel.errors import NotRunError, RequestConflictError
 from rowanrail.kernel.events import silence
-from rowanrail.sql_proxy.writes import CLEAN_UP_EVERY_WRITES
+from rowanrail.sql_proxy.writes import CLEANUP_INTERVAL_WRITES
 
 REQUEST_ID = f"{int(FIRST_WALL_CLOCK)}-request"
 INSERT = "INSERT INTO edits (operation) VALUES ('{}')"
@@ -81,8 +81,8 @@
         async def scenario():
             await self.at(1, *self.recorded("x"))
             await self.at(1, old)
-            writer = self.data.proxies[0].core.services()[0].writer
-            writer._recorded_writes = CLEAN_UP_EVERY_WRITES - 1
+            writer = self.data.proxies[0].core.watched_groups()[0].writer
+            writer._recorded_writes = CLEANUP_INTERVAL_WRITES - 1
             await self.at(1, f"SET @rowanrail_request_id = '{REQUEST_ID}2'", INSERT.format("y"))
             await asyncio.sleep(1.0)
             rows = (await self.at(2, "SELECT id FROM rowanrail_requests ORDER BY id")).rows
@@ -109,8 +109,8 @@
     def test_open_transactions_are_limited(self):
         async def many():
             core = self.data.proxies[0].core
-            services = core.services()[0]
-            services.transactions = services.spec.limits.open_transactions
+            services = core.watched_groups()[0]
+            services.open_transactions = services.spec.limits.open_transactions
             with self.assertRaises(NotRunError) as raised:
                 await core.open_session("caller", "data").execute("BEGIN", {})
             self.assertGreater(raised.exception.retry_after_seconds, 0)
--- a/tests/unit/test_groups.py
+++ b/tests/unit/test_groups.py
@@ -41,7 +41,7 @@
 
     async def test_a_group_shared_by_many_proxies_is_watched_only_by_those_who_use_it(self):
         self.table.find("database1")
-        self.table.set_users({"group0": 11, "group1": 11, "group2": 10})
+        self.table.set_proxy_counts({"group0": 11, "group1": 11, "group2": 10})
         for services in self.table.running():
             if services.spec.name != "group1":
                 services.used_at -= 2 * watching.UNUSED_GROUP_SECONDS
@@ -49,7 +49,7 @@
         self.assertNotIn("group0", self.watched())
         self.assertIn("group1", self.watched())
         self.assertIn("group2", self.watched())
-        self.table.set_users({"group1": 11})
+        self.table.set_proxy_counts({"group1": 11})
         self.table.apply(self.specs, [])
         self.assertNotIn("group0", self.watched())
 
--- a/tests/unit/test_proxy_decisions.py
+++ b/tests/unit/test_proxy_decisions.py
@@ -136,7 +136,7 @@
         self.assertTrue(confirmation.is_confirmed(position, [held, held], 3))
         self.assertFalse(confirmation.is_confirmed(position, [held, status(2, (2, 6))], 3))
         self.assertTrue(
-            confirmation.is_replaced(position, [status(2, (2, 6)), status(2, (1, 4))], 3)
+            confirmation.is_superseded(position, [status(2, (2, 6)), status(2, (1, 4))], 3)
         )
 
 
