--- a/src/rowanrail/sql_proxy/classify.py
+++ b/src/rowanrail/sql_proxy/classify.py
@@ -57,7 +57,7 @@
     r"""'(?:[^'\\]|\\.|'')*' | "(?:[^"\\]|\\.|"")*" | \b0x[0-9a-fA-F]+\b | \b\d+(?:\.\d+)?\b""",
     re.VERBOSE,
 )
-_FIRST_WORDS = re.compile(r"^\s*([A-Za-z]+)\s*([A-Za-z]*)")
+_FIRST_KEYWORDS = re.compile(r"^\s*([A-Za-z]+)\s*([A-Za-z]*)")
 _LEADING_COMMENTS = re.compile(r"^(?:\s*/\*[^!+].*?\*/|\s*--[^\n]*\n|\s*#[^\n]*\n)+", re.DOTALL)
 
 _SESSION_FUNCTIONS = {"LAST_INSERT_ID", "ROW_COUNT", "FOUND_ROWS", "CONNECTION_ID"}
@@ -72,25 +72,27 @@
     "TRUNCATE", "UNIX_TIMESTAMP", "USER", "UTC_DATE", "UTC_TIME", "UTC_TIMESTAMP", "UUID",
     "VERSION", "WEIGHT_STRING",
 }  # fmt: skip
-_DEFINITION_WORDS = {"CREATE", "ALTER", "DROP", "TRUNCATE", "RENAME"}
+_DEFINITION_KEYWORDS = {"CREATE", "ALTER", "DROP", "TRUNCATE", "RENAME"}
 
 
 def classify(sql: str) -> ClassifiedStatement:
     """Return the classification of ``sql``."""
     if "/*!" in sql:
         return ClassifiedStatement(Kind.WRITE)  # executable comments: only the member knows
-    return _classify_shape(_LITERALS.sub("1", sql) if len(sql) < MAXIMUM_PARSED_CHARACTERS else sql)
+    return _classify_normalized(
+        _LITERALS.sub("1", sql) if len(sql) < MAXIMUM_PARSED_CHARACTERS else sql
+    )
 
 
 @lru_cache(maxsize=CACHE_ENTRIES)
-def _classify_shape(sql: str) -> ClassifiedStatement:
+def _classify_normalized(sql: str) -> ClassifiedStatement:
     text = _LEADING_COMMENTS.sub("", sql).strip().rstrip(";").strip()
-    match = _FIRST_WORDS.match(text)
+    match = _FIRST_KEYWORDS.match(text)
     first = match.group(1).upper() if match else ""
     second = match.group(2).upper() if match else ""
     if not text:
         return ClassifiedStatement(Kind.EMPTY)
-    by_words = _classify_words(first, second, text.upper())
+    by_words = _classify_keywords(first, second, text.upper())
     if by_words is not None:
         return by_words
     if len(text) > MAXIMUM_PARSED_CHARACTERS:
@@ -104,7 +106,7 @@
     return _classify_tree(parsed[0]) if parsed else ClassifiedStatement(Kind.EMPTY)
 
 
-def _classify_words(first: str, second: str, upper: str) -> ClassifiedStatement | None:
+def _classify_keywords(first: str, second: str, upper: str) -> ClassifiedStatement | None:
     if first == "BEGIN":
         return ClassifiedStatement(Kind.BEGIN)
     if first == "START" and second == "TRANSACTION":
@@ -139,7 +141,7 @@
     if isinstance(tree, exp.Describe):
         return ClassifiedStatement(Kind.SHOW, names, schemas)
     first = type(tree).__name__.upper()
-    if first in _DEFINITION_WORDS or isinstance(tree, exp.Create | exp.Drop | exp.Alter):
+    if first in _DEFINITION_KEYWORDS or isinstance(tree, exp.Create | exp.Drop | exp.Alter):
         return ClassifiedStatement(Kind.DEFINITION, names, schemas)
     return ClassifiedStatement(Kind.WRITE, names, schemas)
 
--- a/src/rowanrail/sql_proxy/commands.py
+++ b/src/rowanrail/sql_proxy/commands.py
@@ -23,7 +23,7 @@
     AUTOCOMMIT = "autocommit"
     CHARACTER_SET = "character-set"
     NEXT_TRANSACTION = "next-transaction"
-    CARRIED = "carried"
+    SESSION_VARIABLE = "carried"
     COMPUTED = "computed"
 
 
@@ -34,29 +34,29 @@
     value: str = ""
 
 
-_OWN = re.compile(
+_PROXY_VARIABLE = re.compile(
     rf"^SET\s+@({TOKEN_VARIABLE}|{REQUEST_VARIABLE})\s*:?=\s*'([^']*)'$", re.IGNORECASE
 )
 _AUTOCOMMIT = re.compile(
     r"^SET\s+(?:SESSION\s+|@@SESSION\.|@@)?AUTOCOMMIT\s*=\s*(\w+)$", re.IGNORECASE
 )
-_NAMES = re.compile(
+_CHARACTER_SET = re.compile(
     r"^SET\s+(?:NAMES|CHARACTER\s+SET|CHARSET)\s+'?\"?(\w+)'?\"?(?:\s+COLLATE\s+'?\w+'?)?$",
     re.IGNORECASE,
 )
-_NEXT = re.compile(r"^SET\s+TRANSACTION\s+", re.IGNORECASE)
+_NEXT_TRANSACTION = re.compile(r"^SET\s+TRANSACTION\s+", re.IGNORECASE)
 _GLOBAL = re.compile(r"^SET\s+(?:GLOBAL|PERSIST|PERSIST_ONLY|@@GLOBAL|@@PERSIST)\b", re.IGNORECASE)
-_CARRIED = re.compile(
+_SESSION_VARIABLE = re.compile(
     r"^SET\s+(?:SESSION\s+|LOCAL\s+)?(?:@{0,2}[\w.]+\s*:?=\s*(?:'[^']*'|-?[\w.]+)"
     r"|TRANSACTION\s+ISOLATION\s+LEVEL\s+[\w\s]+)$",
     re.IGNORECASE,
 )
 _TOKEN_QUERY = re.compile(rf"^SELECT\s+@{{1,2}}{TOKEN_VARIABLE}\s*;?$", re.IGNORECASE)
 _USE = re.compile(r"^USE\s+`?([^`;\s]+)`?$", re.IGNORECASE)
-_SERVED_CHARSETS = {"utf8", "utf8mb3", "utf8mb4", "default"}
+_SUPPORTED_CHARSETS = {"utf8", "utf8mb3", "utf8mb4", "default"}
 _LAST_INSERT_ID = re.compile(r"\blast_insert_id\s*\(\s*\)", re.IGNORECASE)
 _ROW_COUNT = re.compile(r"\brow_count\s*\(\s*\)", re.IGNORECASE)
-_STRINGS = re.compile(r"""('(?:[^'\\]|\\.|'')*'|"(?:[^"\\]|\\.|"")*")""")
+_STRING_LITERALS = re.compile(r"""('(?:[^'\\]|\\.|'')*'|"(?:[^"\\]|\\.|"")*")""")
 
 
 def parse_set(sql: str) -> SetCommand:
@@ -65,7 +65,7 @@
     :raises InvalidRequestError: if it can't be served.
     """
     text = sql.strip().rstrip(";").strip()
-    own = _OWN.match(text)
+    own = _PROXY_VARIABLE.match(text)
     if own:
         is_token = own.group(1).lower() == TOKEN_VARIABLE
         return SetCommand(SetKind.TOKEN if is_token else SetKind.REQUEST_ID, own.group(2))
@@ -73,9 +73,9 @@
     if autocommit:
         on = autocommit.group(1).lower() in ("1", "on", "true")
         return SetCommand(SetKind.AUTOCOMMIT, "1" if on else "0")
-    names = _NAMES.match(text)
+    names = _CHARACTER_SET.match(text)
     if names:
-        if names.group(1).lower() not in _SERVED_CHARSETS:
+        if names.group(1).lower() not in _SUPPORTED_CHARSETS:
             raise InvalidRequestError(
                 f"character set {names.group(1)} is not served; use utf8mb4", step="set"
             )
@@ -84,10 +84,10 @@
         raise InvalidRequestError(
             "global variables can't be set through the proxy; set them at each member", step="set"
         )
-    if _NEXT.match(text):
+    if _NEXT_TRANSACTION.match(text):
         return SetCommand(SetKind.NEXT_TRANSACTION, text)
-    if _CARRIED.match(text):
-        return SetCommand(SetKind.CARRIED, text)
+    if _SESSION_VARIABLE.match(text):
+        return SetCommand(SetKind.SESSION_VARIABLE, text)
     return SetCommand(SetKind.COMPUTED, text)
 
 
@@ -113,7 +113,7 @@
     return " ".join(word for word in words if word not in ("set", "session", "local")).strip("@")
 
 
-def fill_session_functions(sql: str, last_insert_id: int, row_count: int) -> str:
+def substitute_session_functions(sql: str, last_insert_id: int, row_count: int) -> str:
     """Put the session's values in the place of LAST_INSERT_ID() and ROW_COUNT().
 
     The member's own values belong to whichever session used the connection last.
@@ -121,7 +121,7 @@
     lowered = sql.lower()
     if "last_insert_id" not in lowered and "row_count" not in lowered:
         return sql
-    parts = _STRINGS.split(sql)
+    parts = _STRING_LITERALS.split(sql)
     for position in range(0, len(parts), 2):
         parts[position] = _LAST_INSERT_ID.sub(str(last_insert_id), parts[position])
         parts[position] = _ROW_COUNT.sub(str(row_count), parts[position])
--- a/src/rowanrail/sql_proxy/config_watch.py
+++ b/src/rowanrail/sql_proxy/config_watch.py
@@ -26,9 +26,9 @@
 from rowanrail.sql_proxy.events import CONTROL_UNREACHABLE, UNCONFIRMED_CONFIGURATION
 
 # Seconds that a poll may wait at the control node for a newer version. Chosen.
-WATCH_WAIT_SECONDS = 2.0
+LONG_POLL_SECONDS = 2.0
 # Seconds for the round trip of a poll, on top of its wait. Chosen.
-WATCH_ROUND_TRIP_SECONDS = 1.0
+POLL_ROUND_TRIP_SECONDS = 1.0
 # Seconds for another proxy's answer. Chosen.
 PEER_CALL_SECONDS = 1.0
 # Seconds after a control node did not answer until the next is asked. Chosen.
@@ -64,9 +64,9 @@
         self._peers = peers
         self._make_report = make_report
         self._next_control = 0
-        self.hold(VersionedConfiguration())
+        self.set_base(VersionedConfiguration())
         self._task: asyncio.Task[None] | None = None
-        self.silent = False
+        self._unreachable_logged = False
 
     def start(self) -> None:
         """Begin to watch."""
@@ -93,21 +93,25 @@
     async def _start_up(self) -> None:
         """Take the leader's version; without one, the highest that anybody near knows."""
         while self._core.in_force.version == 0:
-            replies = await asyncio.gather(*(self._ask(address, 0.0) for address in self._controls))
+            replies = await asyncio.gather(
+                *(self._query(address, 0.0) for address in self._controls)
+            )
             known = [reply for reply in replies if reply is not None]
             newest = newest_confirmed(known)
             if newest is not None:
-                self._take(newest)  # nothing, if nothing was ever accepted: polls wait for it
+                self._apply_reply(
+                    newest
+                )  # nothing, if nothing was ever accepted: polls wait for it
                 return
-            await self._take_unconfirmed(known)
+            await self._apply_unconfirmed(known)
             if self._core.in_force.version == 0:
                 await asyncio.sleep(CONTROL_RETRY_SECONDS)
 
-    async def _take_unconfirmed(self, known: list[WatchReply]) -> None:
+    async def _apply_unconfirmed(self, known: list[WatchReply]) -> None:
         offers: list[tuple[VersionedConfiguration, str]] = []
         for reply in known:
             if reply.version and reply.delta is not None:
-                offers.append((_from_whole(reply), "a control node"))
+                offers.append((_from_full_reply(reply), "a control node"))
         request = PeerConfigurationRequest("")
         answers = await asyncio.gather(
             *(self._network.call(peer, request, PEER_CALL_SECONDS) for peer in self._peers),
@@ -122,51 +126,51 @@
         if offers:
             newest, source = max(offers, key=lambda offer: offer[0].version)
             emit(UNCONFIRMED_CONFIGURATION, version=newest.version, source=source)
-            self.hold(newest)
+            self.set_base(newest)
             self._core.apply(newest)
 
-    def hold(self, configuration: VersionedConfiguration) -> None:
+    def set_base(self, configuration: VersionedConfiguration) -> None:
         """Ask from now on for what is newer than ``configuration``."""
-        self._held = configuration
-        self._held_digest = configuration.digest()
+        self._base = configuration
+        self._base_digest = configuration.digest()
 
     async def poll_once(self) -> bool:
         """Ask one control node for what is newer; return whether it answered."""
         address = self._controls[self._next_control % len(self._controls)]
-        reply = await self._ask(address, WATCH_WAIT_SECONDS)
+        reply = await self._query(address, LONG_POLL_SECONDS)
         if reply is None:
             self._next_control += 1
             return False
-        self._take(reply)
+        self._apply_reply(reply)
         self._core.set_proxy_counts(reply.users)
         return True
 
-    async def _ask(self, address: str, wait_seconds: float) -> WatchReply | None:
+    async def _query(self, address: str, wait_seconds: float) -> WatchReply | None:
         request = WatchRequest(
-            self._make_report(), self._held.version, self._held_digest, wait_seconds
+            self._make_report(), self._base.version, self._base_digest, wait_seconds
         )
         try:
             reply = await self._network.call(
-                address, request, wait_seconds + WATCH_ROUND_TRIP_SECONDS
+                address, request, wait_seconds + POLL_ROUND_TRIP_SECONDS
             )
         except TransportError as error:
-            if not self.silent:
+            if not self._unreachable_logged:
                 emit(CONTROL_UNREACHABLE, peer=address, error=error)
-            self.silent = True
+            self._unreachable_logged = True
             return None
-        self.silent = False
+        self._unreachable_logged = False
         return reply if isinstance(reply, WatchReply) else None
 
-    def _take(self, reply: WatchReply) -> None:
+    def _apply_reply(self, reply: WatchReply) -> None:
         if reply.delta is None or not reply.version:
             return
-        offered = _from_whole(reply) if reply.whole else _from_delta(self._held, reply)
+        offered = _from_full_reply(reply) if reply.whole else _from_delta_reply(self._base, reply)
         if offered.digest() != reply.digest:
             # A gap: forget what is held, so that the next answer is the whole configuration.
-            self.hold(VersionedConfiguration())
+            self.set_base(VersionedConfiguration())
             return
         if self._core.apply(offered):
-            self.hold(offered)
+            self.set_base(offered)
 
 
 def newest_confirmed(replies: list[WatchReply]) -> WatchReply | None:
@@ -179,13 +183,13 @@
     return max(confirmed, key=lambda reply: reply.version, default=None)
 
 
-def _from_whole(reply: WatchReply) -> VersionedConfiguration:
+def _from_full_reply(reply: WatchReply) -> VersionedConfiguration:
     assert reply.delta is not None
     configuration = Configuration(reply.delta.sites, reply.delta.groups, reply.delta.users)
     return VersionedConfiguration(reply.version, configuration, reply.delta.drained)
 
 
-def _from_delta(held: VersionedConfiguration, reply: WatchReply) -> VersionedConfiguration:
+def _from_delta_reply(held: VersionedConfiguration, reply: WatchReply) -> VersionedConfiguration:
     assert reply.delta is not None
     changed = apply_delta(held, reply.delta)
     return VersionedConfiguration(reply.version, changed.configuration, changed.drained)
--- a/src/rowanrail/sql_proxy/share.py
+++ b/src/rowanrail/sql_proxy/connection_share.py
@@ -12,18 +12,18 @@
 # Seconds that a number counts as new: the other proxies give up connections meanwhile. Chosen.
 SHARE_SETTLE_SECONDS = 8.0
 # Seconds for which fewer proxies must have been counted before a share grows. Chosen.
-GROW_SECONDS = 20.0
+GROW_DELAY_SECONDS = 20.0
 # Number of proxies that use a group, as long as it is not known.
-UNKNOWN_PROXIES = 0
+UNKNOWN_PROXY_COUNT = 0
 
 
 class ConnectionShare:
     """The number of proxies by which a group's limits are divided here."""
 
     def __init__(self) -> None:
-        self._divisor = UNKNOWN_PROXIES
+        self._proxy_count = UNKNOWN_PROXY_COUNT
         self._known_since = float("inf")
-        self._lower = UNKNOWN_PROXIES
+        self._lower_count = UNKNOWN_PROXY_COUNT
         self._lower_since = 0.0
 
     def observe(self, proxies: int, now: float) -> None:
@@ -31,29 +31,29 @@
 
         :param proxies: 0 if that is not known; nothing changes then.
         """
-        if proxies == UNKNOWN_PROXIES:
+        if proxies == UNKNOWN_PROXY_COUNT:
             return
-        if self._divisor == UNKNOWN_PROXIES:
+        if self._proxy_count == UNKNOWN_PROXY_COUNT:
             self._known_since = now
-        if proxies >= self._divisor:
-            self._divisor = proxies
-            self._lower = UNKNOWN_PROXIES
+        if proxies >= self._proxy_count:
+            self._proxy_count = proxies
+            self._lower_count = UNKNOWN_PROXY_COUNT
             return
-        if self._lower == UNKNOWN_PROXIES or proxies > self._lower:
-            self._lower = proxies
+        if self._lower_count == UNKNOWN_PROXY_COUNT or proxies > self._lower_count:
+            self._lower_count = proxies
             self._lower_since = now
-        if now - self._lower_since >= GROW_SECONDS:
-            self._divisor = self._lower
-            self._lower = UNKNOWN_PROXIES
+        if now - self._lower_since >= GROW_DELAY_SECONDS:
+            self._proxy_count = self._lower_count
+            self._lower_count = UNKNOWN_PROXY_COUNT
 
     def connections(self, limit: int, now: float) -> int:
         """Return how many connections to one member this proxy may hold.
 
         :param limit: what the member can hold in all.
         """
-        if self._divisor == UNKNOWN_PROXIES:
+        if self._proxy_count == UNKNOWN_PROXY_COUNT:
             return min(STARTING_CONNECTIONS, limit)
-        share = max(1, limit // (self._divisor + 1))
+        share = max(1, limit // (self._proxy_count + 1))
         if now - self._known_since < SHARE_SETTLE_SECONDS:
             return min(STARTING_CONNECTIONS, share)
         return share
--- a/src/rowanrail/sql_proxy/core.py
+++ b/src/rowanrail/sql_proxy/core.py
@@ -16,8 +16,8 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.sql_proxy.backend import BackendDriver
 from rowanrail.sql_proxy.events import CONFIGURATION_IN_FORCE, OLDER_CONFIGURATION
-from rowanrail.sql_proxy.groups import GroupTable
-from rowanrail.sql_proxy.limits import REAPER_SECONDS
+from rowanrail.sql_proxy.group_table import GroupTable
+from rowanrail.sql_proxy.limits import REAPER_INTERVAL_SECONDS
 from rowanrail.sql_proxy.policies import DrainWait
 from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
 from rowanrail.sql_proxy.session import SqlSession
@@ -47,7 +47,9 @@
         self.on_session_shutdown: Callable[[SqlSession], None] = lambda session: None
         self.groups = GroupTable(zone, routes, driver, registry, randomness, wall_clock)
         self._wall_clock = wall_clock
-        self._monotonic: VersionMonotonic = registry.create("control-guard", "version-monotonic")
+        self._version_guard: VersionMonotonic = registry.create(
+            "control-guard", "version-monotonic"
+        )
         self._drain_wait: DrainWait = registry.create("proxy-guard", "drain-wait")
         self._reaper: asyncio.Task[None] | None = None
 
@@ -60,7 +62,7 @@
 
     def apply(self, offered: VersionedConfiguration) -> bool:
         """Put a configuration in force if it is newer than the one in force."""
-        if not self._monotonic.accepts(self.in_force.version, offered.version):
+        if not self._version_guard.accepts(self.in_force.version, offered.version):
             if offered.version < self.in_force.version:
                 emit(OLDER_CONFIGURATION, offered=offered.version, in_force=self.in_force.version)
             return False
@@ -136,7 +138,7 @@
 
     async def _reap(self) -> None:
         while True:
-            await asyncio.sleep(REAPER_SECONDS)
+            await asyncio.sleep(REAPER_INTERVAL_SECONDS)
             now = asyncio.get_running_loop().time()
             for session in list(self.sessions):
                 session.check_limits(now)
--- a/src/rowanrail/sql_proxy/directory.py
+++ b/src/rowanrail/sql_proxy/directory.py
@@ -54,7 +54,7 @@
 
     async def _run(self) -> None:
         timeout = aiohttp.ClientTimeout(total=MACHINE_LIST_TIMEOUT_SECONDS)
-        silent = False
+        failure_logged = False
         async with aiohttp.ClientSession(timeout=timeout) as client:
             while True:
                 try:
@@ -63,9 +63,9 @@
                     self._on_leaving(
                         {machine.address for machine in listed.machines if machine.state != "live"}
                     )
-                    silent = False
+                    failure_logged = False
                 except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError) as error:
-                    if not silent:
+                    if not failure_logged:
                         emit(DIRECTORY_UNREACHABLE, error=error)
-                    silent = True
+                    failure_logged = True
                 await asyncio.sleep(MACHINE_LIST_POLL_SECONDS)
--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -2,7 +2,7 @@
 
 For whatever runs statements of the group. Owns the members with their pools and monitors, the
 highest term in which a primary was seen, and the share of connections; relies on the rules in
-``serving`` and ``outcomes`` and on the guards.
+``member_selection`` and ``outcomes`` and on the guards.
 """
 
 import asyncio
@@ -16,13 +16,17 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_proxy.backend import BackendConnection, BackendDriver
+from rowanrail.sql_proxy.connection_share import UNKNOWN_PROXY_COUNT, ConnectionShare
+from rowanrail.sql_proxy.member_selection import (
+    PRIMARY_POLL_SECONDS,
+    current_primary,
+    expected_completion_seconds,
+)
 from rowanrail.sql_proxy.monitor import MemberMonitor
 from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
 from rowanrail.sql_proxy.policies import Freshness, LeavingCheck
 from rowanrail.sql_proxy.pool import Pool, PoolLimits
-from rowanrail.sql_proxy.rounds import MajorityRounds
-from rowanrail.sql_proxy.serving import PRIMARY_SEARCH_SECONDS, current_primary, expected_seconds
-from rowanrail.sql_proxy.share import UNKNOWN_PROXIES, ConnectionShare
+from rowanrail.sql_proxy.quorum import QuorumQueries
 
 
 class GroupOptions(msgspec.Struct, frozen=True):
@@ -40,14 +44,14 @@
         self.zone = zone
         self.pool = pool
         self.monitor = monitor
-        self.known = monitor.known
+        self.state = monitor.state
         self.drained = False
         self.listed_leaving = False
 
     @property
     def leaving(self) -> bool:
         """Whether the member is leaving: by an operator, by the list, or by its own report."""
-        return self.drained or self.listed_leaving or self.known.is_leaving
+        return self.drained or self.listed_leaving or self.state.is_leaving
 
 
 class GroupRuntime:
@@ -67,9 +71,9 @@
         self.leaving_check: LeavingCheck = registry.create("proxy-guard", "leaving-check")
         self._options = options
         self._driver = driver
-        self._changed = asyncio.Event()
-        self._term = 0
-        self.asked_at = float("-inf")
+        self._status_received = asyncio.Event()
+        self._highest_term = 0
+        self.polled_at = float("-inf")
         self._connection_share = ConnectionShare()
         self.members: list[Member] = []
         self.members = [
@@ -77,25 +81,29 @@
             for position in range(len(spec.members))
         ]
         monitors = [member.monitor for member in self.members]
-        self.rounds = MajorityRounds(spec.name, monitors, self.freshness, confirmation)
+        self.quorum = QuorumQueries(spec.name, monitors, self.freshness, confirmation)
 
     def _create_member(
         self, spec: GroupSpec, position: int, registry: Registry, randomness: random.Random
     ) -> Member:
         member = spec.members[position]
-        opener = self._opener(member.address)
+        connection_factory = self._connection_factory(member.address)
         peer = f"{spec.name}/{member.name}"
         pool = Pool(
             peer,
-            PoolLimits(self._share(), spec.limits.slots_per_member, spec.limits.queue_length),
-            opener,
+            PoolLimits(
+                self._connection_limit(), spec.limits.slots_per_member, spec.limits.queue_length
+            ),
+            connection_factory,
             registry.create("proxy-guard", "late-answer-discard"),
         )
-        monitor = MemberMonitor(peer, opener, random.Random(randomness.getrandbits(64)))
+        monitor = MemberMonitor(peer, connection_factory, random.Random(randomness.getrandbits(64)))
         monitor.on_status = self._on_status
         return Member(member.name, member.zone, pool, monitor)
 
-    def _opener(self, address: str) -> Callable[[], "asyncio.Future[BackendConnection]"]:
+    def _connection_factory(
+        self, address: str
+    ) -> Callable[[], "asyncio.Future[BackendConnection]"]:
         routed = self._options.routes.get(address, address)
         backend = self.spec.backend
         database = self.spec.databases[0]
@@ -107,7 +115,7 @@
 
         return open_connection
 
-    def _share(self) -> int:
+    def _connection_limit(self) -> int:
         # One connection of the share is the monitor's.
         limit = self.spec.limits.connections_per_member
         now = asyncio.get_running_loop().time()
@@ -116,20 +124,20 @@
     def set_proxy_count(self, proxies: int) -> None:
         """Note how many proxies use the group, this one included; 0 if that is not known."""
         self._connection_share.observe(proxies, asyncio.get_running_loop().time())
-        share = self._share()
+        share = self._connection_limit()
         for member in self.members:
             if member.pool.limit != share:
                 member.pool.set_limit(share)
 
-    def shrink(self) -> None:
+    def minimize_connections(self) -> None:
         """Keep no more connections than what runs needs."""
         for member in self.members:
             member.pool.set_limit(1)
 
-    def keep_share(self, older: "GroupRuntime") -> None:
+    def inherit_connection_share(self, older: "GroupRuntime") -> None:
         """Go on with the share of the runtime that this one takes the place of."""
         self._connection_share = older._connection_share
-        self.set_proxy_count(UNKNOWN_PROXIES)
+        self.set_proxy_count(UNKNOWN_PROXY_COUNT)
 
     def start(self) -> None:
         """Begin to watch the members."""
@@ -148,38 +156,38 @@
         """Number of requests that run at the members or wait for them."""
         return sum(member.pool.outstanding for member in self.members)
 
-    def kick(self) -> None:
+    def poll_soon(self) -> None:
         """Ask all members for their status soon."""
         for member in self.members:
-            member.monitor.kick()
+            member.monitor.poll_soon()
 
     def _on_status(self) -> None:
-        self._changed.set()
+        self._status_received.set()
         self.primary()
 
     # The primary
 
     def primary(self) -> Member | None:
         """Return the member that claims to be primary in the highest term seen, if any."""
-        terms = [member.known.term for member in self.members]
-        found = current_primary(terms, [member.known.is_primary for member in self.members])
+        terms = [member.state.term for member in self.members]
+        found = current_primary(terms, [member.state.is_primary for member in self.members])
         if found is None:
             return None
         best = self.members[found]
-        if terms[found] > self._term:
+        if terms[found] > self._highest_term:
             self._on_new_primary(best)
         if not self.leaving_check.accepts_work(best.leaving):
             return None
         return best
 
     def _on_new_primary(self, primary: Member) -> None:
-        self._term = primary.known.term
+        self._highest_term = primary.state.term
         for member in self.members:
             if member is not primary:
                 # What runs there can't be confirmed any more: end it now, not at its deadline.
                 member.pool.abort_leased()
 
-    async def wait_primary(self, deadline: float, floor: Position = ORIGIN) -> Member:
+    async def wait_for_primary(self, deadline: float, floor: Position = ORIGIN) -> Member:
         """Return the primary, searching for one until ``deadline`` (loop time).
 
         :param floor: what it must have applied, see :meth:`_has_applied`.
@@ -199,8 +207,8 @@
                     step="find primary",
                     peer=self.spec.name,
                 )
-            self.kick()
-            await self._wait_change(min(deadline, loop.time() + PRIMARY_SEARCH_SECONDS))
+            self.poll_soon()
+            await self._wait_for_status(min(deadline, loop.time() + PRIMARY_POLL_SECONDS))
 
     def fresh_primary(self, floor: Position) -> Member | None:
         """Return the primary if reads there see all up to ``floor``."""
@@ -214,20 +222,20 @@
         it yet; and a write of its own term may be undone at it, if it is demoted before it
         learns that a majority holds the write.
         """
-        return self.freshness.is_fresh(primary.known.committed, floor)
+        return self.freshness.is_fresh(primary.state.committed, floor)
 
-    async def _wait_change(self, until: float) -> None:
-        self._changed.clear()
+    async def _wait_for_status(self, until: float) -> None:
+        self._status_received.clear()
         try:
             async with asyncio.timeout_at(until):
-                await self._changed.wait()
+                await self._status_received.wait()
         except TimeoutError:
             pass  # the caller looks at its deadline
 
-    def suspect(self, member: Member) -> None:
+    def mark_unreachable(self, member: Member) -> None:
         """Note that a connection to ``member`` broke: ask it again before it gets more work."""
-        member.known.suspect()
-        self.kick()
+        member.state.mark_unreachable()
+        self.poll_soon()
 
     # Replicas
 
@@ -236,9 +244,9 @@
         return [
             member
             for member in self.members
-            if member.known.is_replica
+            if member.state.is_replica
             and self.leaving_check.accepts_work(member.leaving)
-            and self.freshness.is_fresh(member.known.committed, floor)
+            and self.freshness.is_fresh(member.state.committed, floor)
         ]
 
     def usable_replicas(self) -> list[Member]:
@@ -246,10 +254,10 @@
         return [
             member
             for member in self.members
-            if member.known.is_replica and self.leaving_check.accepts_work(member.leaving)
+            if member.state.is_replica and self.leaving_check.accepts_work(member.leaving)
         ]
 
-    async def wait_fresh(self, floor: Position, until: float) -> list[Member]:
+    async def wait_for_fresh_replicas(self, floor: Position, until: float) -> list[Member]:
         """Wait until a replica is fresh, at most until ``until`` (loop time)."""
         loop = asyncio.get_running_loop()
         while True:
@@ -257,10 +265,12 @@
             if fresh or loop.time() >= until or not self.usable_replicas():
                 return fresh
             for member in self.usable_replicas():
-                member.monitor.kick()
-            await self._wait_change(until)
+                member.monitor.poll_soon()
+            await self._wait_for_status(until)
 
     def cost(self, member: Member) -> float:
         """Return the expected seconds for a statement at ``member``."""
         pool = member.pool
-        return expected_seconds(pool.latency_seconds, pool.outstanding, pool.limit, pool.slots)
+        return expected_completion_seconds(
+            pool.latency_seconds, pool.outstanding, pool.limit, pool.slots
+        )
--- a/src/rowanrail/sql_proxy/watching.py
+++ b/src/rowanrail/sql_proxy/group_polling.py
@@ -7,12 +7,12 @@
 
 __all__ = [
     "ALWAYS_WATCHED_GROUPS",
-    "BACKGROUND_QUESTIONS_PER_SECOND",
-    "CONNECTIONS_PER_WATCHER",
+    "BACKGROUND_QUERIES_PER_SECOND",
+    "MINIMUM_CONNECTIONS_PER_PROXY",
     "UNUSED_GROUP_SECONDS",
-    "WATCH_SECONDS",
+    "POLL_SECONDS",
     "background_interval_seconds",
-    "is_due",
+    "is_poll_due",
     "is_shared_by_many",
     "is_unused",
 ]
@@ -22,11 +22,11 @@
 # Seconds without a statement after which another group is no longer watched. Chosen.
 UNUSED_GROUP_SECONDS = 300.0
 # Seconds between checks which groups to ask, spread by a fifth. Chosen.
-WATCH_SECONDS = 0.25
+POLL_SECONDS = 0.25
 # Members asked in a second for all groups in which nothing runs. Chosen.
-BACKGROUND_QUESTIONS_PER_SECOND = 6.0
+BACKGROUND_QUERIES_PER_SECOND = 6.0
 # Connections of a member's limit for each proxy, below which an idle proxy holds none. Chosen.
-CONNECTIONS_PER_WATCHER = 4
+MINIMUM_CONNECTIONS_PER_PROXY = 4
 
 
 def background_interval_seconds(members: int) -> float:
@@ -42,12 +42,12 @@
     >>> background_interval_seconds(48), background_interval_seconds(0)
     (7.875, 0.0)
     """
-    return max(0.0, members / BACKGROUND_QUESTIONS_PER_SECOND - WATCH_SECONDS / 2)
+    return max(0.0, members / BACKGROUND_QUERIES_PER_SECOND - POLL_SECONDS / 2)
 
 
-def is_due(is_busy: bool, now: float, asked_at: float, interval_seconds: float) -> bool:
+def is_poll_due(is_busy: bool, now: float, polled_at: float, interval_seconds: float) -> bool:
     """Return whether a group's members are asked now: always while statements run there."""
-    return is_busy or now >= asked_at + interval_seconds
+    return is_busy or now >= polled_at + interval_seconds
 
 
 def is_shared_by_many(proxies: int, connections_per_member: int) -> bool:
@@ -65,7 +65,7 @@
     >>> is_shared_by_many(25, 100), is_shared_by_many(26, 100)
     (False, True)
     """
-    return proxies * CONNECTIONS_PER_WATCHER > connections_per_member
+    return proxies * MINIMUM_CONNECTIONS_PER_PROXY > connections_per_member
 
 
 def is_unused(now: float, used_at: float) -> bool:
--- a/src/rowanrail/sql_proxy/groups.py
+++ b/src/rowanrail/sql_proxy/group_table.py
@@ -1,9 +1,9 @@
 """The groups that a proxy serves: which of them it watches, how often, and how they change.
 
-A proxy's cost for control must not grow with the number of configured groups. It watches
-the first ``watching.ALWAYS_WATCHED_GROUPS``, used or not, unless many proxies share them, and of
-the others those that are in use. All watched members share one budget of background
-questions; a group with running statements is asked at the full rate.
+A proxy polls the first ``group_polling.ALWAYS_WATCHED_GROUPS`` groups unless many proxies share
+them, and any other group while it is in use, so that its polling cost does not grow with the number
+of configured groups. Idle groups share one rate limit of status queries; a group with running
+statements is polled at the full rate.
 """
 
 import asyncio
@@ -13,22 +13,22 @@
 from rowanrail.config.model import GroupSpec
 from rowanrail.kernel.registry import Registry
 from rowanrail.sql_proxy.backend import BackendDriver
+from rowanrail.sql_proxy.connection_share import UNKNOWN_PROXY_COUNT
 from rowanrail.sql_proxy.group import GroupOptions
-from rowanrail.sql_proxy.services import GroupServices
-from rowanrail.sql_proxy.share import UNKNOWN_PROXIES
-from rowanrail.sql_proxy.watching import (
+from rowanrail.sql_proxy.group_polling import (
     ALWAYS_WATCHED_GROUPS,
-    WATCH_SECONDS,
+    POLL_SECONDS,
     background_interval_seconds,
-    is_due,
+    is_poll_due,
     is_shared_by_many,
     is_unused,
 )
+from rowanrail.sql_proxy.services import GroupServices
 
 # Seconds between checks whether the last statement of a replaced group has ended. Chosen.
 RETIRE_POLL_SECONDS = 0.1
 # Groups that a proxy names to its control nodes, which bounds the report. Chosen.
-REPORTED_NAMES = 100
+MAXIMUM_REPORTED_NAMES = 100
 
 
 class GroupTable:
@@ -87,15 +87,15 @@
         for name, services in list(self._running.items()):
             if self._specs.get(name) != services.spec:
                 replaced[name] = self._running.pop(name)
-        for name in [*in_use, *self._watched_anyway()]:
-            services = self._run(name)
+        for name in [*in_use, *self._always_watched()]:
+            services = self._ensure_running(name)
             if name in replaced:
-                services.group.keep_share(replaced[name].group)
+                services.group.inherit_connection_share(replaced[name].group)
         for services in replaced.values():
             self._retire(services)
         self._update_leaving()
 
-    def _run(self, name: str) -> GroupServices:
+    def _ensure_running(self, name: str) -> GroupServices:
         services = self._running.get(name)
         if services is None:
             services = self._create(self._specs[name])
@@ -126,7 +126,7 @@
         if not services.is_busy():
             services.group.stop()
             return
-        services.group.shrink()
+        services.group.minimize_connections()
         task = asyncio.ensure_future(self._stop_when_idle(services))
         self._retiring[services] = task
         task.add_done_callback(lambda done: self._retiring.pop(services, None))
@@ -135,19 +135,19 @@
     async def _stop_when_idle(services: GroupServices) -> None:
         # Deadlines and the limits of transactions bound this.
         while services.is_busy():
-            services.group.kick()
+            services.group.poll_soon()
             await asyncio.sleep(RETIRE_POLL_SECONDS)
         services.group.stop()
 
     def set_proxy_counts(self, counts: dict[str, int]) -> None:
         """Note how many proxies use each group."""
-        self._note_shared(counts)
+        self._update_shared_by_many(counts)
         for name, services in self._running.items():
-            services.group.set_proxy_count(counts.get(name, UNKNOWN_PROXIES))
+            services.group.set_proxy_count(counts.get(name, UNKNOWN_PROXY_COUNT))
 
-    def used(self) -> list[str]:
+    def watched_names(self) -> list[str]:
         """Return the names of the groups that are watched: to them, connections may be open."""
-        return sorted(self._running)[:REPORTED_NAMES]
+        return sorted(self._running)[:MAXIMUM_REPORTED_NAMES]
 
     # Leaving members
 
@@ -181,7 +181,7 @@
         name = self._by_database.get(database)
         if name is None:
             return None
-        services = self._run(name)
+        services = self._ensure_running(name)
         services.used_at = asyncio.get_running_loop().time()
         return services
 
@@ -193,20 +193,20 @@
 
     async def _watch(self) -> None:
         while True:
-            await asyncio.sleep(WATCH_SECONDS * self._random.uniform(0.8, 1.2))
+            await asyncio.sleep(POLL_SECONDS * self._random.uniform(0.8, 1.2))
             now = asyncio.get_running_loop().time()
             self._drop_unused(now)
             interval = self._background_interval()
             for services in self._running.values():
-                if is_due(services.is_busy(), now, services.group.asked_at, interval):
-                    services.group.asked_at = now
-                    services.group.kick()
+                if is_poll_due(services.is_busy(), now, services.group.polled_at, interval):
+                    services.group.polled_at = now
+                    services.group.poll_soon()
 
     def _background_interval(self) -> float:
         members = sum(len(services.group.members) for services in self._running.values())
         return background_interval_seconds(members)
 
-    def _watched_anyway(self) -> list[str]:
+    def _always_watched(self) -> list[str]:
         """Return the groups to watch whether they are used or not.
 
         Where many proxies share a group's connections, one that does not use it holds none.
@@ -217,9 +217,9 @@
             if name not in self._shared_by_many
         ]
 
-    def _note_shared(self, users: dict[str, int]) -> None:
+    def _update_shared_by_many(self, counts: dict[str, int]) -> None:
         """Note which groups many proxies share. A group that is not reported stays as it was."""
-        for name, proxies in users.items():
+        for name, proxies in counts.items():
             spec = self._specs.get(name)
             if spec is None:
                 continue
@@ -229,7 +229,7 @@
                 self._shared_by_many.discard(name)
 
     def _drop_unused(self, now: float) -> None:
-        kept = set(self._watched_anyway())
+        kept = set(self._always_watched())
         for name, services in list(self._running.items()):
             if name not in kept and is_unused(now, services.used_at) and not services.is_busy():
                 self._running.pop(name).group.stop()
--- a/src/rowanrail/sql_proxy/lease.py
+++ b/src/rowanrail/sql_proxy/lease.py
@@ -20,7 +20,7 @@
     def __init__(self, member: Member, connection: PooledConnection) -> None:
         self.member = member
         self.connection = connection
-        self._began = asyncio.get_running_loop().time()
+        self._acquired_at = asyncio.get_running_loop().time()
 
     @classmethod
     async def acquire(
@@ -44,9 +44,9 @@
             connection.settings = settings
         return lease
 
-    def is_of_known_start(self) -> bool:
+    def matches_known_incarnation(self) -> bool:
         """Return whether what is known of the member holds for this connection."""
-        return self.member.known.is_of_start(self.connection.incarnation)
+        return self.member.state.matches_incarnation(self.connection.incarnation)
 
     def lost_error(
         self, outcomes: OutcomeClassification, error: BackendLostError, step: str
@@ -66,7 +66,7 @@
 
     def release(self) -> None:
         """Give the connection back to its pool."""
-        seconds = asyncio.get_running_loop().time() - self._began
+        seconds = asyncio.get_running_loop().time() - self._acquired_at
         self.member.pool.release(self.connection, seconds if self.connection.answered else None)
 
     def discard(self) -> None:
--- a/src/rowanrail/sql_proxy/limits.py
+++ b/src/rowanrail/sql_proxy/limits.py
@@ -7,45 +7,49 @@
 
 __all__ = [
     "DEFAULT_DEADLINE_SECONDS",
-    "MAXIMUM_CARRIED_SETTINGS",
-    "REAPER_SECONDS",
-    "may_begin",
-    "overdue_reason",
-    "statement_seconds",
+    "MAXIMUM_SESSION_SETTINGS",
+    "REAPER_INTERVAL_SECONDS",
+    "may_begin_transaction",
+    "rollback_reason",
+    "statement_timeout_seconds",
 ]
 
 # Seconds for a statement of a session whose database no group serves. Chosen.
 DEFAULT_DEADLINE_SECONDS = 5.0
 # Session variables that are set anew on each connection that serves a session. Chosen.
-MAXIMUM_CARRIED_SETTINGS = 50
+MAXIMUM_SESSION_SETTINGS = 50
 # Seconds between checks for transactions that are idle or open for too long. Chosen.
-REAPER_SECONDS = 0.5
+REAPER_INTERVAL_SECONDS = 0.5
 
 
-def statement_seconds(group_seconds: float, asked_ms: int | None) -> float:
+def statement_timeout_seconds(group_limit_seconds: float, requested_ms: int | None) -> float:
     """Return the seconds that a statement may take.
 
     Parameters
     ----------
-    group_seconds : float
+    group_limit_seconds : float
         What the group allows.
-    asked_ms : int or None
+    requested_ms : int or None
         What the caller asks for; None if it asks for nothing. It can only shorten the time.
 
     Examples
     --------
-    >>> statement_seconds(5.0, asked_ms=250), statement_seconds(5.0, asked_ms=60000)
-    (0.25, 5.0)
+    >>> [statement_timeout_seconds(5.0, requested_ms=ms) for ms in (250, 60000)]
+    [0.25, 5.0]
     """
-    return group_seconds if asked_ms is None else min(group_seconds, asked_ms / 1000)
+    return (
+        group_limit_seconds
+        if requested_ms is None
+        else min(group_limit_seconds, requested_ms / 1000)
+    )
 
 
-def may_begin(open_transactions: int, limit: int) -> bool:
+def may_begin_transaction(open_transactions: int, limit: int) -> bool:
     """Return whether one more transaction may begin at a proxy."""
     return open_transactions < limit
 
 
-def overdue_reason(
+def rollback_reason(
     idle_seconds: float, idle_limit: float, open_seconds: float, open_limit: float
 ) -> str:
     """Return why a transaction is rolled back, an empty string if it may go on.
@@ -59,7 +63,7 @@
 
     Examples
     --------
-    >>> overdue_reason(idle_seconds=11.0, idle_limit=10.0, open_seconds=11.0, open_limit=60.0)
+    >>> rollback_reason(idle_seconds=11.0, idle_limit=10.0, open_seconds=11.0, open_limit=60.0)
     'idle for more than 10 s'
     """
     if idle_seconds > idle_limit:
--- a/src/rowanrail/sql_proxy/serving.py
+++ b/src/rowanrail/sql_proxy/member_selection.py
@@ -11,17 +11,17 @@
 from rowanrail.config.model import GroupConsistency
 
 __all__ = [
-    "PRIMARY_SEARCH_SECONDS",
+    "PRIMARY_POLL_SECONDS",
     "READ_RETRY_SECONDS",
     "REPLICA_WAIT_SECONDS",
     "FloorSource",
-    "ReadServer",
+    "ReadAction",
     "current_primary",
-    "expected_seconds",
+    "expected_completion_seconds",
     "floor_source",
     "is_recent_floor",
     "may_retry_read",
-    "server_without_replica",
+    "action_without_replica",
 ]
 
 # Seconds that a read waits for a replica that has what it must see, before the primary serves it.
@@ -31,18 +31,18 @@
 READ_RETRY_SECONDS = 0.005
 # Seconds between two rounds of questions while a primary is searched for; the answer of any member
 # ends the pause. Chosen.
-PRIMARY_SEARCH_SECONDS = 0.02
+PRIMARY_POLL_SECONDS = 0.02
 
 
 class FloorSource(enum.Enum):
     """Where the position comes from that a read must see."""
 
-    OWN = "own"  # the session's position
-    RECENT = "recent"  # a majority's, as old as the group allows
-    ASKED = "asked"  # a majority's, asked for after the read came
+    SESSION = "session"  # the session's own position
+    RECENT = "recent"  # a position of a majority, at most as old as the group allows
+    QUORUM = "quorum"  # a position of a majority, queried after the read arrived
 
 
-class ReadServer(enum.Enum):
+class ReadAction(enum.Enum):
     """What a read does that no replica serves."""
 
     PRIMARY = "primary"
@@ -64,17 +64,17 @@
     Examples
     --------
     >>> floor_source(GroupConsistency.SESSION, has_position=True).value
-    'own'
+    'session'
     >>> floor_source(GroupConsistency.SESSION, has_position=False).value
-    'asked'
+    'quorum'
     """
     match consistency:
         case GroupConsistency.STRICT:
-            return FloorSource.ASKED
+            return FloorSource.QUORUM
         case GroupConsistency.BOUNDED:
             return FloorSource.RECENT
         case _:
-            return FloorSource.OWN if has_position else FloorSource.ASKED
+            return FloorSource.SESSION if has_position else FloorSource.QUORUM
 
 
 def is_recent_floor(age_seconds: float, maximum_staleness_seconds: float) -> bool:
@@ -111,7 +111,9 @@
     return best
 
 
-def expected_seconds(latency_seconds: float, outstanding: int, limit: int, slots: int) -> float:
+def expected_completion_seconds(
+    latency_seconds: float, outstanding: int, limit: int, slots: int
+) -> float:
     """Return the seconds that a statement can expect at a member; the least of them serves a read.
 
     Parameters
@@ -125,9 +127,9 @@
 
     Examples
     --------
-    >>> expected_seconds(0.01, outstanding=0, limit=8, slots=4)
+    >>> expected_completion_seconds(0.01, outstanding=0, limit=8, slots=4)
     0.01
-    >>> expected_seconds(0.01, outstanding=7, limit=8, slots=4)
+    >>> expected_completion_seconds(0.01, outstanding=7, limit=8, slots=4)
     0.02
     """
     rounds = (outstanding + 1) / max(1, min(limit, slots))
@@ -139,7 +141,7 @@
     return now + READ_RETRY_SECONDS < deadline
 
 
-def server_without_replica(primary_is_fresh: bool, now: float, deadline: float) -> ReadServer:
+def action_without_replica(primary_is_fresh: bool, now: float, deadline: float) -> ReadAction:
     """Return what a read does that no replica serves.
 
     Parameters
@@ -150,5 +152,5 @@
         Loop time in seconds.
     """
     if primary_is_fresh:
-        return ReadServer.PRIMARY
-    return ReadServer.WAIT if may_retry_read(now, deadline) else ReadServer.REFUSE
+        return ReadAction.PRIMARY
+    return ReadAction.WAIT if may_retry_read(now, deadline) else ReadAction.REFUSE
--- a/src/rowanrail/sql_proxy/known_status.py
+++ b/src/rowanrail/sql_proxy/member_state.py
@@ -10,9 +10,9 @@
 from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
 
 __all__ = [
-    "RECONNECT_SECONDS",
+    "RECONNECT_DELAY_SECONDS",
     "STATUS_TIMEOUT_SECONDS",
-    "KnownStatus",
+    "MemberState",
 ]
 
 # Seconds for the answer to a question, the opening of a connection for it included; a member that
@@ -20,37 +20,37 @@
 STATUS_TIMEOUT_SECONDS = 0.3
 # Seconds: the longest pause before a failing member is asked again; half of it is the shortest, so
 # that proxies do not ask together. Chosen.
-RECONNECT_SECONDS = 0.1
+RECONNECT_DELAY_SECONDS = 0.1
 
 
-class KnownStatus:
+class MemberState:
     """The last status of a member, and whether it still answers.
 
     Examples
     --------
-    >>> known = KnownStatus()
-    >>> known.note(MemberStatus(MemberRole.PRIMARY, 3, ORIGIN, ORIGIN, False, "i"), now=1.0)
+    >>> known = MemberState()
+    >>> known.update(MemberStatus(MemberRole.PRIMARY, 3, ORIGIN, ORIGIN, False, "i"), now=1.0)
     >>> known.is_primary, known.term
     (True, 3)
-    >>> known.suspect()
+    >>> known.mark_unreachable()
     >>> known.is_primary, known.term
     (False, 3)
     """
 
     def __init__(self) -> None:
-        self.latest: MemberStatus | None = None
-        self.latest_at = float("-inf")
+        self.last_status: MemberStatus | None = None
+        self.last_status_at = float("-inf")
         self.reachable = False
 
     @property
     def term(self) -> int:
         """Term that the member last reported; 0 if it has reported none."""
-        return self.latest.term if self.latest else 0
+        return self.last_status.term if self.last_status else 0
 
     @property
     def committed(self) -> Position:
         """Last committed position known of the member."""
-        return self.latest.committed if self.latest else ORIGIN
+        return self.last_status.committed if self.last_status else ORIGIN
 
     @property
     def is_primary(self) -> bool:
@@ -65,19 +65,19 @@
     @property
     def is_leaving(self) -> bool:
         """Whether the member itself last said that it is leaving."""
-        return self.latest is not None and self.latest.leaving
+        return self.last_status is not None and self.last_status.leaving
 
     def _is(self, role: MemberRole) -> bool:
-        return self.reachable and self.latest is not None and self.latest.role is role
+        return self.reachable and self.last_status is not None and self.last_status.role is role
 
-    def is_of_start(self, incarnation: str) -> bool:
+    def matches_incarnation(self, incarnation: str) -> bool:
         """Return whether what is known holds for the start of the member that is named.
 
         A member that was restarted may have lost what it had committed before.
         """
-        return self.latest is not None and self.latest.incarnation == incarnation
+        return self.last_status is not None and self.last_status.incarnation == incarnation
 
-    def note(self, status: MemberStatus | None, now: float) -> None:
+    def update(self, status: MemberStatus | None, now: float) -> None:
         """Note the answer to a question; None if there was none in time.
 
         The last status stays when a member stops answering: its term still counts for which
@@ -85,9 +85,9 @@
         """
         self.reachable = status is not None
         if status is not None:
-            self.latest = status
-            self.latest_at = now
+            self.last_status = status
+            self.last_status_at = now
 
-    def suspect(self) -> None:
+    def mark_unreachable(self) -> None:
         """Count the member as failing until it answers the next question."""
         self.reachable = False
--- a/src/rowanrail/sql_proxy/monitor.py
+++ b/src/rowanrail/sql_proxy/monitor.py
@@ -10,17 +10,23 @@
 
 from rowanrail.kernel.errors import BackendConnectError, BackendLostError, BackendRefusedError
 from rowanrail.sql_proxy.backend import BackendConnection, MemberStatus
-from rowanrail.sql_proxy.known_status import RECONNECT_SECONDS, STATUS_TIMEOUT_SECONDS, KnownStatus
-from rowanrail.sql_proxy.pool import Opener
+from rowanrail.sql_proxy.member_state import (
+    RECONNECT_DELAY_SECONDS,
+    STATUS_TIMEOUT_SECONDS,
+    MemberState,
+)
+from rowanrail.sql_proxy.pool import ConnectionFactory
 
 
 class MemberMonitor:
     """Asks a member for its status; a question joins the round that begins after it."""
 
-    def __init__(self, peer: str, opener: Opener, randomness: random.Random) -> None:
+    def __init__(
+        self, peer: str, connection_factory: ConnectionFactory, randomness: random.Random
+    ) -> None:
         self.peer = peer
-        self.known = KnownStatus()
-        self._opener = opener
+        self.state = MemberState()
+        self._connection_factory = connection_factory
         self._random = randomness
         self._connection: BackendConnection | None = None
         self._waiters: list[asyncio.Future[MemberStatus | None]] = []
@@ -38,7 +44,7 @@
         if self._task is not None:
             self._task.cancel()
         self._disconnect()
-        self._answer([*self._waiters], None)
+        self._resolve([*self._waiters], None)
         self._waiters = []
 
     async def refresh(self) -> MemberStatus | None:
@@ -48,7 +54,7 @@
         self._wake.set()
         return await future
 
-    def kick(self) -> None:
+    def poll_soon(self) -> None:
         """Begin a round soon."""
         self._wake.set()
 
@@ -58,16 +64,16 @@
             self._wake.clear()
             waiters, self._waiters = self._waiters, []
             status = await self._query()
-            self._note(status)
-            self._answer(waiters, status)
+            self._update_state(status)
+            self._resolve(waiters, status)
             if status is None and not self._waiters:
-                await asyncio.sleep(RECONNECT_SECONDS * self._random.uniform(0.5, 1.0))
+                await asyncio.sleep(RECONNECT_DELAY_SECONDS * self._random.uniform(0.5, 1.0))
 
     async def _query(self) -> MemberStatus | None:
         try:
             async with asyncio.timeout(STATUS_TIMEOUT_SECONDS):
                 if self._connection is None:
-                    self._connection = await self._opener()
+                    self._connection = await self._connection_factory()
                 return await self._connection.status()
         except (BackendConnectError, BackendLostError, BackendRefusedError, TimeoutError):
             self._disconnect()
@@ -76,12 +82,12 @@
             self._disconnect()
             raise
 
-    def _note(self, status: MemberStatus | None) -> None:
-        self.known.note(status, asyncio.get_running_loop().time())
+    def _update_state(self, status: MemberStatus | None) -> None:
+        self.state.update(status, asyncio.get_running_loop().time())
         self.on_status()
 
     @staticmethod
-    def _answer(
+    def _resolve(
         waiters: "list[asyncio.Future[MemberStatus | None]]", status: MemberStatus | None
     ) -> None:
         for waiter in waiters:
--- a/src/rowanrail/sql_proxy/outcomes.py
+++ b/src/rowanrail/sql_proxy/outcomes.py
@@ -12,24 +12,24 @@
     "DUPLICATE_KEY_CODE",
     "GROUP_RETRY_AFTER_SECONDS",
     "NO_SUCH_TABLE_CODE",
-    "READ_ONLY_CODES",
-    "ROUND_RETRY_MAXIMUM_SECONDS",
-    "ROUND_RETRY_SECONDS",
+    "READ_ONLY_ERROR_CODES",
+    "MAXIMUM_BACKOFF_SECONDS",
+    "INITIAL_BACKOFF_SECONDS",
     "WRITE_RETRY_SECONDS",
-    "LostCommit",
-    "is_refused_by_replica",
-    "is_under_way",
-    "lost_commit",
-    "may_retry_recorded",
-    "next_round_pause",
-    "primary_wait_end",
+    "LostCommitAction",
+    "is_read_only_error",
+    "is_in_progress",
+    "lost_commit_action",
+    "may_retry_write",
+    "next_backoff",
+    "primary_wait_deadline",
 ]
 
 # MySQL's error codes that rules depend on.
 DUPLICATE_KEY_CODE = 1062
 NO_SUCH_TABLE_CODE = 1146
 # The member itself says that it is no primary (any more); nothing ran.
-READ_ONLY_CODES = frozenset({1290, 1792, 1836, 3100})
+READ_ONLY_ERROR_CODES = frozenset({1290, 1792, 1836, 3100})
 
 # Seconds after which a caller is told to retry whose group has no primary, no majority, no fresh
 # member or too many open transactions. Chosen.
@@ -38,24 +38,24 @@
 WRITE_RETRY_SECONDS = 0.01
 # Seconds between two rounds of questions whether a majority holds a write: the first pause, which
 # doubles, and the longest. Chosen.
-ROUND_RETRY_SECONDS = 0.005
-ROUND_RETRY_MAXIMUM_SECONDS = 0.05
+INITIAL_BACKOFF_SECONDS = 0.005
+MAXIMUM_BACKOFF_SECONDS = 0.05
 
 
-class LostCommit(enum.Enum):
+class LostCommitAction(enum.Enum):
     """What follows when a commit was sent and its answer did not come."""
 
-    SETTLE = "settle"  # it has a record: the record, or a tombstone, says what became of it
+    RESOLVE = "resolve"  # it has a record: the record, or a tombstone, says what became of it
     ROLLED_BACK = "rolled-back"  # nothing was written, so that nothing can last
     UNKNOWN = "unknown"  # it may have been committed
 
 
-def is_refused_by_replica(code: int) -> bool:
+def is_read_only_error(code: int) -> bool:
     """Return whether a member refused a write because it is no primary: it is sent again."""
-    return code in READ_ONLY_CODES
+    return code in READ_ONLY_ERROR_CODES
 
 
-def is_under_way(code: int, message: str) -> bool:
+def is_in_progress(code: int, message: str) -> bool:
     """Return whether a request with the same id runs elsewhere and has not committed yet.
 
     Parameters
@@ -68,15 +68,15 @@
 
     Examples
     --------
-    >>> is_under_way(DUPLICATE_KEY_CODE, "Duplicate entry for key 'rowanrail_requests.PRIMARY'")
+    >>> is_in_progress(DUPLICATE_KEY_CODE, "Duplicate entry for key 'rowanrail_requests.PRIMARY'")
     True
-    >>> is_under_way(DUPLICATE_KEY_CODE, "Duplicate entry for key 'cues.PRIMARY'")
+    >>> is_in_progress(DUPLICATE_KEY_CODE, "Duplicate entry for key 'cues.PRIMARY'")
     False
     """
     return code == DUPLICATE_KEY_CODE and "rowanrail" in message
 
 
-def lost_commit(is_recorded: bool, has_written: bool) -> LostCommit:
+def lost_commit_action(is_recorded: bool, has_written: bool) -> LostCommitAction:
     """Return what follows when a commit was sent and its answer did not come.
 
     Parameters
@@ -87,26 +87,26 @@
         Whether the transaction ran any statement that writes.
     """
     if is_recorded:
-        return LostCommit.SETTLE
-    return LostCommit.UNKNOWN if has_written else LostCommit.ROLLED_BACK
+        return LostCommitAction.RESOLVE
+    return LostCommitAction.UNKNOWN if has_written else LostCommitAction.ROLLED_BACK
 
 
-def may_retry_recorded(now: float, deadline: float) -> bool:
+def may_retry_write(now: float, deadline: float) -> bool:
     """Return whether a write with a request id has time for another try."""
     return now + WRITE_RETRY_SECONDS < deadline
 
 
-def primary_wait_end(now: float, deadline: float, failover_wait_seconds: float) -> float:
+def primary_wait_deadline(now: float, deadline: float, failover_wait_seconds: float) -> float:
     """Return until when a statement waits for a primary: no longer than the group allows."""
     return min(deadline, now + failover_wait_seconds)
 
 
-def next_round_pause(pause_seconds: float) -> float:
+def next_backoff(pause_seconds: float) -> float:
     """Return the pause after one of ``pause_seconds`` between two rounds of questions.
 
     Examples
     --------
-    >>> next_round_pause(0.005), next_round_pause(0.04)
+    >>> next_backoff(0.005), next_backoff(0.04)
     (0.01, 0.05)
     """
-    return min(2 * pause_seconds, ROUND_RETRY_MAXIMUM_SECONDS)
+    return min(2 * pause_seconds, MAXIMUM_BACKOFF_SECONDS)
--- a/src/rowanrail/sql_proxy/pool.py
+++ b/src/rowanrail/sql_proxy/pool.py
@@ -21,15 +21,15 @@
 from rowanrail.sql_proxy.backend import BackendConnection, MemberStatus, StatementResult
 from rowanrail.sql_proxy.policies import LateAnswerDiscard
 from rowanrail.sql_proxy.queueing import (
+    CONNECT_TIMEOUT_SECONDS,
     INITIAL_LATENCY_SECONDS,
-    MINIMUM_RETRY_SECONDS,
-    OPEN_LIMIT_SECONDS,
+    MINIMUM_RETRY_AFTER_SECONDS,
     displaces_last,
     expected_wait_seconds,
-    has_room,
+    has_queue_room,
     retry_after_seconds,
     smoothed_latency,
-    would_be_late,
+    would_miss_deadline,
 )
 
 
@@ -82,13 +82,13 @@
         self.answered = False
         try:
             async with asyncio.timeout_at(deadline):
-                result = await self._run(self._connection.execute(sql))
+                result = await self._run_abortable(self._connection.execute(sql))
         except TimeoutError as error:
             raise BackendLostError("no answer in time", step="execute", peer=self.peer) from error
         self.answered = True
         return result
 
-    async def _run(self, work: Awaitable[StatementResult]) -> StatementResult:
+    async def _run_abortable(self, work: Awaitable[StatementResult]) -> StatementResult:
         """Await ``work``, but end at once when :meth:`abort` is called."""
         loop = asyncio.get_running_loop()
         aborted: asyncio.Future[StatementResult] = loop.create_future()
@@ -124,14 +124,18 @@
         self._connection.close()
 
 
-Opener = Callable[[], Awaitable[BackendConnection]]
+ConnectionFactory = Callable[[], Awaitable[BackendConnection]]
 
 
 class Pool:
     """Connections to one member. At most ``limit`` are open or being opened."""
 
     def __init__(
-        self, peer: str, limits: PoolLimits, opener: Opener, late_answers: LateAnswerDiscard
+        self,
+        peer: str,
+        limits: PoolLimits,
+        connection_factory: ConnectionFactory,
+        late_answers: LateAnswerDiscard,
     ) -> None:
         self.peer = peer
         self.limit = limits.connections
@@ -140,13 +144,13 @@
         self.latency_seconds = INITIAL_LATENCY_SECONDS
         self.open_count = 0
         self.leased: dict[PooledConnection, None] = {}  # in the order of their leases
-        self._opener = opener
+        self._connection_factory = connection_factory
         self._late_answers = late_answers
         self._idle: list[PooledConnection] = []
         self._waiting: list[tuple[int, int, asyncio.Future[None]]] = []
         self._sequence = 0
         self._refusals = 0
-        self._failing_until = 0.0
+        self._connect_paused_until = 0.0
 
     @property
     def waiting(self) -> int:
@@ -180,9 +184,9 @@
                 return leased
             if self.open_count < self.limit:
                 return await self._open(deadline)
-            if would_be_late(loop.time(), self.expected_wait_seconds(), deadline):
+            if would_miss_deadline(loop.time(), self.expected_wait_seconds(), deadline):
                 raise self._refusal("all connections are busy")
-            await self._wait_turn(deadline, priority)
+            await self._wait_in_queue(deadline, priority)
 
     def _take_idle(self, settings: tuple[str, ...]) -> PooledConnection | None:
         for position in range(len(self._idle) - 1, -1, -1):
@@ -199,25 +203,25 @@
 
     async def _open(self, deadline: float) -> PooledConnection:
         loop = asyncio.get_running_loop()
-        if loop.time() < self._failing_until:
+        if loop.time() < self._connect_paused_until:
             raise BackendConnectError("refused a moment ago", step="connect", peer=self.peer)
         self.open_count += 1
         try:
-            limit = min(deadline, loop.time() + OPEN_LIMIT_SECONDS)
+            limit = min(deadline, loop.time() + CONNECT_TIMEOUT_SECONDS)
             async with asyncio.timeout_at(limit):
                 pooled = await self._connect()
         except (BackendConnectError, BackendLostError, BackendRefusedError, TimeoutError) as error:
-            self._failing_until = loop.time() + MINIMUM_RETRY_SECONDS
-            self._release_place()
+            self._connect_paused_until = loop.time() + MINIMUM_RETRY_AFTER_SECONDS
+            self._release_slot()
             raise BackendConnectError(str(error), step="connect", peer=self.peer) from error
         except BaseException:
-            self._release_place()
+            self._release_slot()
             raise
         self.leased[pooled] = None
         return pooled
 
     async def _connect(self) -> PooledConnection:
-        connection = await self._opener()
+        connection = await self._connection_factory()
         pooled = PooledConnection(connection, self.peer, self._late_answers)
         try:
             # What is known of a member holds for one start of it: learn which one this is.
@@ -227,9 +231,9 @@
             raise
         return pooled
 
-    async def _wait_turn(self, deadline: float, priority: Priority) -> None:
+    async def _wait_in_queue(self, deadline: float, priority: Priority) -> None:
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._make_room(priority)
+        self._make_queue_room(priority)
         self._sequence += 1
         entry = (int(priority), self._sequence, future)
         heapq.heappush(self._waiting, entry)
@@ -245,12 +249,12 @@
             elif future.cancelled():
                 self._wake_one()
 
-    def _make_room(self, priority: Priority) -> None:
+    def _make_queue_room(self, priority: Priority) -> None:
         """Keep the queue bounded: of the least urgent requests the last is refused at once.
 
         :raises NotRunError: if that is the request that has just come.
         """
-        if has_room(len(self._waiting), self._queue_length):
+        if has_queue_room(len(self._waiting), self._queue_length):
             return
         last = max(self._waiting, default=None)
         if last is None or not displaces_last(last[0], priority):
@@ -286,9 +290,9 @@
 
     def _close(self, connection: PooledConnection) -> None:
         connection.close()
-        self._release_place()
+        self._release_slot()
 
-    def _release_place(self) -> None:
+    def _release_slot(self) -> None:
         self.open_count -= 1
         self._wake_one()
 
--- a/src/rowanrail/sql_proxy/queueing.py
+++ b/src/rowanrail/sql_proxy/queueing.py
@@ -7,28 +7,28 @@
 
 __all__ = [
     "INITIAL_LATENCY_SECONDS",
-    "LATENCY_WEIGHT",
-    "MINIMUM_RETRY_SECONDS",
-    "OPEN_LIMIT_SECONDS",
-    "SPREAD_STEPS",
+    "LATENCY_SMOOTHING_FACTOR",
+    "MINIMUM_RETRY_AFTER_SECONDS",
+    "CONNECT_TIMEOUT_SECONDS",
+    "RETRY_SPREAD_STEPS",
     "displaces_last",
     "expected_wait_seconds",
-    "has_room",
+    "has_queue_room",
     "retry_after_seconds",
     "smoothed_latency",
-    "would_be_late",
+    "would_miss_deadline",
 ]
 
 # Seconds for a connection to open; a statement's deadline may end it sooner. Chosen.
-OPEN_LIMIT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 # Weight of the newest statement in a member's usual latency. Chosen.
-LATENCY_WEIGHT = 0.1
+LATENCY_SMOOTHING_FACTOR = 0.1
 # Seconds taken for a member's usual latency before its first answer. Chosen.
 INITIAL_LATENCY_SECONDS = 0.005
 # Seconds: the soonest retry, and how long a member that refused a connection is left alone. Chosen.
-MINIMUM_RETRY_SECONDS = 0.05
+MINIMUM_RETRY_AFTER_SECONDS = 0.05
 # Different retry times of requests that are refused together. Chosen.
-SPREAD_STEPS = 16
+RETRY_SPREAD_STEPS = 16
 
 
 def expected_wait_seconds(
@@ -55,12 +55,12 @@
     return ahead * latency_seconds / parallel
 
 
-def would_be_late(now: float, wait_seconds: float, deadline: float) -> bool:
+def would_miss_deadline(now: float, wait_seconds: float, deadline: float) -> bool:
     """Return whether a request is refused at once, since its connection would come too late."""
     return now + wait_seconds > deadline
 
 
-def has_room(waiting: int, queue_length: int) -> bool:
+def has_queue_room(waiting: int, queue_length: int) -> bool:
     """Return whether one more request may wait, beside ``waiting`` others."""
     return waiting < queue_length
 
@@ -105,10 +105,10 @@
     >>> retry_after_seconds(refusals=16, wait_seconds=0.0)
     0.05
     """
-    spread = 1 + (refusals % SPREAD_STEPS) / SPREAD_STEPS
-    return spread * max(MINIMUM_RETRY_SECONDS, 2 * wait_seconds)
+    spread = 1 + (refusals % RETRY_SPREAD_STEPS) / RETRY_SPREAD_STEPS
+    return spread * max(MINIMUM_RETRY_AFTER_SECONDS, 2 * wait_seconds)
 
 
 def smoothed_latency(latency_seconds: float, seconds: float) -> float:
     """Return a member's usual latency after a statement that took ``seconds``."""
-    return latency_seconds + LATENCY_WEIGHT * (seconds - latency_seconds)
+    return latency_seconds + LATENCY_SMOOTHING_FACTOR * (seconds - latency_seconds)
--- a/src/rowanrail/sql_proxy/rounds.py
+++ b/src/rowanrail/sql_proxy/quorum.py
@@ -14,16 +14,16 @@
 from rowanrail.sql_proxy.monitor import MemberMonitor
 from rowanrail.sql_proxy.outcomes import (
     GROUP_RETRY_AFTER_SECONDS,
-    ROUND_RETRY_MAXIMUM_SECONDS,
-    ROUND_RETRY_SECONDS,
-    next_round_pause,
+    INITIAL_BACKOFF_SECONDS,
+    MAXIMUM_BACKOFF_SECONDS,
+    next_backoff,
 )
 from rowanrail.sql_proxy.policies import Freshness, TermConfirmation
 
-__all__ = ["MajorityRounds"]
+__all__ = ["QuorumQueries"]
 
 
-class MajorityRounds:
+class QuorumQueries:
     """Asks a group's members together.
 
     :param name: the group's name, for errors.
@@ -47,23 +47,23 @@
         :returns: False as soon as a majority has moved on, or at ``deadline``.
         """
         loop = asyncio.get_running_loop()
-        pause_seconds = ROUND_RETRY_SECONDS
+        pause_seconds = INITIAL_BACKOFF_SECONDS
         while loop.time() < deadline:
             try:
                 async with asyncio.timeout_at(deadline):
-                    statuses = await self._ask(
-                        lambda answers: self._confirms(position, answers) is not None
+                    statuses = await self._query_members(
+                        lambda answers: self._confirmation_result(position, answers) is not None
                     )
             except TimeoutError:
                 return False
-            confirmed = self._confirms(position, statuses)
+            confirmed = self._confirmation_result(position, statuses)
             if confirmed is not None:
                 return confirmed
             await asyncio.sleep(pause_seconds)
-            pause_seconds = next_round_pause(pause_seconds)
+            pause_seconds = next_backoff(pause_seconds)
         return False
 
-    def _confirms(self, position: Position, statuses: list[MemberStatus]) -> bool | None:
+    def _confirmation_result(self, position: Position, statuses: list[MemberStatus]) -> bool | None:
         """Return what answers say of a position; None if they leave it open."""
         members = len(self._monitors)
         if self._confirmation.is_confirmed(position, statuses, members):
@@ -83,11 +83,11 @@
         while True:
             try:
                 async with asyncio.timeout_at(deadline):
-                    statuses = await self._ask(lambda answers: len(answers) >= majority)
+                    statuses = await self._query_members(lambda answers: len(answers) >= majority)
                     floor = self._freshness.acknowledged_floor(statuses, members)
                     if floor is not None:
                         return floor
-                    await asyncio.sleep(ROUND_RETRY_MAXIMUM_SECONDS)
+                    await asyncio.sleep(MAXIMUM_BACKOFF_SECONDS)
             except TimeoutError:
                 pass  # ends below with the reason
             if loop.time() >= deadline:
@@ -98,7 +98,9 @@
                     peer=self._name,
                 )
 
-    async def _ask(self, is_enough: Callable[[list[MemberStatus]], bool]) -> list[MemberStatus]:
+    async def _query_members(
+        self, is_enough: Callable[[list[MemberStatus]], bool]
+    ) -> list[MemberStatus]:
         """Ask all members and return the answers as soon as they are enough.
 
         All answers were sent after this call. Rounds that begin together share questions.
--- a/src/rowanrail/sql_proxy/reads.py
+++ b/src/rowanrail/sql_proxy/reads.py
@@ -1,8 +1,4 @@
-"""Reads outside of transactions: at the freshest-enough, least loaded member.
-
-For sessions. Owns nothing between reads; relies on the rules in ``serving`` for who serves and
-whether to try again, and on the group for what is known of members.
-"""
+"""Reads outside of transactions, at the least loaded member that is fresh enough."""
 
 import asyncio
 
@@ -15,16 +11,16 @@
 from rowanrail.sql_proxy.backend import StatementResult
 from rowanrail.sql_proxy.group import GroupRuntime, Member
 from rowanrail.sql_proxy.lease import Lease
-from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
-from rowanrail.sql_proxy.policies import OutcomeClassification
-from rowanrail.sql_proxy.pool import Priority
-from rowanrail.sql_proxy.serving import (
+from rowanrail.sql_proxy.member_selection import (
     READ_RETRY_SECONDS,
     REPLICA_WAIT_SECONDS,
-    ReadServer,
+    ReadAction,
+    action_without_replica,
     may_retry_read,
-    server_without_replica,
 )
+from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
+from rowanrail.sql_proxy.policies import OutcomeClassification
+from rowanrail.sql_proxy.pool import Priority
 from rowanrail.sql_proxy.statistics import GroupStatistics
 
 
@@ -59,12 +55,12 @@
                 finally:
                     lease.release()
             except BackendLostError as error:
-                self._group.suspect(lease.member)
+                self._group.mark_unreachable(lease.member)
                 if not may_retry_read(loop.time(), deadline):
                     raise lease.lost_error(self._outcomes, error, "read") from error
                 await asyncio.sleep(READ_RETRY_SECONDS)
                 continue
-            self._statistics.count_read(lease.member.known.is_primary, allow_replica)
+            self._statistics.count_read(lease.member.state.is_primary, allow_replica)
             return result
 
     async def lease(
@@ -80,17 +76,17 @@
             try:
                 lease = await Lease.acquire(member, deadline, Priority.READ, settings)
             except (BackendConnectError, BackendLostError) as error:
-                self._group.suspect(member)
+                self._group.mark_unreachable(member)
                 if not may_retry_read(loop.time(), deadline):
                     raise self._unavailable(str(error)) from error
                 await asyncio.sleep(READ_RETRY_SECONDS)
                 continue
-            if floor == ORIGIN or lease.is_of_known_start():
+            if floor == ORIGIN or lease.matches_known_incarnation():
                 return lease
             # The member was restarted: what it had committed before may not hold any more.
             lease.release()
             await member.monitor.refresh()
-            if not lease.is_of_known_start():
+            if not lease.matches_known_incarnation():
                 member.pool.close_idle()
 
     async def _choose(self, floor: Position, allow_replica: bool, deadline: float) -> Member:
@@ -99,18 +95,18 @@
         while True:
             if allow_replica:
                 wait_until = min(deadline, loop.time() + REPLICA_WAIT_SECONDS)
-                fresh = await group.wait_fresh(floor, wait_until)
+                fresh = await group.wait_for_fresh_replicas(floor, wait_until)
                 if fresh:
                     return min(fresh, key=group.cost)
             primary = group.fresh_primary(floor)
-            match server_without_replica(primary is not None, loop.time(), deadline):
-                case ReadServer.PRIMARY:
+            match action_without_replica(primary is not None, loop.time(), deadline):
+                case ReadAction.PRIMARY:
                     assert primary is not None
                     return primary
-                case ReadServer.REFUSE:
+                case ReadAction.REFUSE:
                     raise self._unavailable("no member is fresh enough")
-                case ReadServer.WAIT:
-                    group.kick()
+                case ReadAction.WAIT:
+                    group.poll_soon()
                     await asyncio.sleep(READ_RETRY_SECONDS)
 
     def _unavailable(self, message: str) -> NotRunError:
--- a/src/rowanrail/sql_proxy/report.py
+++ b/src/rowanrail/sql_proxy/report.py
@@ -12,7 +12,7 @@
 from rowanrail.sql_proxy.core import ProxyCore
 from rowanrail.sql_proxy.services import GroupServices
 
-REPORTED_GROUPS = 8  # the most recently used ones: a report's size must be bounded
+MAXIMUM_REPORTED_GROUPS = 8  # the most recently used ones: a report's size must be bounded
 _GROUP_METRICS = (
     ("replica_reads", "Reads served by replicas"),
     ("primary_reads", "Reads that could go to a replica, served by the primary"),
@@ -31,7 +31,9 @@
     )
     newest = sorted(core.watched_groups(), key=lambda services: services.used_at, reverse=True)
     groups = [
-        report for services in newest[:REPORTED_GROUPS] for report in _group_reports(services)
+        report
+        for services in newest[:MAXIMUM_REPORTED_GROUPS]
+        for report in _group_reports(services)
     ]
     return ProxyReport(
         proxy=name,
@@ -41,7 +43,7 @@
         replica_reads=replica_reads,
         primary_reads=primary_reads,
         primary_only_reads=primary_only_reads,
-        used=core.groups.used(),
+        used=core.groups.watched_names(),
         groups=groups,
     )
 
@@ -50,7 +52,7 @@
     now = asyncio.get_running_loop().time()
     reports = []
     for member in services.group.members:
-        status = member.known.latest
+        status = member.state.last_status
         reports.append(
             GroupReport(
                 group=services.spec.name,
@@ -59,9 +61,11 @@
                 role=status.role.value if status else "unknown",
                 term=status.term if status else 0,
                 position=status.committed.index if status else 0,
-                lag_seconds=round(max(0.0, now - member.known.latest_at), 3) if status else -1.0,
+                lag_seconds=round(max(0.0, now - member.state.last_status_at), 3)
+                if status
+                else -1.0,
                 leaving=member.leaving,
-                reachable=member.known.reachable,
+                reachable=member.state.reachable,
                 connections=member.pool.open_count,
             )
         )
--- a/src/rowanrail/sql_proxy/requests.py
+++ b/src/rowanrail/sql_proxy/requests.py
@@ -27,7 +27,7 @@
 MAXIMUM_ID_CHARACTERS = 100
 # Seconds by which a caller's clock may be ahead of ours, and that records are kept for longer.
 # Chosen.
-CLOCK_SLACK_SECONDS = 300.0
+MAXIMUM_CLOCK_SKEW_SECONDS = 300.0
 _ID = re.compile(r"^(\d{9,11})-[A-Za-z0-9._:-]+$")
 
 CREATE_TABLE = (
@@ -88,7 +88,7 @@
             step="request id",
         )
     age_seconds = now - int(match.group(1))
-    if age_seconds > horizon_seconds or age_seconds < -CLOCK_SLACK_SECONDS:
+    if age_seconds > horizon_seconds or age_seconds < -MAXIMUM_CLOCK_SKEW_SECONDS:
         raise RequestConflictError(
             f"request id {request_id} is outside of the horizon of {horizon_seconds:.0f} s; "
             "whether it ran before is not remembered",
@@ -101,7 +101,7 @@
     return hashlib.sha256("\x00".join(work).encode()).hexdigest()[:32]
 
 
-def _created(request_id: str) -> int:
+def _creation_seconds(request_id: str) -> int:
     return int(request_id.split("-")[0])
 
 
@@ -120,7 +120,7 @@
     await connection.execute(
         f"INSERT INTO {TABLE} (id, digest, state, affected, insert_id, created) VALUES "
         f"('{request_id}', '{digest}', '{state.value}', {result.affected_rows}, "
-        f"{result.insert_id}, {_created(request_id)})",
+        f"{result.insert_id}, {_creation_seconds(request_id)})",
         deadline,
     )
 
@@ -153,7 +153,7 @@
     return value.decode() if isinstance(value, bytes) else str(value)
 
 
-def clean_up_statement(now: float, horizon_seconds: float) -> str:
+def cleanup_statement(now: float, horizon_seconds: float) -> str:
     """Return the statement that removes records well past the horizon."""
-    limit = int(now - 2 * horizon_seconds - CLOCK_SLACK_SECONDS)
+    limit = int(now - 2 * horizon_seconds - MAXIMUM_CLOCK_SKEW_SECONDS)
     return f"DELETE FROM {TABLE} WHERE created < {limit}"
--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -1,9 +1,4 @@
-"""What serves one group at a proxy, and what a session needs of its proxy.
-
-For sessions and the table of groups. Owns the group with its runners of reads and writes, the
-number of open transactions and the last floor of a majority; relies on ``serving`` for how far a
-read must see.
-"""
+"""The components that serve one group at a proxy, and the interface of a proxy to its sessions."""
 
 import asyncio
 import random
@@ -16,11 +11,11 @@
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.backend import BackendDriver
 from rowanrail.sql_proxy.group import GroupOptions, GroupRuntime
-from rowanrail.sql_proxy.limits import may_begin
+from rowanrail.sql_proxy.limits import may_begin_transaction
+from rowanrail.sql_proxy.member_selection import FloorSource, floor_source, is_recent_floor
 from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
 from rowanrail.sql_proxy.policies import OutcomeClassification
 from rowanrail.sql_proxy.reads import ReadRunner
-from rowanrail.sql_proxy.serving import FloorSource, floor_source, is_recent_floor
 from rowanrail.sql_proxy.statistics import GroupStatistics
 from rowanrail.sql_proxy.writes import WriteRunner
 
@@ -66,30 +61,30 @@
         """
         own = known or Position()
         match floor_source(self.spec.consistency, known is not None):
-            case FloorSource.OWN:
+            case FloorSource.SESSION:
                 return own
             case FloorSource.RECENT:
-                return max(await self._recent_or_asked(deadline), own)
-            case FloorSource.ASKED:
-                return max(await self.group.rounds.acknowledged_floor(deadline), own)
+                return max(await self._recent_or_quorum_floor(deadline), own)
+            case FloorSource.QUORUM:
+                return max(await self.group.quorum.acknowledged_floor(deadline), own)
 
-    async def _recent_or_asked(self, deadline: float) -> Position:
+    async def _recent_or_quorum_floor(self, deadline: float) -> Position:
         loop = asyncio.get_running_loop()
         taken_at, floor = self._recent_floor
         if is_recent_floor(loop.time() - taken_at, self.spec.maximum_staleness_seconds):
             return floor
         asked_at = loop.time()
-        floor = await self.group.rounds.acknowledged_floor(deadline)
+        floor = await self.group.quorum.acknowledged_floor(deadline)
         self._recent_floor = (asked_at, floor)
         return floor
 
-    def check_transactions(self) -> None:
+    def check_transaction_limit(self) -> None:
         """Refuse a transaction when too many are open.
 
         :raises NotRunError: if the limit is reached.
         """
         limit = self.spec.limits.open_transactions
-        if not may_begin(self.open_transactions, limit):
+        if not may_begin_transaction(self.open_transactions, limit):
             raise NotRunError(
                 f"{limit} transactions are open at this proxy",
                 retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -26,15 +26,15 @@
 )
 from rowanrail.sql_proxy.limits import (
     DEFAULT_DEADLINE_SECONDS,
-    overdue_reason,
-    statement_seconds,
+    rollback_reason,
+    statement_timeout_seconds,
 )
-from rowanrail.sql_proxy.pinned import PinnedConnection
+from rowanrail.sql_proxy.pinned_connection import PinnedConnection
 from rowanrail.sql_proxy.policies import Pinning
 from rowanrail.sql_proxy.pool import Priority
-from rowanrail.sql_proxy.positions import SessionPositions
-from rowanrail.sql_proxy.rules import allows_replica
+from rowanrail.sql_proxy.routing_rules import allows_replica
 from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
+from rowanrail.sql_proxy.session_positions import SessionPositions
 from rowanrail.sql_proxy.session_variables import SessionVariables
 from rowanrail.sql_proxy.transaction import SqlTransaction, TransactionState
 
@@ -42,7 +42,7 @@
 REQUEST_ATTRIBUTE = "request_id"
 DEADLINE_ATTRIBUTE = "deadline_ms"
 # Seconds for the rollback of a transaction whose caller is gone. Chosen.
-ABANDON_SECONDS = 1.0
+ABANDON_ROLLBACK_SECONDS = 1.0
 _READS = (Kind.READ, Kind.SHOW)
 
 
@@ -106,19 +106,19 @@
         self._host.check_accepting(self)
         self.busy = True
         try:
-            self._take_attributes(attributes)
+            self._apply_attributes(attributes)
             if is_token_query(sql):
                 return _text_result(TOKEN_VARIABLE, self.token())
             statement = classify(sql)
             deadline = self._deadline(attributes)
             result = await self._dispatch(sql, statement, deadline)
-            self._variables.remember(result)
+            self._variables.record_result(result)
             return result
         finally:
             self.busy = False
             self._host.session_idle(self)
 
-    def _take_attributes(self, attributes: dict[str, str]) -> None:
+    def _apply_attributes(self, attributes: dict[str, str]) -> None:
         token = attributes.get(TOKEN_VARIABLE)
         if token:
             self.merge_token(token)
@@ -136,7 +136,7 @@
             raise InvalidRequestError(
                 f"{DEADLINE_ATTRIBUTE} {given!r} is not a number", step="deadline"
             )
-        return now + statement_seconds(allowed, int(given) if given else None)
+        return now + statement_timeout_seconds(allowed, int(given) if given else None)
 
     async def _dispatch(
         self, sql: str, statement: ClassifiedStatement, deadline: float
@@ -172,7 +172,7 @@
         if not self._variables.autocommit and not self.transaction and statement.tables:
             await self._begin("BEGIN", ClassifiedStatement(Kind.BEGIN), deadline)
         if not self._pinned.is_held:
-            sql = self._variables.fill_functions(sql)
+            sql = self._variables.substitute_functions(sql)
         if self.transaction is not None:
             is_write = statement.kind not in _READS
             return await self.transaction.execute(sql, is_write, deadline)
@@ -201,7 +201,7 @@
         result = await services.writer.run(
             sql, request_id, self._variables.settings, deadline, floor
         )
-        self._positions.note(services.spec.name, result)
+        self._positions.record_write(services.spec.name, result)
         return result
 
     def _take_request_id(self, spec: GroupSpec) -> str:
@@ -228,11 +228,11 @@
         elif command.kind is SetKind.AUTOCOMMIT:
             await self._set_autocommit(command.value == "1", deadline)
         elif command.kind is SetKind.NEXT_TRANSACTION:
-            self._variables.before_next_transaction.append(command.value)
+            self._variables.pre_transaction_statements.append(command.value)
         elif command.kind is SetKind.COMPUTED:
             return await self._run(sql, ClassifiedStatement(Kind.PINNING), deadline)
-        elif command.kind is SetKind.CARRIED:
-            return await self._carry(command.value, deadline)
+        elif command.kind is SetKind.SESSION_VARIABLE:
+            return await self._set_variable(command.value, deadline)
         return StatementResult()
 
     async def _set_autocommit(self, on: bool, deadline: float) -> None:
@@ -240,7 +240,7 @@
             await self._commit(deadline)
         self._variables.autocommit = on
 
-    async def _carry(self, setting: str, deadline: float) -> StatementResult:
+    async def _set_variable(self, setting: str, deadline: float) -> StatementResult:
         settings = self._variables.with_setting(setting)
         if self.transaction is not None:
             await self.transaction.execute(setting, False, deadline)
@@ -266,7 +266,7 @@
         is_write = statement.kind in (Kind.WRITE, Kind.DEFINITION)
         result = await self._pinned.run(services, sql, is_write, deadline)
         if is_write:
-            self._positions.note(services.spec.name, result)
+            self._positions.record_write(services.spec.name, result)
         return result
 
     # Transactions
@@ -278,7 +278,7 @@
             await self._commit(deadline)
         services = self._services()
         spec = services.group.spec
-        services.check_transactions()
+        services.check_transaction_limit()
         on_replica = statement.kind is Kind.BEGIN_READ_ONLY and allows_replica(
             spec.rules, statement, self.database, self.user
         )
@@ -291,7 +291,7 @@
             lease = await services.writer.lease_primary(
                 deadline, Priority.TRANSACTION, self._variables.settings, floor
             )
-        before = self._variables.take_before_transaction()
+        before = self._variables.take_pre_transaction_statements()
         transaction = SqlTransaction(lease, services, self._pinning, may_write=not on_replica)
         result = await transaction.begin(sql, before, deadline)
         self.transaction = transaction
@@ -310,7 +310,7 @@
             result = await transaction.commit(request_id, self._variables.settings, deadline)
         finally:
             self._end_transaction()
-        self._positions.note(spec.name, result)
+        self._positions.record_write(spec.name, result)
         return result
 
     async def _roll_back(self, deadline: float) -> StatementResult:
@@ -338,7 +338,7 @@
         limits = transaction.services.spec.limits
         if transaction.state is not TransactionState.OPEN:
             return
-        reason = overdue_reason(
+        reason = rollback_reason(
             now - transaction.used_at,
             limits.transaction_idle_seconds,
             now - transaction.began_at,
@@ -364,7 +364,7 @@
         self._pinned.drop()
         if self.transaction is not None:
             try:
-                await self._roll_back(asyncio.get_running_loop().time() + ABANDON_SECONDS)
+                await self._roll_back(asyncio.get_running_loop().time() + ABANDON_ROLLBACK_SECONDS)
             except CallerError:
                 return  # the member rolls back once the connection is closed
 
--- a/src/rowanrail/sql_proxy/positions.py
+++ b/src/rowanrail/sql_proxy/session_positions.py
@@ -31,12 +31,12 @@
         if positions is None:
             raise InvalidRequestError(f"session token: {decoded.failure()}", step="token")
         for group, position in positions.items():
-            self._raise(group, position)
+            self._advance(group, position)
 
-    def note(self, group: str, result: StatementResult) -> None:
+    def record_write(self, group: str, result: StatementResult) -> None:
         """Note the position of a write."""
         if result.position is not None:
-            self._raise(group, result.position)
+            self._advance(group, result.position)
 
     async def floor(self, services: GroupServices, deadline: float) -> Position:
         """Return what a read that begins now must see; from now on the session keeps to it.
@@ -45,8 +45,8 @@
         """
         name = services.spec.name
         floor = await services.floor(self._positions.get(name), deadline)
-        self._raise(name, floor)
+        self._advance(name, floor)
         return floor
 
-    def _raise(self, group: str, position: Position) -> None:
+    def _advance(self, group: str, position: Position) -> None:
         self._positions[group] = max(self._positions.get(group, ORIGIN), position)
--- a/src/rowanrail/sql_proxy/session_variables.py
+++ b/src/rowanrail/sql_proxy/session_variables.py
@@ -8,8 +8,8 @@
 
 from rowanrail.kernel.errors import InvalidRequestError
 from rowanrail.sql_proxy.backend import StatementResult
-from rowanrail.sql_proxy.commands import fill_session_functions, setting_key
-from rowanrail.sql_proxy.limits import MAXIMUM_CARRIED_SETTINGS
+from rowanrail.sql_proxy.commands import setting_key, substitute_session_functions
+from rowanrail.sql_proxy.limits import MAXIMUM_SESSION_SETTINGS
 from rowanrail.sql_proxy.requests import check_request_id
 
 __all__ = ["SessionVariables"]
@@ -22,7 +22,7 @@
         self.autocommit = True
         self.settings: tuple[str, ...] = ()
         self.request_id = ""
-        self.before_next_transaction: list[str] = []
+        self.pre_transaction_statements: list[str] = []
         self._last_insert_id = 0
         self._row_count = 0
 
@@ -33,7 +33,7 @@
         """
         key = setting_key(setting)
         kept = [known for known in self.settings if setting_key(known) != key]
-        if len(kept) >= MAXIMUM_CARRIED_SETTINGS:
+        if len(kept) >= MAXIMUM_SESSION_SETTINGS:
             raise InvalidRequestError("too many session variables are set", step="set")
         return (*kept, setting)
 
@@ -49,24 +49,24 @@
             check_request_id(request_id, wall_clock(), horizon_seconds)
         return request_id
 
-    def take_before_transaction(self) -> list[str]:
+    def take_pre_transaction_statements(self) -> list[str]:
         """Return the statements to run just before the transaction that begins."""
-        before, self.before_next_transaction = self.before_next_transaction, []
+        before, self.pre_transaction_statements = self.pre_transaction_statements, []
         return before
 
-    def remember(self, result: StatementResult) -> None:
+    def record_result(self, result: StatementResult) -> None:
         """Keep what the session's functions return after a statement."""
         if result.insert_id:
             self._last_insert_id = result.insert_id
         self._row_count = -1 if result.columns else result.affected_rows
 
-    def fill_functions(self, sql: str) -> str:
+    def substitute_functions(self, sql: str) -> str:
         """Put the values of LAST_INSERT_ID() and ROW_COUNT() in their places."""
-        return fill_session_functions(sql, self._last_insert_id, self._row_count)
+        return substitute_session_functions(sql, self._last_insert_id, self._row_count)
 
     def reset(self) -> None:
         """Forget what the caller set."""
         self.settings = ()
-        self.before_next_transaction = []
+        self.pre_transaction_statements = []
         self.request_id = ""
         self.autocommit = True
--- a/src/rowanrail/sql_proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -16,7 +16,11 @@
 )
 from rowanrail.sql_proxy.backend import StatementResult
 from rowanrail.sql_proxy.lease import Lease
-from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS, LostCommit, lost_commit
+from rowanrail.sql_proxy.outcomes import (
+    GROUP_RETRY_AFTER_SECONDS,
+    LostCommitAction,
+    lost_commit_action,
+)
 from rowanrail.sql_proxy.policies import Pinning
 from rowanrail.sql_proxy.pool import Priority
 from rowanrail.sql_proxy.requests import request_digest
@@ -52,7 +56,7 @@
         self._writer = services.writer
         self._outcomes = services.outcomes
         self._pinning = pinning
-        self._work: list[str] = []
+        self._write_statements: list[str] = []
         self._last_write = StatementResult()
 
     async def begin(self, sql: str, before: list[str], deadline: float) -> StatementResult:
@@ -67,8 +71,8 @@
             result = await self._lease.execute(sql, deadline)
         except BackendLostError as error:
             self.fail(str(error))
-            raise self._rolled_back() from error
-        self._pause()
+            raise self._rolled_back_error() from error
+        self._finish_statement()
         return result
 
     async def execute(self, sql: str, is_write: bool, deadline: float) -> StatementResult:
@@ -77,27 +81,27 @@
         :raises NotRunError: if the transaction was rolled back; none of it lasts.
         """
         if self.state is TransactionState.FAILED:
-            raise self._rolled_back()
+            raise self._rolled_back_error()
         self.used_at = asyncio.get_running_loop().time()
         try:
-            await self._resume(deadline)
+            await self._prepare_statement(deadline)
             result = await self._lease.execute(sql, deadline)
         except BackendLostError as error:
             self.fail(str(error))
-            raise self._rolled_back() from error
+            raise self._rolled_back_error() from error
         if is_write:
-            self._work.append(sql)
+            self._write_statements.append(sql)
             self._last_write = result
         self.used_at = asyncio.get_running_loop().time()
-        self._pause()
+        self._finish_statement()
         return result
 
-    def _pause(self) -> None:
+    def _finish_statement(self) -> None:
         """End a statement: only a connection that is not pinned goes back to its pool."""
         if not self._pinning.keeps_connection():
             self._lease.release()
 
-    async def _resume(self, deadline: float) -> None:
+    async def _prepare_statement(self, deadline: float) -> None:
         """Begin the next statement."""
         if not self._pinning.keeps_connection():
             settings = self._lease.connection.settings
@@ -115,9 +119,9 @@
         """
         if self.state is TransactionState.FAILED:
             self.state = TransactionState.ENDED
-            raise self._rolled_back()
-        await self._resume(deadline)
-        digest = request_digest(self._work)
+            raise self._rolled_back_error()
+        await self._prepare_statement(deadline)
+        digest = request_digest(self._write_statements)
         recorded = bool(request_id) and self.may_write
         if recorded:
             known = await self._record(request_id, digest, deadline)
@@ -128,12 +132,14 @@
             result = await self._lease.execute("COMMIT", deadline)
         except BackendLostError as error:
             self._lease.release()
-            match lost_commit(recorded, bool(self._work)):
-                case LostCommit.SETTLE:
-                    return await self._writer.settle(request_id, digest, settings, deadline)
-                case LostCommit.ROLLED_BACK:
-                    raise self._rolled_back() from error
-                case LostCommit.UNKNOWN:
+            match lost_commit_action(recorded, bool(self._write_statements)):
+                case LostCommitAction.RESOLVE:
+                    return await self._writer.resolve_lost_commit(
+                        request_id, digest, settings, deadline
+                    )
+                case LostCommitAction.ROLLED_BACK:
+                    raise self._rolled_back_error() from error
+                case LostCommitAction.UNKNOWN:
                     raise self._lease.lost_error(self._outcomes, error, "commit") from error
         except BaseException:
             self._lease.discard()
@@ -152,13 +158,13 @@
             await self._writer.record(lease, request_id, digest, self._last_write, deadline)
             return None
         except BackendRefusedError as error:
-            return await self._repeat(request_id, digest, error, deadline)
+            return await self._return_recorded_outcome(request_id, digest, error, deadline)
         except BackendLostError as error:
             self.fail(str(error))
             self.state = TransactionState.ENDED
-            raise self._rolled_back() from error
+            raise self._rolled_back_error() from error
 
-    async def _repeat(
+    async def _return_recorded_outcome(
         self, request_id: str, digest: str, error: BackendRefusedError, deadline: float
     ) -> StatementResult:
         lease = self._lease
@@ -166,11 +172,11 @@
         self.failure = error.message
         try:
             await lease.execute("ROLLBACK", deadline)
-            known = await self._writer.known_outcome(lease, request_id, digest, error, deadline)
+            known = await self._writer.recorded_outcome(lease, request_id, digest, error, deadline)
             await self._writer.confirm(known, deadline, lease.member.name)
         except (BackendLostError, BackendRefusedError) as problem:
             lease.discard()
-            raise self._rolled_back() from problem
+            raise self._rolled_back_error() from problem
         except BaseException:
             lease.discard()
             raise
@@ -190,7 +196,7 @@
         except OutcomeUnknownError:
             if not request_id:
                 raise
-            settled = await self._writer.settle(request_id, digest, settings, deadline)
+            settled = await self._writer.resolve_lost_commit(request_id, digest, settings, deadline)
             result.position = settled.position
 
     async def roll_back(self, deadline: float) -> StatementResult:
@@ -220,7 +226,7 @@
             else:
                 self._lease.release()
 
-    def _rolled_back(self) -> NotRunError:
+    def _rolled_back_error(self) -> NotRunError:
         return NotRunError(
             f"the transaction was rolled back ({self.failure}); none of it lasts, begin it again",
             retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
--- a/src/rowanrail/sql_proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -23,17 +23,17 @@
     GROUP_RETRY_AFTER_SECONDS,
     NO_SUCH_TABLE_CODE,
     WRITE_RETRY_SECONDS,
-    is_refused_by_replica,
-    is_under_way,
-    may_retry_recorded,
-    primary_wait_end,
+    is_in_progress,
+    is_read_only_error,
+    may_retry_write,
+    primary_wait_deadline,
 )
 from rowanrail.sql_proxy.policies import OutcomeClassification, RequestRecord
 from rowanrail.sql_proxy.pool import Priority
 from rowanrail.sql_proxy.requests import (
     CREATE_TABLE,
     RequestState,
-    clean_up_statement,
+    cleanup_statement,
     find_record,
     insert_record,
     request_digest,
@@ -93,16 +93,16 @@
         """
         loop = asyncio.get_running_loop()
         wait_seconds = self._group.spec.limits.failover_wait_seconds
-        until = primary_wait_end(loop.time(), deadline, wait_seconds)
+        until = primary_wait_deadline(loop.time(), deadline, wait_seconds)
         while True:
-            primary = await self._group.wait_primary(until, floor)
+            primary = await self._group.wait_for_primary(until, floor)
             try:
                 lease = await Lease.acquire(primary, deadline, priority, settings)
                 if self._group.primary() is primary:
                     return lease
                 lease.release()  # it was replaced while the connection was being opened
             except (BackendConnectError, BackendLostError) as error:
-                self._group.suspect(primary)
+                self._group.mark_unreachable(primary)
                 if loop.time() >= until:
                     raise NotRunError(
                         str(error),
@@ -118,7 +118,7 @@
         :raises OutcomeUnknownError: if that can't be confirmed in time.
         """
         position: Position | None = result.position
-        if position is None or not await self._group.rounds.confirm(position, deadline):
+        if position is None or not await self._group.quorum.confirm(position, deadline):
             raise OutcomeUnknownError(
                 "the write was not confirmed by a majority; it may be lost or may last",
                 step="confirm",
@@ -136,14 +136,14 @@
                 result = await lease.execute(sql, deadline)
             except BackendRefusedError as error:
                 lease.release()
-                if not is_refused_by_replica(error.code):
+                if not is_read_only_error(error.code):
                     raise
-                self._group.suspect(lease.member)
+                self._group.mark_unreachable(lease.member)
                 await asyncio.sleep(WRITE_RETRY_SECONDS)
                 continue
             except BackendLostError as error:
                 lease.release()
-                self._group.suspect(lease.member)
+                self._group.mark_unreachable(lease.member)
                 if repeat and asyncio.get_running_loop().time() < deadline:
                     continue
                 raise lease.lost_error(self._outcomes, error, "write") from error
@@ -168,24 +168,24 @@
             except NotRunError as error:
                 if not sent:
                     raise
-                raise self._unknown(request_id, str(error)) from error
+                raise self._outcome_unknown_error(request_id, str(error)) from error
             sent = True
             try:
                 result = await self._attempt(lease, sql, request_id, digest, deadline)
                 await self.confirm(result, deadline, lease.member.name)
                 return result
             except (BackendLostError, OutcomeUnknownError) as error:
-                self._group.suspect(lease.member)
-                if not may_retry_recorded(loop.time(), deadline):
-                    raise self._unknown(request_id, str(error)) from error
+                self._group.mark_unreachable(lease.member)
+                if not may_retry_write(loop.time(), deadline):
+                    raise self._outcome_unknown_error(request_id, str(error)) from error
             except BackendRefusedError as error:
-                if not is_refused_by_replica(error.code):
+                if not is_read_only_error(error.code):
                     raise
-                self._group.suspect(lease.member)
+                self._group.mark_unreachable(lease.member)
             await asyncio.sleep(WRITE_RETRY_SECONDS)
 
     @staticmethod
-    def _unknown(request_id: str, message: str) -> OutcomeUnknownError:
+    def _outcome_unknown_error(request_id: str, message: str) -> OutcomeUnknownError:
         return OutcomeUnknownError(
             f"{message}; repeat the request with the same id {request_id} to learn its outcome",
             step="write",
@@ -201,7 +201,7 @@
                 await self.record(lease, request_id, digest, result, deadline)
             except BackendRefusedError as error:
                 await lease.execute("ROLLBACK", deadline)
-                known = await self.known_outcome(lease, request_id, digest, error, deadline)
+                known = await self.recorded_outcome(lease, request_id, digest, error, deadline)
                 lease.release()
                 return known
             ended = await lease.execute("COMMIT", deadline)
@@ -223,7 +223,7 @@
             lease.connection, deadline, request_id, digest, RequestState.DONE, result
         )
 
-    async def known_outcome(
+    async def recorded_outcome(
         self,
         lease: Lease,
         request_id: str,
@@ -240,13 +240,13 @@
             raise BackendLostError("the request table was created", step="record")
         record = await find_record(lease.connection, deadline, request_id)
         if record is None:
-            if is_under_way(error.code, error.message):
+            if is_in_progress(error.code, error.message):
                 raise BackendLostError("the request is under way elsewhere", step="record")
             raise error
         self._statistics.repeated += 1
         return record.result(request_id, digest)
 
-    async def settle(
+    async def resolve_lost_commit(
         self, request_id: str, digest: str, settings: tuple[str, ...], deadline: float
     ) -> StatementResult:
         """Find out what became of a request whose commit was lost.
@@ -258,19 +258,19 @@
         :raises OutcomeUnknownError: if neither can be had in time.
         """
         loop = asyncio.get_running_loop()
-        while may_retry_recorded(loop.time(), deadline):
+        while may_retry_write(loop.time(), deadline):
             try:
                 lease = await self.lease_primary(deadline, Priority.WRITE, settings)
             except NotRunError:
                 break
             try:
-                return await self._bury(lease, request_id, digest, deadline)
+                return await self._insert_confirmed_tombstone(lease, request_id, digest, deadline)
             except (BackendLostError, BackendRefusedError, OutcomeUnknownError):
-                self._group.suspect(lease.member)
+                self._group.mark_unreachable(lease.member)
             await asyncio.sleep(WRITE_RETRY_SECONDS)
-        raise self._unknown(request_id, "the commit was lost")
+        raise self._outcome_unknown_error(request_id, "the commit was lost")
 
-    async def _bury(
+    async def _insert_confirmed_tombstone(
         self, lease: Lease, request_id: str, digest: str, deadline: float
     ) -> StatementResult:
         try:
@@ -279,7 +279,7 @@
                 await self._insert_tombstone(lease, request_id, digest, deadline)
             except BackendRefusedError as error:
                 await lease.execute("ROLLBACK", deadline)
-                known = await self.known_outcome(lease, request_id, digest, error, deadline)
+                known = await self.recorded_outcome(lease, request_id, digest, error, deadline)
                 await self.confirm(known, deadline, lease.member.name)
                 lease.release()
                 return known
@@ -292,7 +292,7 @@
             raise
         lease.release()
         await self.confirm(ended, deadline, lease.member.name)
-        raise self._never_runs(request_id)
+        raise self._tombstoned_error(request_id)
 
     @staticmethod
     async def _insert_tombstone(
@@ -302,7 +302,7 @@
         await insert_record(lease.connection, deadline, request_id, digest, state, result)
 
     @staticmethod
-    def _never_runs(request_id: str) -> NotRunError:
+    def _tombstoned_error(request_id: str) -> NotRunError:
         return NotRunError(
             f"request {request_id} did not run and never will: its commit was lost before it "
             "took effect; send the work again under a new id",
@@ -320,7 +320,7 @@
     async def _clean_up(self, lease: Lease) -> None:
         limits = self._group.spec.limits
         deadline = asyncio.get_running_loop().time() + limits.statement_deadline_seconds
-        statement = clean_up_statement(self._wall_clock(), limits.request_horizon_seconds)
+        statement = cleanup_statement(self._wall_clock(), limits.request_horizon_seconds)
         try:
             await lease.execute(statement, deadline)
             lease.release()
--- a/tests/simulation/test_regressions.py
+++ b/tests/simulation/test_regressions.py
@@ -49,7 +49,7 @@
 
             async def lease_and_lose_status(*arguments):
                 lease = await lease_primary(*arguments)
-                lease.member.known.suspect()
+                lease.member.state.mark_unreachable()
                 return lease
 
             writer.lease_primary = lease_and_lose_status
--- a/tests/unit/test_connection_share.py
+++ b/tests/unit/test_connection_share.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rowanrail.sql_proxy.share import (
-    GROW_SECONDS,
+from rowanrail.sql_proxy.connection_share import (
+    GROW_DELAY_SECONDS,
     SHARE_SETTLE_SECONDS,
     STARTING_CONNECTIONS,
     ConnectionShare,
@@ -32,9 +32,9 @@
         self.assertEqual(share.connections(40, 20.0), 5)
         share.observe(3, 21.0)
         share.observe(4, 30.0)
-        share.observe(3, 21.0 + GROW_SECONDS)
+        share.observe(3, 21.0 + GROW_DELAY_SECONDS)
         self.assertEqual(share.connections(40, 60.0), 5)
-        share.observe(3, 30.0 + GROW_SECONDS)
+        share.observe(3, 30.0 + GROW_DELAY_SECONDS)
         self.assertEqual(share.connections(40, 60.0), 8)
 
     def test_unknown_numbers_change_nothing(self):
--- a/tests/unit/test_groups.py
+++ b/tests/unit/test_groups.py
@@ -6,9 +6,9 @@
 from unittest import mock
 
 from rowanrail.kernel.registry import Registry
-from rowanrail.sql_proxy import watching
-from rowanrail.sql_proxy.groups import GroupTable
-from rowanrail.sql_proxy.watching import ALWAYS_WATCHED_GROUPS
+from rowanrail.sql_proxy import group_polling
+from rowanrail.sql_proxy.group_polling import ALWAYS_WATCHED_GROUPS
+from rowanrail.sql_proxy.group_table import GroupTable
 from tests.support.stubs import ZONES, StubDriver, configuration
 
 GROUPS = 40
@@ -34,7 +34,7 @@
 
     async def test_unused_groups_are_dropped_and_come_back(self):
         self.table.find("database30")
-        with mock.patch.object(watching, "UNUSED_GROUP_SECONDS", -1.0):
+        with mock.patch.object(group_polling, "UNUSED_GROUP_SECONDS", -1.0):
             self.table._drop_unused(self.now())
         self.assertEqual(len(self.watched()), ALWAYS_WATCHED_GROUPS)
         self.assertIsNotNone(self.table.find("database30"))
@@ -44,7 +44,7 @@
         self.table.set_proxy_counts({"group0": 11, "group1": 11, "group2": 10})
         for services in self.table.running():
             if services.spec.name != "group1":
-                services.used_at -= 2 * watching.UNUSED_GROUP_SECONDS
+                services.used_at -= 2 * group_polling.UNUSED_GROUP_SECONDS
         self.table._drop_unused(self.now())
         self.assertNotIn("group0", self.watched())
         self.assertIn("group1", self.watched())
--- a/tests/unit/test_proxy_decisions.py
+++ b/tests/unit/test_proxy_decisions.py
@@ -11,10 +11,10 @@
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
 from rowanrail.sql_proxy.classify import Kind, classify
-from rowanrail.sql_proxy.commands import SetKind, fill_session_functions, parse_set
+from rowanrail.sql_proxy.commands import SetKind, parse_set, substitute_session_functions
 from rowanrail.sql_proxy.policies import Freshness, TermConfirmation
 from rowanrail.sql_proxy.requests import check_request_id
-from rowanrail.sql_proxy.rules import allows_replica
+from rowanrail.sql_proxy.routing_rules import allows_replica
 from rowanrail.sql_proxy.token import decode_token, encode_token
 
 positions = st.builds(Position, st.integers(0, 2**40), st.integers(0, 2**60))
@@ -98,7 +98,7 @@
             "SET @rowanrail_token = 'abc'": SetKind.TOKEN,
             "SET @@session.autocommit = OFF": SetKind.AUTOCOMMIT,
             "SET NAMES 'utf8mb4' COLLATE 'utf8mb4_general_ci'": SetKind.CHARACTER_SET,
-            "SET SESSION sql_mode = 'ANSI'": SetKind.CARRIED,
+            "SET SESSION sql_mode = 'ANSI'": SetKind.SESSION_VARIABLE,
             "SET @a = @b + 1": SetKind.COMPUTED,
         }
         for sql, kind in cases.items():
@@ -110,7 +110,7 @@
     def test_session_functions_are_filled_outside_of_strings(self):
         sql = "INSERT INTO t VALUES (LAST_INSERT_ID(), 'last_insert_id()')"
         self.assertEqual(
-            fill_session_functions(sql, 7, 0), "INSERT INTO t VALUES (7, 'last_insert_id()')"
+            substitute_session_functions(sql, 7, 0), "INSERT INTO t VALUES (7, 'last_insert_id()')"
         )
 
 
--- a/tests/unit/test_session_variables.py
+++ b/tests/unit/test_session_variables.py
@@ -4,7 +4,7 @@
 
 from rowanrail.kernel.errors import InvalidRequestError, RequestConflictError
 from rowanrail.sql_proxy.backend import Column, StatementResult
-from rowanrail.sql_proxy.limits import MAXIMUM_CARRIED_SETTINGS
+from rowanrail.sql_proxy.limits import MAXIMUM_SESSION_SETTINGS
 from rowanrail.sql_proxy.session_variables import SessionVariables
 
 HORIZON_SECONDS = 1000.0
@@ -20,11 +20,11 @@
         self.assertEqual(self.variables.settings, ("SET @a = 1", "SET sql_mode = ''"))
 
     def test_settings_are_limited(self):
-        for number in range(MAXIMUM_CARRIED_SETTINGS):
+        for number in range(MAXIMUM_SESSION_SETTINGS):
             self.variables.settings = self.variables.with_setting(f"SET @v{number} = 1")
         with self.assertRaises(InvalidRequestError):
             self.variables.with_setting("SET @one_more = 1")
-        self.assertEqual(len(self.variables.with_setting("SET @v0 = 2")), MAXIMUM_CARRIED_SETTINGS)
+        self.assertEqual(len(self.variables.with_setting("SET @v0 = 2")), MAXIMUM_SESSION_SETTINGS)
 
     def test_a_request_id_is_for_one_request(self):
         self.variables.request_id = "1000000000-a"
@@ -39,18 +39,18 @@
         self.assertEqual(self.variables.request_id, "")
 
     def test_functions_return_what_the_last_statement_left(self):
-        self.variables.remember(StatementResult(affected_rows=3, insert_id=7))
+        self.variables.record_result(StatementResult(affected_rows=3, insert_id=7))
         sql = "SELECT LAST_INSERT_ID(), ROW_COUNT()"
-        self.assertEqual(self.variables.fill_functions(sql), "SELECT 7, 3")
-        self.variables.remember(StatementResult(columns=[Column("a", 253)]))
-        self.assertEqual(self.variables.fill_functions(sql), "SELECT 7, -1")
+        self.assertEqual(self.variables.substitute_functions(sql), "SELECT 7, 3")
+        self.variables.record_result(StatementResult(columns=[Column("a", 253)]))
+        self.assertEqual(self.variables.substitute_functions(sql), "SELECT 7, -1")
 
     def test_a_reset_forgets_what_was_set(self):
         self.variables.autocommit = False
         self.variables.settings = ("SET @a = 1",)
-        self.variables.before_next_transaction.append("SET TRANSACTION READ ONLY")
+        self.variables.pre_transaction_statements.append("SET TRANSACTION READ ONLY")
         self.variables.request_id = "1000000000-a"
         self.variables.reset()
         self.assertTrue(self.variables.autocommit)
         self.assertEqual((self.variables.settings, self.variables.request_id), ((), ""))
-        self.assertEqual(self.variables.take_before_transaction(), [])
+        self.assertEqual(self.variables.take_pre_transaction_statements(), [])
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -1,4 +1,4 @@
-"""The SQL side's rules on plain values: serving, outcomes, queues, changes, admission."""
+"""Rules of the SQL proxy and its control nodes: selection, outcomes, queues, changes, limits."""
 
 import unittest
 
@@ -11,91 +11,95 @@
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_control import changes
 from rowanrail.sql_control.messages import Outcome, Verdict, WatchReply
-from rowanrail.sql_proxy import limits, outcomes, queueing, serving, watching
+from rowanrail.sql_proxy import group_polling, limits, member_selection, outcomes, queueing
 from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
 from rowanrail.sql_proxy.config_watch import newest_confirmed
-from rowanrail.sql_proxy.known_status import KnownStatus
-from rowanrail.sql_proxy.outcomes import LostCommit
-from rowanrail.sql_proxy.serving import FloorSource, ReadServer
+from rowanrail.sql_proxy.member_selection import FloorSource, ReadAction
+from rowanrail.sql_proxy.member_state import MemberState
+from rowanrail.sql_proxy.outcomes import LostCommitAction
 
 
 class FloorTest(unittest.TestCase):
     def test_strict_always_asks_and_bounded_takes_a_recent_one(self):
         for has_position in (False, True):
             self.assertIs(
-                serving.floor_source(GroupConsistency.STRICT, has_position), FloorSource.ASKED
+                member_selection.floor_source(GroupConsistency.STRICT, has_position),
+                FloorSource.QUORUM,
             )
             self.assertIs(
-                serving.floor_source(GroupConsistency.BOUNDED, has_position), FloorSource.RECENT
+                member_selection.floor_source(GroupConsistency.BOUNDED, has_position),
+                FloorSource.RECENT,
             )
 
     def test_a_session_asks_only_before_it_has_seen_anything(self):
-        sources = [serving.floor_source(GroupConsistency.SESSION, seen) for seen in (False, True)]
-        self.assertEqual(sources, [FloorSource.ASKED, FloorSource.OWN])
+        sources = [
+            member_selection.floor_source(GroupConsistency.SESSION, seen) for seen in (False, True)
+        ]
+        self.assertEqual(sources, [FloorSource.QUORUM, FloorSource.SESSION])
 
     def test_a_recent_floor_is_as_old_as_the_group_allows(self):
-        self.assertTrue(serving.is_recent_floor(0.5, 0.5))
-        self.assertFalse(serving.is_recent_floor(0.51, 0.5))
-        self.assertFalse(serving.is_recent_floor(float("inf"), 0.5))
+        self.assertTrue(member_selection.is_recent_floor(0.5, 0.5))
+        self.assertFalse(member_selection.is_recent_floor(0.51, 0.5))
+        self.assertFalse(member_selection.is_recent_floor(float("inf"), 0.5))
 
 
 class PrimaryTest(unittest.TestCase):
     def test_the_claim_in_the_highest_term_wins(self):
-        self.assertEqual(serving.current_primary([3, 4, 4], [True, True, False]), 1)
+        self.assertEqual(member_selection.current_primary([3, 4, 4], [True, True, False]), 1)
 
     def test_of_two_claims_in_one_term_the_first_is_taken(self):
-        self.assertEqual(serving.current_primary([4, 4, 4], [False, True, True]), 1)
+        self.assertEqual(member_selection.current_primary([4, 4, 4], [False, True, True]), 1)
 
     def test_a_primary_that_a_majority_has_left_gets_no_work(self):
-        self.assertIsNone(serving.current_primary([3, 4, 4], [True, False, False]))
+        self.assertIsNone(member_selection.current_primary([3, 4, 4], [True, False, False]))
 
     def test_one_member_in_a_later_term_is_no_majority(self):
-        self.assertEqual(serving.current_primary([3, 4, 3], [True, False, False]), 0)
+        self.assertEqual(member_selection.current_primary([3, 4, 3], [True, False, False]), 0)
 
     def test_nobody_claims(self):
-        self.assertIsNone(serving.current_primary([0, 0, 0], [False, False, False]))
+        self.assertIsNone(member_selection.current_primary([0, 0, 0], [False, False, False]))
 
 
 class ReadServerTest(unittest.TestCase):
     def test_the_primary_serves_what_no_replica_has(self):
-        self.assertIs(serving.server_without_replica(True, 9.0, 9.0), ReadServer.PRIMARY)
+        self.assertIs(member_selection.action_without_replica(True, 9.0, 9.0), ReadAction.PRIMARY)
 
     def test_without_it_a_read_waits_until_its_deadline(self):
-        self.assertIs(serving.server_without_replica(False, 8.0, 9.0), ReadServer.WAIT)
-        self.assertIs(serving.server_without_replica(False, 8.999, 9.0), ReadServer.REFUSE)
+        self.assertIs(member_selection.action_without_replica(False, 8.0, 9.0), ReadAction.WAIT)
+        self.assertIs(member_selection.action_without_replica(False, 8.999, 9.0), ReadAction.REFUSE)
 
     def test_a_member_with_free_slots_costs_its_latency(self):
-        self.assertEqual(serving.expected_seconds(0.01, 3, 8, 4), 0.01)
-        self.assertEqual(serving.expected_seconds(0.01, 11, 8, 4), 0.03)
+        self.assertEqual(member_selection.expected_completion_seconds(0.01, 3, 8, 4), 0.01)
+        self.assertEqual(member_selection.expected_completion_seconds(0.01, 11, 8, 4), 0.03)
 
 
 class OutcomeTest(unittest.TestCase):
     def test_a_lost_commit_with_a_record_is_settled(self):
         for has_written in (False, True):
-            self.assertIs(outcomes.lost_commit(True, has_written), LostCommit.SETTLE)
+            self.assertIs(outcomes.lost_commit_action(True, has_written), LostCommitAction.RESOLVE)
 
     def test_without_one_it_is_unknown_only_if_something_was_written(self):
-        self.assertIs(outcomes.lost_commit(False, True), LostCommit.UNKNOWN)
-        self.assertIs(outcomes.lost_commit(False, False), LostCommit.ROLLED_BACK)
+        self.assertIs(outcomes.lost_commit_action(False, True), LostCommitAction.UNKNOWN)
+        self.assertIs(outcomes.lost_commit_action(False, False), LostCommitAction.ROLLED_BACK)
 
     def test_a_member_that_is_no_primary_has_run_nothing(self):
         for code in (1290, 1792, 1836, 3100):
-            self.assertTrue(outcomes.is_refused_by_replica(code))
-        self.assertFalse(outcomes.is_refused_by_replica(1062))
+            self.assertTrue(outcomes.is_read_only_error(code))
+        self.assertFalse(outcomes.is_read_only_error(1062))
 
     def test_a_duplicate_of_the_callers_own_table_is_answered(self):
-        self.assertTrue(outcomes.is_under_way(1062, "key 'rowanrail_requests.PRIMARY'"))
-        self.assertFalse(outcomes.is_under_way(1062, "key 'cues.PRIMARY'"))
-        self.assertFalse(outcomes.is_under_way(1205, "key 'rowanrail_requests.PRIMARY'"))
+        self.assertTrue(outcomes.is_in_progress(1062, "key 'rowanrail_requests.PRIMARY'"))
+        self.assertFalse(outcomes.is_in_progress(1062, "key 'cues.PRIMARY'"))
+        self.assertFalse(outcomes.is_in_progress(1205, "key 'rowanrail_requests.PRIMARY'"))
 
     def test_a_write_waits_for_a_primary_no_longer_than_its_deadline(self):
-        self.assertEqual(outcomes.primary_wait_end(1.0, 9.0, 3.0), 4.0)
-        self.assertEqual(outcomes.primary_wait_end(1.0, 2.0, 3.0), 2.0)
+        self.assertEqual(outcomes.primary_wait_deadline(1.0, 9.0, 3.0), 4.0)
+        self.assertEqual(outcomes.primary_wait_deadline(1.0, 2.0, 3.0), 2.0)
 
     def test_pauses_between_rounds_double_up_to_the_longest(self):
-        pauses = [outcomes.ROUND_RETRY_SECONDS]
+        pauses = [outcomes.INITIAL_BACKOFF_SECONDS]
         for _ in range(5):
-            pauses.append(outcomes.next_round_pause(pauses[-1]))
+            pauses.append(outcomes.next_backoff(pauses[-1]))
         self.assertEqual(pauses, [0.005, 0.01, 0.02, 0.04, 0.05, 0.05])
 
 
@@ -106,17 +110,17 @@
         self.assertEqual(queueing.expected_wait_seconds(6, 4, 8, 4, 0.02), 0.03)
 
     def test_what_would_be_late_is_refused_at_once(self):
-        self.assertFalse(queueing.would_be_late(1.0, 0.5, 1.5))
-        self.assertTrue(queueing.would_be_late(1.0, 0.6, 1.5))
+        self.assertFalse(queueing.would_miss_deadline(1.0, 0.5, 1.5))
+        self.assertTrue(queueing.would_miss_deadline(1.0, 0.6, 1.5))
 
     def test_only_a_more_urgent_request_displaces_another(self):
         verdicts = [queueing.displaces_last(1, priority) for priority in (0, 1, 2)]
         self.assertEqual(verdicts, [True, False, False])
 
     def test_the_wait_queue_is_bounded(self):
-        self.assertTrue(queueing.has_room(0, 1))
-        self.assertFalse(queueing.has_room(1, 1))
-        self.assertFalse(queueing.has_room(0, 0))
+        self.assertTrue(queueing.has_queue_room(0, 1))
+        self.assertFalse(queueing.has_queue_room(1, 1))
+        self.assertFalse(queueing.has_queue_room(0, 0))
 
     def test_retry_times_are_spread_over_once_to_twice_the_soonest(self):
         times = [queueing.retry_after_seconds(refusal, 0.5) for refusal in range(16)]
@@ -129,55 +133,55 @@
 
 class WatchTest(unittest.TestCase):
     def test_the_budget_of_questions_is_shared_by_all_members(self):
-        self.assertEqual(watching.background_interval_seconds(48), 7.875)
-        self.assertEqual(watching.background_interval_seconds(0), 0.0)
+        self.assertEqual(group_polling.background_interval_seconds(48), 7.875)
+        self.assertEqual(group_polling.background_interval_seconds(0), 0.0)
 
     def test_a_busy_group_is_always_asked(self):
-        self.assertTrue(watching.is_due(True, 1.0, 0.9, 7.0))
-        self.assertFalse(watching.is_due(False, 7.8, 0.9, 7.0))
-        self.assertTrue(watching.is_due(False, 8.0, 1.0, 7.0))
+        self.assertTrue(group_polling.is_poll_due(True, 1.0, 0.9, 7.0))
+        self.assertFalse(group_polling.is_poll_due(False, 7.8, 0.9, 7.0))
+        self.assertTrue(group_polling.is_poll_due(False, 8.0, 1.0, 7.0))
 
     def test_many_proxies_share_a_group_at_four_connections_each(self):
-        self.assertFalse(watching.is_shared_by_many(25, 100))
-        self.assertTrue(watching.is_shared_by_many(26, 100))
+        self.assertFalse(group_polling.is_shared_by_many(25, 100))
+        self.assertTrue(group_polling.is_shared_by_many(26, 100))
 
     def test_a_group_is_unused_after_five_minutes(self):
-        self.assertFalse(watching.is_unused(300.0, 0.0))
-        self.assertTrue(watching.is_unused(300.1, 0.0))
+        self.assertFalse(group_polling.is_unused(300.0, 0.0))
+        self.assertTrue(group_polling.is_unused(300.1, 0.0))
 
 
-class KnownStatusTest(unittest.TestCase):
+class MemberStateTest(unittest.TestCase):
     def setUp(self):
-        self.known = KnownStatus()
+        self.state = MemberState()
 
     def answer(self, role=MemberRole.REPLICA, leaving=False):
         position = Position(3, 7)
-        self.known.note(MemberStatus(role, 3, position, position, leaving, "first"), now=1.0)
+        self.state.update(MemberStatus(role, 3, position, position, leaving, "first"), now=1.0)
 
     def test_a_member_that_has_not_answered_serves_nothing(self):
-        self.assertFalse(self.known.is_primary or self.known.is_replica)
-        self.assertFalse(self.known.is_leaving or self.known.is_of_start(""))
-        self.assertEqual((self.known.term, self.known.committed), (0, ORIGIN))
+        self.assertFalse(self.state.is_primary or self.state.is_replica)
+        self.assertFalse(self.state.is_leaving or self.state.matches_incarnation(""))
+        self.assertEqual((self.state.term, self.state.committed), (0, ORIGIN))
 
     def test_one_question_without_an_answer_makes_it_failing(self):
         self.answer()
-        self.assertTrue(self.known.is_replica)
-        self.known.note(None, now=2.0)
-        self.assertFalse(self.known.is_replica)
-        self.assertEqual((self.known.term, self.known.latest_at), (3, 1.0))
+        self.assertTrue(self.state.is_replica)
+        self.state.update(None, now=2.0)
+        self.assertFalse(self.state.is_replica)
+        self.assertEqual((self.state.term, self.state.last_status_at), (3, 1.0))
 
     def test_a_broken_connection_does_too_until_the_next_answer(self):
         self.answer(MemberRole.PRIMARY)
-        self.known.suspect()
-        self.assertFalse(self.known.is_primary)
+        self.state.mark_unreachable()
+        self.assertFalse(self.state.is_primary)
         self.answer(MemberRole.PRIMARY)
-        self.assertTrue(self.known.is_primary)
+        self.assertTrue(self.state.is_primary)
 
     def test_what_is_known_holds_for_one_start(self):
         self.answer(leaving=True)
-        self.assertTrue(self.known.is_leaving)
-        self.assertTrue(self.known.is_of_start("first"))
-        self.assertFalse(self.known.is_of_start("second"))
+        self.assertTrue(self.state.is_leaving)
+        self.assertTrue(self.state.matches_incarnation("first"))
+        self.assertFalse(self.state.matches_incarnation("second"))
 
 
 class ChangeTest(unittest.TestCase):
@@ -233,19 +237,19 @@
 
 class LimitTest(unittest.TestCase):
     def test_a_caller_can_only_shorten_its_deadline(self):
-        self.assertEqual(limits.statement_seconds(5.0, None), 5.0)
-        self.assertEqual(limits.statement_seconds(5.0, 250), 0.25)
-        self.assertEqual(limits.statement_seconds(5.0, 60_000), 5.0)
-        self.assertEqual(limits.statement_seconds(5.0, 0), 0.0)
+        self.assertEqual(limits.statement_timeout_seconds(5.0, None), 5.0)
+        self.assertEqual(limits.statement_timeout_seconds(5.0, 250), 0.25)
+        self.assertEqual(limits.statement_timeout_seconds(5.0, 60_000), 5.0)
+        self.assertEqual(limits.statement_timeout_seconds(5.0, 0), 0.0)
 
     def test_transactions_are_limited(self):
-        self.assertTrue(limits.may_begin(9, 10))
-        self.assertFalse(limits.may_begin(10, 10))
+        self.assertTrue(limits.may_begin_transaction(9, 10))
+        self.assertFalse(limits.may_begin_transaction(10, 10))
 
     def test_an_idle_or_long_transaction_is_overdue(self):
-        self.assertEqual(limits.overdue_reason(10.0, 10.0, 60.0, 60.0), "")
-        self.assertEqual(limits.overdue_reason(10.1, 10.0, 61.0, 60.0), "idle for more than 10 s")
-        self.assertEqual(limits.overdue_reason(0.0, 10.0, 61.0, 60.0), "open for more than 60 s")
+        self.assertEqual(limits.rollback_reason(10.0, 10.0, 60.0, 60.0), "")
+        self.assertEqual(limits.rollback_reason(10.1, 10.0, 61.0, 60.0), "idle for more than 10 s")
+        self.assertEqual(limits.rollback_reason(0.0, 10.0, 61.0, 60.0), "open for more than 60 s")
 
 
 class StartTest(unittest.TestCase):
