--- a/src/rowanrail/sql_proxy/classify.py
+++ b/src/rowanrail/sql_proxy/classify.py
@@ -1,7 +1,7 @@
-"""Classification of statements: a pure function of the text, cached.
+"""Classification of statements for routing.
 
-Literals do not matter for the classification, so the cache is keyed by the text with
-its literals replaced.
+The classification does not depend on literals, so results are cached by the text with its literals
+replaced.
 """
 
 import enum
@@ -17,12 +17,12 @@
 
 logging.getLogger("sqlglot").setLevel(logging.ERROR)
 
-CACHE_ENTRIES = 20_000  # texts whose classification is kept; chosen
-MAXIMUM_PARSED_CHARACTERS = 100_000  # a longer text counts as a write, unparsed; chosen
+CACHE_ENTRIES = 20_000  # maximum number of cached classifications
+MAXIMUM_PARSED_CHARACTERS = 100_000  # longer statements are not parsed and count as writes
 
 
 class Kind(enum.Enum):
-    """What a statement is, as far as routing cares."""
+    """Kind of a statement, which determines how a session handles it."""
 
     READ = "read"
     SHOW = "show"
@@ -44,7 +44,7 @@
 class ClassifiedStatement(msgspec.Struct, frozen=True):
     """The classification of a statement.
 
-    :param locking: a read that takes locks or may have side effects; runs on the primary.
+    :param locking: whether a read takes locks or may have side effects, and needs the primary.
     """
 
     kind: Kind
@@ -78,7 +78,7 @@
 def classify(sql: str) -> ClassifiedStatement:
     """Return the classification of ``sql``."""
     if "/*!" in sql:
-        return ClassifiedStatement(Kind.WRITE)  # executable comments: only the member knows
+        return ClassifiedStatement(Kind.WRITE)  # executable comments depend on the member's version
     return _classify_normalized(
         _LITERALS.sub("1", sql) if len(sql) < MAXIMUM_PARSED_CHARACTERS else sql
     )
--- a/src/rowanrail/sql_proxy/commands.py
+++ b/src/rowanrail/sql_proxy/commands.py
@@ -1,8 +1,4 @@
-"""Parsing of the few statements that the proxy answers itself.
-
-For sessions. Owns the names of the proxy's variables, which callers use; pure functions on a
-statement's text.
-"""
+"""Parsing of the statements that the proxy handles itself: SET, USE and session functions."""
 
 import enum
 import re
@@ -16,7 +12,7 @@
 
 
 class SetKind(enum.Enum):
-    """What a SET statement sets."""
+    """Kind of variable that a SET statement sets."""
 
     TOKEN = "token"
     REQUEST_ID = "request-id"
@@ -60,15 +56,17 @@
 
 
 def parse_set(sql: str) -> SetCommand:
-    """Return what a SET statement sets.
+    """Parse a SET statement.
 
-    :raises InvalidRequestError: if it can't be served.
+    :raises InvalidRequestError: if the proxy does not support it.
     """
     text = sql.strip().rstrip(";").strip()
-    own = _PROXY_VARIABLE.match(text)
-    if own:
-        is_token = own.group(1).lower() == TOKEN_VARIABLE
-        return SetCommand(SetKind.TOKEN if is_token else SetKind.REQUEST_ID, own.group(2))
+    proxy_variable = _PROXY_VARIABLE.match(text)
+    if proxy_variable:
+        is_token = proxy_variable.group(1).lower() == TOKEN_VARIABLE
+        return SetCommand(
+            SetKind.TOKEN if is_token else SetKind.REQUEST_ID, proxy_variable.group(2)
+        )
     autocommit = _AUTOCOMMIT.match(text)
     if autocommit:
         on = autocommit.group(1).lower() in ("1", "on", "true")
@@ -92,14 +90,14 @@
 
 
 def is_token_query(sql: str) -> bool:
-    """Return whether a statement reads the session's token."""
+    """Return whether a statement selects the session token."""
     return _TOKEN_QUERY.match(sql.strip()) is not None
 
 
 def parse_use(sql: str) -> str:
-    """Return the database that a USE statement names.
+    """Return the database in a USE statement.
 
-    :raises InvalidRequestError: if it names none.
+    :raises InvalidRequestError: if there is none.
     """
     match = _USE.match(sql.strip().rstrip(";").strip())
     if match is None:
@@ -108,15 +106,15 @@
 
 
 def setting_key(statement: str) -> str:
-    """Return what a carried SET statement sets, so that a later one replaces it."""
+    """Return the key of the variable in a SET statement, to detect a later SET of the same one."""
     words = re.split(r"[=:]", statement, maxsplit=1)[0].lower().split()
     return " ".join(word for word in words if word not in ("set", "session", "local")).strip("@")
 
 
 def substitute_session_functions(sql: str, last_insert_id: int, row_count: int) -> str:
-    """Put the session's values in the place of LAST_INSERT_ID() and ROW_COUNT().
+    """Replace calls of LAST_INSERT_ID() and ROW_COUNT() outside of strings by the session's values.
 
-    The member's own values belong to whichever session used the connection last.
+    The values at the member belong to the session that used the connection last.
     """
     lowered = sql.lower()
     if "last_insert_id" not in lowered and "row_count" not in lowered:
--- a/src/rowanrail/sql_proxy/connection_share.py
+++ b/src/rowanrail/sql_proxy/connection_share.py
@@ -1,24 +1,24 @@
-"""A proxy's share of the connections that a member can hold, without I/O.
+"""A proxy's share of the connections that a member accepts.
 
-The limit of a member is one budget of all proxies that use its group. Control nodes count
-those proxies (see ``sql_control.census``). A share shrinks at once and grows late: whoever
-held the connections before, also a dead proxy, must have given them up first. While the
-number is unknown, or new, a proxy takes no more than a small starting share, for which
-one share is kept free.
+All proxies that use a group share the connection limit of its members. Control nodes count those
+proxies (see ``sql_control.census``). A share shrinks at once but grows with a delay, because other
+proxies, including failed ones, must have released their connections first. Until the number of
+proxies is known and has settled, a proxy opens at most ``STARTING_CONNECTIONS``; one share is
+reserved for such a proxy.
 """
 
-# Connections to a member while the number of proxies is unknown or new. Chosen.
+# Maximum number of connections to a member until the number of proxies is known and has settled.
 STARTING_CONNECTIONS = 3
-# Seconds that a number counts as new: the other proxies give up connections meanwhile. Chosen.
+# Seconds until the first known number of proxies has settled; others release connections meanwhile.
 SHARE_SETTLE_SECONDS = 8.0
-# Seconds for which fewer proxies must have been counted before a share grows. Chosen.
+# Seconds for which fewer proxies must have been counted before a share grows.
 GROW_DELAY_SECONDS = 20.0
-# Number of proxies that use a group, as long as it is not known.
+# Stands for an unknown number of proxies.
 UNKNOWN_PROXY_COUNT = 0
 
 
 class ConnectionShare:
-    """The number of proxies by which a group's limits are divided here."""
+    """Computes a proxy's connection limit from the number of proxies that use a group."""
 
     def __init__(self) -> None:
         self._proxy_count = UNKNOWN_PROXY_COUNT
@@ -27,9 +27,9 @@
         self._lower_since = 0.0
 
     def observe(self, proxies: int, now: float) -> None:
-        """Note how many proxies use the group, this one included.
+        """Record the number of proxies that use the group, including this one.
 
-        :param proxies: 0 if that is not known; nothing changes then.
+        :param proxies: ``UNKNOWN_PROXY_COUNT`` is ignored.
         """
         if proxies == UNKNOWN_PROXY_COUNT:
             return
@@ -47,9 +47,9 @@
             self._lower_count = UNKNOWN_PROXY_COUNT
 
     def connections(self, limit: int, now: float) -> int:
-        """Return how many connections to one member this proxy may hold.
+        """Return the maximum number of connections of this proxy to a member.
 
-        :param limit: what the member can hold in all.
+        :param limit: maximum number of connections of all proxies to the member.
         """
         if self._proxy_count == UNKNOWN_PROXY_COUNT:
             return min(STARTING_CONNECTIONS, limit)
--- a/src/rowanrail/sql_proxy/group_polling.py
+++ b/src/rowanrail/sql_proxy/group_polling.py
@@ -1,8 +1,7 @@
-"""Rules for which groups a proxy watches, and how often it asks their members.
+"""Rules for which groups a proxy watches, and how often it polls their members.
 
-For the table of groups, which asks here and does what the verdict says. Owns nothing: pure
-functions on plain values; times are seconds of the event loop. They keep what a proxy costs the
-members and control from growing with the number of configured groups.
+Pure functions; times are seconds of the event loop. They keep the load of a proxy on members and
+control nodes from growing with the number of configured groups.
 """
 
 __all__ = [
@@ -17,25 +16,25 @@
     "is_unused",
 ]
 
-# Groups, in the order of the configuration, that are watched whether they are used or not. Chosen.
+# Number of groups, in the order of the configuration, that are watched even while unused.
 ALWAYS_WATCHED_GROUPS = 16
-# Seconds without a statement after which another group is no longer watched. Chosen.
+# Seconds without a statement after which any other group is no longer watched.
 UNUSED_GROUP_SECONDS = 300.0
-# Seconds between checks which groups to ask, spread by a fifth. Chosen.
+# Seconds between checks which groups are due for a poll, with a jitter of 20 %.
 POLL_SECONDS = 0.25
-# Members asked in a second for all groups in which nothing runs. Chosen.
+# Maximum rate of status queries to the members of all idle groups together.
 BACKGROUND_QUERIES_PER_SECOND = 6.0
-# Connections of a member's limit for each proxy, below which an idle proxy holds none. Chosen.
+# Connections per proxy and member below which a proxy that does not use a group holds none.
 MINIMUM_CONNECTIONS_PER_PROXY = 4
 
 
 def background_interval_seconds(members: int) -> float:
-    """Return the seconds between two rounds of questions to a group in which nothing runs.
+    """Return the seconds between two polls of an idle group.
 
     Parameters
     ----------
     members : int
-        Members of all watched groups: they share one budget of questions.
+        Number of members of all watched groups, which share the rate limit.
 
     Examples
     --------
@@ -46,19 +45,19 @@
 
 
 def is_poll_due(is_busy: bool, now: float, polled_at: float, interval_seconds: float) -> bool:
-    """Return whether a group's members are asked now: always while statements run there."""
+    """Return whether to poll a group's members now; a busy group is polled at each check."""
     return is_busy or now >= polled_at + interval_seconds
 
 
 def is_shared_by_many(proxies: int, connections_per_member: int) -> bool:
-    """Return whether so many proxies use a group that an idle one holds no connections to it.
+    """Return whether too many proxies use a group for idle ones to keep connections to it.
 
     Parameters
     ----------
     proxies : int
-        Proxies that use the group.
+        Number of proxies that use the group.
     connections_per_member : int
-        Connections that a member takes from all of them.
+        Maximum number of connections that a member accepts from all proxies.
 
     Examples
     --------
@@ -69,5 +68,5 @@
 
 
 def is_unused(now: float, used_at: float) -> bool:
-    """Return whether a group was last used so long ago that it is no longer watched."""
+    """Return whether a group has been unused for longer than ``UNUSED_GROUP_SECONDS``."""
     return now - used_at > UNUSED_GROUP_SECONDS
--- a/src/rowanrail/sql_proxy/limits.py
+++ b/src/rowanrail/sql_proxy/limits.py
@@ -1,8 +1,7 @@
-"""Rules for how long a statement may take, and how many transactions may be open for how long.
+"""Limits of statements and transactions: timeouts and the number of open transactions.
 
-For sessions and the services of a group, which ask here and do what the verdict says. Owns nothing:
-pure functions on plain values; times are seconds of the event loop. They keep one caller from
-holding a connection of which all others need a part.
+Pure functions; times are seconds of the event loop. The limits keep a caller from occupying
+connections that others need.
 """
 
 __all__ = [
@@ -14,23 +13,23 @@
     "statement_timeout_seconds",
 ]
 
-# Seconds for a statement of a session whose database no group serves. Chosen.
+# Statement timeout in seconds for sessions whose database no group serves.
 DEFAULT_DEADLINE_SECONDS = 5.0
-# Session variables that are set anew on each connection that serves a session. Chosen.
+# Maximum number of session variables, which are set again on each connection of a session.
 MAXIMUM_SESSION_SETTINGS = 50
-# Seconds between checks for transactions that are idle or open for too long. Chosen.
+# Seconds between checks for transactions that are idle or open for too long.
 REAPER_INTERVAL_SECONDS = 0.5
 
 
 def statement_timeout_seconds(group_limit_seconds: float, requested_ms: int | None) -> float:
-    """Return the seconds that a statement may take.
+    """Return the timeout of a statement in seconds.
 
     Parameters
     ----------
     group_limit_seconds : float
-        What the group allows.
+        Maximum timeout of the group.
     requested_ms : int or None
-        What the caller asks for; None if it asks for nothing. It can only shorten the time.
+        Timeout that the caller requests in milliseconds, None for the group's maximum.
 
     Examples
     --------
@@ -45,21 +44,21 @@
 
 
 def may_begin_transaction(open_transactions: int, limit: int) -> bool:
-    """Return whether one more transaction may begin at a proxy."""
+    """Return whether another transaction may begin."""
     return open_transactions < limit
 
 
 def rollback_reason(
     idle_seconds: float, idle_limit: float, open_seconds: float, open_limit: float
 ) -> str:
-    """Return why a transaction is rolled back, an empty string if it may go on.
+    """Return the reason for rolling back a transaction, an empty string if there is none.
 
     Parameters
     ----------
     idle_seconds, idle_limit : float
-        Seconds since its last statement ended, and how many are allowed.
+        Seconds since the last statement, and the maximum.
     open_seconds, open_limit : float
-        Seconds since it began, and how many are allowed.
+        Seconds since the transaction began, and the maximum.
 
     Examples
     --------
--- a/src/rowanrail/sql_proxy/member_selection.py
+++ b/src/rowanrail/sql_proxy/member_selection.py
@@ -1,8 +1,7 @@
-"""Rules for which member of a group serves a statement, and what a read must see.
+"""Rules that select the member that serves a statement, and the position that a read must see.
 
-For the group, its services and the runner of reads, which ask here and do what the verdict says.
-Owns nothing: pure functions on plain values; times are seconds of the event loop. Relies on the
-guards in :mod:`rowanrail.sql_proxy.policies` for whether a position is fresh enough.
+Pure functions; times are seconds of the event loop. Whether a position is fresh enough is decided
+by the guards in :mod:`rowanrail.sql_proxy.policies`.
 """
 
 import enum
@@ -24,18 +23,17 @@
     "action_without_replica",
 ]
 
-# Seconds that a read waits for a replica that has what it must see, before the primary serves it.
-# Chosen.
+# Seconds that a read waits for a replica to reach its floor before it falls back to the primary.
 REPLICA_WAIT_SECONDS = 0.03
-# Seconds between two tries of a read. Chosen.
+# Seconds between two attempts of a read.
 READ_RETRY_SECONDS = 0.005
-# Seconds between two rounds of questions while a primary is searched for; the answer of any member
-# ends the pause. Chosen.
+# Seconds between two polls of all members while a statement waits for a primary; any member's
+# answer ends the pause.
 PRIMARY_POLL_SECONDS = 0.02
 
 
 class FloorSource(enum.Enum):
-    """Where the position comes from that a read must see."""
+    """Source of the floor, the position that a read must see."""
 
     SESSION = "session"  # the session's own position
     RECENT = "recent"  # a position of a majority, at most as old as the group allows
@@ -43,23 +41,23 @@
 
 
 class ReadAction(enum.Enum):
-    """What a read does that no replica serves."""
+    """What to do with a read that no replica can serve."""
 
     PRIMARY = "primary"
-    WAIT = "wait"  # ask the members and try again in a moment
-    REFUSE = "refuse"  # it did not run
+    WAIT = "wait"  # poll the members and retry after READ_RETRY_SECONDS
+    REFUSE = "refuse"  # reject the read as not run
 
 
 def floor_source(consistency: GroupConsistency, has_position: bool) -> FloorSource:
-    """Return where the position of a read comes from.
+    """Return the source of a read's floor.
 
     Parameters
     ----------
     consistency : GroupConsistency
-        What the group promises.
+        The consistency level of the group.
     has_position : bool
-        Whether the session has seen anything of the group. A session that has seen nothing asks
-        first, so that what it reads never goes back.
+        Whether the session has a position for the group. The first read of a session without one
+        queries a majority, so that later reads never return older data.
 
     Examples
     --------
@@ -78,22 +76,22 @@
 
 
 def is_recent_floor(age_seconds: float, maximum_staleness_seconds: float) -> bool:
-    """Return whether a majority's position asked for so long ago still serves a bounded read."""
+    """Return whether a cached position of a majority is recent enough for a bounded read."""
     return age_seconds <= maximum_staleness_seconds
 
 
 def current_primary(terms: Sequence[int], claims: Sequence[bool]) -> int | None:
-    """Return which member is the primary, None if none is.
+    """Return the index of the primary, None if there is none.
 
-    It is the one that claims to be in the highest term, unless a majority is known to have reached
-    a higher one: a primary that was replaced and does not know it yet gets no work.
+    The primary is the member that claims the role in the highest term, unless a majority is known
+    to have reached a higher term: a superseded primary that has not noticed gets no work.
 
     Parameters
     ----------
     terms : sequence of int
-        Term that each member last reported; 0 if it has reported none.
+        Last reported term of each member; 0 if it has reported none.
     claims : sequence of bool
-        Whether each member answers and last said that it is the primary.
+        Whether each member is reachable and last reported itself as primary.
 
     Examples
     --------
@@ -114,16 +112,17 @@
 def expected_completion_seconds(
     latency_seconds: float, outstanding: int, limit: int, slots: int
 ) -> float:
-    """Return the seconds that a statement can expect at a member; the least of them serves a read.
+    """Return the expected completion time of a statement at a member, in seconds.
 
     Parameters
     ----------
     latency_seconds : float
-        The member's usual latency.
+        Smoothed statement latency of the member.
     outstanding : int
-        Requests that run there or wait for it.
+        Number of requests that run at the member or wait for it.
     limit, slots : int
-        Connections that this proxy may open; statements that the member runs at once.
+        Maximum number of connections of this proxy; maximum number of concurrent statements at the
+        member.
 
     Examples
     --------
@@ -137,19 +136,19 @@
 
 
 def may_retry_read(now: float, deadline: float) -> bool:
-    """Return whether a read that failed or found no member has time for another try."""
+    """Return whether there is time for another attempt of a read before its deadline."""
     return now + READ_RETRY_SECONDS < deadline
 
 
 def action_without_replica(primary_is_fresh: bool, now: float, deadline: float) -> ReadAction:
-    """Return what a read does that no replica serves.
+    """Return what to do with a read that no replica can serve.
 
     Parameters
     ----------
     primary_is_fresh : bool
-        Whether there is a primary and it has applied what the read must see.
+        Whether there is a primary that has applied the read's floor.
     now, deadline : float
-        Loop time in seconds.
+        Event loop times in seconds.
     """
     if primary_is_fresh:
         return ReadAction.PRIMARY
--- a/src/rowanrail/sql_proxy/member_state.py
+++ b/src/rowanrail/sql_proxy/member_state.py
@@ -1,9 +1,7 @@
-"""What a proxy knows of one member: its last status, and whether it counts as failing.
+"""State of one member as a proxy knows it: the last status and whether it is reachable.
 
-Filled by the member's monitor, and by whoever sees a connection to it break; asked for every choice
-of a member. Owns the last status and the doubt about it; no I/O and no clock of its own. A member
-counts as failing from the first question or connection that goes unanswered until it answers the
-next question: what it said before may not hold any more.
+A member is unreachable from the first status query or connection that fails until it answers a
+status query again, since its last status may be outdated.
 """
 
 from rowanrail.model.position import ORIGIN, Position
@@ -15,25 +13,24 @@
     "MemberState",
 ]
 
-# Seconds for the answer to a question, the opening of a connection for it included; a member that
-# takes longer counts as failing. Chosen.
+# Timeout of a status query in seconds, including the connection setup.
 STATUS_TIMEOUT_SECONDS = 0.3
-# Seconds: the longest pause before a failing member is asked again; half of it is the shortest, so
-# that proxies do not ask together. Chosen.
+# Maximum pause in seconds before an unreachable member is queried again. The minimum is half of it,
+# so that proxies do not query at the same moment.
 RECONNECT_DELAY_SECONDS = 0.1
 
 
 class MemberState:
-    """The last status of a member, and whether it still answers.
+    """The last status of a member and whether it is reachable.
 
     Examples
     --------
-    >>> known = MemberState()
-    >>> known.update(MemberStatus(MemberRole.PRIMARY, 3, ORIGIN, ORIGIN, False, "i"), now=1.0)
-    >>> known.is_primary, known.term
+    >>> state = MemberState()
+    >>> state.update(MemberStatus(MemberRole.PRIMARY, 3, ORIGIN, ORIGIN, False, "i"), now=1.0)
+    >>> state.is_primary, state.term
     (True, 3)
-    >>> known.mark_unreachable()
-    >>> known.is_primary, known.term
+    >>> state.mark_unreachable()
+    >>> state.is_primary, state.term
     (False, 3)
     """
 
@@ -44,44 +41,44 @@
 
     @property
     def term(self) -> int:
-        """Term that the member last reported; 0 if it has reported none."""
+        """Last reported term; 0 before the first status."""
         return self.last_status.term if self.last_status else 0
 
     @property
     def committed(self) -> Position:
-        """Last committed position known of the member."""
+        """Last reported committed position."""
         return self.last_status.committed if self.last_status else ORIGIN
 
     @property
     def is_primary(self) -> bool:
-        """Whether the member last said that it is the primary, and still answers."""
+        """Whether the member is reachable and last reported itself as primary."""
         return self._is(MemberRole.PRIMARY)
 
     @property
     def is_replica(self) -> bool:
-        """Whether the member last said that it is a replica, and still answers."""
+        """Whether the member is reachable and last reported itself as replica."""
         return self._is(MemberRole.REPLICA)
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the member itself last said that it is leaving."""
+        """Whether the member last reported that it is leaving."""
         return self.last_status is not None and self.last_status.leaving
 
     def _is(self, role: MemberRole) -> bool:
         return self.reachable and self.last_status is not None and self.last_status.role is role
 
     def matches_incarnation(self, incarnation: str) -> bool:
-        """Return whether what is known holds for the start of the member that is named.
+        """Return whether the last status is of the given incarnation of the member.
 
-        A member that was restarted may have lost what it had committed before.
+        A restarted member may have lost transactions that it had committed before.
         """
         return self.last_status is not None and self.last_status.incarnation == incarnation
 
     def update(self, status: MemberStatus | None, now: float) -> None:
-        """Note the answer to a question; None if there was none in time.
+        """Record the answer to a status query, None if there was none.
 
-        The last status stays when a member stops answering: its term still counts for which
-        primary was replaced, and reports name it.
+        The last status of an unreachable member is kept, because reports contain it and its term
+        is needed to detect superseded primaries.
         """
         self.reachable = status is not None
         if status is not None:
@@ -89,5 +86,5 @@
             self.last_status_at = now
 
     def mark_unreachable(self) -> None:
-        """Count the member as failing until it answers the next question."""
+        """Mark the member as unreachable until it answers a status query."""
         self.reachable = False
--- a/src/rowanrail/sql_proxy/outcomes.py
+++ b/src/rowanrail/sql_proxy/outcomes.py
@@ -1,9 +1,8 @@
-"""Rules for what became of a request: whether it is sent again, did not run, or is unknown.
+"""Rules for the outcome of failed requests: retried, not run, or unknown.
 
-For writes, transactions and the group's rounds, which ask here and do what the verdict says. Owns
-nothing: pure functions on plain values; times are seconds of the event loop. A request counts as
-not run only if it was never sent, if the member refused it, or if a tombstone keeps it out for
-good; see also the guard ``OutcomeClassification`` in :mod:`rowanrail.sql_proxy.policies`.
+Pure functions; times are seconds of the event loop. A request counts as not run only if it was
+never sent, if the member refused it, or if a tombstone prevents it from ever committing; see also
+the guard ``OutcomeClassification`` in :mod:`rowanrail.sql_proxy.policies`.
 """
 
 import enum
@@ -25,46 +24,45 @@
     "primary_wait_deadline",
 ]
 
-# MySQL's error codes that rules depend on.
+# MySQL error codes.
 DUPLICATE_KEY_CODE = 1062
 NO_SUCH_TABLE_CODE = 1146
-# The member itself says that it is no primary (any more); nothing ran.
+# The member is read-only because it is not the primary; the statement did not run.
 READ_ONLY_ERROR_CODES = frozenset({1290, 1792, 1836, 3100})
 
-# Seconds after which a caller is told to retry whose group has no primary, no majority, no fresh
-# member or too many open transactions. Chosen.
+# Retry-after in seconds for callers of a group that has no primary, no majority, no fresh member or
+# too many open transactions.
 GROUP_RETRY_AFTER_SECONDS = 1.0
-# Seconds between two tries of a write. Chosen.
+# Seconds between two attempts of a write.
 WRITE_RETRY_SECONDS = 0.01
-# Seconds between two rounds of questions whether a majority holds a write: the first pause, which
-# doubles, and the longest. Chosen.
+# Bounds in seconds of the exponential backoff between two queries whether a majority holds a write.
 INITIAL_BACKOFF_SECONDS = 0.005
 MAXIMUM_BACKOFF_SECONDS = 0.05
 
 
 class LostCommitAction(enum.Enum):
-    """What follows when a commit was sent and its answer did not come."""
+    """How to handle a commit that was sent but not answered."""
 
-    RESOLVE = "resolve"  # it has a record: the record, or a tombstone, says what became of it
-    ROLLED_BACK = "rolled-back"  # nothing was written, so that nothing can last
-    UNKNOWN = "unknown"  # it may have been committed
+    RESOLVE = "resolve"  # look up the request's record, or prevent the commit with a tombstone
+    ROLLED_BACK = "rolled-back"  # nothing was written: report the transaction as rolled back
+    UNKNOWN = "unknown"  # it may have committed: report the outcome as unknown
 
 
 def is_read_only_error(code: int) -> bool:
-    """Return whether a member refused a write because it is no primary: it is sent again."""
+    """Return whether a member refused a write because it is not the primary; it may be retried."""
     return code in READ_ONLY_ERROR_CODES
 
 
 def is_in_progress(code: int, message: str) -> bool:
-    """Return whether a request with the same id runs elsewhere and has not committed yet.
+    """Return whether another request with the same id is running and has not committed yet.
 
     Parameters
     ----------
     code : int
-        The member's error code for the insertion of the record, which can't be read either.
+        Error code of the insertion of the record, which is not readable either.
     message : str
-        The member's message; it names the table, so that a duplicate of the caller's own tables
-        is not taken for this.
+        Error message of the member. It names the table, which distinguishes the request table from
+        the caller's own tables.
 
     Examples
     --------
@@ -77,14 +75,14 @@
 
 
 def lost_commit_action(is_recorded: bool, has_written: bool) -> LostCommitAction:
-    """Return what follows when a commit was sent and its answer did not come.
+    """Return how to handle a commit that was sent but not answered.
 
     Parameters
     ----------
     is_recorded : bool
-        Whether the transaction holds the record of a request id.
+        Whether the transaction contains the record of a request id.
     has_written : bool
-        Whether the transaction ran any statement that writes.
+        Whether the transaction ran a statement that writes.
     """
     if is_recorded:
         return LostCommitAction.RESOLVE
@@ -92,17 +90,17 @@
 
 
 def may_retry_write(now: float, deadline: float) -> bool:
-    """Return whether a write with a request id has time for another try."""
+    """Return whether there is time for another attempt of a write with a request id."""
     return now + WRITE_RETRY_SECONDS < deadline
 
 
 def primary_wait_deadline(now: float, deadline: float, failover_wait_seconds: float) -> float:
-    """Return until when a statement waits for a primary: no longer than the group allows."""
+    """Return the deadline for a statement's wait for a primary, bounded by the group's limit."""
     return min(deadline, now + failover_wait_seconds)
 
 
 def next_backoff(pause_seconds: float) -> float:
-    """Return the pause after one of ``pause_seconds`` between two rounds of questions.
+    """Return the pause that follows one of ``pause_seconds``: twice as long, up to the maximum.
 
     Examples
     --------
--- a/src/rowanrail/sql_proxy/policies.py
+++ b/src/rowanrail/sql_proxy/policies.py
@@ -1,7 +1,7 @@
-"""The proxy's guards, as plug-ins of kind ``proxy-guard``.
+"""The proxy's guards: plug-ins of kind ``proxy-guard`` that each enforce one guarantee.
 
-Each guard carries one guarantee. A scenario of the simulator takes it away and must
-then find the guarantee broken. Guards are pure: no I/O and no clock of their own.
+Simulator scenarios replace a guard by one without effect and expect to detect a violation of its
+guarantee. Guards do no I/O and read no clock.
 """
 
 from collections.abc import Sequence
@@ -14,21 +14,21 @@
 
 @register("proxy-guard", "freshness")
 class Freshness:
-    """A member serves a session only at or past the session's position."""
+    """A member serves a session only if it has committed up to the session's position."""
 
     def is_fresh(self, committed: Position, floor: Position) -> bool:
-        """Return whether a member that committed up to ``committed`` may serve.
+        """Return whether a member that has committed up to ``committed`` satisfies ``floor``.
 
-        Comparing (term, index) is enough: a committed entry of a later term implies, by
-        log matching, every entry that a majority held in earlier terms.
+        Comparing (term, index) is sufficient: by log matching, a committed entry of a later term
+        implies every entry that a majority held in earlier terms.
         """
         return committed >= floor
 
     def acknowledged_floor(self, statuses: Sequence[MemberStatus], members: int) -> Position | None:
-        """Return a position that covers every write acknowledged before the statuses.
+        """Return a position that covers every write acknowledged before the status queries.
 
-        An acknowledged write is held by a majority, so by at least ``majority - silent`` of
-        those that answered. Return None if too few answered.
+        A majority holds each acknowledged write, so at least ``majority - unanswered`` of the
+        members that answered do. Return None if too few answered.
         """
         voters = [status for status in statuses if status.role is not MemberRole.LEARNER]
         holders = members // 2 + 1 - (members - len(voters))
@@ -40,12 +40,12 @@
 
 @register("proxy-guard", "term-confirmation")
 class TermConfirmation:
-    """A write is acknowledged once a majority holds it and is still in its term."""
+    """A write is acknowledged only if a majority holds it and is still in its term."""
 
     def is_confirmed(
         self, position: Position, statuses: Sequence[MemberStatus], members: int
     ) -> bool:
-        """Return whether statuses, all taken after the commit, confirm ``position``."""
+        """Return whether statuses, all queried after the commit, confirm ``position``."""
         holders = sum(
             1
             for status in statuses
@@ -58,36 +58,36 @@
     def is_superseded(
         self, position: Position, statuses: Sequence[MemberStatus], members: int
     ) -> bool:
-        """Return whether a majority has left the term, so that no confirmation can come."""
+        """Return whether a majority has moved to a later term, which rules out a confirmation."""
         return sum(1 for status in statuses if status.term > position.term) > members // 2
 
 
 @register("proxy-guard", "pinning")
 class Pinning:
-    """A transaction keeps its back-end connection from its beginning to its end."""
+    """A transaction keeps its back-end connection until it ends."""
 
     def keeps_connection(self) -> bool:
-        """Return whether an open transaction holds on to its connection."""
+        """Return whether an open transaction keeps its connection between statements."""
         return True
 
 
 @register("proxy-guard", "late-answer-discard")
 class LateAnswerDiscard:
-    """A connection whose answer is late is closed: the answer must reach nobody else."""
+    """A connection with an outstanding answer is closed, so that no other request reads it."""
 
     def is_reusable(self, answered: bool) -> bool:
-        """Return whether a connection may serve another request."""
+        """Return whether a connection may be reused, given whether all answers were read."""
         return answered
 
 
 @register("proxy-guard", "outcome-classification")
 class OutcomeClassification:
-    """Only what was never sent, or what the back end itself refused, counts as not run."""
+    """Only a request that was never sent or that the back end refused counts as not run."""
 
     def connection_lost_error(
         self, message: str, *, sent: bool, retry_after_seconds: float, step: str, peer: str
     ) -> CallerError:
-        """Return the caller's error for a request whose connection was lost."""
+        """Return the error to the caller of a request whose connection was lost."""
         if sent:
             return OutcomeUnknownError(message, step=step, peer=peer)
         return NotRunError(message, retry_after_seconds=retry_after_seconds, step=step, peer=peer)
@@ -95,10 +95,10 @@
 
 @register("proxy-guard", "request-record")
 class RequestRecord:
-    """A request id is recorded in the same database transaction as the work."""
+    """A request id is recorded in the same database transaction as the request's writes."""
 
     def records_requests(self) -> bool:
-        """Return whether ids are recorded and looked up."""
+        """Return whether request ids are recorded and looked up."""
         return True
 
 
@@ -113,8 +113,8 @@
 
 @register("proxy-guard", "drain-wait")
 class DrainWait:
-    """A planned stop waits for what is in flight."""
+    """A graceful shutdown waits for running statements and open transactions."""
 
     def must_wait(self, busy: bool, in_transaction: bool) -> bool:
-        """Return whether a session must be waited for."""
+        """Return whether a shutdown must wait for a session."""
         return busy or in_transaction
--- a/src/rowanrail/sql_proxy/queueing.py
+++ b/src/rowanrail/sql_proxy/queueing.py
@@ -1,8 +1,7 @@
-"""Rules for requests that find no connection free: wait, refuse, and when to retry.
+"""Rules for requests that find no free connection: whether to queue, and when to retry.
 
-For the pool of one member, which asks here and does what the verdict says. Owns nothing: pure
-functions on plain values, in seconds. They keep the wait queue bounded and refuse at once what
-would be late, so that its caller still has time to go elsewhere.
+Pure functions; times are in seconds. The wait queue is bounded, and a request that would miss its
+deadline is refused at once, so that the caller has time to retry elsewhere.
 """
 
 __all__ = [
@@ -19,31 +18,31 @@
     "would_miss_deadline",
 ]
 
-# Seconds for a connection to open; a statement's deadline may end it sooner. Chosen.
+# Seconds for opening a connection; the deadline of the statement may be earlier.
 CONNECT_TIMEOUT_SECONDS = 2.0
-# Weight of the newest statement in a member's usual latency. Chosen.
+# Weight of the latest statement in the exponential moving average of a member's latency.
 LATENCY_SMOOTHING_FACTOR = 0.1
-# Seconds taken for a member's usual latency before its first answer. Chosen.
+# Initial estimate of a member's latency in seconds.
 INITIAL_LATENCY_SECONDS = 0.005
-# Seconds: the soonest retry, and how long a member that refused a connection is left alone. Chosen.
+# Minimum retry-after in seconds, and the pause after a failed connection attempt to a member.
 MINIMUM_RETRY_AFTER_SECONDS = 0.05
-# Different retry times of requests that are refused together. Chosen.
+# Number of distinct retry-after values among consecutive refusals.
 RETRY_SPREAD_STEPS = 16
 
 
 def expected_wait_seconds(
     waiting: int, leased: int, limit: int, slots: int, latency_seconds: float
 ) -> float:
-    """Return how long a request that arrives now is likely to wait.
+    """Return the expected queueing delay in seconds of a request that arrives now.
 
     Parameters
     ----------
     waiting, leased : int
-        Requests that wait for a connection; connections that are in use.
+        Number of requests that wait for a connection; number of connections in use.
     limit, slots : int
-        Connections that may be open; statements that the member runs at once.
+        Maximum number of connections; maximum number of concurrent statements at the member.
     latency_seconds : float
-        The member's usual latency.
+        Smoothed statement latency of the member.
 
     Examples
     --------
@@ -56,26 +55,26 @@
 
 
 def would_miss_deadline(now: float, wait_seconds: float, deadline: float) -> bool:
-    """Return whether a request is refused at once, since its connection would come too late."""
+    """Return whether a request is refused at once because it would wait beyond its deadline."""
     return now + wait_seconds > deadline
 
 
 def has_queue_room(waiting: int, queue_length: int) -> bool:
-    """Return whether one more request may wait, beside ``waiting`` others."""
+    """Return whether the queue accepts a request while ``waiting`` others are queued."""
     return waiting < queue_length
 
 
 def displaces_last(last_priority: int, priority: int) -> bool:
-    """Return whether a request takes the place of the last one in a full wait queue.
+    """Return whether an arriving request replaces the last one in a full wait queue.
 
-    Either it or that one is refused at once; nothing was sent of either.
+    One of the two is refused as not run.
 
     Parameters
     ----------
     last_priority : int
-        Priority of the request that would be served last; a lower number is more urgent.
+        Priority of the queued request that would be served last; lower numbers are served first.
     priority : int
-        Priority of the request that has just come.
+        Priority of the arriving request.
 
     Examples
     --------
@@ -86,17 +85,17 @@
 
 
 def retry_after_seconds(refusals: int, wait_seconds: float) -> float:
-    """Return after how many seconds a refused caller is told to retry.
+    """Return the retry-after of a refusal in seconds.
 
-    Twice the expected wait, spread by the number of the refusal over that and twice that, so that
-    callers that were refused together do not retry together.
+    Two to four times the expected wait, and at least ``MINIMUM_RETRY_AFTER_SECONDS``, spread by the
+    number of the refusal so that callers that are refused together do not retry together.
 
     Parameters
     ----------
     refusals : int
-        Number of this refusal of the pool.
+        Number of refusals of the pool, this one included.
     wait_seconds : float
-        Expected wait at this moment.
+        Expected queueing delay now.
 
     Examples
     --------
@@ -110,5 +109,5 @@
 
 
 def smoothed_latency(latency_seconds: float, seconds: float) -> float:
-    """Return a member's usual latency after a statement that took ``seconds``."""
+    """Return the moving average of a member's latency after a statement of ``seconds``."""
     return latency_seconds + LATENCY_SMOOTHING_FACTOR * (seconds - latency_seconds)
--- a/src/rowanrail/sql_proxy/quorum.py
+++ b/src/rowanrail/sql_proxy/quorum.py
@@ -1,8 +1,6 @@
-"""Rounds of questions to all members of a group, and what a majority's answers say.
+"""Status queries to all members of a group: confirmation of writes and the floor of reads.
 
-For writes, which are confirmed here, and for reads that ask how far they must see. Owns nothing
-between rounds; relies on the members' monitors for answers, on the guards for what they mean, and
-on ``outcomes`` for the pauses.
+The guards in :mod:`rowanrail.sql_proxy.policies` evaluate the answers of a majority.
 """
 
 import asyncio
@@ -24,9 +22,9 @@
 
 
 class QuorumQueries:
-    """Asks a group's members together.
+    """Queries the members of a group concurrently.
 
-    :param name: the group's name, for errors.
+    :param name: name of the group, for error messages.
     """
 
     def __init__(
@@ -42,9 +40,9 @@
         self._confirmation = confirmation
 
     async def confirm(self, position: Position, deadline: float) -> bool:
-        """Return whether a majority, in the position's own term, holds ``position``.
+        """Return whether a majority holds ``position`` in the position's own term.
 
-        :returns: False as soon as a majority has moved on, or at ``deadline``.
+        :returns: False as soon as a majority is in a later term, or at ``deadline``.
         """
         loop = asyncio.get_running_loop()
         pause_seconds = INITIAL_BACKOFF_SECONDS
@@ -64,7 +62,7 @@
         return False
 
     def _confirmation_result(self, position: Position, statuses: list[MemberStatus]) -> bool | None:
-        """Return what answers say of a position; None if they leave it open."""
+        """Return whether the answers confirm a position or rule it out; None if undecided."""
         members = len(self._monitors)
         if self._confirmation.is_confirmed(position, statuses, members):
             return True
@@ -89,7 +87,7 @@
                         return floor
                     await asyncio.sleep(MAXIMUM_BACKOFF_SECONDS)
             except TimeoutError:
-                pass  # ends below with the reason
+                pass  # reported below
             if loop.time() >= deadline:
                 raise NotRunError(
                     "no majority of the group's members answers",
@@ -101,9 +99,9 @@
     async def _query_members(
         self, is_enough: Callable[[list[MemberStatus]], bool]
     ) -> list[MemberStatus]:
-        """Ask all members and return the answers as soon as they are enough.
+        """Query all members and return the answers once ``is_enough`` accepts them.
 
-        All answers were sent after this call. Rounds that begin together share questions.
+        All answers are sent after this call. Concurrent calls share status queries.
         """
         pending = {asyncio.ensure_future(monitor.refresh()) for monitor in self._monitors}
         statuses: list[MemberStatus] = []
--- a/src/rowanrail/sql_proxy/requests.py
+++ b/src/rowanrail/sql_proxy/requests.py
@@ -1,8 +1,8 @@
-"""Request ids: each id runs at most once, and its outcome is remembered.
+"""Request ids: idempotency keys, each of which commits at most once.
 
-The record is inserted in the same database transaction as the work, under a unique key.
-Ids begin with their time of creation, so that an id past the horizon, whose record may
-be gone, can be refused. After Stripe's idempotency keys.
+The record of a request is inserted under a unique key, in the same database transaction as its
+writes. An id begins with its creation time, so that an id past the horizon, whose record may have
+been deleted, can be refused.
 """
 
 import enum
@@ -23,10 +23,9 @@
 from rowanrail.sql_proxy.pool import PooledConnection
 
 TABLE = "rowanrail_requests"
-# Of a request id, which stands in the record's key. Chosen.
+# Maximum length of a request id, the primary key of its record.
 MAXIMUM_ID_CHARACTERS = 100
-# Seconds by which a caller's clock may be ahead of ours, and that records are kept for longer.
-# Chosen.
+# Maximum seconds by which a caller's clock may be ahead; records are kept longer by as much.
 MAXIMUM_CLOCK_SKEW_SECONDS = 300.0
 _ID = re.compile(r"^(\d{9,11})-[A-Za-z0-9._:-]+$")
 
@@ -38,16 +37,16 @@
 
 
 class RequestState(enum.Enum):
-    """What a record says of its request."""
+    """State of a recorded request."""
 
     DONE = "done"
     TOMBSTONE = "tombstone"
 
 
 class RequestRecordRow(msgspec.Struct, frozen=True):
-    """A record as it stands in the database.
+    """A row of the request table.
 
-    :param position: position at which the record was read.
+    :param position: log position at which the row was read.
     """
 
     digest: str
@@ -59,7 +58,7 @@
     def result(self, request_id: str, digest: str) -> StatementResult:
         """Return the recorded outcome.
 
-        :raises RequestConflictError: if the id stands for different work.
+        :raises RequestConflictError: if the id was used for other statements.
         :raises NotRunError: if the record is a tombstone.
         """
         if self.state is RequestState.TOMBSTONE:
@@ -74,10 +73,10 @@
 
 
 def check_request_id(request_id: str, now: float, horizon_seconds: float) -> None:
-    """Check the form and the age of an id.
+    """Check the format and the age of an id.
 
     :param now: wall-clock time in seconds.
-    :raises InvalidRequestError: if the form is wrong.
+    :raises InvalidRequestError: if the format is wrong.
     :raises RequestConflictError: if the id is past the horizon.
     """
     match = _ID.match(request_id)
@@ -113,9 +112,9 @@
     state: RequestState,
     result: StatementResult,
 ) -> None:
-    """Insert the record within the open transaction.
+    """Insert the record of a request in the open transaction.
 
-    :raises BackendRefusedError: with ``outcomes.DUPLICATE_KEY_CODE`` if the id is taken.
+    :raises BackendRefusedError: with ``outcomes.DUPLICATE_KEY_CODE`` if the id has a record.
     """
     await connection.execute(
         f"INSERT INTO {TABLE} (id, digest, state, affected, insert_id, created) VALUES "
@@ -128,7 +127,7 @@
 async def find_record(
     connection: PooledConnection, deadline: float, request_id: str
 ) -> RequestRecordRow | None:
-    """Return the record of an id, read in a transaction of its own."""
+    """Return the record of an id, read in a separate transaction; None if there is none."""
     await connection.execute("BEGIN", deadline)
     try:
         result = await connection.execute(
@@ -154,6 +153,6 @@
 
 
 def cleanup_statement(now: float, horizon_seconds: float) -> str:
-    """Return the statement that removes records well past the horizon."""
+    """Return the statement that deletes records older than twice the horizon."""
     limit = int(now - 2 * horizon_seconds - MAXIMUM_CLOCK_SKEW_SECONDS)
     return f"DELETE FROM {TABLE} WHERE created < {limit}"
--- a/src/rowanrail/sql_proxy/routing_rules.py
+++ b/src/rowanrail/sql_proxy/routing_rules.py
@@ -1,7 +1,6 @@
-"""Which reads a group's configured rules allow on a replica.
+"""Configured routing rules: which reads may run on a replica.
 
-For sessions. Owns nothing: pure functions on a statement and the rules. What the rules do not name
-may go to a replica; what locks may not.
+A read that no rule matches may run on a replica; a locking read never may.
 """
 
 from rowanrail.config.model import RuleKind, RuleSpec
@@ -17,7 +16,7 @@
 def allows_replica(
     rules: list[RuleSpec], statement: ClassifiedStatement, database: str, user: str
 ) -> bool:
-    """Return whether a statement may run on a replica: the first matching rule decides."""
+    """Return whether a statement may run on a replica; the first matching rule decides."""
     kind = _RULE_KINDS.get(statement.kind)
     if kind is None or statement.locking:
         return False
--- a/src/rowanrail/sql_proxy/token.py
+++ b/src/rowanrail/sql_proxy/token.py
@@ -1,8 +1,8 @@
-"""Session tokens: what a session must see, in a form that callers carry around.
+"""Session tokens, which carry the positions of a session to another connection.
 
-A token is base64url of a version byte, a MessagePack map of group to position, and a
-CRC-32C. It is opaque to callers. It is checked against damage, not against forgery: a
-forged token can only make its own session wait or read less fresh.
+A token is the base64url encoding of a version byte, a MessagePack map of group to position, and a
+CRC-32C. It is opaque to callers. The checksum detects damage, not forgery: a forged token can only
+make its own session wait or read older data.
 """
 
 import base64
@@ -15,8 +15,8 @@
 
 from rowanrail.model.position import Position
 
-TOKEN_VERSION = 1  # of the encoding; another one is refused
-MAXIMUM_TOKEN_BYTES = 8192  # a longer token is refused undecoded; chosen
+TOKEN_VERSION = 1  # version of the encoding; tokens of other versions are refused
+MAXIMUM_TOKEN_BYTES = 8192  # longer tokens are refused without decoding
 _CHECKSUM = struct.Struct("<I")
 
 
@@ -28,7 +28,7 @@
 
 
 def decode_token(token: str) -> Result[dict[str, Position], str]:
-    """Return the positions in a token, or what is wrong with it."""
+    """Return the positions in a token, or a description of what is wrong with it."""
     if len(token) > MAXIMUM_TOKEN_BYTES:
         return Failure(f"longer than {MAXIMUM_TOKEN_BYTES} bytes")
     try:
