--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -1,8 +1,7 @@
-"""A database group as one proxy sees it: its members, the primary among them, fresh replicas.
+"""A database group at one proxy: its members, the current primary and the fresh replicas.
 
-For whatever runs statements of the group. Owns the members with their pools and monitors, the
-highest term in which a primary was seen, and the share of connections; relies on the rules in
-``member_selection`` and ``outcomes`` and on the guards.
+Owns the members with their pools and monitors, the highest term of a primary, and the proxy's share
+of connections. The rules are in ``member_selection``, ``outcomes`` and the guards.
 """
 
 import asyncio
@@ -30,14 +29,14 @@
 
 
 class GroupOptions(msgspec.Struct, frozen=True):
-    """What a proxy adds to a group's configuration."""
+    """Settings of the proxy that apply to all of its groups."""
 
     zone: str
     routes: dict[str, str]
 
 
 class Member:
-    """One member: its pool, its monitor, what it last said and whether it is leaving."""
+    """One member: its pool, monitor and state, and whether it is leaving."""
 
     def __init__(self, name: str, zone: str, pool: Pool, monitor: MemberMonitor) -> None:
         self.name = name
@@ -50,12 +49,12 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the member is leaving: by an operator, by the list, or by its own report."""
+        """Whether an operator, the platform's machine list or the member itself says it leaves."""
         return self.drained or self.listed_leaving or self.state.is_leaving
 
 
 class GroupRuntime:
-    """Members of a group, and the primary among them."""
+    """Members of a group and their connections, while a proxy watches the group."""
 
     def __init__(
         self,
@@ -116,13 +115,13 @@
         return open_connection
 
     def _connection_limit(self) -> int:
-        # One connection of the share is the monitor's.
+        # The monitor uses one connection of the share.
         limit = self.spec.limits.connections_per_member
         now = asyncio.get_running_loop().time()
         return max(1, self._connection_share.connections(limit, now) - 1)
 
     def set_proxy_count(self, proxies: int) -> None:
-        """Note how many proxies use the group, this one included; 0 if that is not known."""
+        """Record the number of proxies that use the group, including this one; 0 if unknown."""
         self._connection_share.observe(proxies, asyncio.get_running_loop().time())
         share = self._connection_limit()
         for member in self.members:
@@ -130,22 +129,22 @@
                 member.pool.set_limit(share)
 
     def minimize_connections(self) -> None:
-        """Keep no more connections than what runs needs."""
+        """Limit each pool to one connection; surplus ones are closed once they are idle."""
         for member in self.members:
             member.pool.set_limit(1)
 
     def inherit_connection_share(self, older: "GroupRuntime") -> None:
-        """Go on with the share of the runtime that this one takes the place of."""
+        """Continue with the connection share of the runtime that this one replaces."""
         self._connection_share = older._connection_share
         self.set_proxy_count(UNKNOWN_PROXY_COUNT)
 
     def start(self) -> None:
-        """Begin to watch the members."""
+        """Start the monitors of the members."""
         for member in self.members:
             member.monitor.start()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop the monitors, abort running statements and close all connections."""
         for member in self.members:
             member.monitor.stop()
             member.pool.abort_leased()
@@ -153,11 +152,11 @@
 
     @property
     def outstanding(self) -> int:
-        """Number of requests that run at the members or wait for them."""
+        """Number of requests that run at the members or wait for a connection."""
         return sum(member.pool.outstanding for member in self.members)
 
     def poll_soon(self) -> None:
-        """Ask all members for their status soon."""
+        """Query the status of all members soon."""
         for member in self.members:
             member.monitor.poll_soon()
 
@@ -168,7 +167,7 @@
     # The primary
 
     def primary(self) -> Member | None:
-        """Return the member that claims to be primary in the highest term seen, if any."""
+        """Return the current primary, None if there is none or it is leaving."""
         terms = [member.state.term for member in self.members]
         found = current_primary(terms, [member.state.is_primary for member in self.members])
         if found is None:
@@ -184,14 +183,14 @@
         self._highest_term = primary.state.term
         for member in self.members:
             if member is not primary:
-                # What runs there can't be confirmed any more: end it now, not at its deadline.
+                # Writes that run there can no longer be confirmed: end them before their deadline.
                 member.pool.abort_leased()
 
     async def wait_for_primary(self, deadline: float, floor: Position = ORIGIN) -> Member:
-        """Return the primary, searching for one until ``deadline`` (loop time).
+        """Return the primary, polling the members until there is one that has applied ``floor``.
 
-        :param floor: what it must have applied, see :meth:`_has_applied`.
-        :raises NotRunError: if none is found in time.
+        :param deadline: event loop time in seconds.
+        :raises NotRunError: if there is none in time.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -211,15 +210,15 @@
             await self._wait_for_status(min(deadline, loop.time() + PRIMARY_POLL_SECONDS))
 
     def fresh_primary(self, floor: Position) -> Member | None:
-        """Return the primary if reads there see all up to ``floor``."""
+        """Return the primary if it has applied ``floor``, else None."""
         primary = self.primary()
         return primary if primary is not None and self._has_applied(primary, floor) else None
 
     def _has_applied(self, primary: Member, floor: Position) -> bool:
-        """Return whether reads at a primary see all up to ``floor``.
+        """Return whether reads at a primary see everything up to ``floor``.
 
-        Only what it reports counts. It may hold a write of an earlier term and not have applied
-        it yet; and a write of its own term may be undone at it, if it is demoted before it
+        Only the reported committed position counts. A primary may hold writes of an earlier term
+        that it has not applied yet, and may lose a write of its own term if it is demoted before it
         learns that a majority holds the write.
         """
         return self.freshness.is_fresh(primary.state.committed, floor)
@@ -230,17 +229,17 @@
             async with asyncio.timeout_at(until):
                 await self._status_received.wait()
         except TimeoutError:
-            pass  # the caller looks at its deadline
+            pass  # the caller checks its own deadline
 
     def mark_unreachable(self, member: Member) -> None:
-        """Note that a connection to ``member`` broke: ask it again before it gets more work."""
+        """Mark ``member`` as unreachable after a lost connection, and poll all members soon."""
         member.state.mark_unreachable()
         self.poll_soon()
 
     # Replicas
 
     def fresh_replicas(self, floor: Position) -> list[Member]:
-        """Return the replicas that may serve a read that must see ``floor``."""
+        """Return the usable replicas that have committed up to ``floor``."""
         return [
             member
             for member in self.members
@@ -250,7 +249,7 @@
         ]
 
     def usable_replicas(self) -> list[Member]:
-        """Return the replicas that answer and are not leaving, fresh or not."""
+        """Return the replicas that are reachable and not leaving, fresh or not."""
         return [
             member
             for member in self.members
@@ -258,7 +257,10 @@
         ]
 
     async def wait_for_fresh_replicas(self, floor: Position, until: float) -> list[Member]:
-        """Wait until a replica is fresh, at most until ``until`` (loop time)."""
+        """Return the fresh replicas, waiting for one until ``until`` (event loop time).
+
+        Returns an empty list if none is fresh in time or no replica is usable.
+        """
         loop = asyncio.get_running_loop()
         while True:
             fresh = self.fresh_replicas(floor)
@@ -269,7 +271,7 @@
             await self._wait_for_status(until)
 
     def cost(self, member: Member) -> float:
-        """Return the expected seconds for a statement at ``member``."""
+        """Return the expected completion time of a statement at ``member``, in seconds."""
         pool = member.pool
         return expected_completion_seconds(
             pool.latency_seconds, pool.outstanding, pool.limit, pool.slots
--- a/src/rowanrail/sql_proxy/group_table.py
+++ b/src/rowanrail/sql_proxy/group_table.py
@@ -1,4 +1,4 @@
-"""The groups that a proxy serves: which of them it watches, how often, and how they change.
+"""The groups that a proxy serves: creation, polling, configuration changes and removal.
 
 A proxy polls the first ``group_polling.ALWAYS_WATCHED_GROUPS`` groups unless many proxies share
 them, and any other group while it is in use, so that its polling cost does not grow with the number
@@ -25,14 +25,14 @@
 )
 from rowanrail.sql_proxy.services import GroupServices
 
-# Seconds between checks whether the last statement of a replaced group has ended. Chosen.
+# Seconds between checks whether the last statement of a replaced group has ended.
 RETIRE_POLL_SECONDS = 0.1
-# Groups that a proxy names to its control nodes, which bounds the report. Chosen.
+# Maximum number of group names in a report to the control nodes.
 MAXIMUM_REPORTED_NAMES = 100
 
 
 class GroupTable:
-    """Groups by name and by database; creates what serves them when it is needed."""
+    """Groups by name and by database; the services of a group are created on first use."""
 
     def __init__(
         self,
@@ -59,11 +59,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to watch the groups."""
+        """Start the task that polls the groups."""
         self._task = asyncio.ensure_future(self._watch())
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Stop all groups immediately, without waiting for running statements."""
         if self._task is not None:
             self._task.cancel()
         for services, task in list(self._retiring.items()):
@@ -78,7 +78,7 @@
     # Configuration
 
     def apply(self, specs: list[GroupSpec], drained: list[str]) -> None:
-        """Serve other groups, or the same ones with other settings."""
+        """Apply a new configuration of groups; a group whose settings changed is replaced."""
         self._specs = {spec.name: spec for spec in specs}
         self._by_database = {database: spec.name for spec in specs for database in spec.databases}
         self._drained = set(drained)
@@ -118,41 +118,41 @@
 
     @property
     def retiring(self) -> int:
-        """Number of groups whose settings changed and where statements still run."""
+        """Number of replaced groups where statements still run."""
         return len(self._retiring)
 
     def _retire(self, services: GroupServices) -> None:
-        """Stop a group once what runs there has ended: a change must not cut statements."""
+        """Stop a group once its running statements and transactions have ended."""
         if not services.is_busy():
             services.group.stop()
             return
         services.group.minimize_connections()
         task = asyncio.ensure_future(self._stop_when_idle(services))
         self._retiring[services] = task
-        task.add_done_callback(lambda done: self._retiring.pop(services, None))
+        task.add_done_callback(lambda _: self._retiring.pop(services, None))
 
     @staticmethod
     async def _stop_when_idle(services: GroupServices) -> None:
-        # Deadlines and the limits of transactions bound this.
+        # Bounded by statement deadlines and the limits of transactions.
         while services.is_busy():
             services.group.poll_soon()
             await asyncio.sleep(RETIRE_POLL_SECONDS)
         services.group.stop()
 
     def set_proxy_counts(self, counts: dict[str, int]) -> None:
-        """Note how many proxies use each group."""
+        """Update the number of proxies that use each group."""
         self._update_shared_by_many(counts)
         for name, services in self._running.items():
             services.group.set_proxy_count(counts.get(name, UNKNOWN_PROXY_COUNT))
 
     def watched_names(self) -> list[str]:
-        """Return the names of the groups that are watched: to them, connections may be open."""
+        """Return the names of watched groups, to which connections may be open, up to a limit."""
         return sorted(self._running)[:MAXIMUM_REPORTED_NAMES]
 
     # Leaving members
 
     def set_listed_leaving(self, addresses: set[str]) -> None:
-        """Note which member addresses the platform lists as leaving."""
+        """Set the addresses of members that the platform lists as leaving."""
         self._listed_leaving = addresses
         self._update_leaving()
 
@@ -177,7 +177,7 @@
         return self._specs.get(self.group_name(database))
 
     def find(self, database: str) -> GroupServices | None:
-        """Return what serves a database, and note that it is used."""
+        """Return the services of a database's group, creating them and recording the use."""
         name = self._by_database.get(database)
         if name is None:
             return None
@@ -186,7 +186,7 @@
         return services
 
     def running(self) -> list[GroupServices]:
-        """Return the groups that are watched, by name."""
+        """Return the services of the watched groups, ordered by name."""
         return [self._running[name] for name in sorted(self._running)]
 
     # Watching
@@ -207,9 +207,10 @@
         return background_interval_seconds(members)
 
     def _always_watched(self) -> list[str]:
-        """Return the groups to watch whether they are used or not.
+        """Return the names of the groups to watch even while they are unused.
 
-        Where many proxies share a group's connections, one that does not use it holds none.
+        Groups whose connections many proxies share are excluded: proxies that don't use such a
+        group keep no connections to it.
         """
         return [
             name
@@ -218,7 +219,7 @@
         ]
 
     def _update_shared_by_many(self, counts: dict[str, int]) -> None:
-        """Note which groups many proxies share. A group that is not reported stays as it was."""
+        """Update which groups many proxies share; groups without a count stay as they are."""
         for name, proxies in counts.items():
             spec = self._specs.get(name)
             if spec is None:
--- a/src/rowanrail/sql_proxy/lease.py
+++ b/src/rowanrail/sql_proxy/lease.py
@@ -1,8 +1,4 @@
-"""A leased back-end connection, ready for a session.
-
-For reads, writes and transactions, which give it back or close it. Owns when it began; relies on
-the member's pool.
-"""
+"""Leases of pooled back-end connections with the session variables of a session."""
 
 import asyncio
 
@@ -15,7 +11,7 @@
 
 
 class Lease:
-    """A connection that a session holds, with the member that it leads to."""
+    """A leased connection and its member; the holder must release or discard it."""
 
     def __init__(self, member: Member, connection: PooledConnection) -> None:
         self.member = member
@@ -26,11 +22,11 @@
     async def acquire(
         cls, member: Member, deadline: float, priority: Priority, settings: tuple[str, ...]
     ) -> "Lease":
-        """Lease a connection to ``member`` and carry the session's settings over to it.
+        """Lease a connection to ``member`` and apply the session's settings to it.
 
-        :raises NotRunError: if none is free in time.
+        :raises NotRunError: if no connection becomes free in time.
         :raises BackendConnectError: if the member can't be reached.
-        :raises BackendLostError: if the connection broke; only settings were sent.
+        :raises BackendLostError: if the connection was lost; only settings were sent.
         """
         connection = await member.pool.acquire(deadline, priority, settings)
         lease = cls(member, connection)
@@ -45,13 +41,13 @@
         return lease
 
     def matches_known_incarnation(self) -> bool:
-        """Return whether what is known of the member holds for this connection."""
+        """Return whether the known state is of the member incarnation that is connected."""
         return self.member.state.matches_incarnation(self.connection.incarnation)
 
     def lost_error(
         self, outcomes: OutcomeClassification, error: BackendLostError, step: str
     ) -> CallerError:
-        """Return the caller's error for a statement that was sent and whose answer did not come."""
+        """Return the error to the caller of a statement that was sent but not answered."""
         return outcomes.connection_lost_error(
             str(error),
             sent=True,
@@ -65,10 +61,10 @@
         return await self.connection.execute(sql, deadline)
 
     def release(self) -> None:
-        """Give the connection back to its pool."""
+        """Return the connection to its pool."""
         seconds = asyncio.get_running_loop().time() - self._acquired_at
         self.member.pool.release(self.connection, seconds if self.connection.answered else None)
 
     def discard(self) -> None:
-        """Close the connection: its state is in doubt."""
+        """Close the connection because its state is uncertain."""
         self.member.pool.discard(self.connection)
--- a/src/rowanrail/sql_proxy/monitor.py
+++ b/src/rowanrail/sql_proxy/monitor.py
@@ -1,7 +1,6 @@
-"""Questions to one member for its status, in rounds that answer all who wait.
+"""Status queries to one member, on a connection of their own.
 
-For the group's rounds and its background questions. Owns the connection for questions and who
-waits for an answer; fills in what is known of the member. Relies on the opener of connections.
+Callers that wait at the same time share one query. Each answer updates the member's state.
 """
 
 import asyncio
@@ -19,7 +18,7 @@
 
 
 class MemberMonitor:
-    """Asks a member for its status; a question joins the round that begins after it."""
+    """Queries the status of a member; each query serves all callers that waited when it began."""
 
     def __init__(
         self, peer: str, connection_factory: ConnectionFactory, randomness: random.Random
@@ -35,12 +34,12 @@
         self.on_status: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        """Begin to answer questions, the first of them at once."""
+        """Start the task that queries the member; the first query is sent at once."""
         self._wake.set()
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Stop polling."""
+        """Stop the task; callers that wait get None."""
         if self._task is not None:
             self._task.cancel()
         self._disconnect()
@@ -48,14 +47,14 @@
         self._waiters = []
 
     async def refresh(self) -> MemberStatus | None:
-        """Return a status that the member sent after this call, or None."""
+        """Return a status that the member sent after this call, None if it did not answer."""
         future: asyncio.Future[MemberStatus | None] = asyncio.get_running_loop().create_future()
         self._waiters.append(future)
         self._wake.set()
         return await future
 
     def poll_soon(self) -> None:
-        """Begin a round soon."""
+        """Send a query soon, without waiting for the answer."""
         self._wake.set()
 
     async def _run(self) -> None:
--- a/src/rowanrail/sql_proxy/pinned_connection.py
+++ b/src/rowanrail/sql_proxy/pinned_connection.py
@@ -1,7 +1,6 @@
 """The connection that a session keeps for locks, temporary tables and computed variables.
 
-For sessions. Owns the lease from the first statement that needs it to the session's end or the loss
-of the connection; relies on the group's services for the lease and for confirmation.
+It is leased by the first statement that needs it, until the session ends or the connection is lost.
 """
 
 from rowanrail.kernel.errors import BackendLostError, OutcomeUnknownError
@@ -15,22 +14,22 @@
 
 
 class PinnedConnection:
-    """A connection to the primary, or none."""
+    """An optional connection to the primary that belongs to one session."""
 
     def __init__(self) -> None:
         self._lease: Lease | None = None
 
     @property
     def is_held(self) -> bool:
-        """Whether the session keeps a connection."""
+        """Whether the session has a pinned connection."""
         return self._lease is not None
 
     async def pin(
         self, services: GroupServices, settings: tuple[str, ...], floor: Position, deadline: float
     ) -> None:
-        """Keep a connection from now on.
+        """Lease a connection to the primary and keep it.
 
-        :raises NotRunError: if none is to be had in time.
+        :raises NotRunError: if there is none in time.
         """
         self._lease = await services.writer.lease_primary(
             deadline, Priority.TRANSACTION, settings, floor
@@ -46,8 +45,8 @@
     ) -> StatementResult:
         """Run a statement, and confirm it if it writes.
 
-        :raises OutcomeUnknownError: if the connection was lost, with all that it held, or the
-            write can't be confirmed.
+        :raises OutcomeUnknownError: if the connection was lost, along with the locks and temporary
+            tables of the session, or if the write can't be confirmed.
         """
         assert self._lease is not None
         lease = self._lease
@@ -65,7 +64,7 @@
         return result
 
     def drop(self) -> None:
-        """Close the connection, if there is one: what it holds must reach nobody else."""
+        """Close the connection, if any; its session state must not reach another session."""
         if self._lease is not None:
             self._lease.discard()
             self._lease = None
--- a/src/rowanrail/sql_proxy/pool.py
+++ b/src/rowanrail/sql_proxy/pool.py
@@ -1,8 +1,8 @@
-"""Pool of connections to one member: bounded, with bounded waiting.
+"""Connection pool of one member, with a bounded number of connections and a bounded wait queue.
 
-A connection is idle, leased to one statement or transaction, or closed. What a session
-set on a connection (``settings``) stays with it; it is only reused for sessions with the
-same settings, or closed.
+A connection is idle, leased to one statement or transaction, or closed. It keeps the session
+variables that were set on it (``settings``); a connection with settings is reused only for sessions
+with the same ones.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Order in which waiting requests get connections."""
+    """Priority of queued requests; lower values are served first."""
 
     TRANSACTION = 0
     WRITE = 1
@@ -44,9 +44,9 @@
 class PoolLimits(msgspec.Struct, frozen=True):
     """Limits of a pool.
 
-    :param connections: how many connections may be open or being opened.
-    :param slots: how many statements the member runs at once.
-    :param queue_length: how many requests may wait for a connection.
+    :param connections: maximum number of connections that are open or being opened.
+    :param slots: maximum number of concurrent statements at the member.
+    :param queue_length: maximum number of requests that wait for a connection.
     """
 
     connections: int
@@ -55,7 +55,7 @@
 
 
 class PooledConnection:
-    """A connection and whether its last answer came."""
+    """A connection, its session variables, and whether its last statement was answered."""
 
     def __init__(
         self, connection: BackendConnection, peer: str, late_answers: LateAnswerDiscard
@@ -70,11 +70,11 @@
         self._aborted: asyncio.Future[StatementResult] | None = None
 
     async def execute(self, sql: str, deadline: float) -> StatementResult:
-        """Run a statement until ``deadline`` (loop time).
+        """Run a statement until ``deadline`` (event loop time).
 
         :raises BackendRefusedError: if the member refused it.
-        :raises BackendLostError: if it was sent and no answer came, or if an answer that
-            nobody asked for is already there: the next one read would not be this statement's.
+        :raises BackendLostError: if it was sent but not answered, or if unread data would be taken
+            for its answer.
         """
         self.answered = self.is_reusable()
         if not self.answered:
@@ -89,7 +89,7 @@
         return result
 
     async def _run_abortable(self, work: Awaitable[StatementResult]) -> StatementResult:
-        """Await ``work``, but end at once when :meth:`abort` is called."""
+        """Await ``work``, or fail as soon as :meth:`abort` is called."""
         loop = asyncio.get_running_loop()
         aborted: asyncio.Future[StatementResult] = loop.create_future()
         self._aborted = aborted
@@ -106,7 +106,7 @@
                 task.cancel()
 
     def is_reusable(self) -> bool:
-        """Return whether the last answer came, and nothing after it."""
+        """Return whether the last answer was read and no other data has arrived."""
         return self._late_answers.is_reusable(self.answered and self._connection.is_clean())
 
     async def status(self) -> MemberStatus:
@@ -114,7 +114,7 @@
         return await self._connection.status()
 
     def abort(self) -> None:
-        """Make a running statement end as lost."""
+        """Make a running statement fail with :class:`BackendLostError`."""
         if self._aborted is not None and not self._aborted.done():
             self._aborted.set_result(StatementResult())
 
@@ -128,7 +128,7 @@
 
 
 class Pool:
-    """Connections to one member. At most ``limit`` are open or being opened."""
+    """Connections to one member, at most ``limit`` of them open or being opened."""
 
     def __init__(
         self,
@@ -143,7 +143,7 @@
         self._queue_length = limits.queue_length
         self.latency_seconds = INITIAL_LATENCY_SECONDS
         self.open_count = 0
-        self.leased: dict[PooledConnection, None] = {}  # in the order of their leases
+        self.leased: dict[PooledConnection, None] = {}  # an ordered set, oldest lease first
         self._connection_factory = connection_factory
         self._late_answers = late_answers
         self._idle: list[PooledConnection] = []
@@ -159,11 +159,11 @@
 
     @property
     def outstanding(self) -> int:
-        """Number of requests that run or wait."""
+        """Number of leased connections and queued requests."""
         return len(self.leased) + len(self._waiting)
 
     def expected_wait_seconds(self) -> float:
-        """Return how long a request that arrives now is likely to wait."""
+        """Return the expected queueing delay in seconds of a request that arrives now."""
         return expected_wait_seconds(
             len(self._waiting), len(self.leased), self.limit, self.slots, self.latency_seconds
         )
@@ -171,11 +171,12 @@
     async def acquire(
         self, deadline: float, priority: Priority, settings: tuple[str, ...] = ()
     ) -> PooledConnection:
-        """Lease a connection by ``deadline``.
+        """Lease a connection that has the given settings or none, by ``deadline``.
 
-        A connection with other settings than wanted is closed and replaced.
+        If the pool is at its limit, an idle connection with other settings is closed to make room.
 
-        :raises NotRunError: if none is to be had in time; nothing was sent.
+        :raises NotRunError: if no connection becomes free in time; nothing was sent.
+        :raises BackendConnectError: if a new connection can't be opened.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -224,7 +225,7 @@
         connection = await self._connection_factory()
         pooled = PooledConnection(connection, self.peer, self._late_answers)
         try:
-            # What is known of a member holds for one start of it: learn which one this is.
+            # A member's known state holds for one incarnation: get that of this connection.
             pooled.incarnation = (await connection.status()).incarnation
         except BaseException:
             connection.close()
@@ -250,9 +251,9 @@
                 self._wake_one()
 
     def _make_queue_room(self, priority: Priority) -> None:
-        """Keep the queue bounded: of the least urgent requests the last is refused at once.
+        """Refuse the last request of lowest priority if the queue is full.
 
-        :raises NotRunError: if that is the request that has just come.
+        :raises NotRunError: if that is the arriving request.
         """
         if has_queue_room(len(self._waiting), self._queue_length):
             return
@@ -270,9 +271,9 @@
         return NotRunError(message, retry_after_seconds=retry_after, step="acquire", peer=self.peer)
 
     def release(self, connection: PooledConnection, seconds: float | None = None) -> None:
-        """Give a connection back; one whose answer is late is closed.
+        """Return a connection to the pool, or close it if it is not reusable.
 
-        :param seconds: how long the statement took, for the latency estimate.
+        :param seconds: duration of the statement, for the latency estimate.
         """
         self.leased.pop(connection, None)
         if seconds is not None:
@@ -284,7 +285,7 @@
             self._wake_one()
 
     def discard(self, connection: PooledConnection) -> None:
-        """Close a connection in doubt."""
+        """Close a leased connection whose state is uncertain."""
         self.leased.pop(connection, None)
         self._close(connection)
 
@@ -304,17 +305,17 @@
                 return
 
     def close_idle(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         while self._idle:
             self._close(self._idle.pop())
 
     def abort_leased(self) -> None:
-        """Make all running statements end as lost, since the member was replaced."""
+        """Make all running statements fail as lost, because another primary was elected."""
         for connection in list(self.leased):
             connection.abort()
 
     def set_limit(self, limit: int) -> None:
-        """Change the limit; surplus idle connections are closed at once."""
+        """Change the maximum number of connections; surplus idle ones are closed at once."""
         self.limit = max(1, limit)
         while self._idle and self.open_count > self.limit:
             self._close(self._idle.pop(0))
--- a/src/rowanrail/sql_proxy/reads.py
+++ b/src/rowanrail/sql_proxy/reads.py
@@ -42,9 +42,9 @@
         settings: tuple[str, ...],
         deadline: float,
     ) -> StatementResult:
-        """Run a read that must see ``floor``. It is tried again when a member is lost.
+        """Run a read that must see ``floor``; it is retried if a connection is lost.
 
-        :raises CallerError: the caller's error.
+        :raises CallerError: if the read fails.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -66,7 +66,7 @@
     async def lease(
         self, floor: Position, allow_replica: bool, settings: tuple[str, ...], deadline: float
     ) -> Lease:
-        """Lease a connection to a member that may serve a read that must see ``floor``.
+        """Lease a connection to the member selected for a read that must see ``floor``.
 
         :raises NotRunError: if there is none in time.
         """
@@ -83,7 +83,7 @@
                 continue
             if floor == ORIGIN or lease.matches_known_incarnation():
                 return lease
-            # The member was restarted: what it had committed before may not hold any more.
+            # The member was restarted and may have lost transactions that it had committed.
             lease.release()
             await member.monitor.refresh()
             if not lease.matches_known_incarnation():
--- a/src/rowanrail/sql_proxy/services.py
+++ b/src/rowanrail/sql_proxy/services.py
@@ -51,37 +51,38 @@
         return self.group.spec
 
     def is_busy(self) -> bool:
-        """Return whether statements run or wait, or transactions are open."""
+        """Return whether statements run or wait for a connection, or transactions are open."""
         return self.open_transactions > 0 or self.group.outstanding > 0
 
     async def floor(self, known: Position | None, deadline: float) -> Position:
-        """Return the position that a read must see, by the group's consistency.
+        """Return the floor of a read, according to the group's consistency level.
 
-        :param known: the session's own position, None if it has none yet.
+        :param known: position of the session, None if it has none yet.
+        :raises NotRunError: if no majority of the members answers in time.
         """
-        own = known or Position()
+        session_floor = known or Position()
         match floor_source(self.spec.consistency, known is not None):
             case FloorSource.SESSION:
-                return own
+                return session_floor
             case FloorSource.RECENT:
-                return max(await self._recent_or_quorum_floor(deadline), own)
+                return max(await self._recent_or_quorum_floor(deadline), session_floor)
             case FloorSource.QUORUM:
-                return max(await self.group.quorum.acknowledged_floor(deadline), own)
+                return max(await self.group.quorum.acknowledged_floor(deadline), session_floor)
 
     async def _recent_or_quorum_floor(self, deadline: float) -> Position:
         loop = asyncio.get_running_loop()
-        taken_at, floor = self._recent_floor
-        if is_recent_floor(loop.time() - taken_at, self.spec.maximum_staleness_seconds):
+        cached_at, floor = self._recent_floor
+        if is_recent_floor(loop.time() - cached_at, self.spec.maximum_staleness_seconds):
             return floor
-        asked_at = loop.time()
+        queried_at = loop.time()
         floor = await self.group.quorum.acknowledged_floor(deadline)
-        self._recent_floor = (asked_at, floor)
+        self._recent_floor = (queried_at, floor)
         return floor
 
     def check_transaction_limit(self) -> None:
-        """Refuse a transaction when too many are open.
+        """Check that another transaction may begin.
 
-        :raises NotRunError: if the limit is reached.
+        :raises NotRunError: if the maximum number of transactions is open.
         """
         limit = self.spec.limits.open_transactions
         if not may_begin_transaction(self.open_transactions, limit):
@@ -94,7 +95,7 @@
 
 
 class SqlSessionHost(ABC):
-    """The proxy as its sessions see it."""
+    """Interface of a proxy to its sessions."""
 
     registry: Registry
 
@@ -111,23 +112,23 @@
 
     @abstractmethod
     def find_group(self, database: str) -> GroupServices | None:
-        """Return what serves ``database``."""
+        """Return the services of the group of ``database``, None if no group serves it."""
 
     @abstractmethod
     def check_accepting(self, session: object) -> None:
-        """Refuse new work while the proxy stops.
+        """Check that the session may run a statement.
 
-        :raises NotRunError: if the session may not begin anything.
+        :raises NotRunError: if the proxy is stopping and the session has no open transaction.
         """
 
     @abstractmethod
     def session_idle(self, session: object) -> None:
-        """Note that a session ended a statement."""
+        """Called when a session has finished a statement."""
 
     @abstractmethod
     def session_closed(self, session: object) -> None:
-        """Note that a session ended."""
+        """Called when a session has ended."""
 
     @abstractmethod
     def wall_clock(self) -> float:
-        """Return the time of day in seconds since the epoch."""
+        """Return the wall-clock time in seconds since the epoch."""
--- a/src/rowanrail/sql_proxy/session_positions.py
+++ b/src/rowanrail/sql_proxy/session_positions.py
@@ -1,8 +1,4 @@
-"""What a session has seen of each group, and the token that carries it.
-
-For sessions. Owns their positions by group, which only grow; relies on the group's services for
-what a read must see.
-"""
+"""Positions that a session has observed in each group, and their encoding as a token."""
 
 from rowanrail.kernel.errors import InvalidRequestError
 from rowanrail.model.position import ORIGIN, Position
@@ -12,17 +8,17 @@
 
 
 class SessionPositions:
-    """Positions by group; they only grow."""
+    """Positions of one session by group, which never decrease."""
 
     def __init__(self) -> None:
         self._positions: dict[str, Position] = {}
 
     def token(self) -> str:
-        """Return the token that carries the positions to another connection."""
+        """Return the positions as a token, for another connection."""
         return encode_token(self._positions)
 
     def merge_token(self, token: str) -> None:
-        """See at least what ``token`` stands for.
+        """Raise the positions to those in ``token``.
 
         :raises InvalidRequestError: if the token is damaged.
         """
@@ -34,14 +30,14 @@
             self._advance(group, position)
 
     def record_write(self, group: str, result: StatementResult) -> None:
-        """Note the position of a write."""
+        """Raise the position of a group to that of a write."""
         if result.position is not None:
             self._advance(group, result.position)
 
     async def floor(self, services: GroupServices, deadline: float) -> Position:
-        """Return what a read that begins now must see; from now on the session keeps to it.
+        """Return the floor of a read that begins now, and raise the session's position to it.
 
-        :raises NotRunError: if the group's members can't be asked in time.
+        :raises NotRunError: if no majority of the group's members answers in time.
         """
         name = services.spec.name
         floor = await services.floor(self._positions.get(name), deadline)
--- a/src/rowanrail/sql_proxy/session_variables.py
+++ b/src/rowanrail/sql_proxy/session_variables.py
@@ -1,8 +1,4 @@
-"""What a caller set in its session, and what its last statement left there.
-
-For sessions. Owns the settings that go along to each connection, the request id of the next write
-and the values of LAST_INSERT_ID() and ROW_COUNT(); no I/O.
-"""
+"""Variables of a session: settings, the next request id, LAST_INSERT_ID() and ROW_COUNT()."""
 
 from collections.abc import Callable
 
@@ -16,7 +12,7 @@
 
 
 class SessionVariables:
-    """Variables of one session."""
+    """Variables of one session, which the proxy keeps across back-end connections."""
 
     def __init__(self) -> None:
         self.autocommit = True
@@ -27,9 +23,9 @@
         self._row_count = 0
 
     def with_setting(self, setting: str) -> tuple[str, ...]:
-        """Return the settings with one more, in the place of an earlier one of the same variable.
+        """Return the settings with ``setting`` added or replacing one of the same variable.
 
-        :raises InvalidRequestError: if too many are set.
+        :raises InvalidRequestError: if there are too many settings.
         """
         key = setting_key(setting)
         kept = [known for known in self.settings if setting_key(known) != key]
@@ -38,11 +34,11 @@
         return (*kept, setting)
 
     def take_request_id(self, wall_clock: Callable[[], float], horizon_seconds: float) -> str:
-        """Return the id of the request that begins, an empty string if it has none.
+        """Return and clear the id of the next request, an empty string if it has none.
 
-        :param wall_clock: returns the time of day in seconds; read only if there is an id.
-        :raises InvalidRequestError: if its form is wrong.
-        :raises RequestConflictError: if it is past the horizon.
+        :param wall_clock: returns the wall-clock time in seconds; called only if there is an id.
+        :raises InvalidRequestError: if the format of the id is wrong.
+        :raises RequestConflictError: if the id is past the horizon.
         """
         request_id, self.request_id = self.request_id, ""
         if request_id:
@@ -50,22 +46,22 @@
         return request_id
 
     def take_pre_transaction_statements(self) -> list[str]:
-        """Return the statements to run just before the transaction that begins."""
+        """Return and clear the statements to run before the next transaction begins."""
         before, self.pre_transaction_statements = self.pre_transaction_statements, []
         return before
 
     def record_result(self, result: StatementResult) -> None:
-        """Keep what the session's functions return after a statement."""
+        """Record the values of LAST_INSERT_ID() and ROW_COUNT() after a statement."""
         if result.insert_id:
             self._last_insert_id = result.insert_id
         self._row_count = -1 if result.columns else result.affected_rows
 
     def substitute_functions(self, sql: str) -> str:
-        """Put the values of LAST_INSERT_ID() and ROW_COUNT() in their places."""
+        """Replace calls of LAST_INSERT_ID() and ROW_COUNT() by the session's values."""
         return substitute_session_functions(sql, self._last_insert_id, self._row_count)
 
     def reset(self) -> None:
-        """Forget what the caller set."""
+        """Reset everything that the caller has set."""
         self.settings = ()
         self.pre_transaction_statements = []
         self.request_id = ""
--- a/src/rowanrail/sql_proxy/statistics.py
+++ b/src/rowanrail/sql_proxy/statistics.py
@@ -1,8 +1,4 @@
-"""Counters of a group at one proxy.
-
-For the runners of statements, which count, and the report, which reads. The fields are names of
-metrics.
-"""
+"""Counters of a group at one proxy; the names of the fields are part of the metric names."""
 
 import msgspec
 
@@ -19,7 +15,7 @@
     repeated: int = 0
 
     def count_read(self, on_primary: bool, replica_allowed: bool) -> None:
-        """Count a read; those that the rules keep on the primary are counted apart."""
+        """Count a read; reads that may only run on the primary have a counter of their own."""
         if not replica_allowed:
             self.primary_only_reads += 1
         elif on_primary:
--- a/src/rowanrail/sql_proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -1,9 +1,4 @@
-"""A caller's transaction on its pinned back-end connection.
-
-For sessions. Owns the connection from BEGIN to the end, the work that was done and the state;
-relies on the runner of writes for confirmation and records, and on ``outcomes`` for what a lost
-commit means.
-"""
+"""A caller's transaction on its back-end connection, from BEGIN to COMMIT or ROLLBACK."""
 
 import asyncio
 import enum
@@ -36,10 +31,10 @@
 
 
 class SqlTransaction:
-    """One transaction, from BEGIN to its end. Lost connections roll it back.
+    """One transaction; losing its connection before the commit rolls it back.
 
-    :param services: what serves its group, also when the group's settings change meanwhile.
-    :param may_write: whether its commit has to be confirmed.
+    :param services: services of its group, used until its end even if the group is replaced.
+    :param may_write: whether its commit must be confirmed.
     """
 
     def __init__(
@@ -60,10 +55,10 @@
         self._last_write = StatementResult()
 
     async def begin(self, sql: str, before: list[str], deadline: float) -> StatementResult:
-        """Open the transaction at the back end.
+        """Begin the transaction at the back end.
 
-        :param before: statements to run just before, for example an isolation level.
-        :raises NotRunError: if the connection broke.
+        :param before: statements to run first, for example to set an isolation level.
+        :raises NotRunError: if the connection was lost.
         """
         try:
             for statement in before:
@@ -76,9 +71,9 @@
         return result
 
     async def execute(self, sql: str, is_write: bool, deadline: float) -> StatementResult:
-        """Run a statement within the transaction.
+        """Run a statement in the transaction.
 
-        :raises NotRunError: if the transaction was rolled back; none of it lasts.
+        :raises NotRunError: if the transaction was rolled back.
         """
         if self.state is TransactionState.FAILED:
             raise self._rolled_back_error()
@@ -97,12 +92,12 @@
         return result
 
     def _finish_statement(self) -> None:
-        """End a statement: only a connection that is not pinned goes back to its pool."""
+        """Finish a statement; a connection that is not pinned returns to its pool."""
         if not self._pinning.keeps_connection():
             self._lease.release()
 
     async def _prepare_statement(self, deadline: float) -> None:
-        """Begin the next statement."""
+        """Prepare for the next statement; without pinning, lease another connection."""
         if not self._pinning.keeps_connection():
             settings = self._lease.connection.settings
             self._lease = await Lease.acquire(
@@ -112,10 +107,10 @@
     async def commit(
         self, request_id: str, settings: tuple[str, ...], deadline: float
     ) -> StatementResult:
-        """Commit and confirm.
+        """Commit the transaction and confirm its writes.
 
         :raises NotRunError: if the transaction was rolled back.
-        :raises OutcomeUnknownError: if the commit was sent and its outcome can't be learned.
+        :raises OutcomeUnknownError: if the commit was sent and its outcome can't be determined.
         """
         if self.state is TransactionState.FAILED:
             self.state = TransactionState.ENDED
@@ -152,7 +147,7 @@
     async def _record(
         self, request_id: str, digest: str, deadline: float
     ) -> StatementResult | None:
-        """Insert the request's record; return the outcome if the request ran before."""
+        """Insert the record of the request; return the outcome if it has been recorded before."""
         lease = self._lease
         try:
             await self._writer.record(lease, request_id, digest, self._last_write, deadline)
@@ -200,7 +195,7 @@
             result.position = settled.position
 
     async def roll_back(self, deadline: float) -> StatementResult:
-        """Roll back. A connection that does not answer is closed, which has the same effect."""
+        """Roll back; if the connection fails it is closed, which has the same effect."""
         failed = self.state is not TransactionState.OPEN
         self.state = TransactionState.ENDED
         if failed:
@@ -217,7 +212,7 @@
         return result
 
     def fail(self, reason: str) -> None:
-        """Roll back by closing the connection; the caller learns of it at its next statement."""
+        """Roll back by closing the connection; the caller's next statement reports the reason."""
         if self.state is TransactionState.OPEN:
             self.state = TransactionState.FAILED
             self.failure = reason
--- a/src/rowanrail/sql_proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -1,8 +1,6 @@
-"""Writes outside of transactions, and what needs the primary in general.
+"""Writes outside of transactions, and the confirmation and recording of all writes.
 
-For sessions and transactions. Owns nothing between writes but a count for the removal of old
-records; relies on the rules in ``outcomes`` for what follows a failure and on ``requests`` for the
-records.
+The rules for failures are in ``outcomes``, the records of request ids in ``requests``.
 """
 
 import asyncio
@@ -40,7 +38,7 @@
 )
 from rowanrail.sql_proxy.statistics import GroupStatistics
 
-CLEANUP_INTERVAL_WRITES = 1000  # recorded writes between removals of old records; chosen
+CLEANUP_INTERVAL_WRITES = 1000  # recorded writes between deletions of old records
 
 
 class WriteRunner:
@@ -69,10 +67,10 @@
         deadline: float,
         floor: Position = ORIGIN,
     ) -> StatementResult:
-        """Run a write and confirm it. With a request id it is repeated safely.
+        """Run a write and confirm it; with a request id it is retried safely.
 
-        :param floor: what the primary must have applied, for a read that locks.
-        :raises CallerError: the caller's error.
+        :param floor: position that the primary must have applied, for locking reads.
+        :raises CallerError: if the write fails or its outcome is unknown.
         """
         self._statistics.writes += 1
         if request_id and self._records.records_requests():
@@ -86,10 +84,10 @@
         settings: tuple[str, ...],
         floor: Position = ORIGIN,
     ) -> Lease:
-        """Lease a connection to the primary, waiting for a new one if need be.
+        """Lease a connection to the primary, waiting for a failover if necessary.
 
-        :param floor: what the session must see; an older primary does not serve it.
-        :raises NotRunError: if there is none in time; nothing was sent.
+        :param floor: position that the primary must have applied.
+        :raises NotRunError: if there is no such primary in time; nothing was sent.
         """
         loop = asyncio.get_running_loop()
         wait_seconds = self._group.spec.limits.failover_wait_seconds
@@ -100,7 +98,7 @@
                 lease = await Lease.acquire(primary, deadline, priority, settings)
                 if self._group.primary() is primary:
                     return lease
-                lease.release()  # it was replaced while the connection was being opened
+                lease.release()  # another primary was elected while the connection was opened
             except (BackendConnectError, BackendLostError) as error:
                 self._group.mark_unreachable(primary)
                 if loop.time() >= until:
@@ -113,9 +111,9 @@
             await asyncio.sleep(WRITE_RETRY_SECONDS)
 
     async def confirm(self, result: StatementResult, deadline: float, peer: str) -> None:
-        """Return once a majority holds the result's position in its own term.
+        """Wait until a majority holds the position of ``result`` in its own term.
 
-        :raises OutcomeUnknownError: if that can't be confirmed in time.
+        :raises OutcomeUnknownError: if the write can't be confirmed in time.
         """
         position: Position | None = result.position
         if position is None or not await self._group.quorum.confirm(position, deadline):
@@ -154,7 +152,7 @@
             await self.confirm(result, deadline, lease.member.name)
             return result
 
-    # With a request id: repeated until its outcome is known
+    # With a request id: retried until the outcome is known
 
     async def _run_recorded(
         self, sql: str, request_id: str, settings: tuple[str, ...], deadline: float
@@ -218,7 +216,7 @@
     async def record(
         self, lease: Lease, request_id: str, digest: str, result: StatementResult, deadline: float
     ) -> None:
-        """Insert the record of a request that is about to commit."""
+        """Insert the record of a request in its transaction, before the commit."""
         await insert_record(
             lease.connection, deadline, request_id, digest, RequestState.DONE, result
         )
@@ -231,9 +229,10 @@
         error: BackendRefusedError,
         deadline: float,
     ) -> StatementResult:
-        """Return the recorded outcome of a refused repeat, or raise the refusal.
+        """Return the recorded outcome of a request whose statement or record was refused.
 
-        :raises BackendLostError: if the request has to be tried again to learn its outcome.
+        :raises BackendRefusedError: ``error``, if there is no record.
+        :raises BackendLostError: if the request must be retried to learn its outcome.
         """
         if error.code == NO_SUCH_TABLE_CODE:
             await lease.execute(CREATE_TABLE, deadline)
@@ -249,13 +248,13 @@
     async def resolve_lost_commit(
         self, request_id: str, digest: str, settings: tuple[str, ...], deadline: float
     ) -> StatementResult:
-        """Find out what became of a request whose commit was lost.
+        """Determine the outcome of a request whose commit was not answered or not confirmed.
 
-        If it is not recorded, a tombstone makes sure that it never will be.
+        If the request has no record, a tombstone is inserted, which prevents a later commit.
 
         :returns: the recorded outcome.
         :raises NotRunError: once the tombstone is confirmed.
-        :raises OutcomeUnknownError: if neither can be had in time.
+        :raises OutcomeUnknownError: if neither is possible in time.
         """
         loop = asyncio.get_running_loop()
         while may_retry_write(loop.time(), deadline):
