--- a/src/rowanrail/sql_proxy/__init__.py
+++ b/src/rowanrail/sql_proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions, routing, pools and confirmation."""
+"""SQL proxy: sessions, statement routing, connection pools and confirmation of writes."""
--- a/src/rowanrail/sql_proxy/backend.py
+++ b/src/rowanrail/sql_proxy/backend.py
@@ -1,6 +1,6 @@
-"""The back-end port: what the proxy needs of a member of a database group.
+"""Interface of back-end drivers, which connect the proxy to the members of database groups.
 
-Drivers register as plug-ins of kind ``backend``; the simulator brings one of its own.
+Drivers register as plug-ins of kind ``backend``; the simulator has its own.
 """
 
 import enum
@@ -22,11 +22,11 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """What a member says of itself.
+    """Status that a member reports.
 
     :param received: last position in the member's log.
-    :param committed: last position known to be held by a majority and applied here.
-    :param incarnation: changes with each start of the member.
+    :param committed: last position that the member knows to be held by a majority and has applied.
+    :param incarnation: identifies one run of the member's process.
     """
 
     role: MemberRole
@@ -38,7 +38,7 @@
 
 
 class Column(msgspec.Struct, frozen=True):
-    """A result column, as the MySQL protocol describes it."""
+    """A result column, as in the MySQL protocol."""
 
     name: str
     type_code: int
@@ -47,9 +47,9 @@
 
 
 class StatementResult(msgspec.Struct):
-    """Answer to a statement; values are in MySQL's text encoding.
+    """Result of a statement; values are in the MySQL text encoding.
 
-    :param position: the member's log position after a write or commit.
+    :param position: log position of the member after a write or commit.
     """
 
     columns: Sequence[Column] = ()
@@ -61,30 +61,30 @@
 
 
 class BackendConnection(ABC):
-    """One connection to a member. One statement at a time."""
+    """One connection to a member, which runs one statement at a time."""
 
     @abstractmethod
     async def execute(self, sql: str) -> StatementResult:
         """Run a statement.
 
         :raises BackendRefusedError: if the member refused it.
-        :raises BackendLostError: if the connection broke after the statement was sent.
+        :raises BackendLostError: if the connection was lost after the statement was sent.
         """
 
     @abstractmethod
     async def status(self) -> MemberStatus:
         """Return the member's status.
 
-        :raises BackendLostError: if the connection broke.
+        :raises BackendLostError: if the connection was lost.
         """
 
     @abstractmethod
     def is_clean(self) -> bool:
-        """Return whether nothing arrived since the last answer was read."""
+        """Return whether no data has arrived since the last answer was read."""
 
     @abstractmethod
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
 
 
 class BackendDriver(ABC):
@@ -96,5 +96,5 @@
     ) -> BackendConnection:
         """Open a connection.
 
-        :raises BackendConnectError: if that fails; nothing was sent then.
+        :raises BackendConnectError: if the connection fails; no statement was sent.
         """
--- a/src/rowanrail/sql_proxy/config_watch.py
+++ b/src/rowanrail/sql_proxy/config_watch.py
@@ -1,8 +1,8 @@
-"""How a proxy gets its configuration, and reports what it has in force.
+"""Receives configuration changes from the control nodes, and sends them the proxy's reports.
 
-The proxy asks its control nodes in turn, with long polls. At its start it asks for what
-the leader confirms. If no control node can confirm, it takes the highest version that
-its control nodes and the other proxies know, and says so.
+The proxy long-polls its control nodes, one at a time. At startup it requests a version that the
+leader confirms. If no control node can confirm one, it applies the highest version that its control
+nodes and other proxies have, and logs a warning.
 """
 
 import asyncio
@@ -25,30 +25,30 @@
 )
 from rowanrail.sql_proxy.events import CONTROL_UNREACHABLE, UNCONFIRMED_CONFIGURATION
 
-# Seconds that a poll may wait at the control node for a newer version. Chosen.
+# Seconds that a long poll may wait at the control node for a newer version.
 LONG_POLL_SECONDS = 2.0
-# Seconds for the round trip of a poll, on top of its wait. Chosen.
+# Seconds for the round trip of a long poll, in addition to its wait.
 POLL_ROUND_TRIP_SECONDS = 1.0
-# Seconds for another proxy's answer. Chosen.
+# Timeout of a request to another proxy in seconds.
 PEER_CALL_SECONDS = 1.0
-# Seconds after a control node did not answer until the next is asked. Chosen.
+# Pause in seconds before the next control node is tried.
 CONTROL_RETRY_SECONDS = 0.2
 
 
 class ConfigurationHolder(Protocol):
-    """Where versions come into force: the proxy's core, or a stub."""
+    """Interface to the component that applies configurations, such as the proxy's core."""
 
     in_force: VersionedConfiguration
 
     def apply(self, offered: VersionedConfiguration) -> bool:
-        """Put a configuration in force if it is newer; return whether it was."""
+        """Apply a configuration if it is newer than the one in force; return whether it was."""
 
     def set_proxy_counts(self, counts: dict[str, int]) -> None:
-        """Note how many proxies use each group."""
+        """Update the number of proxies that use each group."""
 
 
 class ConfigurationWatch:
-    """Keeps the core's configuration up to date."""
+    """Keeps the proxy's configuration up to date."""
 
     def __init__(
         self,
@@ -69,20 +69,20 @@
         self._unreachable_logged = False
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the task that polls the control nodes."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
 
     async def handle_peer_request(self, request: msgspec.Struct) -> msgspec.Struct | None:
-        """Answer another proxy that asks for the configuration in force here."""
+        """Answer another proxy's request for the configuration in force here."""
         if not isinstance(request, PeerConfigurationRequest):
             raise TransportError(f"unexpected {type(request).__name__}", step="handle")
-        held = self._core.in_force
-        return PeerConfigurationReply(held.version, held.configuration, held.drained)
+        current = self._core.in_force
+        return PeerConfigurationReply(current.version, current.configuration, current.drained)
 
     async def _run(self) -> None:
         await self._start_up()
@@ -91,25 +91,23 @@
                 await asyncio.sleep(CONTROL_RETRY_SECONDS)
 
     async def _start_up(self) -> None:
-        """Take the leader's version; without one, the highest that anybody near knows."""
+        """Apply a confirmed version, or the highest version of control nodes and other proxies."""
         while self._core.in_force.version == 0:
             replies = await asyncio.gather(
                 *(self._query(address, 0.0) for address in self._controls)
             )
-            known = [reply for reply in replies if reply is not None]
-            newest = newest_confirmed(known)
+            answered = [reply for reply in replies if reply is not None]
+            newest = newest_confirmed(answered)
             if newest is not None:
-                self._apply_reply(
-                    newest
-                )  # nothing, if nothing was ever accepted: polls wait for it
+                self._apply_reply(newest)  # no-op if no version exists yet: polls wait for one
                 return
-            await self._apply_unconfirmed(known)
+            await self._apply_unconfirmed(answered)
             if self._core.in_force.version == 0:
                 await asyncio.sleep(CONTROL_RETRY_SECONDS)
 
-    async def _apply_unconfirmed(self, known: list[WatchReply]) -> None:
+    async def _apply_unconfirmed(self, replies: list[WatchReply]) -> None:
         offers: list[tuple[VersionedConfiguration, str]] = []
-        for reply in known:
+        for reply in replies:
             if reply.version and reply.delta is not None:
                 offers.append((_from_full_reply(reply), "a control node"))
         request = PeerConfigurationRequest("")
@@ -130,12 +128,12 @@
             self._core.apply(newest)
 
     def set_base(self, configuration: VersionedConfiguration) -> None:
-        """Ask from now on for what is newer than ``configuration``."""
+        """Set the configuration to which later polls request changes."""
         self._base = configuration
         self._base_digest = configuration.digest()
 
     async def poll_once(self) -> bool:
-        """Ask one control node for what is newer; return whether it answered."""
+        """Poll one control node for a newer version; return whether it answered."""
         address = self._controls[self._next_control % len(self._controls)]
         reply = await self._query(address, LONG_POLL_SECONDS)
         if reply is None:
@@ -166,7 +164,7 @@
             return
         offered = _from_full_reply(reply) if reply.whole else _from_delta_reply(self._base, reply)
         if offered.digest() != reply.digest:
-            # A gap: forget what is held, so that the next answer is the whole configuration.
+            # The delta does not fit: reset the base, so that the next reply is complete.
             self.set_base(VersionedConfiguration())
             return
         if self._core.apply(offered):
@@ -174,10 +172,10 @@
 
 
 def newest_confirmed(replies: list[WatchReply]) -> WatchReply | None:
-    """Return the reply with which a proxy starts, None if none is confirmed.
+    """Return the newest confirmed reply, with which a proxy starts; None if there is none.
 
-    A confirmed reply covers every version that was accepted before the question; of several the
-    newest is taken. Without one, an older version than the one in force may come back.
+    A confirmed reply covers every version that was accepted before the request. An unconfirmed one
+    may be older than the version in force.
     """
     confirmed = [reply for reply in replies if reply.confirmed]
     return max(confirmed, key=lambda reply: reply.version, default=None)
@@ -189,7 +187,7 @@
     return VersionedConfiguration(reply.version, configuration, reply.delta.drained)
 
 
-def _from_delta_reply(held: VersionedConfiguration, reply: WatchReply) -> VersionedConfiguration:
+def _from_delta_reply(base: VersionedConfiguration, reply: WatchReply) -> VersionedConfiguration:
     assert reply.delta is not None
-    changed = apply_delta(held, reply.delta)
+    changed = apply_delta(base, reply.delta)
     return VersionedConfiguration(reply.version, changed.configuration, changed.drained)
--- a/src/rowanrail/sql_proxy/core.py
+++ b/src/rowanrail/sql_proxy/core.py
@@ -1,6 +1,6 @@
-"""The proxy's core: groups as configured, sessions, and the planned stop.
+"""The proxy's core: configured groups, sessions, and graceful shutdown.
 
-It knows no wire protocol; the MySQL adapter and the simulator both drive it.
+It is independent of the wire protocol; the MySQL frontend and the simulator use it.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
 from rowanrail.sql_proxy.session import SqlSession
 
-# Seconds after which a caller is told to retry whom a stopping proxy refused. Chosen.
+# Retry-after in seconds of statements that a stopping proxy refuses.
 STOP_RETRY_AFTER_SECONDS = 0.5
-# Seconds between checks whether what runs at a stopping proxy has ended. Chosen.
+# Seconds between checks whether the sessions of a stopping proxy have finished.
 STOP_POLL_SECONDS = 0.05
 
 
 class ProxyCore(SqlSessionHost):
-    """Sessions and groups of one proxy."""
+    """Configuration, groups and sessions of one proxy."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     ) -> None:
         self.registry = registry
         self.in_force = VersionedConfiguration()
-        self.sessions: dict[SqlSession, None] = {}  # in the order of their opening
+        self.sessions: dict[SqlSession, None] = {}  # an ordered set, oldest session first
         self.stopping = False
         self.on_session_shutdown: Callable[[SqlSession], None] = lambda session: None
         self.groups = GroupTable(zone, routes, driver, registry, randomness, wall_clock)
@@ -54,14 +54,14 @@
         self._reaper: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to watch the groups and to enforce the limits of transactions."""
+        """Start the tasks that poll the groups and enforce the limits of transactions."""
         self.groups.start()
         self._reaper = asyncio.ensure_future(self._reap())
 
     # Configuration
 
     def apply(self, offered: VersionedConfiguration) -> bool:
-        """Put a configuration in force if it is newer than the one in force."""
+        """Apply a configuration if it is newer than the one in force; return whether it was."""
         if not self._version_guard.accepts(self.in_force.version, offered.version):
             if offered.version < self.in_force.version:
                 emit(OLDER_CONFIGURATION, offered=offered.version, in_force=self.in_force.version)
@@ -72,15 +72,15 @@
         return True
 
     def set_listed_leaving(self, addresses: set[str]) -> None:
-        """Note which member addresses the platform lists as leaving."""
+        """Set the addresses of members that the platform lists as leaving."""
         self.groups.set_listed_leaving(addresses)
 
     def set_proxy_counts(self, counts: dict[str, int]) -> None:
-        """Note how many proxies use each group."""
+        """Update the number of proxies that use each group."""
         self.groups.set_proxy_counts(counts)
 
     def watched_groups(self) -> list[GroupServices]:
-        """Return what serves the groups that are watched, by name."""
+        """Return the services of the watched groups, ordered by name."""
         return self.groups.running()
 
     # Sessions
@@ -95,7 +95,7 @@
     def open_session(self, user: str, database: str) -> SqlSession:
         """Open a session for an authenticated user.
 
-        :raises CallerError: if the proxy stops, or the database can't be used.
+        :raises CallerError: if the proxy is stopping or the user may not use the database.
         """
         if self.stopping:
             raise self._stopping_error()
@@ -106,9 +106,17 @@
         return session
 
     def group_spec(self, user: str, database: str) -> GroupSpec:
-        """See :meth:`SqlSessionHost.group_spec`."""
+        """Return the group that serves ``database``, if ``user`` may use it.
+
+        :raises CallerError: if there is no such group, or the user may not use it.
+        """
         spec = next(
-            (known for known in self.in_force.configuration.users if known.name == user), None
+            (
+                user_spec
+                for user_spec in self.in_force.configuration.users
+                if user_spec.name == user
+            ),
+            None,
         )
         if spec is None or (spec.databases and database not in spec.databases):
             raise BackendRefusedError(
@@ -125,15 +133,15 @@
         return group
 
     def database_group(self, database: str) -> str:
-        """See :meth:`SqlSessionHost.database_group`."""
+        """Return the name of the group that serves ``database``, or an empty string."""
         return self.groups.group_name(database)
 
     def find_group(self, database: str) -> GroupServices | None:
-        """See :meth:`SqlSessionHost.find_group`."""
+        """Return the services of the group of ``database``, None if no group serves it."""
         return self.groups.find(database)
 
     def wall_clock(self) -> float:
-        """See :meth:`SqlSessionHost.wall_clock`."""
+        """Return the wall-clock time in seconds since the epoch."""
         return self._wall_clock()
 
     async def _reap(self) -> None:
@@ -143,10 +151,13 @@
             for session in list(self.sessions):
                 session.check_limits(now)
 
-    # The planned stop
+    # Graceful shutdown
 
     def check_accepting(self, session: object) -> None:
-        """See :meth:`SqlSessionHost.check_accepting`. Open transactions may go on."""
+        """Check that the session may run a statement; open transactions may continue.
+
+        :raises NotRunError: if the proxy is stopping and the session has no open transaction.
+        """
         assert isinstance(session, SqlSession)
         if self.stopping and not session.in_transaction:
             raise self._stopping_error()
@@ -160,18 +171,18 @@
         )
 
     def session_idle(self, session: object) -> None:
-        """See :meth:`SqlSessionHost.session_idle`."""
+        """Do nothing: :meth:`stop` polls the sessions."""
 
     def session_closed(self, session: object) -> None:
-        """See :meth:`SqlSessionHost.session_closed`."""
+        """Remove a session that has ended."""
         assert isinstance(session, SqlSession)
         self.sessions.pop(session, None)
 
     async def stop(self, limit_seconds: float) -> None:
-        """Stop as planned: refuse new work, let what runs end, then close everything.
+        """Shut down gracefully: refuse new work, wait for running work, then close all groups.
 
-        Sessions are ended between statements. Transactions that are still open at the limit
-        are rolled back.
+        Each session ends as soon as it is idle and has no open transaction. Transactions that are
+        still open after ``limit_seconds`` are rolled back.
         """
         self.stopping = True
         loop = asyncio.get_running_loop()
@@ -189,12 +200,12 @@
         self.close()
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Stop all tasks and groups immediately."""
         if self._reaper is not None:
             self._reaper.cancel()
         self.groups.close()
 
 
 def hash_password(password: str) -> str:
-    """Return the double SHA-1 of a password, in hex, as MySQL's native password stores it."""
+    """Return the double SHA-1 of a password in hex, the format of ``mysql_native_password``."""
     return hashlib.sha1(hashlib.sha1(password.encode()).digest()).hexdigest()
--- a/src/rowanrail/sql_proxy/daemon.py
+++ b/src/rowanrail/sql_proxy/daemon.py
@@ -1,8 +1,4 @@
-"""The proxy daemon: the core as a process.
-
-Makes the ports (network, back-end driver, frontend) from the registry, runs the core until a stop
-signal, and stops as planned. Owns nothing else.
-"""
+"""The proxy daemon: sets up network, driver, frontend and core, and runs them until a signal."""
 
 import random
 
@@ -24,7 +20,7 @@
 
 
 def admin_application(core: ProxyCore) -> web.Application:
-    """Return the web application with health, readiness and metrics."""
+    """Return the web application that serves health, readiness and metrics."""
     metrics = ProxyMetrics(core)
 
     async def health(request: web.Request) -> web.Response:
@@ -58,9 +54,9 @@
 
 
 async def run_proxy(settings: ProxySettings) -> None:
-    """Run a proxy until a stop signal, then stop as planned.
+    """Run a proxy until a stop signal, then shut it down gracefully.
 
-    :raises RowanrailError: if an address can't be used.
+    :raises RowanrailError: if it can't listen on an address.
     """
     registry = Registry()
     randomness = random.Random()
--- a/src/rowanrail/sql_proxy/directory.py
+++ b/src/rowanrail/sql_proxy/directory.py
@@ -1,8 +1,7 @@
-"""The platform's list of live and leaving machines.
+"""Polls the platform's list of live and leaving machines over HTTP.
 
-For the proxy's core, which marks the members at the listed addresses. Owns the task that polls the
-list; relies on the platform's HTTP interface. The list lags, so that it is one of three sources: a
-member also counts as leaving when an operator drains it, and when it says so itself.
+The list may be outdated, so it is only one of three sources: a member is also leaving if an
+operator drains it or if the member reports it.
 """
 
 import asyncio
@@ -14,14 +13,14 @@
 from rowanrail.kernel.events import emit
 from rowanrail.sql_proxy.events import DIRECTORY_UNREACHABLE
 
-# Seconds between two questions for the list. Chosen.
+# Seconds between two requests for the list.
 MACHINE_LIST_POLL_SECONDS = 0.5
-# Seconds for an answer. Chosen.
+# Timeout of a request in seconds.
 MACHINE_LIST_TIMEOUT_SECONDS = 2.0
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """One machine of the list."""
+    """One machine on the platform's list."""
 
     name: str
     address: str
@@ -30,13 +29,13 @@
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """The platform's answer."""
+    """Response of the platform."""
 
     machines: list[Machine]
 
 
 class DirectoryWatch:
-    """Polls the list and tells which addresses are leaving."""
+    """Polls the list and passes the addresses of leaving machines to a callback."""
 
     def __init__(self, url: str, on_leaving: Callable[[set[str]], None]) -> None:
         self._url = url
@@ -44,7 +43,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start the task that polls the list."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
@@ -59,9 +58,13 @@
             while True:
                 try:
                     async with client.get(self._url) as response:
-                        listed = msgspec.json.decode(await response.read(), type=MachineList)
+                        machine_list = msgspec.json.decode(await response.read(), type=MachineList)
                     self._on_leaving(
-                        {machine.address for machine in listed.machines if machine.state != "live"}
+                        {
+                            machine.address
+                            for machine in machine_list.machines
+                            if machine.state != "live"
+                        }
                     )
                     failure_logged = False
                 except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError) as error:
--- a/src/rowanrail/sql_proxy/report.py
+++ b/src/rowanrail/sql_proxy/report.py
@@ -1,8 +1,4 @@
-"""What a proxy reports of itself: to the control nodes, and as metrics.
-
-For the watch of the configuration and the administration's interface. Owns the metrics' names;
-relies on the core for all that it reports.
-"""
+"""The proxy's reports to the control nodes, and its Prometheus metrics."""
 
 import asyncio
 
@@ -12,7 +8,7 @@
 from rowanrail.sql_proxy.core import ProxyCore
 from rowanrail.sql_proxy.services import GroupServices
 
-MAXIMUM_REPORTED_GROUPS = 8  # the most recently used ones: a report's size must be bounded
+MAXIMUM_REPORTED_GROUPS = 8  # the most recently used groups; bounds the size of a report
 _GROUP_METRICS = (
     ("replica_reads", "Reads served by replicas"),
     ("primary_reads", "Reads that could go to a replica, served by the primary"),
@@ -23,7 +19,7 @@
 
 
 def make_report(core: ProxyCore, name: str, zone: str, incarnation: str) -> ProxyReport:
-    """Return the proxy's report."""
+    """Return the proxy's report to the control nodes."""
     replica_reads = sum(services.statistics.replica_reads for services in core.watched_groups())
     primary_reads = sum(services.statistics.primary_reads for services in core.watched_groups())
     primary_only_reads = sum(
@@ -108,7 +104,7 @@
         )
 
     def render(self) -> bytes:
-        """Return the metrics in Prometheus' text format."""
+        """Return the metrics in the Prometheus text format."""
         self._sessions.set(len(self._core.sessions))
         self._version.set(self._core.in_force.version)
         for services in self._core.watched_groups():
--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -1,7 +1,7 @@
-"""A caller's session: what it must see, what it set, and its transaction.
+"""A caller's session, one for each client connection: classifies and dispatches statements.
 
-For the frontend, one for each connection of a caller. Owns the variables, the positions, the pinned
-connection and the open transaction; relies on the group's services to run statements.
+Owns the session's variables, positions, pinned connection and open transaction; the services of the
+group run the statements.
 """
 
 import asyncio
@@ -38,16 +38,16 @@
 from rowanrail.sql_proxy.session_variables import SessionVariables
 from rowanrail.sql_proxy.transaction import SqlTransaction, TransactionState
 
-VAR_STRING_TYPE = 253  # of MySQL's protocol
+VAR_STRING_TYPE = 253  # MYSQL_TYPE_VAR_STRING
 REQUEST_ATTRIBUTE = "request_id"
 DEADLINE_ATTRIBUTE = "deadline_ms"
-# Seconds for the rollback of a transaction whose caller is gone. Chosen.
+# Timeout in seconds for rolling back the transaction of a session that is reset or closed.
 ABANDON_ROLLBACK_SECONDS = 1.0
 _READS = (Kind.READ, Kind.SHOW)
 
 
 class SqlSession:
-    """One caller's session. Statements of a session run one after the other."""
+    """One caller's session, which runs one statement at a time."""
 
     def __init__(self, host: SqlSessionHost, user: str, database: str) -> None:
         self.user = user
@@ -61,7 +61,7 @@
         self._variables = SessionVariables()
         self._pinned = PinnedConnection()
 
-    # State that callers see
+    # State visible to callers
 
     @property
     def in_transaction(self) -> bool:
@@ -74,11 +74,11 @@
         return self._variables.autocommit
 
     def token(self) -> str:
-        """Return the session's token."""
+        """Return the session token, which carries the positions to another connection."""
         return self._positions.token()
 
     def merge_token(self, token: str) -> None:
-        """Make the session see at least what ``token`` stands for.
+        """Raise the session's positions to those in ``token``.
 
         :raises InvalidRequestError: if the token is damaged.
         """
@@ -87,8 +87,8 @@
     def use(self, database: str) -> None:
         """Change the default database.
 
-        :raises CallerError: if the user may not use it, no group serves it, or a
-            transaction of another group is open.
+        :raises CallerError: if the user may not use it, no group serves it, or a transaction or
+            pinned connection of another group is open.
         """
         group = self._host.group_spec(self.user, database)
         current = self._host.database_group(self.database)
@@ -101,7 +101,8 @@
     async def execute(self, sql: str, attributes: dict[str, str]) -> StatementResult:
         """Run a statement.
 
-        :raises CallerError: the caller's error.
+        :param attributes: query attributes: token, request id and deadline of the statement.
+        :raises CallerError: if the statement fails.
         """
         self._host.check_accepting(self)
         self.busy = True
@@ -166,7 +167,7 @@
         self, sql: str, statement: ClassifiedStatement, deadline: float
     ) -> StatementResult:
         if statement.kind is Kind.DEFINITION and self.transaction is not None:
-            await self._commit(deadline)  # definitions end a transaction in MySQL, too
+            await self._commit(deadline)  # data definition commits implicitly, as in MySQL
         if statement.kind is Kind.PINNING and not self._pinned.is_held and not self.transaction:
             await self._pin(deadline)
         if not self._variables.autocommit and not self.transaction and statement.tables:
@@ -247,7 +248,7 @@
         elif self._pinned.is_held:
             await self._pinned.execute(setting, deadline)
         else:
-            # Tried at once, so that a wrong one is refused here and not at a later statement.
+            # Apply the setting once, so that an invalid one is refused here.
             reader = self._services().reader
             lease = await reader.lease(ORIGIN, True, settings, deadline)
             lease.release()
@@ -331,7 +332,7 @@
             self.transaction = None
 
     def check_limits(self, now: float) -> None:
-        """Roll back a transaction that is idle or open for too long."""
+        """Roll back the transaction if it has been idle or open for too long."""
         transaction = self.transaction
         if transaction is None or self.busy:
             return
@@ -350,7 +351,7 @@
     # End
 
     async def reset(self) -> None:
-        """Forget what the session set and roll back its transaction (COM_RESET_CONNECTION)."""
+        """Reset the session variables and roll back the transaction (COM_RESET_CONNECTION)."""
         await self._abandon()
         self._variables.reset()
 
@@ -366,7 +367,7 @@
             try:
                 await self._roll_back(asyncio.get_running_loop().time() + ABANDON_ROLLBACK_SECONDS)
             except CallerError:
-                return  # the member rolls back once the connection is closed
+                return  # the member rolls back when the connection is closed
 
 
 def _text_result(name: str, value: str) -> StatementResult:
