--- a/src/rowanrail/sql_proxy/events.py
+++ b/src/rowanrail/sql_proxy/events.py
@@ -1,41 +1,47 @@
-"""Log events of the proxy (numbers 200 to 299).
+"""Log events of the SQL proxy (numbers 200 to 299).
 
-Owns the numbers and fields, which operators' tools know.
+Numbers and field names are stable, because tools of operators rely on them.
 """
 
 from rowanrail.kernel.events import Level, define
 
 PROXY_STARTED = define(
-    200, Level.INFO, "proxy {name} started, callers {listen}", "The daemon serves. Nothing to do."
+    200,
+    Level.INFO,
+    "proxy {name} started, listening on {listen}",
+    "The proxy accepts connections. No action is needed.",
 )
 PROXY_STOPPING = define(
-    201, Level.INFO, "proxy {name} stops as planned", "New work is refused, what runs may end."
+    201,
+    Level.INFO,
+    "proxy {name} is shutting down",
+    "New work is refused; running statements and open transactions may finish.",
 )
-PROXY_STOPPED = define(202, Level.INFO, "proxy {name} stopped", "A planned stop ended.")
+PROXY_STOPPED = define(202, Level.INFO, "proxy {name} stopped", "The shutdown is complete.")
 CONFIGURATION_IN_FORCE = define(
-    210, Level.INFO, "configuration version {version} is in force", "A newer version was taken."
+    210, Level.INFO, "configuration version {version} is in force", "A newer version was applied."
 )
 OLDER_CONFIGURATION = define(
     211,
     Level.WARNING,
-    "configuration version {offered} was offered, {in_force} stays in force",
-    "A control node or peer is behind. It catches up by itself; if not, look at its log.",
+    "ignored configuration version {offered}, which is older than version {in_force} in force",
+    "A control node or peer is behind and should catch up. If it does not, check its log.",
 )
 UNCONFIRMED_CONFIGURATION = define(
     212,
     Level.WARNING,
-    "version {version} was taken from {source}; the leader has not confirmed it",
-    "No majority of the control nodes answered at the start. A newer version may exist.",
+    "applied configuration version {version} from {source} without confirmation by the leader",
+    "No majority of the control nodes answered at startup. A newer version may exist.",
 )
 CONTROL_UNREACHABLE = define(
     213,
     Level.WARNING,
     "control node {peer} does not answer: {error}",
-    "The proxy goes on with the version in force and asks the next node.",
+    "The proxy keeps the version in force and polls the next control node.",
 )
 DIRECTORY_UNREACHABLE = define(
     220,
     Level.WARNING,
-    "the platform's list can't be read: {error}",
-    "Leaving members are still noticed by drains and by what they report themselves.",
+    "can't read the platform's machine list: {error}",
+    "Leaving members are still detected by drains and by their own status reports.",
 )
