--- a/tests/unit/test_connection_share.py
+++ b/tests/unit/test_connection_share.py
@@ -1,4 +1,4 @@
-"""A proxy's share of a member's connections."""
+"""A proxy's share of a member's connections: it shrinks at once and grows with a delay."""
 
 import unittest
 
--- a/tests/unit/test_groups.py
+++ b/tests/unit/test_groups.py
@@ -1,4 +1,4 @@
-"""Which groups a proxy watches."""
+"""Selection of the groups that a proxy watches."""
 
 import asyncio
 import random
--- a/tests/unit/test_pool.py
+++ b/tests/unit/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool's queue: bounded, by urgency, with refusals at once."""
+"""The wait queue of a connection pool: bounds, priorities and immediate refusals."""
 
 import asyncio
 import unittest
--- a/tests/unit/test_proxy_decisions.py
+++ b/tests/unit/test_proxy_decisions.py
@@ -1,4 +1,4 @@
-"""Pure decisions of the proxy: tokens, classification, guards, rules, request ids."""
+"""Pure functions of the proxy: tokens, classification, guards, routing rules, request ids."""
 
 import unittest
 
--- a/tests/unit/test_session_variables.py
+++ b/tests/unit/test_session_variables.py
@@ -1,4 +1,4 @@
-"""What a caller set in its session."""
+"""Session variables: replacement, limits, request ids and reset."""
 
 import unittest
 
