--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -123,19 +123,19 @@
     def set_proxy_count(self, proxies: int) -> None:
         """Record the number of proxies that use the group, including this one; 0 if unknown."""
         self._connection_share.observe(proxies, asyncio.get_running_loop().time())
-        share = self._connection_limit()
+        limit = self._connection_limit()
         for member in self.members:
-            if member.pool.limit != share:
-                member.pool.set_limit(share)
+            if member.pool.limit != limit:
+                member.pool.set_limit(limit)
 
     def minimize_connections(self) -> None:
         """Limit each pool to one connection; surplus ones are closed once they are idle."""
         for member in self.members:
             member.pool.set_limit(1)
 
-    def inherit_connection_share(self, older: "GroupRuntime") -> None:
+    def inherit_connection_share(self, replaced: "GroupRuntime") -> None:
         """Continue with the connection share of the runtime that this one replaces."""
-        self._connection_share = older._connection_share
+        self._connection_share = replaced._connection_share
         self.set_proxy_count(UNKNOWN_PROXY_COUNT)
 
     def start(self) -> None:
--- a/src/rowanrail/sql_proxy/pool.py
+++ b/src/rowanrail/sql_proxy/pool.py
@@ -119,7 +119,7 @@
             self._aborted.set_result(StatementResult())
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self.closed = True
         self._connection.close()
 
--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -188,12 +188,14 @@
     ) -> StatementResult:
         services = self._services()
         spec = services.group.spec
-        allow = allows_replica(spec.rules, statement, self.database, self.user)
+        allow_replica = allows_replica(spec.rules, statement, self.database, self.user)
         if statement.kind is Kind.SESSION_FUNCTION or not (statement.tables or statement.schemas):
-            floor, allow = ORIGIN, statement.kind is not Kind.SHOW or allow
+            floor, allow_replica = ORIGIN, statement.kind is not Kind.SHOW or allow_replica
         else:
             floor = await self._positions.floor(services, deadline)
-        return await services.reader.run(sql, floor, allow, self._variables.settings, deadline)
+        return await services.reader.run(
+            sql, floor, allow_replica, self._variables.settings, deadline
+        )
 
     async def _write(self, sql: str, deadline: float, is_read: bool) -> StatementResult:
         services = self._services()
--- a/src/rowanrail/sql_proxy/session_variables.py
+++ b/src/rowanrail/sql_proxy/session_variables.py
@@ -28,7 +28,7 @@
         :raises InvalidRequestError: if there are too many settings.
         """
         key = setting_key(setting)
-        kept = [known for known in self.settings if setting_key(known) != key]
+        kept = [other for other in self.settings if setting_key(other) != key]
         if len(kept) >= MAXIMUM_SESSION_SETTINGS:
             raise InvalidRequestError("too many session variables are set", step="set")
         return (*kept, setting)
--- a/src/rowanrail/sql_proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -191,8 +191,10 @@
         except OutcomeUnknownError:
             if not request_id:
                 raise
-            settled = await self._writer.resolve_lost_commit(request_id, digest, settings, deadline)
-            result.position = settled.position
+            resolved = await self._writer.resolve_lost_commit(
+                request_id, digest, settings, deadline
+            )
+            result.position = resolved.position
 
     async def roll_back(self, deadline: float) -> StatementResult:
         """Roll back; if the connection fails it is closed, which has the same effect."""
--- a/src/rowanrail/sql_proxy/writes.py
+++ b/src/rowanrail/sql_proxy/writes.py
@@ -126,7 +126,7 @@
     # Without a request id: sent at most once
 
     async def _run_once(
-        self, sql: str, settings: tuple[str, ...], deadline: float, repeat: bool, floor: Position
+        self, sql: str, settings: tuple[str, ...], deadline: float, may_retry: bool, floor: Position
     ) -> StatementResult:
         while True:
             lease = await self.lease_primary(deadline, Priority.WRITE, settings, floor)
@@ -142,7 +142,7 @@
             except BackendLostError as error:
                 lease.release()
                 self._group.mark_unreachable(lease.member)
-                if repeat and asyncio.get_running_loop().time() < deadline:
+                if may_retry and asyncio.get_running_loop().time() < deadline:
                     continue
                 raise lease.lost_error(self._outcomes, error, "write") from error
             except BaseException:
@@ -199,11 +199,11 @@
                 await self.record(lease, request_id, digest, result, deadline)
             except BackendRefusedError as error:
                 await lease.execute("ROLLBACK", deadline)
-                known = await self.recorded_outcome(lease, request_id, digest, error, deadline)
+                recorded = await self.recorded_outcome(lease, request_id, digest, error, deadline)
                 lease.release()
-                return known
-            ended = await lease.execute("COMMIT", deadline)
-            result.position = ended.position
+                return recorded
+            committed = await lease.execute("COMMIT", deadline)
+            result.position = committed.position
         except NotRunError:
             lease.release()
             raise
@@ -233,6 +233,8 @@
 
         :raises BackendRefusedError: ``error``, if there is no record.
         :raises BackendLostError: if the request must be retried to learn its outcome.
+        :raises NotRunError: if the record is a tombstone.
+        :raises RequestConflictError: if the id was used for other statements.
         """
         if error.code == NO_SUCH_TABLE_CODE:
             await lease.execute(CREATE_TABLE, deadline)
@@ -278,11 +280,11 @@
                 await self._insert_tombstone(lease, request_id, digest, deadline)
             except BackendRefusedError as error:
                 await lease.execute("ROLLBACK", deadline)
-                known = await self.recorded_outcome(lease, request_id, digest, error, deadline)
-                await self.confirm(known, deadline, lease.member.name)
+                recorded = await self.recorded_outcome(lease, request_id, digest, error, deadline)
+                await self.confirm(recorded, deadline, lease.member.name)
                 lease.release()
-                return known
-            ended = await lease.execute("COMMIT", deadline)
+                return recorded
+            committed = await lease.execute("COMMIT", deadline)
         except NotRunError:
             lease.release()
             raise
@@ -290,7 +292,7 @@
             lease.discard()
             raise
         lease.release()
-        await self.confirm(ended, deadline, lease.member.name)
+        await self.confirm(committed, deadline, lease.member.name)
         raise self._tombstoned_error(request_id)
 
     @staticmethod
--- a/tests/unit/test_connection_share.py
+++ b/tests/unit/test_connection_share.py
@@ -19,7 +19,7 @@
         share.observe(proxies, 0.0)
         return share
 
-    def test_starts_small_until_others_have_made_room(self):
+    def test_starts_small_until_the_count_has_settled(self):
         share = ConnectionShare()
         self.assertEqual(share.connections(40, 0.0), STARTING_CONNECTIONS)
         share.observe(3, 1.0)
--- a/tests/unit/test_groups.py
+++ b/tests/unit/test_groups.py
@@ -54,5 +54,4 @@
         self.assertNotIn("group0", self.watched())
 
     def now(self):
-
         return asyncio.get_running_loop().time()
--- a/tests/unit/test_pool.py
+++ b/tests/unit/test_pool.py
@@ -39,7 +39,7 @@
         self.assertEqual(len(times), 4)
         self.assertFalse(any(task.done() for task in tasks))
 
-    async def test_an_urgent_request_takes_the_place_of_the_last_less_urgent(self):
+    async def test_a_request_of_higher_priority_displaces_the_last_one(self):
         first, last = await self.waiting(Priority.READ, Priority.READ)
         (write,) = await self.waiting(Priority.WRITE)
         with self.assertRaises(NotRunError):
@@ -49,7 +49,7 @@
         self.pool.release(self.held)
         self.assertIs(await first, self.held)
 
-    async def test_a_given_up_request_leaves_the_queue(self):
+    async def test_a_cancelled_request_leaves_the_queue(self):
         first, second = await self.waiting(Priority.WRITE, Priority.WRITE)
         first.cancel()
         await asyncio.sleep(0)
--- a/tests/unit/test_proxy_decisions.py
+++ b/tests/unit/test_proxy_decisions.py
@@ -107,7 +107,7 @@
             with self.assertRaises(InvalidRequestError):
                 parse_set(sql)
 
-    def test_session_functions_are_filled_outside_of_strings(self):
+    def test_session_functions_are_substituted_outside_of_strings(self):
         sql = "INSERT INTO t VALUES (LAST_INSERT_ID(), 'last_insert_id()')"
         self.assertEqual(
             substitute_session_functions(sql, 7, 0), "INSERT INTO t VALUES (7, 'last_insert_id()')"
@@ -122,7 +122,7 @@
         self.assertEqual(freshness.acknowledged_floor(answers[:2], 3), Position(1, 9))
         self.assertIsNone(freshness.acknowledged_floor(answers[:1], 3))
 
-    def test_learner_is_no_holder(self):
+    def test_learners_do_not_count_towards_a_majority(self):
         answers = [status(1, (1, 9)), status(1, (1, 8)), status(1, (1, 0), role=MemberRole.LEARNER)]
         self.assertEqual(Freshness().acknowledged_floor(answers, 3), Position(1, 9))
         learner = status(1, (1, 9), role=MemberRole.LEARNER)
--- a/tests/unit/test_session_variables.py
+++ b/tests/unit/test_session_variables.py
@@ -26,7 +26,7 @@
             self.variables.with_setting("SET @one_more = 1")
         self.assertEqual(len(self.variables.with_setting("SET @v0 = 2")), MAXIMUM_SESSION_SETTINGS)
 
-    def test_a_request_id_is_for_one_request(self):
+    def test_a_request_id_is_used_for_one_request(self):
         self.variables.request_id = "1000000000-a"
         now = 1000000100.0
         taken = [self.variables.take_request_id(lambda: now, HORIZON_SECONDS) for _ in range(2)]
@@ -38,14 +38,14 @@
             self.variables.take_request_id(lambda: 1000002000.0, HORIZON_SECONDS)
         self.assertEqual(self.variables.request_id, "")
 
-    def test_functions_return_what_the_last_statement_left(self):
+    def test_functions_return_the_values_of_the_last_statement(self):
         self.variables.record_result(StatementResult(affected_rows=3, insert_id=7))
         sql = "SELECT LAST_INSERT_ID(), ROW_COUNT()"
         self.assertEqual(self.variables.substitute_functions(sql), "SELECT 7, 3")
         self.variables.record_result(StatementResult(columns=[Column("a", 253)]))
         self.assertEqual(self.variables.substitute_functions(sql), "SELECT 7, -1")
 
-    def test_a_reset_forgets_what_was_set(self):
+    def test_a_reset_clears_everything_that_was_set(self):
         self.variables.autocommit = False
         self.variables.settings = ("SET @a = 1",)
         self.variables.pre_transaction_statements.append("SET TRANSACTION READ ONLY")
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -20,7 +20,7 @@
 
 
 class FloorTest(unittest.TestCase):
-    def test_strict_always_asks_and_bounded_takes_a_recent_one(self):
+    def test_strict_reads_query_a_majority_and_bounded_reads_may_use_a_recent_floor(self):
         for has_position in (False, True):
             self.assertIs(
                 member_selection.floor_source(GroupConsistency.STRICT, has_position),
@@ -31,7 +31,7 @@
                 FloorSource.RECENT,
             )
 
-    def test_a_session_asks_only_before_it_has_seen_anything(self):
+    def test_a_session_queries_a_majority_only_without_a_position(self):
         sources = [
             member_selection.floor_source(GroupConsistency.SESSION, seen) for seen in (False, True)
         ]
@@ -50,21 +50,21 @@
     def test_of_two_claims_in_one_term_the_first_is_taken(self):
         self.assertEqual(member_selection.current_primary([4, 4, 4], [False, True, True]), 1)
 
-    def test_a_primary_that_a_majority_has_left_gets_no_work(self):
+    def test_a_superseded_primary_gets_no_work(self):
         self.assertIsNone(member_selection.current_primary([3, 4, 4], [True, False, False]))
 
     def test_one_member_in_a_later_term_is_no_majority(self):
         self.assertEqual(member_selection.current_primary([3, 4, 3], [True, False, False]), 0)
 
-    def test_nobody_claims(self):
+    def test_no_member_claims_to_be_primary(self):
         self.assertIsNone(member_selection.current_primary([0, 0, 0], [False, False, False]))
 
 
 class ReadServerTest(unittest.TestCase):
-    def test_the_primary_serves_what_no_replica_has(self):
+    def test_the_primary_serves_a_read_without_a_fresh_replica(self):
         self.assertIs(member_selection.action_without_replica(True, 9.0, 9.0), ReadAction.PRIMARY)
 
-    def test_without_it_a_read_waits_until_its_deadline(self):
+    def test_without_a_fresh_primary_a_read_waits_until_its_deadline(self):
         self.assertIs(member_selection.action_without_replica(False, 8.0, 9.0), ReadAction.WAIT)
         self.assertIs(member_selection.action_without_replica(False, 8.999, 9.0), ReadAction.REFUSE)
 
@@ -74,20 +74,20 @@
 
 
 class OutcomeTest(unittest.TestCase):
-    def test_a_lost_commit_with_a_record_is_settled(self):
+    def test_a_lost_commit_with_a_record_is_resolved(self):
         for has_written in (False, True):
             self.assertIs(outcomes.lost_commit_action(True, has_written), LostCommitAction.RESOLVE)
 
-    def test_without_one_it_is_unknown_only_if_something_was_written(self):
+    def test_a_lost_commit_without_a_record_is_unknown_only_after_a_write(self):
         self.assertIs(outcomes.lost_commit_action(False, True), LostCommitAction.UNKNOWN)
         self.assertIs(outcomes.lost_commit_action(False, False), LostCommitAction.ROLLED_BACK)
 
-    def test_a_member_that_is_no_primary_has_run_nothing(self):
+    def test_a_read_only_error_means_that_nothing_ran(self):
         for code in (1290, 1792, 1836, 3100):
             self.assertTrue(outcomes.is_read_only_error(code))
         self.assertFalse(outcomes.is_read_only_error(1062))
 
-    def test_a_duplicate_of_the_callers_own_table_is_answered(self):
+    def test_a_duplicate_key_of_another_table_is_no_request_in_progress(self):
         self.assertTrue(outcomes.is_in_progress(1062, "key 'rowanrail_requests.PRIMARY'"))
         self.assertFalse(outcomes.is_in_progress(1062, "key 'cues.PRIMARY'"))
         self.assertFalse(outcomes.is_in_progress(1205, "key 'rowanrail_requests.PRIMARY'"))
@@ -96,7 +96,7 @@
         self.assertEqual(outcomes.primary_wait_deadline(1.0, 9.0, 3.0), 4.0)
         self.assertEqual(outcomes.primary_wait_deadline(1.0, 2.0, 3.0), 2.0)
 
-    def test_pauses_between_rounds_double_up_to_the_longest(self):
+    def test_the_backoff_doubles_up_to_its_maximum(self):
         pauses = [outcomes.INITIAL_BACKOFF_SECONDS]
         for _ in range(5):
             pauses.append(outcomes.next_backoff(pauses[-1]))
@@ -104,16 +104,16 @@
 
 
 class QueueTest(unittest.TestCase):
-    def test_the_wait_counts_who_is_ahead_by_what_the_member_runs_at_once(self):
+    def test_the_expected_wait_is_the_queue_ahead_divided_by_the_slots(self):
         self.assertEqual(queueing.expected_wait_seconds(0, 4, 8, 4, 0.02), 0.0)
         self.assertEqual(queueing.expected_wait_seconds(0, 6, 8, 4, 0.02), 0.01)
         self.assertEqual(queueing.expected_wait_seconds(6, 4, 8, 4, 0.02), 0.03)
 
-    def test_what_would_be_late_is_refused_at_once(self):
+    def test_a_request_that_would_miss_its_deadline_is_refused(self):
         self.assertFalse(queueing.would_miss_deadline(1.0, 0.5, 1.5))
         self.assertTrue(queueing.would_miss_deadline(1.0, 0.6, 1.5))
 
-    def test_only_a_more_urgent_request_displaces_another(self):
+    def test_only_a_request_of_higher_priority_displaces_another(self):
         verdicts = [queueing.displaces_last(1, priority) for priority in (0, 1, 2)]
         self.assertEqual(verdicts, [True, False, False])
 
@@ -122,26 +122,26 @@
         self.assertFalse(queueing.has_queue_room(1, 1))
         self.assertFalse(queueing.has_queue_room(0, 0))
 
-    def test_retry_times_are_spread_over_once_to_twice_the_soonest(self):
+    def test_retry_times_are_spread_over_one_to_two_times_the_minimum(self):
         times = [queueing.retry_after_seconds(refusal, 0.5) for refusal in range(16)]
         self.assertEqual(len(set(times)), 16)
         self.assertEqual((min(times), max(times)), (1.0, 1.9375))
 
-    def test_the_latest_statement_counts_a_tenth(self):
+    def test_the_latest_statement_has_a_weight_of_one_tenth(self):
         self.assertAlmostEqual(queueing.smoothed_latency(0.01, 0.11), 0.02)
 
 
-class WatchTest(unittest.TestCase):
-    def test_the_budget_of_questions_is_shared_by_all_members(self):
+class GroupPollingTest(unittest.TestCase):
+    def test_all_members_share_the_rate_of_status_queries(self):
         self.assertEqual(group_polling.background_interval_seconds(48), 7.875)
         self.assertEqual(group_polling.background_interval_seconds(0), 0.0)
 
-    def test_a_busy_group_is_always_asked(self):
+    def test_a_busy_group_is_always_polled(self):
         self.assertTrue(group_polling.is_poll_due(True, 1.0, 0.9, 7.0))
         self.assertFalse(group_polling.is_poll_due(False, 7.8, 0.9, 7.0))
         self.assertTrue(group_polling.is_poll_due(False, 8.0, 1.0, 7.0))
 
-    def test_many_proxies_share_a_group_at_four_connections_each(self):
+    def test_a_group_is_shared_by_many_below_four_connections_per_proxy(self):
         self.assertFalse(group_polling.is_shared_by_many(25, 100))
         self.assertTrue(group_polling.is_shared_by_many(26, 100))
 
@@ -163,21 +163,21 @@
         self.assertFalse(self.state.is_leaving or self.state.matches_incarnation(""))
         self.assertEqual((self.state.term, self.state.committed), (0, ORIGIN))
 
-    def test_one_question_without_an_answer_makes_it_failing(self):
+    def test_one_unanswered_query_makes_it_unreachable(self):
         self.answer()
         self.assertTrue(self.state.is_replica)
         self.state.update(None, now=2.0)
         self.assertFalse(self.state.is_replica)
         self.assertEqual((self.state.term, self.state.last_status_at), (3, 1.0))
 
-    def test_a_broken_connection_does_too_until_the_next_answer(self):
+    def test_a_lost_connection_makes_it_unreachable_until_the_next_answer(self):
         self.answer(MemberRole.PRIMARY)
         self.state.mark_unreachable()
         self.assertFalse(self.state.is_primary)
         self.answer(MemberRole.PRIMARY)
         self.assertTrue(self.state.is_primary)
 
-    def test_what_is_known_holds_for_one_start(self):
+    def test_the_state_holds_for_one_incarnation(self):
         self.answer(leaving=True)
         self.assertTrue(self.state.is_leaving)
         self.assertTrue(self.state.matches_incarnation("first"))
@@ -246,7 +246,7 @@
         self.assertTrue(limits.may_begin_transaction(9, 10))
         self.assertFalse(limits.may_begin_transaction(10, 10))
 
-    def test_an_idle_or_long_transaction_is_overdue(self):
+    def test_an_idle_or_long_transaction_is_rolled_back(self):
         self.assertEqual(limits.rollback_reason(10.0, 10.0, 60.0, 60.0), "")
         self.assertEqual(limits.rollback_reason(10.1, 10.0, 61.0, 60.0), "idle for more than 10 s")
         self.assertEqual(limits.rollback_reason(0.0, 10.0, 61.0, 60.0), "open for more than 60 s")
@@ -261,6 +261,6 @@
         replies = [self.reply(3, True), self.reply(4, True), self.reply(9, False)]
         self.assertIs(newest_confirmed(replies), replies[1])
 
-    def test_without_a_confirmed_one_it_has_to_ask_others(self):
+    def test_unconfirmed_replies_are_not_used(self):
         self.assertIsNone(newest_confirmed([self.reply(9, False)]))
         self.assertIsNone(newest_confirmed([]))
