--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -148,7 +148,7 @@
             Forecast on which the rejection is based.
         """
         urgency = self.route.priority
-        retry_after = self.service.retry_times.next(
+        retry_after = self.service.retry_times.next_delay(
             base_retry_after_ms(base_ms), forecast.drain_interval, (cause, urgency)
         )
         self.rejection = rejection_record(cause, forecast, self.remaining_ms, urgency, retry_after)
