--- a/src/rowanrail/sql_proxy/core.py
+++ b/src/rowanrail/sql_proxy/core.py
@@ -95,8 +95,8 @@
     def open_session(self, user: str, database: str) -> SqlSession:
         """Open a session for an authenticated user.
 
-        :raises CallerError: if the proxy is stopping, the user may not use the database, or no group
-            serves it.
+        :raises CallerError: if the proxy is stopping, the user may not use the database, or no
+            group serves it.
         """
         if self.stopping:
             raise self._stopping_error()
