--- a/src/rowanrail/gateway/pools/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from rowanrail.gateway.pools.idle_channels import IdleChannels
-from rowanrail.gateway.pools.idle_rules import spare_connections
+from rowanrail.gateway.pools.idle_rules import surplus_connections
 from rowanrail.gateway.pools.idle_transactions import IdleTransactions
 from rowanrail.gateway.pools.leases import Leases
-from rowanrail.gateway.pools.opening_rules import Opening, has_room_for_opening, judge_opening
+from rowanrail.gateway.pools.opening_rules import Opening, decide_opening, may_open_connection
 from rowanrail.gateway.pools.openings import Openings
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel, MemberDriver
@@ -53,35 +53,35 @@
         return self.opening.allowed(self.limit)
 
     @property
-    def usable(self) -> int:
+    def max_in_flight(self) -> int:
         """How many can be under way: an idle transaction keeps its own."""
         return max(self.allowed, self.count) - len(self.idle_transactions)
 
     @property
-    def is_crowded(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether all that there may be are in use."""
         return not self.idle and self.count >= self.allowed
 
     @property
-    def can_lend(self) -> bool:
+    def can_lease(self) -> bool:
         """Whether one may be opened for a sample; it would be no tenant's."""
-        return self.count < self.allowed and not self.leases.are_of_tenants
+        return self.count < self.allowed and not self.leases.has_tenant_leases
 
-    def may_come_back(self, tenant: str) -> bool:
+    def may_be_released(self, tenant: str) -> bool:
         """Whether one of a tenant is in use by more than an idle transaction."""
         if self.opening.of(tenant):
             return True
-        return self.leases.of(tenant) > self.idle_transactions.of(tenant)
+        return self.leases.of(tenant) > self.idle_transactions.count_for(tenant)
 
-    def has_one_for(self, tenant: str | None) -> bool:
+    def has_connection_for(self, tenant: str | None) -> bool:
         """Whether one that is there would be of use to a tenant, now or when it comes back."""
         if tenant is None:
             return self.established > 0
-        return tenant in self.idle.tenants or self.may_come_back(tenant)
+        return tenant in self.idle.tenants or self.may_be_released(tenant)
 
     # Opening
 
-    def is_worth_opening(self, tenant: str | None, waiting: int, waited: float) -> bool:
+    def should_open(self, tenant: str | None, waiting: int, waited: float) -> bool:
         """Whether one should be opened for a tenant, None for whoever comes.
 
         Parameters
@@ -91,15 +91,15 @@
         waited : float
             Milliseconds for which the first of them has waited.
         """
-        if not has_room_for_opening(len(self.opening), len(self.idle), self.count, self.allowed):
+        if not may_open_connection(len(self.opening), len(self.idle), self.count, self.allowed):
             return False
-        if tenant is None and self.leases.are_of_tenants:
+        if tenant is None and self.leases.has_tenant_leases:
             return False  # the next that is released will do
         owner = tenant or ""
-        verdict = judge_opening(
+        verdict = decide_opening(
             waiting,
             self.opening.of(owner),
-            self.may_come_back(owner),
+            self.may_be_released(owner),
             waited,
             self.opening.average,
         )
@@ -154,7 +154,7 @@
         is_kept : callable
             Says whether a tenant's statements come to this gateway.
         """
-        self.idle.trim(now, is_kept, spare_connections(self.count, self.limit))
+        self.idle.trim(now, is_kept, surplus_connections(self.count, self.limit))
 
     def set_limit(self, limit: int) -> None:
         """Change the limit; surplus idle ones are closed."""
--- a/src/rowanrail/gateway/pools/error_rate.py
+++ b/src/rowanrail/gateway/pools/error_rate.py
@@ -1,4 +1,4 @@
-"""The share of a member's latest answers that were errors of its own.
+"""The rate of a member's latest answers that were errors of its own.
 
 A moving average on plain values, in steady milliseconds. Without new answers it fades, so that a
 member that nobody asks is asked again.
@@ -8,8 +8,8 @@
 
 __all__ = ["ErrorRate"]
 
-ERROR_WEIGHT = 0.2  # of the newest answer in the share of answers that were errors
-ERROR_DECAY_MS = 2000.0  # after it a share without new answers has shrunk to 1/e
+ERROR_SMOOTHING = 0.2  # of the newest answer in the rate of answers that were errors
+ERROR_DECAY_MS = 2000.0  # after it a rate without new answers has shrunk to 1/e
 
 
 class ErrorRate:
@@ -24,18 +24,18 @@
     """
 
     def __init__(self) -> None:
-        self._share = 0.0
+        self._rate = 0.0
         self._noted_at = 0.0
 
     def note(self, newest: float, now: float) -> None:
         """Note an answer: 1 for an error, 0 for any other."""
-        share = self.at(now)
-        if share or newest:
-            self._share = share + ERROR_WEIGHT * (newest - share)
+        rate = self.at(now)
+        if rate or newest:
+            self._rate = rate + ERROR_SMOOTHING * (newest - rate)
             self._noted_at = now
 
     def at(self, now: float) -> float:
-        """Return the share at a moment in milliseconds."""
-        if not self._share:
+        """Return the rate at a moment in milliseconds."""
+        if not self._rate:
             return 0.0
-        return self._share * math.exp((self._noted_at - now) / ERROR_DECAY_MS)
+        return self._rate * math.exp((self._noted_at - now) / ERROR_DECAY_MS)
--- a/src/rowanrail/gateway/pools/forecasts.py
+++ b/src/rowanrail/gateway/pools/forecasts.py
@@ -6,7 +6,7 @@
 """
 
 from rowanrail.gateway.pools.connections import Connections
-from rowanrail.gateway.pools.leases import ANSWER_WEIGHT, INITIAL_ANSWER_MS
+from rowanrail.gateway.pools.leases import INITIAL_LATENCY_MS, LATENCY_SMOOTHING
 from rowanrail.gateway.pools.wait_queue import WaitQueue
 from rowanrail.scheduling.admission import Forecast
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
@@ -33,7 +33,7 @@
     def __init__(
         self, connections: Connections, concurrency: ConcurrencyLimit, queue: WaitQueue
     ) -> None:
-        self.latency = INITIAL_ANSWER_MS  # ms that an answer takes, as smoothed
+        self.latency = INITIAL_LATENCY_MS  # ms that an answer takes, as smoothed
         self.errors = ForecastErrors()
         self._connections = connections
         self._concurrency = concurrency
@@ -47,7 +47,7 @@
 
     @property
     def _places(self) -> int:
-        return places(self._concurrency.value, self._connections.usable)
+        return places(self._concurrency.value, self._connections.max_in_flight)
 
     def _wait(self, ahead: float, places: int) -> float:
         connections = self._connections
@@ -56,7 +56,7 @@
     def for_entry(self, entry: QueueEntry) -> Forecast:
         """Return what a statement that comes now, or waits already, can expect here."""
         connections, places = self._connections, self._places
-        needs_opening = not connections.has_one_for(entry.tenant)
+        needs_opening = not connections.has_connection_for(entry.tenant)
         ahead = self._queue.ahead_of(entry, needs_opening) - len(connections.opening)
         ahead = max(0.0, ahead)  # who has a connection coming is no longer before it
         wait = self._wait(ahead, places)
@@ -71,4 +71,4 @@
 
     def note_latency(self, taken: float) -> None:
         """Note how many milliseconds the member's answer took."""
-        self.latency += ANSWER_WEIGHT * (taken - self.latency)
+        self.latency += LATENCY_SMOOTHING * (taken - self.latency)
--- a/src/rowanrail/gateway/pools/idle_channels.py
+++ b/src/rowanrail/gateway/pools/idle_channels.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Iterator
 
-from rowanrail.gateway.pools.idle_rules import idle_limit
+from rowanrail.gateway.pools.idle_rules import idle_timeout
 from rowanrail.gateway.pools.waiter import Waiter
 from rowanrail.members.channel import Channel
 
@@ -43,7 +43,7 @@
         if channel in self._channels:
             self._channels.remove(channel)
 
-    def take_for(self, waiter: Waiter) -> Channel | None:
+    def take(self, waiter: Waiter) -> Channel | None:
         """Remove and return a connection for a statement, None if none is of use to it.
 
         One that has the same session values saves commands; else the one that was used last is
@@ -83,6 +83,6 @@
         idle = list(self._channels)
         for place, channel in enumerate(idle):
             kept = is_kept(channel.tenant)
-            limit = idle_limit(place, len(idle), spare, kept, bool(channel.tenant))
+            limit = idle_timeout(place, len(idle), spare, kept, bool(channel.tenant))
             if channel.last_used < now - limit:
                 channel.close()
--- a/src/rowanrail/gateway/pools/idle_rules.py
+++ b/src/rowanrail/gateway/pools/idle_rules.py
@@ -8,47 +8,47 @@
 import math
 
 __all__ = [
-    "GIVEN_UP_IDLE_MS",
-    "IDLE_MS",
-    "KEPT_IDLE",
-    "KEPT_SHARE",
-    "SPARE_IDLE_MS",
-    "TENANT_IDLE_MS",
-    "idle_limit",
-    "spare_connections",
+    "UNROUTED_IDLE_TIMEOUT_MS",
+    "IDLE_TIMEOUT_MS",
+    "MIN_IDLE_CONNECTIONS",
+    "RETAINED_SHARE",
+    "SURPLUS_IDLE_TIMEOUT_MS",
+    "TENANT_IDLE_TIMEOUT_MS",
+    "idle_timeout",
+    "surplus_connections",
 ]
 
 # A gap between two statements of a busy service is shorter; chosen, not measured apart.
-IDLE_MS = 600.0
+IDLE_TIMEOUT_MS = 600.0
 # A connection of a tenant is kept until another tenant needs its place: opening one again takes
 # 12 ms of a slot. Shorter than the 60 s after which members close idle connections; chosen.
-TENANT_IDLE_MS = 30_000.0
+TENANT_IDLE_TIMEOUT_MS = 30_000.0
 # At a gateway to which statements no longer come: those under way may still want it. The one that
 # takes over needs the places; with both full a member refuses a third of them.
-GIVEN_UP_IDLE_MS = 100.0
+UNROUTED_IDLE_TIMEOUT_MS = 100.0
 # The same for connections of tenants beyond those that are to be left free for successors.
-SPARE_IDLE_MS = 2000.0
+SURPLUS_IDLE_TIMEOUT_MS = 2000.0
 # Connections that are kept however long they are idle: for the next statement and for samples; each
 # more would be one that others lack.
-KEPT_IDLE = 1
+MIN_IDLE_CONNECTIONS = 1
 # Of the limit, are kept while nobody needs more. Members count the connections of gateways that
 # lost their power for 3 s more; with half of them left free, those that start again have as many at
 # once as they had.
-KEPT_SHARE = 0.5
+RETAINED_SHARE = 0.5
 
 
-def spare_connections(count: int, limit: int) -> int:
+def surplus_connections(count: int, limit: int) -> int:
     """Return how many of a pool's connections are beyond what is kept while nobody needs more.
 
     Examples
     --------
-    >>> spare_connections(count=14, limit=14), spare_connections(count=3, limit=14)
+    >>> surplus_connections(count=14, limit=14), surplus_connections(count=3, limit=14)
     (7, -4)
     """
-    return count - math.ceil(KEPT_SHARE * limit)
+    return count - math.ceil(RETAINED_SHARE * limit)
 
 
-def idle_limit(place: int, idle: int, spare: int, is_kept: bool, is_of_tenant: bool) -> float:
+def idle_timeout(place: int, idle: int, spare: int, is_kept: bool, is_of_tenant: bool) -> float:
     """Return after how many milliseconds without use a connection is closed; infinite for never.
 
     Parameters
@@ -66,15 +66,15 @@
 
     Examples
     --------
-    >>> idle_limit(0, 1, spare=0, is_kept=True, is_of_tenant=False)
+    >>> idle_timeout(0, 1, spare=0, is_kept=True, is_of_tenant=False)
     inf
-    >>> idle_limit(0, 2, 0, True, False), idle_limit(0, 2, 0, True, True)
+    >>> idle_timeout(0, 2, 0, True, False), idle_timeout(0, 2, 0, True, True)
     (600.0, 30000.0)
-    >>> idle_limit(0, 2, 1, True, True), idle_limit(1, 2, 0, False, True)
+    >>> idle_timeout(0, 2, 1, True, True), idle_timeout(1, 2, 0, False, True)
     (2000.0, 100.0)
     """
-    if is_kept and place >= idle - KEPT_IDLE:
+    if is_kept and place >= idle - MIN_IDLE_CONNECTIONS:
         return math.inf
-    usual = TENANT_IDLE_MS if is_of_tenant else IDLE_MS
-    limit = usual if is_kept else GIVEN_UP_IDLE_MS
-    return min(limit, SPARE_IDLE_MS) if place < spare else limit
+    usual = TENANT_IDLE_TIMEOUT_MS if is_of_tenant else IDLE_TIMEOUT_MS
+    limit = usual if is_kept else UNROUTED_IDLE_TIMEOUT_MS
+    return min(limit, SURPLUS_IDLE_TIMEOUT_MS) if place < spare else limit
--- a/src/rowanrail/gateway/pools/idle_transactions.py
+++ b/src/rowanrail/gateway/pools/idle_transactions.py
@@ -1,7 +1,7 @@
-"""Transactions that hold connections to one member while their clients do nothing.
+"""Idle transactions that hold connections to one member.
 
-Owns since when each has been idle; whoever has waited long gets the connections of those that have
-been idle longest, as :func:`count_to_end` says.
+When statements have waited too long for a connection, the transactions that have been idle longest
+are aborted and their connections reclaimed, see :func:`count_to_reclaim`.
 """
 
 from collections.abc import Iterable
@@ -11,49 +11,52 @@
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel
 
-__all__ = ["IdleTransaction", "IdleTransactions", "count_to_end"]
+__all__ = ["IdleTransaction", "IdleTransactions", "count_to_reclaim"]
 
-PRESSURE_MS = 40.0  # of waiting, after which an idle transaction may be ended for one; chosen
-LONG_IDLE_MS = 500.0  # a sixth of the 3 s after which sites let one be ended; chosen
+RECLAIM_WAIT_MS = 40.0  # wait of a statement after which a connection is reclaimed for it
+# Minimum idle time of a transaction; a sixth of the 3 s after which sites allow it to be aborted.
+RECLAIM_IDLE_MS = 500.0
 
 
 class IdleTransaction(Protocol):
-    """A transaction that holds a connection while its client does nothing."""
+    """A transaction that holds a connection while its client is idle."""
 
     @property
     def tenant(self) -> str:
-        """Whose connection it holds."""
+        """Tenant of the connection that it holds."""
 
     channel: Channel | None
 
     def reclaim(self, reason: str) -> None:
-        """End it and give the connection back; its client learns it at its next statement."""
+        """Abort it and release its connection; the client is told at its next statement."""
 
 
-def count_to_end(waited: Iterable[float], idle: Iterable[float]) -> int:
-    """Return how many of the transactions that have been idle longest are ended.
+def count_to_reclaim(waited: Iterable[float], idle: Iterable[float]) -> int:
+    """Return how many transactions to abort, starting with the one idle longest.
 
-    One for each statement that has waited under pressure, but none that has not been idle for
-    long: its client may be about to go on.
+    One is aborted for each statement that has waited long enough. A transaction that became idle
+    recently is spared, because its client may be about to continue.
 
     Parameters
     ----------
     waited : iterable of float
-        Milliseconds for which each statement has waited for a connection.
+        Time in milliseconds for which each statement has waited for a connection.
     idle : iterable of float
-        Milliseconds for which each transaction has been idle, the longest first.
+        Idle time of each transaction in milliseconds, longest first.
 
     Examples
     --------
-    >>> count_to_end([100, 50, 10], idle=[3000, 2000, 1000]), count_to_end([100, 100], [3000, 400])
-    (2, 1)
+    >>> count_to_reclaim([100, 50, 10], idle=[3000, 2000, 1000])
+    2
+    >>> count_to_reclaim([100, 100], idle=[3000, 400])
+    1
     """
-    wanted = sum(wait >= PRESSURE_MS for wait in waited)
-    return min(wanted, sum(1 for _ in takewhile(lambda time: time >= LONG_IDLE_MS, idle)))
+    wanted = sum(wait >= RECLAIM_WAIT_MS for wait in waited)
+    return min(wanted, sum(1 for _ in takewhile(lambda time: time >= RECLAIM_IDLE_MS, idle)))
 
 
 class IdleTransactions:
-    """Those of one pool, the one that has been idle longest first."""
+    """Idle transactions of one pool, the one idle longest first."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -62,25 +65,34 @@
     def __len__(self) -> int:
         return len(self._since)
 
-    def of(self, tenant: str) -> int:
-        """Return how many hold connections of a tenant."""
+    def count_for(self, tenant: str) -> int:
+        """Return how many hold a connection of a tenant."""
         return sum(transaction.tenant == tenant for transaction in self._since)
 
     def add(self, transaction: IdleTransaction) -> None:
-        """Note that one does nothing."""
+        """Record that a transaction became idle."""
         self._since[transaction] = self._clock.now
 
     def remove(self, transaction: IdleTransaction) -> None:
-        """Note that one goes on, or has ended; its idle time doesn't count as use."""
+        """Record that a transaction continues or ended.
+
+        Its idle time is excluded from the lease duration.
+        """
         since = self._since.pop(transaction, None)
         if since is not None and transaction.channel is not None:
             transaction.channel.leased_at += self._clock.now - since
 
     def reclaim(self, waiting_since: Iterable[float]) -> None:
-        """End those that have been idle longest for those who have waited long."""
+        """Abort idle transactions for statements that have waited too long.
+
+        Parameters
+        ----------
+        waiting_since : iterable of float
+            Monotonic time in milliseconds at which each statement began to wait.
+        """
         now = self._clock.now
         idle = list(self._since.items())
-        count = count_to_end(
+        count = count_to_reclaim(
             (now - since for since in waiting_since), (now - since for _, since in idle)
         )
         for transaction, since in idle[:count]:
--- a/src/rowanrail/gateway/pools/leases.py
+++ b/src/rowanrail/gateway/pools/leases.py
@@ -9,18 +9,18 @@
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel
 
-__all__ = ["ANSWER_WEIGHT", "Leases"]
+__all__ = ["LATENCY_SMOOTHING", "Leases"]
 
-ANSWER_WEIGHT = 0.1  # of the newest answer in a moving average, about the last ten count
+LATENCY_SMOOTHING = 0.1  # of the newest answer in a moving average, about the last ten count
 # About a short read within a region, so that no member starts as slow.
-INITIAL_ANSWER_MS = 20.0
+INITIAL_LATENCY_MS = 20.0
 
 
 class Leases:
     """Leases of one pool; the idle time of a transaction is left out."""
 
     def __init__(self, clock: Clock) -> None:
-        self.average = INITIAL_ANSWER_MS  # ms for which one is in use
+        self.average = INITIAL_LATENCY_MS  # ms for which one is in use
         self._clock = clock
         self._of: Counter[str] = Counter()
         self._count = 0
@@ -29,7 +29,7 @@
         return self._count
 
     @property
-    def are_of_tenants(self) -> bool:
+    def has_tenant_leases(self) -> bool:
         """Whether any belongs to a tenant."""
         return any(tenant for tenant, count in self._of.items() if count)
 
@@ -51,4 +51,4 @@
 
     def note(self, taken: float) -> None:
         """Note for how many milliseconds one was in use."""
-        self.average += ANSWER_WEIGHT * (taken - self.average)
+        self.average += LATENCY_SMOOTHING * (taken - self.average)
--- a/src/rowanrail/gateway/pools/member_health.py
+++ b/src/rowanrail/gateway/pools/member_health.py
@@ -9,7 +9,7 @@
 __all__ = ["MemberHealth", "backoff_ms"]
 
 # A failed connection is tried again after twice this; chosen, not measured apart.
-MINIMUM_BACKOFF_MS = 100.0
+BASE_BACKOFF_MS = 100.0
 # A member that came back is noticed by samples sooner, see MemberPool.note_reachable.
 MAXIMUM_BACKOFF_MS = 2000.0
 
@@ -22,7 +22,7 @@
     >>> [backoff_ms(failures) for failures in (1, 2, 3, 9)]
     [200.0, 400.0, 800.0, 2000.0]
     """
-    return min(MINIMUM_BACKOFF_MS * 2.0**failures, MAXIMUM_BACKOFF_MS)
+    return min(BASE_BACKOFF_MS * 2.0**failures, MAXIMUM_BACKOFF_MS)
 
 
 class MemberHealth:
@@ -66,7 +66,7 @@
         """
         return self._failures > 0 and (self.is_failing(now) or load > 0)
 
-    def error_share(self, now: float) -> float:
+    def error_rate(self, now: float) -> float:
         """Return the share of the latest answers that were errors; forgotten with time."""
         return self._errors.at(now)
 
--- a/src/rowanrail/gateway/pools/opening_rules.py
+++ b/src/rowanrail/gateway/pools/opening_rules.py
@@ -9,22 +9,22 @@
 import enum
 
 __all__ = [
-    "CROWDED_MS",
+    "CONNECTION_CAP_MS",
     "INITIAL_OPENING_MS",
-    "LONGEST_OPENING_MS",
-    "OPENINGS_AT_ONCE",
+    "MAX_OPENING_MS",
+    "MAX_CONCURRENT_OPENINGS",
     "ConnectionCap",
     "Opening",
-    "has_room_for_opening",
-    "judge_opening",
+    "may_open_connection",
+    "decide_opening",
     "smoothed_opening",
 ]
 
-OPENINGS_AT_ONCE = 2  # of one pool; each takes a slot of the member for a while; chosen
-CROWDED_MS = 500.0  # without new connections after a member had none left; chosen
+MAX_CONCURRENT_OPENINGS = 2  # of one pool; each takes a slot of the member for a while; chosen
+CONNECTION_CAP_MS = 500.0  # without new connections after a member had none left; chosen
 INITIAL_OPENING_MS = 30.0  # 12 ms at the member and two round trips inside a region
-LONGEST_OPENING_MS = 100.0  # a slow opening is no reason to let everybody wait long; chosen
-OPENING_WEIGHT = 0.1  # of the newest opening in the average: about the last ten count; chosen
+MAX_OPENING_MS = 100.0  # a slow opening is no reason to let everybody wait long; chosen
+OPENING_SMOOTHING = 0.1  # of the newest opening in the average: about the last ten count; chosen
 
 
 class Opening(enum.Enum):
@@ -35,7 +35,7 @@
     WAIT = "one that is in use may come back sooner"
 
 
-def has_room_for_opening(openings: int, idle: int, count: int, allowed: int) -> bool:
+def may_open_connection(openings: int, idle: int, count: int, allowed: int) -> bool:
     """Return whether a pool may begin to open one more connection, for whomever.
 
     Parameters
@@ -51,20 +51,20 @@
 
     Examples
     --------
-    >>> has_room_for_opening(0, idle=0, count=3, allowed=4)
+    >>> may_open_connection(0, idle=0, count=3, allowed=4)
     True
-    >>> has_room_for_opening(2, 0, 3, 4), has_room_for_opening(0, 0, 4, 4)
+    >>> may_open_connection(2, 0, 3, 4), may_open_connection(0, 0, 4, 4)
     (False, False)
-    >>> has_room_for_opening(0, idle=1, count=4, allowed=4)
+    >>> may_open_connection(0, idle=1, count=4, allowed=4)
     True
     """
-    if openings >= OPENINGS_AT_ONCE:
+    if openings >= MAX_CONCURRENT_OPENINGS:
         return False
     return idle > 0 or count < allowed
 
 
-def judge_opening(
-    waiting: int, opening: int, may_come_back: bool, waited: float, opening_time: float
+def decide_opening(
+    waiting: int, opening: int, may_be_released: bool, waited: float, opening_time: float
 ) -> Opening:
     """Return whether one more connection is opened for a tenant, given that there is room.
 
@@ -77,7 +77,7 @@
         Statements that want a connection of the tenant.
     opening : int
         Connections that are being opened for it.
-    may_come_back : bool
+    may_be_released : bool
         Whether one of its connections is in use by more than a transaction that is idle.
     waited : float
         Milliseconds for which the first of them has waited.
@@ -86,16 +86,16 @@
 
     Examples
     --------
-    >>> judge_opening(2, 0, True, waited=10, opening_time=30).name
+    >>> decide_opening(2, 0, True, waited=10, opening_time=30).name
     'WAIT'
-    >>> judge_opening(2, 0, True, 40, 30).name, judge_opening(2, 0, False, 0, 30).name
+    >>> decide_opening(2, 0, True, 40, 30).name, decide_opening(2, 0, False, 0, 30).name
     ('NOW', 'NOW')
-    >>> judge_opening(1, 1, False, 40, 30).name
+    >>> decide_opening(1, 1, False, 40, 30).name
     'ENOUGH'
     """
     if opening >= waiting:
         return Opening.ENOUGH
-    if waited >= opening_time or not may_come_back:
+    if waited >= opening_time or not may_be_released:
         return Opening.NOW
     return Opening.WAIT
 
@@ -108,8 +108,8 @@
     >>> smoothed_opening(30.0, 50.0), smoothed_opening(30.0, 60_000.0)
     (32.0, 100.0)
     """
-    share = OPENING_WEIGHT * (newest - average)
-    return min(LONGEST_OPENING_MS, average + share)
+    share = OPENING_SMOOTHING * (newest - average)
+    return min(MAX_OPENING_MS, average + share)
 
 
 class ConnectionCap:
@@ -120,7 +120,7 @@
     >>> cap = ConnectionCap()
     >>> cap.allowed(14, now=0.0)
     14
-    >>> cap.note_crowded(open_count=5, now=0.0)
+    >>> cap.note_limit_reached(open_count=5, now=0.0)
     >>> cap.allowed(14, now=400.0), cap.allowed(14, now=600.0)
     (5, 14)
     """
@@ -131,9 +131,9 @@
         self._until = 0.0
         self._limit = 0
 
-    def note_crowded(self, open_count: int, now: float) -> None:
+    def note_limit_reached(self, open_count: int, now: float) -> None:
         """Note that the member has no more connections than those that are open."""
-        self._until = now + CROWDED_MS
+        self._until = now + CONNECTION_CAP_MS
         self._limit = max(1, open_count)
 
     def allowed(self, limit: int, now: float) -> int:
--- a/src/rowanrail/gateway/pools/openings.py
+++ b/src/rowanrail/gateway/pools/openings.py
@@ -60,9 +60,9 @@
         self._channels.add(channel)
         self._driver.open(record.address, record.service, record.instance, channel)
 
-    def note_crowded(self, open_count: int) -> None:
+    def note_limit_reached(self, open_count: int) -> None:
         """Note that the member has no more connections than those that are open."""
-        self._cap.note_crowded(open_count, self._clock.now)
+        self._cap.note_limit_reached(open_count, self._clock.now)
 
     def close(self) -> None:
         """Close all at once."""
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -61,7 +61,7 @@
         self.forecasts = MemberForecasts(self.connections, self.concurrency, self.queue)
         self.on_trouble: Callable[[Trouble], None] = lambda trouble: None
         self.clock = clock
-        self._is_starting = False
+        self._is_serving = False
         self._closed = False
 
     @property
@@ -80,16 +80,16 @@
         return self.health.is_suspect(self.clock.now, self.load)
 
     @property
-    def error_share(self) -> float:
+    def error_rate(self) -> float:
         """Share of the latest answers that were errors; forgotten with time."""
-        return self.health.error_share(self.clock.now)
+        return self.health.error_rate(self.clock.now)
 
     @property
-    def can_lend(self) -> bool:
+    def can_lease(self) -> bool:
         """Whether a connection can be had without waiting for one that is in use."""
         if self.connections.idle:
             return True
-        return not self.is_failing and self.connections.can_lend
+        return not self.is_failing and self.connections.can_lease
 
     # Those who wait
 
@@ -97,28 +97,28 @@
         """Give the waiter a connection now or later, or a refusal."""
         waiter.since = self.clock.now
         if not self.queue and self._has_room_for(waiter.entry):
-            channel = self.connections.idle.take_for(waiter)
+            channel = self.connections.idle.take(waiter)
             if channel is not None:
                 self._lease(channel, waiter)
                 return
         self.queue.add(waiter, waiter.since)
-        self.clock.call_in(self.connections.opening.average, self._start_waiting)
-        self._start_waiting()
+        self.clock.call_in(self.connections.opening.average, self._serve_queue)
+        self._serve_queue()
 
     def _has_room_for(self, entry: QueueEntry) -> bool:
         # All reads wait for a sample, so that none of them would run in its place.
         return entry.urgency < 0 or self.connections.in_flight < self.concurrency.value
 
-    def _start_waiting(self) -> None:
+    def _serve_queue(self) -> None:
         """Let those go on for whom there is room, in the order of the queue."""
-        if self._closed or self._is_starting:
+        if self._closed or self._is_serving:
             return
-        self._is_starting = True
+        self._is_serving = True
         try:
-            while self._start_next():
+            while self._serve_next():
                 pass
         finally:
-            self._is_starting = False
+            self._is_serving = False
         if not self.queue or self.connections.count:
             return
         if self.is_failing:
@@ -126,7 +126,7 @@
         else:
             self.queue.refuse(Answer(refusal=Refusal.BUSY, message="no connection to be had"))
 
-    def _start_next(self) -> bool:
+    def _serve_next(self) -> bool:
         """Give the next one a connection, or open one for it; return whether somebody went on."""
         if not self.queue:
             return False
@@ -134,7 +134,7 @@
         is_full = connections.in_flight >= self.concurrency.value
         now = self.clock.now
         idle = connections.idle
-        supply = Supply(idle.tenants, self._may_open, connections.may_come_back)
+        supply = Supply(idle.tenants, self._may_open, connections.may_be_released)
         pick = self.queue.next(supply, only_samples=is_full)
         if pick is None:
             return False
@@ -144,7 +144,7 @@
         if pick.needs_opening:
             tenant = pick.item.tenant or ""
             return connections.open(self.record, tenant, self._is_wanted, self._on_open)
-        channel = idle.take_for(pick.item)
+        channel = idle.take(pick.item)
         assert channel is not None, "the queue picked somebody for whom none is idle"
         self.queue.start(pick.item)
         self._lease(channel, pick.item)
@@ -166,14 +166,14 @@
         if latency is not None:
             self.forecasts.note_latency(latency)
         self.connections.keep(channel)
-        self._start_waiting()
+        self._serve_queue()
 
     # Idle transactions
 
     def note_idle_transaction(self, transaction: IdleTransaction) -> None:
         """Note that a transaction holds a connection and does nothing."""
         self.connections.idle_transactions.add(transaction)
-        self._start_waiting()
+        self._serve_queue()
 
     # Opening
 
@@ -181,7 +181,7 @@
         """Whether a connection should be opened for a tenant that has waited since then."""
         waited = self.clock.now - since
         waiting = self.queue.waiting_of(tenant)
-        return not self.is_failing and self.connections.is_worth_opening(tenant, waiting, waited)
+        return not self.is_failing and self.connections.should_open(tenant, waiting, waited)
 
     def _is_wanted(self, tenant: str) -> bool:
         return self.queue.waiting_of(tenant) > 0
@@ -190,22 +190,22 @@
         if answer.refusal is None:
             self.health.note_success()
             self.connections.keep(channel)
-            self._start_waiting()
+            self._serve_queue()
             return
         if answer.refusal is Refusal.TOO_MANY_CONNECTIONS:
-            self.connections.opening.note_crowded(self.connections.count)
+            self.connections.opening.note_limit_reached(self.connections.count)
         elif answer.refusal is Refusal.BUSY:
             self.note_answered(Refusal.BUSY, 0.0)
-            self.connections.opening.note_crowded(self.connections.count)
+            self.connections.opening.note_limit_reached(self.connections.count)
         else:
             self._note_failure()
             self.on_trouble(Trouble.REFUSED)
         if not self.connections.count:
             self.queue.refuse(answer)
-        elif channel.tenant and not self.connections.may_come_back(channel.tenant):
+        elif channel.tenant and not self.connections.may_be_released(channel.tenant):
             # Connections of other tenants are of no use to them.
             self.queue.refuse(answer, channel.tenant)
-        self._start_waiting()
+        self._serve_queue()
 
     # What answers show
 
@@ -227,13 +227,13 @@
 
     def _note_failure(self) -> None:
         backoff = self.health.note_failure(self.clock.now)
-        self.clock.call_in(backoff, self._start_waiting)
+        self.clock.call_in(backoff, self._serve_queue)
 
     def note_reachable(self) -> None:
         """Note that the member answers on another connection: nothing need be waited out."""
         if self.is_failing:
             self.health.note_reachable()
-            self._start_waiting()
+            self._serve_queue()
 
     def note_timeout(self) -> None:
         """Note that the member left a command unanswered."""
@@ -263,14 +263,14 @@
             return  # as are most pools of most gateways, twenty times a second
         now = self.clock.now
         self.queue.expire_late(now, self.forecasts.latency)
-        if self.connections.is_crowded:
+        if self.connections.is_exhausted:
             self.connections.idle_transactions.reclaim(waiter.since for waiter in self.queue)
         self.connections.trim(now, is_kept)
 
     def set_limit(self, limit: int) -> None:
         """Change the limit; surplus idle connections are closed."""
         self.connections.set_limit(limit)
-        self._start_waiting()
+        self._serve_queue()
 
     def close(self) -> None:
         """Close everything that is not leased and refuse those who wait."""
--- a/src/rowanrail/gateway/pools/waiter.py
+++ b/src/rowanrail/gateway/pools/waiter.py
@@ -2,7 +2,7 @@
 
 Owns what the pool needs to choose a connection and to hand it over: for a statement
 (:mod:`rowanrail.gateway.pools.queued_request`) or a sample
-(:mod:`rowanrail.gateway.pools.pool_loan`).
+(:mod:`rowanrail.gateway.pools.pool_lease`).
 """
 
 from collections.abc import Callable
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -25,7 +25,7 @@
 
 __all__ = ["MemberEstimates", "ReadRequirements"]
 
-_UNASKED = QueueEntry(0, None, 0.0)
+_DEFAULT_ENTRY = QueueEntry(0, None, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     """
 
     kind: str = ""
-    entry: QueueEntry = _UNASKED
+    entry: QueueEntry = _DEFAULT_ENTRY
     floor: Position | None = None
 
 
@@ -164,7 +164,7 @@
             under_way=pool.connections.in_flight + self._sent_remote[name],
             slots=record.slots,
             is_primary=is_primary,
-            error_share=pool.error_share,
+            error_share=pool.error_rate,
             is_suspect=pool.is_suspect,
             slowness=self._warming[name].slowness(now) if name in self._warming else 1.0,
             weight=self.weights.effective_weight(name),
--- a/src/rowanrail/gateway/services/member_probes.py
+++ b/src/rowanrail/gateway/services/member_probes.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from rowanrail.gateway.pools.pool import MemberPool
-from rowanrail.gateway.pools.pool_loan import PoolLoan
+from rowanrail.gateway.pools.pool_lease import PoolLease
 from rowanrail.gateway.services.member_weights import MemberWeights
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.members.channel import Channel, MemberDriver
@@ -53,7 +53,7 @@
         for instance, pool in pools.items():
             if instance == primary or pool.record.leaving:
                 continue
-            if self.weights.wants_probe(instance, gateways):
+            if self.weights.claim_probe(instance, gateways):
                 _Probe(self, pool).start()
 
 
@@ -64,7 +64,7 @@
         self._probes = probes
         self._pool = pool
         self._instance = pool.record.instance
-        self._loan: PoolLoan | None = None
+        self._lease: PoolLease | None = None
         self._channel: Channel | None = None
         self._timer: Timer | None = None
 
@@ -72,8 +72,8 @@
         """Ask for a connection."""
         self._timer = self._probes.clock.call_in(PROBE_TIMEOUT_MS, self._late)
         if self._pool.connections.established:
-            self._loan = PoolLoan(self._pool)
-            self._loan.request(self._lent)
+            self._lease = PoolLease(self._pool)
+            self._lease.request(self._lent)
             return
         record = self._pool.record
         self._channel = Channel(record.address, self._instance, self._opened)
@@ -101,7 +101,7 @@
     def _answered(self, answer: Answer) -> None:
         if answer.refusal is None:
             self._end()
-            self._probes.weights.note_probe(self._instance)
+            self._probes.weights.note_probe_success(self._instance)
             self._pool.note_reachable()
         elif answer.refusal is Refusal.BUSY:  # one that is full is alive, and proves no more
             self._end()
@@ -111,7 +111,7 @@
     def _late(self) -> None:
         if self._channel is None:
             self._end()  # all connections are in use: nothing was asked
-        elif self._channel.wire is None:
+        elif self._channel.transport is None:
             self._fail()
         else:
             self._channel.close()  # answers as lost
@@ -125,10 +125,10 @@
         if self._timer is not None:
             self._timer.cancel()
         channel, self._channel = self._channel, None
-        if self._loan is None:
+        if self._lease is None:
             if channel is not None:
                 channel.close()
         elif channel is None:
-            self._loan.cancel()
+            self._lease.cancel()
         else:
-            self._loan.give_back(channel)
+            self._lease.release(channel)
--- a/src/rowanrail/gateway/services/member_weights.py
+++ b/src/rowanrail/gateway/services/member_weights.py
@@ -69,7 +69,7 @@
 
     # Probes
 
-    def wants_probe(self, instance: str, gateways: int) -> bool:
+    def claim_probe(self, instance: str, gateways: int) -> bool:
         """Return whether to probe a member now, which is taken to be done then."""
         known = self._weights.get(instance)
         now = self._clock.now
@@ -78,7 +78,7 @@
         known.note_probing(now)
         return True
 
-    def note_probe(self, instance: str) -> None:
+    def note_probe_success(self, instance: str) -> None:
         """Note that a member answered a probe."""
         known = self._weights.get(instance)
         if known is None:
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -13,7 +13,7 @@
 
 from rowanrail.gateway.policies import GatewayPolicies
 from rowanrail.gateway.pools.pool import MemberPool
-from rowanrail.gateway.pools.pool_loan import PoolLoan
+from rowanrail.gateway.pools.pool_lease import PoolLease
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.member_estimates import MemberEstimates, ReadRequirements
 from rowanrail.gateway.services.member_probes import MemberProbes
@@ -32,7 +32,7 @@
 from rowanrail.tenants.model import Tenant, Tenants
 
 IN_USE_SECONDS = 10.0  # without a statement for so long a primary need not be watched; chosen
-_ANY = ReadRequirements()
+_NO_REQUIREMENTS = ReadRequirements()
 
 
 class Service:
@@ -51,7 +51,7 @@
         self.policies = policies
         self.primary = PrimaryTracker(spec.name, driver, scheduler, policies.leadership_proof)
         self.primary.on_proof = self._note_proof
-        self.primary.set_lender(self)
+        self.primary.set_lease_provider(self)
         self.pools: dict[str, MemberPool] = {}
         clock = Clock(scheduler)
         self.estimates = MemberEstimates(locality, self.primary, clock)
@@ -132,7 +132,7 @@
         Connections are opened only while it is used; that they are there is known from the last
         tick.
         """
-        return self._held_connections or self.primary.is_busy or self.in_use
+        return self._held_connections or self.primary.is_active or self.in_use
 
     def is_remote(self, pool: MemberPool | None) -> bool:
         """Return whether gateways of another region hold the connections to a member."""
@@ -154,7 +154,7 @@
         return self.pools.get(self.primary.presumed_primary)
 
     def choose_member(
-        self, excluded: set[str], wanted: ReadRequirements = _ANY
+        self, excluded: set[str], wanted: ReadRequirements = _NO_REQUIREMENTS
     ) -> MemberPool | None:
         """Return the member for a read that any member with a fresh log may serve."""
         pools = {
@@ -165,23 +165,23 @@
         best = choose(self.estimates.candidates(pools, wanted), self._randomness)
         return None if best is None else pools[best]
 
-    def can_lend(self, instance: str) -> bool:
-        """See :meth:`rowanrail.members.probe.Lender.can_lend`."""
+    def can_lease(self, instance: str) -> bool:
+        """See :meth:`rowanrail.members.sampling_connection.LeaseProvider.can_lease`."""
         pool = self.pools.get(instance)
-        return pool is not None and pool.can_lend
+        return pool is not None and pool.can_lease
 
-    def loan(self, instance: str) -> PoolLoan | None:
-        """See :meth:`rowanrail.members.probe.Lender.loan`."""
+    def lease(self, instance: str) -> PoolLease | None:
+        """See :meth:`rowanrail.members.sampling_connection.LeaseProvider.lease`."""
         pool = self.pools.get(instance)
-        return None if pool is None else PoolLoan(pool)
+        return None if pool is None else PoolLease(pool)
 
     def _note_proof(self, instance: str) -> None:
         pool = self.pools.get(instance)
         if pool is not None:
             pool.note_reachable()
         weights = self.estimates.weights
-        if weights.wants_probe(instance, self.share.samplers):
-            weights.note_probe(instance)
+        if weights.claim_probe(instance, self.share.samplers):
+            weights.note_probe_success(instance)
 
     def set_shards(self, shards: frozenset[Shard]) -> None:
         """Note for which shards of the service statements come to this gateway."""
--- a/src/rowanrail/gateway/services/weight_log.py
+++ b/src/rowanrail/gateway/services/weight_log.py
@@ -26,7 +26,7 @@
         weight=weight.value,
         reason=weight.reason,
         falls=weight.falls,
-        error_share=0.0 if pool is None else round(pool.error_share, 3),
+        error_share=0.0 if pool is None else round(pool.error_rate, 3),
         queue=round(service.estimates.queue_seconds(instance), 3),
         primary=service.primary.presumed_primary,
     )
--- a/src/rowanrail/members/__init__.py
+++ b/src/rowanrail/members/__init__.py
@@ -1,6 +1,6 @@
-"""One gateway's or control node's own view of single members.
+"""Connections to members and tracking of a service's primary.
 
-Owns the port to a member's connection (:mod:`channel`), the samples that prove a primary's
-position (:mod:`samples`) and which member leads a service (:mod:`primary`). Gateways and the
-control nodes' failover duty both use it.
+Contains the interface to a member's connection (:mod:`channel`), samples of a primary's position
+(:mod:`samples`) and the tracker that finds the primary (:mod:`primary`). Used by gateways and by
+the failover duty of control nodes.
 """
--- a/src/rowanrail/members/channel.py
+++ b/src/rowanrail/members/channel.py
@@ -1,4 +1,4 @@
-"""The back-end port for typed commands, and one connection's state over it.
+"""Connections to members: the driver interface, and the state of one connection.
 
 Drivers register as plug-ins of kind ``member-driver``.
 """
@@ -14,15 +14,15 @@
 
 
 class ChannelTransport(ABC):
-    """A driver's side of one connection."""
+    """Driver side of one connection."""
 
     @abstractmethod
     def send(self, commands: list[Command]) -> None:
-        """Send commands; their answers come in this order."""
+        """Send commands; their answers arrive in the same order."""
 
     @abstractmethod
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
 
 
 class MemberDriver(ABC):
@@ -30,18 +30,29 @@
 
     @abstractmethod
     def open(self, address: str, service: str, instance: str, channel: "Channel") -> None:
-        """Open a connection; calls ``channel.opened``, ``channel.refused`` or ``channel.lost``."""
+        """Open a connection; report to ``channel.opened``, ``refused`` or ``lost``."""
 
 
 class Channel:
-    """One connection: commands under way, and what sessions have set on it.
-
-    A connection on which an answer came without a command is closed, and so is one
-    whose answer is late: the next answer read would not be the next command's.
+    """One connection to a member, with its outstanding commands and its session state.
+
+    Answers are matched to commands by order. A connection is therefore closed when an unexpected
+    answer arrives; a caller closes it when an answer is late.
+
+    Parameters
+    ----------
+    address : str
+        Address of the member.
+    instance : str
+        Instance name of the member.
+    on_open : callable
+        Called once with the channel and how the opening ended.
+    tenant : str
+        Tenant to which the connection belongs; empty for none.
     """
 
     __slots__ = (
-        "_expected",
+        "_pending",
         "_on_open",
         "address",
         "closed",
@@ -54,7 +65,7 @@
         "tenant",
         "session_state_unknown",
         "session_values",
-        "wire",
+        "transport",
     )
 
     def __init__(
@@ -67,84 +78,84 @@
         self.address = address
         self.instance = instance
         self.tenant = tenant
-        self.wire: ChannelTransport | None = None
+        self.transport: ChannelTransport | None = None
         self.closed = False
         self.session_values: dict[str, str] = {}
         self.prepared: set[str] = set()
         self.session_state_unknown = False
         self.in_transaction = False
-        self.last_used = 0.0  # steady ms, kept by its pool
-        self.leased_at = 0.0  # steady ms, kept by its pool
+        self.last_used = 0.0  # monotonic ms, set by the pool
+        self.leased_at = 0.0  # monotonic ms, set by the pool
         self.on_closed: Callable[[Channel], None] = lambda channel: None
         self._on_open = on_open
-        self._expected: deque[tuple[AnswerCallback, bool]] = deque()
+        self._pending: deque[tuple[AnswerCallback, bool]] = deque()
 
     @property
     def busy(self) -> bool:
         """Whether answers are outstanding."""
-        return bool(self._expected)
+        return bool(self._pending)
 
     def send(self, commands: list[Command], respond: list[AnswerCallback]) -> None:
-        """Send commands, each with the function that takes its answer."""
-        if self.closed or self.wire is None:
+        """Send commands; ``respond`` holds one callback for the answer to each."""
+        if self.closed or self.transport is None:
             lost = Answer(refusal=Refusal.LOST, message="the connection is closed")
-            for function in respond:
-                function(lost)
+            for callback in respond:
+                callback(lost)
             return
-        for command, function in zip(commands, respond, strict=True):
-            signed = command.kind in (CommandKind.STATEMENT, CommandKind.EXECUTE)
-            self._expected.append((function, signed))
-        self.wire.send(commands)
+        for command, callback in zip(commands, respond, strict=True):
+            expects_signature = command.kind in (CommandKind.STATEMENT, CommandKind.EXECUTE)
+            self._pending.append((callback, expects_signature))
+        self.transport.send(commands)
 
     # Events from the driver
 
-    def opened(self, wire: ChannelTransport, position: Position | None) -> None:
-        """Note that the member accepted the connection."""
-        self.wire = wire
+    def opened(self, transport: ChannelTransport, position: Position | None) -> None:
+        """Handle that the member accepted the connection."""
+        self.transport = transport
         if self.closed:
-            wire.close()
+            transport.close()
             return
         self._on_open(self, Answer(position=position))
 
     def refused(self, refusal: Refusal, message: str) -> None:
-        """Note that the member refused the connection; nothing was run."""
+        """Handle that the member refused the connection; nothing was run."""
         if not self.closed:
             self.closed = True
             self._on_open(self, Answer(refusal=refusal, message=message))
 
     def answered(self, answer: Answer) -> None:
-        """Take the next answer."""
+        """Pass the next answer to the callback of its command."""
         if self.closed:
             return
-        if not self._expected:
+        if not self._pending:
             self.lost("an answer came that nobody asked for")
             return
-        respond, signed = self._expected[0]
-        if answer.refusal is None and bool(answer.signature) is not signed:
+        respond, expects_signature = self._pending[0]
+        if answer.refusal is None and bool(answer.signature) is not expects_signature:
             self.lost("the answer does not fit the command")
             return
-        self._expected.popleft()
+        self._pending.popleft()
         respond(answer)
 
     def lost(self, reason: str) -> None:
-        """Note that the connection is gone; every outstanding command is in doubt."""
+        """Handle a lost connection; the outcome of every outstanding command is unknown."""
         if self.closed:
             return
-        opening = self.wire is None
+        opening = self.transport is None
         self.close()
         answer = Answer(refusal=Refusal.LOST, message=reason)
         if opening:
             self._on_open(self, answer)
 
     def close(self) -> None:
-        """Close at once; outstanding commands are answered as lost."""
+        """Close the connection; outstanding commands are answered as lost."""
         if self.closed:
             return
         self.closed = True
-        if self.wire is not None:
-            self.wire.close()
+        if self.transport is not None:
+            self.transport.close()
         self.on_closed(self)
-        expected, self._expected = self._expected, deque()
+        pending, self._pending = self._pending, deque()
         answer = Answer(refusal=Refusal.LOST, message="the connection was lost")
-        for respond, _ in expected:
+        for respond, _ in pending:
             respond(answer)
--- a/src/rowanrail/members/leadership.py
+++ b/src/rowanrail/members/leadership.py
@@ -1,8 +1,8 @@
-"""Which answers of a member prove that it leads.
+"""Decides which answers prove that a member is primary.
 
-A plug-in of kind ``gateway-guard`` without state, asked by
-:class:`rowanrail.members.primary.PrimaryTracker` for each sample. Relies on the member, which
-refuses a BEGIN when it has been replaced.
+A stateless plug-in of kind ``gateway-guard``, called by
+:class:`rowanrail.members.primary.PrimaryTracker` for each sample. It relies on members to refuse a
+BEGIN after they have been replaced.
 """
 
 from rowanrail.kernel.registry import register
@@ -11,8 +11,8 @@
 
 @register("gateway-guard", "leadership-proof")
 class LeadershipProof:
-    """A position proves something only if its answer shows that the member leads."""
+    """Accepts a position as a sample only if the member ran the BEGIN as primary."""
 
     def is_proof(self, answer: Answer) -> bool:
-        """Return whether the answer to a plain BEGIN makes its position a sample."""
+        """Return whether the answer to a plain BEGIN proves that the member is primary."""
         return answer.refusal is None
--- a/src/rowanrail/members/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -1,13 +1,13 @@
-"""Which member leads a service, by samples of its position that prove it.
+"""Tracks the primary of a service by sampling its replication position.
 
-A sample proves that the member still led when it answered: it comes from a plain BEGIN, a write
-or a commit that the member accepted, which a replaced primary refuses.
+A sample proves that the member was primary when it answered: it comes from a plain BEGIN, a write
+or a commit that the member accepted, and a member that has been replaced refuses those. A member
+that refuses a connection because it has none free is alive and does not count as failed.
 
-Owns one service's samples and the reads that wait for one. It asks the rules
-(:class:`rowanrail.members.primary_state.PrimaryState`,
-:mod:`rowanrail.members.sampling_rules`) and does what they say; the connections are those of
-:class:`rowanrail.members.sampler.MemberSampler`. A member that has no connection left is alive
-and never counts as lost for it.
+:class:`PrimaryTracker` holds the samples of one service and the reads that wait for one. It applies
+the rules of :class:`rowanrail.members.primary_state.PrimaryState` and
+:mod:`rowanrail.members.sampling_rules`, and samples through
+:class:`rowanrail.members.sampler.MemberSampler`.
 """
 
 from collections.abc import Callable
@@ -17,9 +17,14 @@
 from rowanrail.members.leadership import LeadershipProof
 from rowanrail.members.monitor_interval import MONITOR_SECONDS
 from rowanrail.members.primary_state import PrimaryState
-from rowanrail.members.probe import Lender
 from rowanrail.members.sampler import MemberSampler
-from rowanrail.members.samples import FloorWaiters, GiveFloor, PositionSample, SampleHistory
+from rowanrail.members.samples import (
+    PositionCallback,
+    PositionSample,
+    PositionWaiters,
+    SampleHistory,
+)
+from rowanrail.members.sampling_connection import LeaseProvider
 from rowanrail.members.sampling_rules import is_sample_due
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
@@ -29,7 +34,7 @@
 
 
 class PrimaryTracker:
-    """Finds the primary of one service and keeps its newest sample.
+    """Finds the primary of one service and keeps the samples of its position.
 
     Parameters
     ----------
@@ -38,9 +43,20 @@
     driver : MemberDriver
         Opens connections for samples.
     scheduler : Scheduler
-        Steady seconds.
+        Monotonic clock in seconds.
     proof : LeadershipProof
-        Says which answers prove that a member leads.
+        Decides which answers prove that a member is primary.
+
+    Attributes
+    ----------
+    on_primary : callable
+        Called when the presumed primary changes.
+    on_alarm : callable
+        Called when the failure alarm is raised or cleared.
+    on_proof : callable
+        Called with the instance of each member that proved to be primary.
+    on_unavailable : callable
+        Called at each tick while the service is in use and the primary cannot be sampled.
     """
 
     def __init__(
@@ -57,58 +73,58 @@
         self._proof = proof
         self._scheduler = scheduler
         self._sampler = MemberSampler(self.state, self, driver, scheduler)
-        self._waiting = FloorWaiters()
+        self._waiting = PositionWaiters()
 
     @property
     def presumed_primary(self) -> str:
-        """The member that is believed to be primary; empty while none is known."""
+        """Instance name of the presumed primary; empty while none is known."""
         return self.state.presumed_primary
 
     @property
     def proved_at(self) -> float:
-        """Steady seconds of the last proof; negative before the first one."""
+        """Time of the last proof in seconds; negative before the first one."""
         return self.state.proved_at
 
     @property
     def failing_since(self) -> float:
-        """Steady seconds of the first failure since the last proof; 0 without one."""
+        """Time in seconds of the first failure since the last proof; 0 without one."""
         return self.state.failing_since
 
     @property
     def sample(self) -> PositionSample | None:
-        """The newest proof of the primary's position."""
+        """The newest sample of the primary's position, None without one."""
         return self.history.newest
 
     @property
-    def is_awaited(self) -> bool:
+    def has_waiters(self) -> bool:
         """Whether reads wait for a sample."""
         return len(self._waiting) > 0
 
     @property
-    def is_busy(self) -> bool:
-        """Whether it is asked for samples, or looked for."""
+    def is_active(self) -> bool:
+        """Whether a sample is in flight, the primary fails, or reads wait."""
         return bool(len(self._sampler) or self.failing_since or len(self._waiting))
 
     @property
     def is_failover_overdue(self) -> bool:
-        """Whether it has failed for longer than finding or making a successor takes."""
+        """Whether the primary has failed for longer than a failover takes."""
         return self.state.is_failover_overdue(self._scheduler.time())
 
     @property
     def is_at_connection_limit(self) -> bool:
-        """Whether the primary had no connection left for a sample a moment ago."""
+        """Whether the primary refused the last sampling connection for lack of a free one."""
         return self._sampler.is_at_connection_limit
 
     def has_sample_since(self, asked_since: float) -> bool:
-        """Return whether there is a sample that was asked for at ``asked_since`` or later."""
+        """Return whether there is a sample that was requested at ``asked_since`` or later."""
         return self.history.oldest_since(asked_since) is not None
 
-    def set_lender(self, lender: Lender) -> None:
-        """Borrow connections for samples of the primary, as far as they can be had."""
-        self._sampler.lender = lender
+    def set_lease_provider(self, lease_provider: LeaseProvider) -> None:
+        """Set where to lease pooled connections for samples of the primary."""
+        self._sampler.lease_provider = lease_provider
 
     def set_members(self, records: list[MemberRecord]) -> None:
-        """Know the service's members; the one that calls itself primary is believed first."""
+        """Replace the members; one that claims to be primary may become the presumed one."""
         self._sampler.set_members(records)
         claims = [record.instance for record in records if record.primary]
         if self.state.note_members(self._sampler.records, claims):
@@ -119,75 +135,79 @@
     # Proofs
 
     def note_proof(self, instance: str, asked_at: float, position: Position | None) -> None:
-        """Note that ``instance`` led when it answered what was asked at ``asked_at``."""
+        """Record that ``instance`` was primary when it answered a request of ``asked_at``."""
         if position is None:
             return
         if not self.history.add(asked_at, position, instance):
-            return  # it led when it answered, and has been replaced since
+            return  # it has been replaced since
         self.state.note_proof(self._scheduler.time())
-        self._sampler.note_connected(instance)
+        self._sampler.note_connection_available(instance)
         self.on_proof(instance)
-        if self.state.end_failure():
-            self._sampler.drop_idle(primary=instance)
-        if self.state.end_alarm():
+        if self.state.clear_failure():
+            self._sampler.close_idle(primary=instance)
+        if self.state.clear_alarm():
             self.on_alarm()
-        if instance in self._sampler.records and self.state.believe(instance):
+        if instance in self._sampler.records and self.state.set_presumed_primary(instance):
             self.on_primary()
-        self._waiting.serve(self.sample)
+        self._waiting.notify(self.sample)
 
     def note_reported_position(self, asked_at: float, instance: str, position: Position) -> None:
-        """Take a position that another gateway proved, asked for at ``asked_at`` or later.
+        """Add a position that another gateway sampled at ``asked_at`` or later.
 
-        It lets reads go on; that this gateway does not reach the primary stays true.
+        It serves waiting reads but is no proof for this gateway, which may still not reach the
+        primary.
         """
         if self.history.add(asked_at, position, instance):
-            self._waiting.serve(self.sample)
+            self._waiting.notify(self.sample)
 
-    def note_begun(self, instance: str, asked_at: float, begun: Answer) -> None:
-        """Take a member's answer to a plain BEGIN."""
+    def note_begin_answer(self, instance: str, asked_at: float, begun: Answer) -> None:
+        """Process a member's answer to a plain BEGIN."""
         if self._proof.is_proof(begun):
             self.note_proof(instance, asked_at, begun.position)
         elif begun.refusal is Refusal.NOT_PRIMARY:
             self.note_not_primary(instance)
 
     def note_not_primary(self, instance: str) -> None:
-        """Note that a member refused as one that does not lead."""
+        """Record that a member refused a command because it is not primary."""
         if self.state.note_not_primary(instance, self._scheduler.time()):
             self._search()
 
     def note_failure(self, instance: str) -> None:
-        """Note that the member believed to lead does not answer."""
+        """Record that a member does not answer."""
         self.state.note_failure(instance, self._scheduler.time())
 
-    def note_unsampled(self, instance: str) -> None:
-        """Note that a member could not be sampled; if it is the primary, ask all others."""
+    def note_sample_failed(self, instance: str) -> None:
+        """Search all members if the one that could not be sampled is the presumed primary."""
         if instance == self.presumed_primary:
             self._search()
 
     def note_refused_connection(self, answer: Answer) -> None:
-        """Note why no connection to the primary could be had; only silence counts against it."""
+        """Record a refused connection to the primary; only a lost one counts as a failure."""
         if answer.refusal is Refusal.LOST:
             self.note_failure(self.presumed_primary)
 
-    # Floors
+    # Waiting reads
 
-    def wait_for_position(self, asked_since: float, give: GiveFloor) -> None:
-        """Give a position sampled at ``asked_since`` or later, now or once there is one."""
+    def wait_for_position(self, asked_since: float, callback: PositionCallback) -> None:
+        """Call ``callback`` with a position sampled at ``asked_since`` or later, maybe at once.
+
+        The callback gets None if the tracker is closed first.
+        """
         sample = self.history.oldest_since(asked_since)
         if sample is not None:
-            give(sample.position)
+            callback(sample.position)
             return
-        self._waiting.add(asked_since, give)
+        self._waiting.add(asked_since, callback)
         self.request_sample()
 
-    def cancel_wait(self, give: GiveFloor | None) -> None:
-        """Withdraw a wait for a sample."""
-        self._waiting.forget(give)
+    def cancel_wait(self, callback: PositionCallback | None) -> None:
+        """Remove a callback that waits for a position."""
+        self._waiting.remove(callback)
 
-    # Asking
+    # Sampling
 
     def tick(self, in_use: bool) -> None:
-        """Give up late samples, watch the primary, and search for it if none is known."""
+        """Apply timeouts and request the samples and searches that are due."""
         now = self._scheduler.time()
         self._sampler.expire()
         if self.state.raise_alarm(now):
@@ -196,24 +216,24 @@
             self.on_unavailable()
         if in_use and self.state.is_search_due(now):
             self._search()
-        if is_sample_due(self.is_awaited, in_use, now - self.proved_at, self.monitor_seconds):
+        if is_sample_due(self.has_waiters, in_use, now - self.proved_at, self.monitor_seconds):
             self.request_sample()
 
     def request_sample(self) -> None:
-        """Ask for a new sample, also ahead of the reads that will need it."""
-        if self._sampler.is_asking(self.presumed_primary):
-            return  # the answer to a later question is asked for when this one is answered
+        """Request a sample of the primary, or search for it if none is known."""
+        if self._sampler.is_sampling(self.presumed_primary):
+            return  # the next sample is requested when this one is answered
         if self.presumed_primary:
-            self._sampler.ask(self._sampler.records[self.presumed_primary])
+            self._sampler.request(self._sampler.records[self.presumed_primary])
         else:
             self._search()
 
     def _search(self) -> None:
-        if self.state.begin_search(self._scheduler.time()):
+        if self.state.try_begin_search(self._scheduler.time()):
             for record in self._sampler.records.values():
-                self._sampler.ask(record)
+                self._sampler.request(record)
 
     def close(self) -> None:
-        """Close the sampling connections."""
+        """Close the sampling connections and end all waits without a position."""
         self._sampler.close()
         self._waiting.close()
--- a/src/rowanrail/members/primary_state.py
+++ b/src/rowanrail/members/primary_state.py
@@ -1,9 +1,8 @@
-"""Which member is believed to be primary, and for how long it has failed.
+"""State machine for one service's primary: which member it is presumed to be and whether it fails.
 
-The rules of one service's primary, as a state with transitions on plain values: the caller
-(:class:`rowanrail.members.primary.PrimaryTracker`) reports what it saw and does what the verdict
-says. It owns the believed member and the moments of its last proof and of its first failure; it
-relies on nothing but the times that it is given, in seconds on one steady clock.
+Performs no I/O and reads no clock: the caller (:class:`rowanrail.members.primary.PrimaryTracker`)
+reports events with their time, in seconds on one monotonic clock, and acts on what the methods
+return.
 """
 
 from collections.abc import Collection, Sequence
@@ -17,34 +16,32 @@
     "PrimaryState",
 ]
 
-# Seconds between two questions to all members while no primary is known; chosen.
-SEARCH_INTERVAL_SECONDS = 0.1
-# Seconds on top of that between two of them while the believed primary fails; chosen.
-FAILING_SEARCH_PAUSE_SECONDS = 0.15
-# Seconds of failing after which a primary is long lost: a successor stands within 1 to 2 s, and
-# only a gateway that is cut off waits longer.
+SEARCH_INTERVAL_SECONDS = 0.1  # minimum time between two searches among all members
+FAILING_SEARCH_PAUSE_SECONDS = 0.15  # added to it while the presumed primary fails
+# A failover takes 1 to 2 s, so a gateway that still has no primary after this is likely
+# partitioned.
 FAILOVER_OVERDUE_SECONDS = 2.0
-ALARM_SECONDS = 0.26  # of failing, after which the control nodes are told at once; chosen
-NEVER_PROVED = -1.0  # in place of the moment of a proof
+ALARM_SECONDS = 0.26  # failure time after which the control nodes are alerted
+NO_PROOF = -1.0  # value of ``proved_at`` before the first proof
 
 
 @dataclass(slots=True)
 class PrimaryState:
-    """What is presumed of one service's primary; times are steady seconds.
+    """Presumed primary of one service and its failure state; times are monotonic seconds.
 
-    While the primary serves, another member's claim to lead changes nothing; and a member's silence
-    counts only against the presumed primary, or against the service while none is.
+    While the primary answers, another member's claim to be primary is ignored. A member's failure
+    counts only if it is the presumed primary, or if none is known.
 
     Parameters
     ----------
     presumed_primary : str
-        The member that is taken for the primary; empty while none is known.
+        Instance name of the presumed primary; empty while none is known.
     proved_at : float
         Moment of the last proof; negative before the first one.
     failing_since : float
         Moment of the first failure since the last proof; 0 while there is none.
     is_alarmed : bool
-        Whether the control nodes were told that it fails.
+        Whether the control nodes have been alerted of the failure.
 
     Examples
     --------
@@ -55,32 +52,32 @@
     (None, 0.0)
     >>> state.note_failure("m1", now=10.0), state.raise_alarm(now=10.2), state.raise_alarm(10.3)
     (None, False, True)
-    >>> state.is_failover_overdue(now=12.1), state.note_proof(now=12.2), state.end_failure()
+    >>> state.is_failover_overdue(now=12.1), state.note_proof(now=12.2), state.clear_failure()
     (True, None, True)
-    >>> state.end_alarm(), state.believe("m2")
+    >>> state.clear_alarm(), state.set_presumed_primary("m2")
     (True, True)
     """
 
     presumed_primary: str = ""
-    proved_at: float = NEVER_PROVED
+    proved_at: float = NO_PROOF
     failing_since: float = 0.0
     is_alarmed: bool = False
     _search_at: float = 0.0
 
     def is_failover_overdue(self, now: float) -> bool:
-        """Return whether it has failed for longer than finding or making a successor takes."""
+        """Return whether the primary has failed for longer than a failover takes."""
         return bool(self.failing_since) and now - self.failing_since > FAILOVER_OVERDUE_SECONDS
 
-    # What members say and do
+    # Reports about members
 
     def note_members(self, instances: Collection[str], claims: Sequence[str]) -> bool:
-        """Take the members there are; return whether another one is believed for its claim.
+        """Update the list of members; return whether the presumed primary changed to a claimant.
 
         Parameters
         ----------
         claims : sequence of str
-            Those that call themselves primary. One that serves is proved; one that fails may have
-            been replaced, so that a claim counts only then.
+            Members that announce themselves as primary. A claim is accepted only while no primary
+            is known or the presumed one fails: one that answers is proved by its samples.
         """
         if self.presumed_primary not in instances:
             self.presumed_primary = ""
@@ -92,7 +89,7 @@
         return True
 
     def note_not_primary(self, instance: str, now: float) -> bool:
-        """Note that a member refused as one that isn't primary; return whether it was believed."""
+        """Record that a member refused a BEGIN as not primary; return whether it was presumed."""
         if self.presumed_primary != instance:
             return False
         self.presumed_primary = ""
@@ -114,28 +111,28 @@
         """Note that some member proved to be primary."""
         self.proved_at = now
 
-    def end_failure(self) -> bool:
-        """Note that the primary answers; return whether it had failed."""
+    def clear_failure(self) -> bool:
+        """Clear the failure; return whether there was one."""
         was_failing = bool(self.failing_since)
         self.failing_since = 0.0
         return was_failing
 
-    def end_alarm(self) -> bool:
-        """Return whether the control nodes are to be told that the failure is over."""
+    def clear_alarm(self) -> bool:
+        """Clear the alarm; return whether it was raised, so that its end must be reported."""
         was_alarmed = self.is_alarmed
         self.is_alarmed = False
         return was_alarmed
 
-    def believe(self, instance: str) -> bool:
-        """Take a member for the primary; return whether that is a change."""
+    def set_presumed_primary(self, instance: str) -> bool:
+        """Set the presumed primary; return whether it changed."""
         is_change = self.presumed_primary != instance
         self.presumed_primary = instance
         return is_change
 
-    # Time
+    # Timers
 
     def raise_alarm(self, now: float) -> bool:
-        """Return whether the control nodes are to be told now that the primary fails."""
+        """Return whether the control nodes must be alerted now; true once for each failure."""
         is_lost = bool(self.failing_since) and now - self.failing_since >= ALARM_SECONDS
         if not is_lost or self.is_alarmed:
             return False
@@ -146,8 +143,8 @@
         """Return whether all members are asked again because the primary fails."""
         return bool(self.failing_since) and now >= self._search_at + FAILING_SEARCH_PAUSE_SECONDS
 
-    def begin_search(self, now: float) -> bool:
-        """Return whether all members may be asked now, which is taken to be done then."""
+    def try_begin_search(self, now: float) -> bool:
+        """Start a search unless the last one was too recent; return whether it was started."""
         if now < self._search_at:
             return False
         self._search_at = now + SEARCH_INTERVAL_SECONDS
--- a/src/rowanrail/members/sampler.py
+++ b/src/rowanrail/members/sampler.py
@@ -1,9 +1,8 @@
-"""Asks the members of one service for samples of their position.
+"""Samples the replication position of one service's members.
 
-Owns a connection for each member that is asked: one of its own, or one that a pool lends. When a
-member is asked, on which connection and until when is said by
-:mod:`rowanrail.members.sampling_rules`; what the answers mean is its owner's to judge. Relies on
-the driver for connections and on the belief, which it only reads.
+Manages one dedicated or pooled connection for each sampled member and passes the answers to a
+:class:`SampleListener`. The rules for timing and choice of connection are in
+:mod:`rowanrail.members.sampling_rules`.
 """
 
 from typing import Protocol
@@ -11,187 +10,187 @@
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import Channel, MemberDriver
 from rowanrail.members.primary_state import PrimaryState
-from rowanrail.members.probe import Lender, Probe
+from rowanrail.members.sampling_connection import LeaseProvider, SamplingConnection
 from rowanrail.members.sampling_rules import (
-    LateSample,
-    is_needless,
-    judge_late,
-    may_borrow,
+    SampleTimeoutAction,
+    may_close_dedicated,
     retry_at,
+    sample_timeout_action,
+    should_use_pool,
 )
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Answer, Command, CommandKind, Refusal
 
-__all__ = ["MemberSampler", "SampleOwner"]
+__all__ = ["MemberSampler", "SampleListener"]
 
-_PROBE = [Command(CommandKind.BEGIN), Command(CommandKind.ROLLBACK)]
+_SAMPLE_COMMANDS = [Command(CommandKind.BEGIN), Command(CommandKind.ROLLBACK)]
 
 
-class SampleOwner(Protocol):
-    """Port: gets the results of samples."""
+class SampleListener(Protocol):
+    """Port that receives the results of samples."""
 
     @property
-    def is_awaited(self) -> bool:
+    def has_waiters(self) -> bool:
         """Whether reads wait for a sample."""
 
     def request_sample(self) -> None:
-        """Ask for a sample of the primary."""
+        """Request a sample of the primary."""
 
-    def note_begun(self, instance: str, asked_at: float, begun: Answer) -> None:
-        """Take the answer to a plain BEGIN."""
+    def note_begin_answer(self, instance: str, asked_at: float, begun: Answer) -> None:
+        """Process the answer to a plain BEGIN that was requested at ``asked_at`` seconds."""
 
     def note_failure(self, instance: str) -> None:
-        """Note that a member doesn't answer."""
+        """Record that a member does not answer."""
 
-    def note_unsampled(self, instance: str) -> None:
-        """Note that a member could not be sampled, and is tried again a little later."""
+    def note_sample_failed(self, instance: str) -> None:
+        """Record that a sample failed; the sampler accepts a retry after a short delay."""
 
 
 class MemberSampler:
-    """The sampling connections of one service.
+    """Sampling connections to the members of one service.
 
     Parameters
     ----------
-    belief : PrimaryState
-        Says which member is believed to be primary, and whether it fails.
-    owner : SampleOwner
-        Gets the results of samples.
+    state : PrimaryState
+        Which member is presumed primary and whether it fails; only read.
+    listener : SampleListener
+        Receives the results of samples.
     driver : MemberDriver
         Opens connections.
     scheduler : Scheduler
-        Steady seconds.
+        Monotonic clock in seconds.
     """
 
     def __init__(
         self,
-        belief: PrimaryState,
-        owner: SampleOwner,
+        state: PrimaryState,
+        listener: SampleListener,
         driver: MemberDriver,
         scheduler: Scheduler,
     ) -> None:
         self.records: dict[str, MemberRecord] = {}
-        self.lender: Lender | None = None
-        self._belief = belief
-        self._owner = owner
+        self.lease_provider: LeaseProvider | None = None
+        self._state = state
+        self._listener = listener
         self._driver = driver
         self._scheduler = scheduler
-        self._probes: dict[str, Probe] = {}
+        self._connections: dict[str, SamplingConnection] = {}
 
     def __len__(self) -> int:
-        """Return how many members are asked, or were a moment ago."""
-        return len(self._probes)
+        """Return the number of members with a sampling state, including those awaiting a retry."""
+        return len(self._connections)
 
     @property
     def is_at_connection_limit(self) -> bool:
-        """Whether the primary had no connection left for a sample a moment ago."""
-        probe = self._probes.get(self._belief.presumed_primary)
-        return probe is not None and probe.is_crowded
+        """Whether the primary refused the last sampling connection for lack of a free one."""
+        connection = self._connections.get(self._state.presumed_primary)
+        return connection is not None and connection.is_at_connection_limit
 
     def set_members(self, records: list[MemberRecord]) -> None:
-        """Know the service's members; those that left are asked no more."""
+        """Replace the members of the service; stop sampling those that are gone."""
         self.records = {record.instance: record for record in records}
-        for instance in list(self._probes):
+        for instance in list(self._connections):
             if instance not in self.records:
-                self._drop(instance)
+                self._remove(instance)
 
-    def is_asking(self, instance: str) -> bool:
-        """Return whether a question to a member is on its way."""
-        probe = self._probes.get(instance)
-        return probe is not None and probe.in_flight and probe.is_open
+    def is_sampling(self, instance: str) -> bool:
+        """Return whether a sample of a member has been sent and not yet answered."""
+        connection = self._connections.get(instance)
+        return connection is not None and connection.in_flight and connection.is_open
 
-    def note_connected(self, instance: str) -> None:
-        """Note that a member had a connection for a statement."""
-        probe = self._probes.get(instance)
-        if probe is not None:
-            probe.is_crowded = False
+    def note_connection_available(self, instance: str) -> None:
+        """Record that a member had a free connection."""
+        connection = self._connections.get(instance)
+        if connection is not None:
+            connection.is_at_connection_limit = False
 
-    # Asking
+    # Sending samples
 
-    def ask(self, record: MemberRecord) -> None:
-        """Ask a member for a sample, if none is under way and it isn't too soon."""
+    def request(self, record: MemberRecord) -> None:
+        """Sample a member unless a sample is in flight or its retry delay has not passed."""
         now = self._scheduler.time()
-        probe = self._probes.get(record.instance)
-        if probe is None:
-            probe = Probe(record)
-            self._probes[record.instance] = probe
-        if probe.in_flight or now < probe.retry_at:
+        connection = self._connections.get(record.instance)
+        if connection is None:
+            connection = SamplingConnection(record)
+            self._connections[record.instance] = connection
+        if connection.in_flight or now < connection.retry_at:
             return
-        probe.in_flight = True
-        probe.asked_at = now
-        if probe.is_open:
-            self._send(probe)
-        elif not self._borrow(probe):
-            self._open(probe)
+        connection.in_flight = True
+        connection.asked_at = now
+        if connection.is_open:
+            self._send(connection)
+        elif not self._lease(connection):
+            self._open(connection)
 
-    def _open(self, probe: Probe) -> None:
-        record = probe.record
+    def _open(self, connection: SamplingConnection) -> None:
+        record = connection.record
 
         def on_open(channel: Channel, answer: Answer) -> None:
-            if probe.channel is not channel:
+            if connection.channel is not channel:
                 return
             if answer.refusal is Refusal.TOO_MANY_CONNECTIONS:
-                self._note_crowded(probe)
+                self._note_connection_limit(connection)
                 return
             if answer.refusal is not None:
-                self._fail(record.instance)
+                self._close_and_retry(record.instance)
                 return
-            probe.is_open = True
-            probe.is_crowded = False
-            probe.opened_at = probe.asked_at = self._scheduler.time()
-            self._send(probe)
-
-        probe.channel = Channel(record.address, record.instance, on_open)
-        probe.channel.on_closed = lambda channel: self._on_closed(record.instance, channel)
-        self._driver.open(record.address, record.service, record.instance, probe.channel)
-
-    def _note_crowded(self, probe: Probe) -> None:
-        """Note that the member is alive, but has no connection left."""
-        probe.channel = None
-        probe.in_flight = False
-        probe.is_crowded = True
-        probe.retry_at = retry_at(self._scheduler.time(), is_crowded=True)
-
-    def _may_borrow(self, probe: Probe) -> bool:
-        instance = probe.record.instance
-        return self.lender is not None and may_borrow(
-            is_believed=instance == self._belief.presumed_primary,
-            is_failing=bool(self._belief.failing_since),
-            is_crowded=probe.is_crowded,
-            can_lend=self.lender.can_lend(instance),
+            connection.is_open = True
+            connection.is_at_connection_limit = False
+            connection.opened_at = connection.asked_at = self._scheduler.time()
+            self._send(connection)
+
+        connection.channel = Channel(record.address, record.instance, on_open)
+        connection.channel.on_closed = lambda channel: self._on_closed(record.instance, channel)
+        self._driver.open(record.address, record.service, record.instance, connection.channel)
+
+    def _note_connection_limit(self, connection: SamplingConnection) -> None:
+        """Schedule a retry: the member is alive but has no free connection."""
+        connection.channel = None
+        connection.in_flight = False
+        connection.is_at_connection_limit = True
+        connection.retry_at = retry_at(self._scheduler.time(), is_at_connection_limit=True)
+
+    def _should_use_pool(self, connection: SamplingConnection) -> bool:
+        instance = connection.record.instance
+        return self.lease_provider is not None and should_use_pool(
+            is_presumed_primary=instance == self._state.presumed_primary,
+            is_failing=bool(self._state.failing_since),
+            is_at_connection_limit=connection.is_at_connection_limit,
+            can_lease=self.lease_provider.can_lease(instance),
         )
 
-    def _borrow(self, probe: Probe) -> bool:
-        """Ask for a connection of the pool; return False if the probe is to open its own."""
-        if self.lender is None or not self._may_borrow(probe):
+    def _lease(self, connection: SamplingConnection) -> bool:
+        """Request a pooled connection; return False if a dedicated one must be opened."""
+        if self.lease_provider is None or not self._should_use_pool(connection):
             return False
-        probe.loan = self.lender.loan(probe.record.instance)
-        if probe.loan is None:
+        connection.lease = self.lease_provider.lease(connection.record.instance)
+        if connection.lease is None:
             return False
 
         def take(channel: Channel | None, answer: Answer) -> None:
             if channel is None:
-                self._note_not_lent(probe, answer)
+                self._note_lease_refused(connection, answer)
                 return
-            channel.on_closed = lambda channel: None  # its answers tell the loss
-            probe.channel = channel
-            probe.is_open = True
-            probe.is_crowded = False
-            probe.asked_at = self._scheduler.time()
-            self._send(probe)
-
-        probe.loan.request(take)
+            channel.on_closed = lambda channel: None  # a loss is reported by its answers
+            connection.channel = channel
+            connection.is_open = True
+            connection.is_at_connection_limit = False
+            connection.asked_at = self._scheduler.time()
+            self._send(connection)
+
+        connection.lease.request(take)
         return True
 
-    def _note_not_lent(self, probe: Probe, answer: Answer) -> None:
-        probe.loan = None
+    def _note_lease_refused(self, connection: SamplingConnection, answer: Answer) -> None:
+        connection.lease = None
         if answer.refusal is Refusal.LOST:
-            self._fail(probe.record.instance)
+            self._close_and_retry(connection.record.instance)
         else:
-            self._note_crowded(probe)
+            self._note_connection_limit(connection)
 
-    def _send(self, probe: Probe) -> None:
-        assert probe.channel is not None
-        asked_at = probe.asked_at
+    def _send(self, connection: SamplingConnection) -> None:
+        assert connection.channel is not None
+        asked_at = connection.asked_at
         begun = Answer(refusal=Refusal.LOST)
 
         def on_begin(answer: Answer) -> None:
@@ -199,91 +198,93 @@
             begun = answer
 
         def on_end(answer: Answer) -> None:
-            self._end(probe, asked_at, begun)
+            self._on_answered(connection, asked_at, begun)
 
-        probe.channel.send(_PROBE, [on_begin, on_end])
+        connection.channel.send(_SAMPLE_COMMANDS, [on_begin, on_end])
 
-    def _end(self, probe: Probe, asked_at: float, begun: Answer) -> None:
-        instance = probe.record.instance
-        is_lost = probe.channel_closed()
-        probe.give_back()  # before the proof, which has reads ask for connections
-        self._owner.note_begun(instance, asked_at, begun)
-        if self._probes.get(instance) is not probe:
+    def _on_answered(self, connection: SamplingConnection, asked_at: float, begun: Answer) -> None:
+        instance = connection.record.instance
+        is_closed = connection.channel_closed()
+        connection.release()  # first, as a proof lets waiting reads request connections
+        self._listener.note_begin_answer(instance, asked_at, begun)
+        if self._connections.get(instance) is not connection:
             return
-        probe.in_flight = False
-        if is_lost and probe.channel is None:
-            self._fail(instance)
-        elif self._owner.is_awaited and not is_lost:
-            self._owner.request_sample()
-        elif self._is_needless(probe):
-            self._drop(instance)
+        connection.in_flight = False
+        if is_closed and connection.channel is None:
+            self._close_and_retry(instance)
+        elif self._listener.has_waiters and not is_closed:
+            self._listener.request_sample()
+        elif self._may_close(connection):
+            self._remove(instance)
 
-    # Giving up
+    # Timeouts and closing
 
     def expire(self) -> None:
-        """Give up what has been asked for too long ago."""
+        """Apply the timeouts to all outstanding samples."""
         now = self._scheduler.time()
-        for instance, probe in list(self._probes.items()):
-            late_seconds = now - probe.asked_at if probe.in_flight else 0.0
-            match judge_late(late_seconds, probe.waits_for_loan, probe.is_open):
-                case LateSample.OPEN_OWN:
-                    self._stop_waiting(probe)
-                case LateSample.SUSPECT:
-                    self._owner.note_failure(instance)
-                case LateSample.GIVE_UP:
-                    self._owner.note_failure(instance)
-                    self._fail(instance)
-
-    def _stop_waiting(self, probe: Probe) -> None:
-        """Stop waiting for a connection of the pool, and open one."""
-        probe.give_back()
-        probe.is_crowded = False
-        probe.asked_at = self._scheduler.time()
-        self._open(probe)
-
-    def _is_needless(self, probe: Probe) -> bool:
-        """Return whether a probe's own connection may be closed."""
-        believed, is_failing = self._belief.presumed_primary, bool(self._belief.failing_since)
-        return is_needless(
-            is_wanted=self._owner.is_awaited or is_failing or not believed,
-            is_believed=believed == probe.record.instance,
-            is_open=probe.is_open,
-            open_seconds=self._scheduler.time() - probe.opened_at,
-            can_borrow=self._may_borrow(probe),
+        for instance, connection in list(self._connections.items()):
+            elapsed_seconds = now - connection.asked_at if connection.in_flight else 0.0
+            match sample_timeout_action(
+                elapsed_seconds, connection.is_waiting_for_lease, connection.is_open
+            ):
+                case SampleTimeoutAction.OPEN_DEDICATED:
+                    self._open_dedicated(connection)
+                case SampleTimeoutAction.SUSPECT:
+                    self._listener.note_failure(instance)
+                case SampleTimeoutAction.GIVE_UP:
+                    self._listener.note_failure(instance)
+                    self._close_and_retry(instance)
+
+    def _open_dedicated(self, connection: SamplingConnection) -> None:
+        """Cancel the request for a pooled connection and open a dedicated one."""
+        connection.release()
+        connection.is_at_connection_limit = False
+        connection.asked_at = self._scheduler.time()
+        self._open(connection)
+
+    def _may_close(self, connection: SamplingConnection) -> bool:
+        """Return whether a dedicated connection may be closed."""
+        primary, is_failing = self._state.presumed_primary, bool(self._state.failing_since)
+        return may_close_dedicated(
+            is_wanted=self._listener.has_waiters or is_failing or not primary,
+            is_presumed_primary=primary == connection.record.instance,
+            is_open=connection.is_open,
+            open_seconds=self._scheduler.time() - connection.opened_at,
+            pool_available=self._should_use_pool(connection),
         )
 
-    def drop_idle(self, primary: str) -> None:
-        """Close the connections to other members that nothing was asked on."""
-        for instance, probe in list(self._probes.items()):
-            if instance != primary and not probe.in_flight:
-                self._drop(instance)
+    def close_idle(self, primary: str) -> None:
+        """Close the connections to other members that have no sample in flight."""
+        for instance, connection in list(self._connections.items()):
+            if instance != primary and not connection.in_flight:
+                self._remove(instance)
 
     def _on_closed(self, instance: str, channel: Channel) -> None:
-        probe = self._probes.get(instance)
-        if probe is not None and probe.channel is channel:
-            self._fail(instance)
-
-    def _fail(self, instance: str) -> None:
-        """Close a member's connection, and ask it again a little later."""
-        self._drop(instance)
-        self._owner.note_failure(instance)
+        connection = self._connections.get(instance)
+        if connection is not None and connection.channel is channel:
+            self._close_and_retry(instance)
+
+    def _close_and_retry(self, instance: str) -> None:
+        """Close a member's connection and schedule a retry."""
+        self._remove(instance)
+        self._listener.note_failure(instance)
         record = self.records.get(instance)
         if record is not None:
-            probe = Probe(record)
-            probe.retry_at = retry_at(self._scheduler.time(), is_crowded=False)
-            self._probes[instance] = probe
-        self._owner.note_unsampled(instance)
-
-    def _drop(self, instance: str) -> None:
-        probe = self._probes.pop(instance, None)
-        if probe is None:
+            connection = SamplingConnection(record)
+            connection.retry_at = retry_at(self._scheduler.time(), is_at_connection_limit=False)
+            self._connections[instance] = connection
+        self._listener.note_sample_failed(instance)
+
+    def _remove(self, instance: str) -> None:
+        connection = self._connections.pop(instance, None)
+        if connection is None:
             return
-        if probe.channel is not None:
-            probe.channel.close()  # its answers, if any are outstanding, give it back
-        probe.give_back()
-        probe.channel = None
+        if connection.channel is not None:
+            connection.channel.close()  # answers outstanding commands, which may release it
+        connection.release()
+        connection.channel = None
 
     def close(self) -> None:
         """Close all sampling connections."""
-        for instance in list(self._probes):
-            self._drop(instance)
+        for instance in list(self._connections):
+            self._remove(instance)
--- a/src/rowanrail/members/samples.py
+++ b/src/rowanrail/members/samples.py
@@ -1,9 +1,9 @@
-"""Samples of a primary's position that prove that it led, newest and older ones.
+"""Samples of a primary's replication position, and reads that wait for one.
 
-A sample is a position with the moment at which it was asked for. A read whose log holds a
-sample misses nothing that was acknowledged before the sample was asked for. A read that accepts
-some age is therefore served behind the oldest sample that is young enough, so that replicas that
-lag less than that can serve it.
+A sample is a position with the time at which it was requested. A member whose log holds the
+sampled position has everything that was acknowledged before the request. A read with bounded
+staleness therefore needs only the oldest sample within its bound, so that lagging replicas can
+serve it.
 """
 
 from bisect import bisect_left
@@ -14,22 +14,23 @@
 
 from rowanrail.model.position import Position
 
-__all__ = ["FloorWaiters", "GiveFloor", "PositionSample", "SampleHistory"]
+__all__ = ["PositionWaiters", "PositionCallback", "PositionSample", "SampleHistory"]
 
-HISTORY_SECONDS = 5.0  # age of the oldest sample that is kept
-HISTORY_STEP_SECONDS = 0.02  # between samples that are kept
+HISTORY_SECONDS = 5.0  # maximum age of a retained sample
+HISTORY_STEP_SECONDS = 0.02  # minimum time between retained samples
 
-
-GiveFloor = Callable[[Position | None], None]
+PositionCallback = Callable[[Position | None], None]
 
 
 class PositionSample(msgspec.Struct, frozen=True, gc=False):
-    """The primary's position.
+    """Position of the primary at some time after a request.
 
     Parameters
     ----------
     asked_at : float
-        Steady time in seconds at which it was asked for.
+        Monotonic time in seconds at which it was requested.
+    position : Position
+        The position in the answer.
     instance : str
         The member that answered.
     """
@@ -40,7 +41,7 @@
 
 
 class SampleHistory:
-    """The samples of one service in the newest term that was proved.
+    """Recent samples of one service in the newest term.
 
     Examples
     --------
@@ -63,27 +64,26 @@
 
     @property
     def newest(self) -> PositionSample | None:
-        """The sample that was asked for last, None if there is none."""
+        """The sample that was requested last, None without one."""
         return self._newest
 
     def add(self, asked_at: float, position: Position, instance: str) -> bool:
-        """Take a proved position; return False if its member has been replaced since.
+        """Add a position; return False if it is of an older term, so its member was replaced.
 
-        A position that was asked for before the newest sample adds nothing, and is no news of
-        another primary either.
+        A position that was requested before the newest sample is accepted but not stored.
         """
         newest = self._newest
         if newest is not None and position.term < newest.position.term:
             return False
         if newest is None or asked_at >= newest.asked_at:
             highest = position if newest is None else max(position, newest.position)
-            self._keep(PositionSample(asked_at, highest, instance))
+            self._append(PositionSample(asked_at, highest, instance))
         return True
 
-    def _keep(self, sample: PositionSample) -> None:
+    def _append(self, sample: PositionSample) -> None:
         kept = self._kept
         if self._newest is not None and self._newest.position.term != sample.position.term:
-            kept.clear()  # what they show may have been undone
+            kept.clear()  # a failover may have discarded these positions
         while kept and sample.asked_at - kept[0].asked_at > HISTORY_SECONDS:
             kept.popleft()
         if not kept or sample.asked_at - kept[-1].asked_at >= HISTORY_STEP_SECONDS:
@@ -91,7 +91,7 @@
         self._newest = sample
 
     def oldest_since(self, asked_since: float) -> PositionSample | None:
-        """Return the oldest sample asked for at ``asked_since`` or later, None without one."""
+        """Return the oldest sample requested at ``asked_since`` or later, None without one."""
         place = bisect_left(self._kept, asked_since, key=lambda sample: sample.asked_at)
         if place < len(self._kept):
             return self._kept[place]
@@ -99,7 +99,7 @@
         return newest if newest is not None and newest.asked_at >= asked_since else None
 
     def held_since(self, position: Position) -> float | None:
-        """Return since when the primary's log is known to hold a position, None if it is not.
+        """Return since when the primary's log is known to hold a position, None if unknown.
 
         Examples
         --------
@@ -115,48 +115,48 @@
         return newest.asked_at if newest is not None and newest.position >= position else None
 
 
-class FloorWaiters:
-    """Reads that wait for a sample that was asked for late enough.
+class PositionWaiters:
+    """Callbacks of reads that wait for a sample.
 
     Examples
     --------
-    >>> waiters, given = FloorWaiters(), []
-    >>> waiters.add(10.0, given.append)
-    >>> waiters.serve(PositionSample(9.9, Position(1, 3), "m1")), len(waiters)
+    >>> waiters, positions = PositionWaiters(), []
+    >>> waiters.add(10.0, positions.append)
+    >>> waiters.notify(PositionSample(9.9, Position(1, 3), "m1")), len(waiters)
     (None, 1)
-    >>> waiters.serve(PositionSample(10.1, Position(1, 4), "m1")), given
+    >>> waiters.notify(PositionSample(10.1, Position(1, 4), "m1")), positions
     (None, [Position(term=1, index=4)])
     """
 
     __slots__ = ("_waiting",)
 
     def __init__(self) -> None:
-        self._waiting: list[tuple[float, GiveFloor]] = []
+        self._waiting: list[tuple[float, PositionCallback]] = []
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting callbacks."""
         return len(self._waiting)
 
-    def add(self, asked_since: float, give: GiveFloor) -> None:
-        """Have ``give`` called with a sample that was asked for at ``asked_since`` or later."""
-        self._waiting.append((asked_since, give))
+    def add(self, asked_since: float, callback: PositionCallback) -> None:
+        """Register a callback for a position requested at ``asked_since`` or later."""
+        self._waiting.append((asked_since, callback))
 
-    def forget(self, give: GiveFloor | None) -> None:
-        """Withdraw a wait."""
-        self._waiting = [entry for entry in self._waiting if entry[1] != give]
+    def remove(self, callback: PositionCallback | None) -> None:
+        """Remove a callback, if it is registered."""
+        self._waiting = [entry for entry in self._waiting if entry[1] != callback]
 
-    def serve(self, sample: PositionSample | None) -> None:
-        """Give the position of a sample to all waits for which it is new enough."""
+    def notify(self, sample: PositionSample | None) -> None:
+        """Call all callbacks for which a sample is new enough."""
         if sample is None or not self._waiting:
             return
         ready = [entry for entry in self._waiting if entry[0] <= sample.asked_at]
         if ready:
             self._waiting = [entry for entry in self._waiting if entry[0] > sample.asked_at]
-            for _, give in ready:
-                give(sample.position)
+            for _, callback in ready:
+                callback(sample.position)
 
     def close(self) -> None:
-        """End all waits without a position: no sample will come."""
+        """Call all callbacks with None."""
         waiting, self._waiting = self._waiting, []
-        for _, give in waiting:
-            give(None)
+        for _, callback in waiting:
+            callback(None)
--- a/src/rowanrail/members/sampling_rules.py
+++ b/src/rowanrail/members/sampling_rules.py
@@ -1,147 +1,157 @@
-"""When a member is sampled, on whose connection, and when a sample is given up.
+"""Rules for sampling: when to sample, on which connection, and when to give up.
 
-Functions on plain values, without state, for
-:class:`rowanrail.members.sampler.MemberSampler`. Samples go on connections that are
-open for statements where one is free: connections are scarce, most of all when all gateways start
-at once, and one that is borrowed is one fewer at the member.
+Pure functions for :class:`rowanrail.members.sampler.MemberSampler`. Samples prefer pooled
+connections, because a dedicated connection takes a place at the member that another gateway may
+need, most of all when all gateways start at once.
 """
 
 import enum
 
 __all__ = [
     "OPEN_TIMEOUT_SECONDS",
-    "OWN_CONNECTION_SECONDS",
+    "DEDICATED_CONNECTION_SECONDS",
     "SAMPLE_TIMEOUT_SECONDS",
-    "LateSample",
-    "is_needless",
+    "SampleTimeoutAction",
+    "may_close_dedicated",
     "is_sample_due",
-    "judge_late",
-    "may_borrow",
+    "sample_timeout_action",
+    "should_use_pool",
     "retry_at",
 ]
 
-SAMPLE_TIMEOUT_SECONDS = 0.3  # six times a round trip between regions of 20 ms one way
-LOAN_WAIT_SECONDS = 0.1  # of waiting for a connection of the pool; chosen
-OPEN_TIMEOUT_SECONDS = 0.8  # an opening packet that was lost is sent again only after a second
-RETRY_OPEN_SECONDS = 0.3  # before a member that refused a connection is tried again; chosen
-RETRY_CROWDED_SECONDS = 0.1  # connections of others end all the time; chosen
-# Seconds for which a connection of its own is kept, though the pool could lend one; chosen.
-OWN_CONNECTION_SECONDS = 5.0
+SAMPLE_TIMEOUT_SECONDS = 0.3  # six round trips between regions that are 20 ms apart one way
+LEASE_WAIT_SECONDS = 0.1  # wait for a pooled connection before a dedicated one is opened
+OPEN_TIMEOUT_SECONDS = 0.8  # below the 1 s after which TCP retransmits a lost SYN
+RETRY_FAILED_SECONDS = 0.3  # delay before a member that failed is sampled again
+RETRY_CONNECTION_LIMIT_SECONDS = 0.1  # shorter, as other clients close connections all the time
+DEDICATED_CONNECTION_SECONDS = 5.0  # minimum lifetime of a dedicated connection to the primary
 
 
-class LateSample(enum.Enum):
-    """What becomes of a sample that was asked for and isn't there."""
+class SampleTimeoutAction(enum.Enum):
+    """What to do about a sample that is still outstanding."""
 
     WAIT = "wait"
-    OPEN_OWN = "open its own connection"
+    OPEN_DEDICATED = "open its own connection"
     SUSPECT = "note a failure, and go on"
     GIVE_UP = "note a failure, close the connection and try again later"
 
 
-def judge_late(late_seconds: float, waits_for_loan: bool, is_open: bool) -> LateSample:
-    """Return what becomes of a sample that isn't there.
+def sample_timeout_action(
+    elapsed_seconds: float, is_waiting_for_lease: bool, is_open: bool
+) -> SampleTimeoutAction:
+    """Return what to do about a sample that is still outstanding.
 
-    That all connections of the pool are in use for long may be the first sign that the member is
-    silent, so that another one is opened. A member in demand takes its time to open one, and
-    another one would only stand further back in its queue: an opening counts against the member
-    early, and is given up late.
+    An exhausted pool may be the first sign that the member no longer answers, so a dedicated
+    connection is opened after a short wait. A busy member is slow to accept connections, and a
+    second attempt would only queue behind the first: a slow open is reported as a failure early
+    but abandoned late.
 
     Parameters
     ----------
-    late_seconds : float
-        Since the sample was asked for.
-    waits_for_loan : bool
+    elapsed_seconds : float
+        Time since the sample was requested.
+    is_waiting_for_lease : bool
         Whether it waits for a connection of the pool.
     is_open : bool
         Whether its connection is open.
 
     Examples
     --------
-    >>> judge_late(0.2, waits_for_loan=True, is_open=False).name
-    'OPEN_OWN'
-    >>> [judge_late(seconds, False, is_open=False).name for seconds in (0.3, 0.4, 0.9)]
+    >>> sample_timeout_action(0.2, is_waiting_for_lease=True, is_open=False).name
+    'OPEN_DEDICATED'
+    >>> [sample_timeout_action(seconds, False, is_open=False).name for seconds in (0.3, 0.4, 0.9)]
     ['WAIT', 'SUSPECT', 'GIVE_UP']
-    >>> judge_late(0.4, False, is_open=True).name
+    >>> sample_timeout_action(0.4, False, is_open=True).name
     'GIVE_UP'
     """
-    if waits_for_loan and late_seconds > LOAN_WAIT_SECONDS:
-        return LateSample.OPEN_OWN
-    if late_seconds <= SAMPLE_TIMEOUT_SECONDS:
-        return LateSample.WAIT
-    if is_open or late_seconds > OPEN_TIMEOUT_SECONDS:
-        return LateSample.GIVE_UP
-    return LateSample.SUSPECT
+    if is_waiting_for_lease and elapsed_seconds > LEASE_WAIT_SECONDS:
+        return SampleTimeoutAction.OPEN_DEDICATED
+    if elapsed_seconds <= SAMPLE_TIMEOUT_SECONDS:
+        return SampleTimeoutAction.WAIT
+    if is_open or elapsed_seconds > OPEN_TIMEOUT_SECONDS:
+        return SampleTimeoutAction.GIVE_UP
+    return SampleTimeoutAction.SUSPECT
 
 
 def is_sample_due(
-    is_awaited: bool, in_use: bool, unproved_seconds: float, monitor_seconds: float
+    has_waiters: bool, in_use: bool, seconds_since_proof: float, monitor_seconds: float
 ) -> bool:
-    """Return whether the primary is asked for a sample.
+    """Return whether to sample the primary.
 
     Parameters
     ----------
-    is_awaited : bool
-        Whether a read waits for one.
+    has_waiters : bool
+        Whether a read waits for a sample.
     in_use : bool
-        Whether statements come, so that the loss of the primary must be noticed.
-    unproved_seconds : float
-        Since the last proof.
+        Whether the service receives statements, so that a failed primary must be detected.
+    seconds_since_proof : float
+        Time since the last proof.
     monitor_seconds : float
-        After which one is asked for though no read waits.
+        Sampling interval when no read waits.
     """
-    return is_awaited or in_use and unproved_seconds > monitor_seconds
+    return has_waiters or in_use and seconds_since_proof > monitor_seconds
 
 
-def may_borrow(is_believed: bool, is_failing: bool, is_crowded: bool, can_lend: bool) -> bool:
-    """Return whether a sample goes on a connection of the pool.
+def should_use_pool(
+    is_presumed_primary: bool, is_failing: bool, is_at_connection_limit: bool, can_lease: bool
+) -> bool:
+    """Return whether to sample a member on a pooled connection.
 
     Parameters
     ----------
-    is_believed : bool
-        Whether the member is believed to be primary: statements have connections to it.
+    is_presumed_primary : bool
+        Whether the member is the presumed primary, to which the pool has connections.
     is_failing : bool
-        Whether it fails: then the pool's connections may be those that it leaves unanswered.
-    is_crowded : bool
-        Whether it had no connection left a moment ago, so that only the pool has some.
-    can_lend : bool
-        Whether the pool has one at hand.
+        Whether the member is failing, in which case pooled connections may be stuck as well.
+    is_at_connection_limit : bool
+        Whether the member refused the last dedicated connection for lack of a free one.
+    can_lease : bool
+        Whether the pool has a connection available.
     """
-    if not is_believed or is_failing:
+    if not is_presumed_primary or is_failing:
         return False
-    return is_crowded or can_lend
+    return is_at_connection_limit or can_lease
 
 
-def is_needless(
-    is_wanted: bool, is_believed: bool, is_open: bool, open_seconds: float, can_borrow: bool
+def may_close_dedicated(
+    is_wanted: bool,
+    is_presumed_primary: bool,
+    is_open: bool,
+    open_seconds: float,
+    pool_available: bool,
 ) -> bool:
-    """Return whether a connection that was opened for samples may be closed.
+    """Return whether a dedicated sampling connection may be closed.
 
     Parameters
     ----------
     is_wanted : bool
-        Whether reads wait, the primary fails, or none is known.
-    is_believed : bool
-        Whether its member is believed to be primary.
+        Whether reads wait for a sample, the primary is failing, or none is known.
+    is_presumed_primary : bool
+        Whether the connection leads to the presumed primary.
+    is_open : bool
+        Whether the connection is open.
     open_seconds : float
-        For how long it has been open.
-    can_borrow : bool
-        Whether a connection of the pool would do.
+        Time since it was opened.
+    pool_available : bool
+        Whether a pooled connection could be used instead.
     """
     if is_wanted:
         return False
-    if not is_believed:
+    if not is_presumed_primary:
         return True
-    return is_open and open_seconds > OWN_CONNECTION_SECONDS and can_borrow
+    return is_open and open_seconds > DEDICATED_CONNECTION_SECONDS and pool_available
 
 
-def retry_at(now: float, is_crowded: bool) -> float:
-    """Return from when a member that could not be sampled is tried again.
+def retry_at(now: float, is_at_connection_limit: bool) -> float:
+    """Return the time in seconds at which to retry a member that could not be sampled.
 
-    One that failed waits longer, so that a dead port isn't hammered.
+    A member that failed waits longer, to avoid hammering a dead port.
 
     Examples
     --------
-    >>> retry_at(10.0, is_crowded=True), retry_at(10.0, is_crowded=False)
+    >>> retry_at(10.0, is_at_connection_limit=True), retry_at(10.0, is_at_connection_limit=False)
     (10.1, 10.3)
     """
-    return now + (RETRY_CROWDED_SECONDS if is_crowded else RETRY_OPEN_SECONDS)
+    return now + (
+        RETRY_CONNECTION_LIMIT_SECONDS if is_at_connection_limit else RETRY_FAILED_SECONDS
+    )
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -7,7 +7,11 @@
 
 import unittest
 
-from rowanrail.gateway.pools.idle_rules import KEPT_SHARE, SPARE_IDLE_MS, TENANT_IDLE_MS
+from rowanrail.gateway.pools.idle_rules import (
+    RETAINED_SHARE,
+    SURPLUS_IDLE_TIMEOUT_MS,
+    TENANT_IDLE_TIMEOUT_MS,
+)
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.waiter import Waiter
 from rowanrail.kernel.clock import Clock
@@ -17,7 +21,7 @@
 
 LIMIT = 14
 TENANTS = [f"t{number}" for number in range(LIMIT)]
-KEPT = round(KEPT_SHARE * LIMIT)
+KEPT = round(RETAINED_SHARE * LIMIT)
 
 
 class KeptConnectionsTest(unittest.TestCase):
@@ -47,9 +51,9 @@
 
     def test_half_are_kept_when_it_is_over(self):
         self.test_a_burst_of_many_tenants_may_use_all()
-        self.pass_time(SPARE_IDLE_MS / 1000 + 0.1)
+        self.pass_time(SURPLUS_IDLE_TIMEOUT_MS / 1000 + 0.1)
         self.assertEqual(self.pool.connections.count, KEPT)
-        self.pass_time(TENANT_IDLE_MS / 2000)
+        self.pass_time(TENANT_IDLE_TIMEOUT_MS / 2000)
         self.assertEqual(self.pool.connections.count, KEPT)
 
     def test_those_of_tenants_that_came_last_are_kept(self):
@@ -64,5 +68,5 @@
         for tenant in TENANTS[:KEPT]:
             self.use(tenant)
             self.pass_time(0.1)
-        self.pass_time(TENANT_IDLE_MS / 2000)
+        self.pass_time(TENANT_IDLE_TIMEOUT_MS / 2000)
         self.assertEqual(self.pool.connections.count, KEPT)
--- a/tests/gateway/test_pool_rules.py
+++ b/tests/gateway/test_pool_rules.py
@@ -12,34 +12,34 @@
     opening_rules,
 )
 from rowanrail.gateway.pools.idle_rules import (
-    GIVEN_UP_IDLE_MS,
-    IDLE_MS,
-    KEPT_IDLE,
-    SPARE_IDLE_MS,
-    TENANT_IDLE_MS,
-    idle_limit,
-    spare_connections,
+    IDLE_TIMEOUT_MS,
+    MIN_IDLE_CONNECTIONS,
+    SURPLUS_IDLE_TIMEOUT_MS,
+    TENANT_IDLE_TIMEOUT_MS,
+    UNROUTED_IDLE_TIMEOUT_MS,
+    idle_timeout,
+    surplus_connections,
 )
 from rowanrail.gateway.pools.idle_transactions import (
-    LONG_IDLE_MS,
-    PRESSURE_MS,
-    count_to_end,
+    RECLAIM_IDLE_MS,
+    RECLAIM_WAIT_MS,
+    count_to_reclaim,
 )
 from rowanrail.gateway.pools.member_health import (
+    BASE_BACKOFF_MS,
     MAXIMUM_BACKOFF_MS,
-    MINIMUM_BACKOFF_MS,
     MemberHealth,
     backoff_ms,
 )
 from rowanrail.gateway.pools.opening_rules import (
-    CROWDED_MS,
+    CONNECTION_CAP_MS,
     INITIAL_OPENING_MS,
-    LONGEST_OPENING_MS,
-    OPENINGS_AT_ONCE,
+    MAX_CONCURRENT_OPENINGS,
+    MAX_OPENING_MS,
     ConnectionCap,
     Opening,
-    has_room_for_opening,
-    judge_opening,
+    decide_opening,
+    may_open_connection,
     smoothed_opening,
 )
 from rowanrail.scheduling.wait_forecast import expected_wait, places
@@ -49,71 +49,73 @@
 
 class OpeningRulesTest(unittest.TestCase):
     def test_few_are_opened_at_once(self):
-        self.assertTrue(has_room_for_opening(OPENINGS_AT_ONCE - 1, 0, 3, 9))
-        self.assertFalse(has_room_for_opening(OPENINGS_AT_ONCE, 0, 3, 9))
+        self.assertTrue(may_open_connection(MAX_CONCURRENT_OPENINGS - 1, 0, 3, 9))
+        self.assertFalse(may_open_connection(MAX_CONCURRENT_OPENINGS, 0, 3, 9))
 
     def test_at_the_limit_one_is_opened_only_in_place_of_an_idle_one(self):
-        self.assertFalse(has_room_for_opening(0, idle=0, count=9, allowed=9))
-        self.assertTrue(has_room_for_opening(0, idle=1, count=9, allowed=9))
+        self.assertFalse(may_open_connection(0, idle=0, count=9, allowed=9))
+        self.assertTrue(may_open_connection(0, idle=1, count=9, allowed=9))
 
     def test_a_connection_that_may_come_back_is_waited_for_as_long_as_an_opening_takes(self):
         for waited, expected in ((30.0 - JUST, Opening.WAIT), (30.0, Opening.NOW)):
-            self.assertIs(judge_opening(1, 0, True, waited, 30.0), expected)
+            self.assertIs(decide_opening(1, 0, True, waited, 30.0), expected)
 
     def test_none_is_waited_for_that_can_not_come_back(self):
-        self.assertIs(judge_opening(1, 0, False, 0.0, 30.0), Opening.NOW)
+        self.assertIs(decide_opening(1, 0, False, 0.0, 30.0), Opening.NOW)
 
     def test_no_more_are_opened_for_a_tenant_than_wait(self):
-        self.assertIs(judge_opening(2, 2, False, 9000.0, 30.0), Opening.ENOUGH)
-        self.assertIs(judge_opening(3, 2, False, 9000.0, 30.0), Opening.NOW)
+        self.assertIs(decide_opening(2, 2, False, 9000.0, 30.0), Opening.ENOUGH)
+        self.assertIs(decide_opening(3, 2, False, 9000.0, 30.0), Opening.NOW)
 
     def test_a_slow_opening_does_not_make_everybody_wait(self):
         average = INITIAL_OPENING_MS
         for _ in range(100):
             average = smoothed_opening(average, 1000.0)
-        self.assertEqual(average, LONGEST_OPENING_MS)
+        self.assertEqual(average, MAX_OPENING_MS)
 
     def test_a_full_member_is_asked_for_no_more_for_a_while(self):
         cap = ConnectionCap()
-        cap.note_crowded(3, now=10_000.0)
-        self.assertEqual(cap.allowed(14, 10_000.0 + CROWDED_MS - JUST), 3)
-        self.assertEqual(cap.allowed(14, 10_000.0 + CROWDED_MS), 14)
+        cap.note_limit_reached(3, now=10_000.0)
+        self.assertEqual(cap.allowed(14, 10_000.0 + CONNECTION_CAP_MS - JUST), 3)
+        self.assertEqual(cap.allowed(14, 10_000.0 + CONNECTION_CAP_MS), 14)
         self.assertEqual(cap.allowed(2, 10_000.0), 2)
 
     def test_one_may_be_tried_at_a_full_member_though_none_is_open(self):
         cap = ConnectionCap()
-        cap.note_crowded(0, now=10_000.0)
+        cap.note_limit_reached(0, now=10_000.0)
         self.assertEqual(cap.allowed(14, 10_000.0), 1)
 
 
 class IdleRulesTest(unittest.TestCase):
     def test_the_last_one_is_kept_however_long_it_is_idle(self):
-        last = KEPT_IDLE + 2
-        limits = [idle_limit(place, last + 1, 0, True, True) for place in range(last + 1)]
-        self.assertEqual(limits, [TENANT_IDLE_MS] * last + [math.inf] * KEPT_IDLE)
+        last = MIN_IDLE_CONNECTIONS + 2
+        limits = [idle_timeout(place, last + 1, 0, True, True) for place in range(last + 1)]
+        self.assertEqual(
+            limits, [TENANT_IDLE_TIMEOUT_MS] * last + [math.inf] * MIN_IDLE_CONNECTIONS
+        )
 
     def test_one_of_a_tenant_is_kept_longer_than_one_of_nobody(self):
-        self.assertEqual(idle_limit(0, 5, 0, True, True), TENANT_IDLE_MS)
-        self.assertEqual(idle_limit(0, 5, 0, True, False), IDLE_MS)
+        self.assertEqual(idle_timeout(0, 5, 0, True, True), TENANT_IDLE_TIMEOUT_MS)
+        self.assertEqual(idle_timeout(0, 5, 0, True, False), IDLE_TIMEOUT_MS)
 
     def test_those_beyond_what_is_to_be_left_free_go_sooner(self):
-        self.assertEqual(idle_limit(0, 5, 1, True, True), SPARE_IDLE_MS)
-        self.assertEqual(idle_limit(1, 5, 1, True, True), TENANT_IDLE_MS)
-        self.assertEqual(idle_limit(0, 5, 1, True, False), IDLE_MS)
+        self.assertEqual(idle_timeout(0, 5, 1, True, True), SURPLUS_IDLE_TIMEOUT_MS)
+        self.assertEqual(idle_timeout(1, 5, 1, True, True), TENANT_IDLE_TIMEOUT_MS)
+        self.assertEqual(idle_timeout(0, 5, 1, True, False), IDLE_TIMEOUT_MS)
 
     def test_what_another_gateway_is_to_hold_goes_at_once_and_to_the_last(self):
         for place in range(3):
-            self.assertEqual(idle_limit(place, 3, 0, False, True), GIVEN_UP_IDLE_MS)
+            self.assertEqual(idle_timeout(place, 3, 0, False, True), UNROUTED_IDLE_TIMEOUT_MS)
 
     def test_half_of_the_limit_is_left_free_for_successors(self):
-        self.assertEqual(spare_connections(14, 14), 7)
-        self.assertEqual(spare_connections(7, 13), 0)
+        self.assertEqual(surplus_connections(14, 14), 7)
+        self.assertEqual(surplus_connections(7, 13), 0)
 
 
 class MemberHealthTest(unittest.TestCase):
     def test_each_failure_running_doubles_the_time_up_to_a_bound(self):
         times = [backoff_ms(failures) for failures in range(1, 8)]
-        self.assertEqual(times[0], 2 * MINIMUM_BACKOFF_MS)
+        self.assertEqual(times[0], 2 * BASE_BACKOFF_MS)
         self.assertEqual(times[1], 2 * times[0])
         self.assertEqual(times[-1], MAXIMUM_BACKOFF_MS)
 
@@ -137,7 +139,7 @@
         health.note_failure(10_000.0)
         health.note_answer(is_error=True, now=11_000.0)
         self.assertTrue(health.is_suspect(11_000.0, load=1))
-        self.assertGreater(health.error_share(11_000.0), 0)
+        self.assertGreater(health.error_rate(11_000.0), 0)
         health.note_answer(is_error=False, now=11_000.0)
         self.assertFalse(health.is_suspect(11_000.0, load=1))
 
@@ -156,29 +158,29 @@
 
 class IdleTransactionsTest(unittest.TestCase):
     def test_one_is_ended_for_each_that_has_waited_long(self):
-        self.assertEqual(count_to_end([PRESSURE_MS] * 2, [9000.0] * 5), 2)
-        self.assertEqual(count_to_end([PRESSURE_MS - JUST] * 2, [9000.0] * 5), 0)
+        self.assertEqual(count_to_reclaim([RECLAIM_WAIT_MS] * 2, [9000.0] * 5), 2)
+        self.assertEqual(count_to_reclaim([RECLAIM_WAIT_MS - JUST] * 2, [9000.0] * 5), 0)
 
     def test_one_that_has_just_become_idle_is_left_to_its_client(self):
-        idle = [9000.0, LONG_IDLE_MS, LONG_IDLE_MS - JUST]
-        self.assertEqual(count_to_end([9000.0] * 5, idle), 2)
+        idle = [9000.0, RECLAIM_IDLE_MS, RECLAIM_IDLE_MS - JUST]
+        self.assertEqual(count_to_reclaim([9000.0] * 5, idle), 2)
 
 
 # What each constant was in seconds, before times here were counted in milliseconds.
 SECONDS = (
     (error_rate.ERROR_DECAY_MS, 2.0),
-    (idle_rules.IDLE_MS, 0.6),
-    (idle_rules.TENANT_IDLE_MS, 30.0),
-    (idle_rules.GIVEN_UP_IDLE_MS, 0.1),
-    (idle_rules.SPARE_IDLE_MS, 2.0),
-    (idle_transactions.PRESSURE_MS, 0.04),
-    (idle_transactions.LONG_IDLE_MS, 0.5),
-    (leases.INITIAL_ANSWER_MS, 0.02),
-    (member_health.MINIMUM_BACKOFF_MS, 0.1),
+    (idle_rules.IDLE_TIMEOUT_MS, 0.6),
+    (idle_rules.TENANT_IDLE_TIMEOUT_MS, 30.0),
+    (idle_rules.UNROUTED_IDLE_TIMEOUT_MS, 0.1),
+    (idle_rules.SURPLUS_IDLE_TIMEOUT_MS, 2.0),
+    (idle_transactions.RECLAIM_WAIT_MS, 0.04),
+    (idle_transactions.RECLAIM_IDLE_MS, 0.5),
+    (leases.INITIAL_LATENCY_MS, 0.02),
+    (member_health.BASE_BACKOFF_MS, 0.1),
     (member_health.MAXIMUM_BACKOFF_MS, 2.0),
-    (opening_rules.CROWDED_MS, 0.5),
+    (opening_rules.CONNECTION_CAP_MS, 0.5),
     (opening_rules.INITIAL_OPENING_MS, 0.03),
-    (opening_rules.LONGEST_OPENING_MS, 0.1),
+    (opening_rules.MAX_OPENING_MS, 0.1),
 )
 
 
--- a/tests/gateway/test_primary_rules.py
+++ b/tests/gateway/test_primary_rules.py
@@ -1,4 +1,4 @@
-"""What is believed of a primary, and when members are sampled."""
+"""State of a service's primary, and the rules for sampling members."""
 
 import unittest
 
@@ -10,129 +10,148 @@
     PrimaryState,
 )
 from rowanrail.members.sampling_rules import (
-    LOAN_WAIT_SECONDS,
+    DEDICATED_CONNECTION_SECONDS,
+    LEASE_WAIT_SECONDS,
     OPEN_TIMEOUT_SECONDS,
-    OWN_CONNECTION_SECONDS,
-    RETRY_CROWDED_SECONDS,
-    RETRY_OPEN_SECONDS,
+    RETRY_CONNECTION_LIMIT_SECONDS,
+    RETRY_FAILED_SECONDS,
     SAMPLE_TIMEOUT_SECONDS,
-    LateSample,
-    is_needless,
+    SampleTimeoutAction,
     is_sample_due,
-    judge_late,
-    may_borrow,
+    may_close_dedicated,
     retry_at,
+    sample_timeout_action,
+    should_use_pool,
 )
 
-JUST = 0.001  # seconds more or less than a bound
+EPSILON = 0.001  # seconds on either side of a bound
 
 
-class PrimaryBeliefTest(unittest.TestCase):
+class PrimaryStateTest(unittest.TestCase):
     def setUp(self):
-        self.belief = PrimaryState("m1", proved_at=10.0)
-
-    def test_a_claim_counts_only_while_none_is_known_or_the_believed_one_fails(self):
-        self.assertFalse(self.belief.note_members(["m1", "m2"], claims=["m2"]))
-        self.belief.note_failure("m1", 11.0)
-        self.assertTrue(self.belief.note_members(["m1", "m2"], claims=["m2"]))
-        self.assertEqual(self.belief.presumed_primary, "m2")
-
-    def test_the_believed_one_may_call_itself_primary_beside_another(self):
-        self.belief.note_failure("m1", 11.0)
-        self.assertFalse(self.belief.note_members(["m1", "m2"], claims=["m2", "m1"]))
-        self.assertEqual(self.belief.presumed_primary, "m1")
-
-    def test_one_that_left_is_believed_no_more(self):
-        self.assertFalse(self.belief.note_members(["m2"], claims=[]))
-        self.assertEqual(self.belief.presumed_primary, "")
-
-    def test_silence_of_another_member_is_no_failure_of_the_primary(self):
-        self.belief.note_failure("m2", 11.0)
-        self.assertEqual(self.belief.failing_since, 0.0)
-
-    def test_any_silence_is_a_failure_while_no_primary_is_known(self):
-        belief = PrimaryState()
-        belief.note_failure("m2", 11.0)
-        self.assertEqual(belief.failing_since, 11.0)
-
-    def test_a_failure_counts_from_its_first_sign(self):
-        self.belief.note_failure("m1", 11.0)
-        self.belief.note_failure("m1", 12.0)
-        self.assertEqual(self.belief.failing_since, 11.0)
-
-    def test_a_refusal_as_replica_ends_the_belief_in_that_member_only(self):
-        self.assertFalse(self.belief.note_not_primary("m2", 11.0))
-        self.assertTrue(self.belief.note_not_primary("m1", 11.0))
-        self.assertEqual((self.belief.presumed_primary, self.belief.failing_since), ("", 11.0))
-
-    def test_an_alarm_is_raised_once_and_ended_once(self):
-        self.assertFalse(self.belief.raise_alarm(99.0))
-        self.belief.note_failure("m1", 11.0)
-        self.assertFalse(self.belief.raise_alarm(11.0 + ALARM_SECONDS - JUST))
-        self.assertTrue(self.belief.raise_alarm(11.0 + ALARM_SECONDS + JUST))
-        self.assertFalse(self.belief.raise_alarm(12.0))
-        self.assertTrue(self.belief.end_failure())
-        self.assertTrue(self.belief.end_alarm())
-        self.assertFalse(self.belief.end_alarm())
-
-    def test_it_is_long_lost_after_the_time_for_a_successor(self):
-        self.belief.note_failure("m1", 11.0)
-        self.assertFalse(self.belief.is_failover_overdue(11.0 + FAILOVER_OVERDUE_SECONDS - JUST))
-        self.assertTrue(self.belief.is_failover_overdue(11.0 + FAILOVER_OVERDUE_SECONDS + JUST))
-        self.belief.end_failure()
-        self.assertFalse(self.belief.is_failover_overdue(99.0))
-
-    def test_searches_are_spaced(self):
-        self.assertTrue(self.belief.begin_search(11.0))
-        self.assertFalse(self.belief.begin_search(11.0 + SEARCH_INTERVAL_SECONDS - JUST))
-        self.assertTrue(self.belief.begin_search(11.0 + SEARCH_INTERVAL_SECONDS + JUST))
-
-    def test_a_primary_that_fails_is_searched_for_less_often(self):
-        self.assertFalse(self.belief.is_search_due(11.0))
-        self.belief.note_failure("m1", 11.0)
-        self.belief.begin_search(11.0)
+        self.state = PrimaryState("m1", proved_at=10.0)
+
+    def test_a_claim_counts_only_while_no_primary_is_known_or_it_fails(self):
+        self.assertFalse(self.state.note_members(["m1", "m2"], claims=["m2"]))
+        self.state.note_failure("m1", 11.0)
+        self.assertTrue(self.state.note_members(["m1", "m2"], claims=["m2"]))
+        self.assertEqual(self.state.presumed_primary, "m2")
+
+    def test_the_presumed_primary_may_claim_beside_another_member(self):
+        self.state.note_failure("m1", 11.0)
+        self.assertFalse(self.state.note_members(["m1", "m2"], claims=["m2", "m1"]))
+        self.assertEqual(self.state.presumed_primary, "m1")
+
+    def test_a_member_that_left_is_no_longer_presumed_primary(self):
+        self.assertFalse(self.state.note_members(["m2"], claims=[]))
+        self.assertEqual(self.state.presumed_primary, "")
+
+    def test_a_failure_of_another_member_does_not_count(self):
+        self.state.note_failure("m2", 11.0)
+        self.assertEqual(self.state.failing_since, 0.0)
+
+    def test_any_failure_counts_while_no_primary_is_known(self):
+        state = PrimaryState()
+        state.note_failure("m2", 11.0)
+        self.assertEqual(state.failing_since, 11.0)
+
+    def test_a_failure_is_timed_from_its_first_report(self):
+        self.state.note_failure("m1", 11.0)
+        self.state.note_failure("m1", 12.0)
+        self.assertEqual(self.state.failing_since, 11.0)
+
+    def test_a_not_primary_refusal_clears_only_the_presumed_primary(self):
+        self.assertFalse(self.state.note_not_primary("m2", 11.0))
+        self.assertTrue(self.state.note_not_primary("m1", 11.0))
+        self.assertEqual((self.state.presumed_primary, self.state.failing_since), ("", 11.0))
+
+    def test_an_alarm_is_raised_once_and_cleared_once(self):
+        self.assertFalse(self.state.raise_alarm(99.0))
+        self.state.note_failure("m1", 11.0)
+        self.assertFalse(self.state.raise_alarm(11.0 + ALARM_SECONDS - EPSILON))
+        self.assertTrue(self.state.raise_alarm(11.0 + ALARM_SECONDS + EPSILON))
+        self.assertFalse(self.state.raise_alarm(12.0))
+        self.assertTrue(self.state.clear_failure())
+        self.assertTrue(self.state.clear_alarm())
+        self.assertFalse(self.state.clear_alarm())
+
+    def test_failover_is_overdue_after_the_usual_failover_time(self):
+        self.state.note_failure("m1", 11.0)
+        self.assertFalse(self.state.is_failover_overdue(11.0 + FAILOVER_OVERDUE_SECONDS - EPSILON))
+        self.assertTrue(self.state.is_failover_overdue(11.0 + FAILOVER_OVERDUE_SECONDS + EPSILON))
+        self.state.clear_failure()
+        self.assertFalse(self.state.is_failover_overdue(99.0))
+
+    def test_searches_have_a_minimum_interval(self):
+        self.assertTrue(self.state.try_begin_search(11.0))
+        self.assertFalse(self.state.try_begin_search(11.0 + SEARCH_INTERVAL_SECONDS - EPSILON))
+        self.assertTrue(self.state.try_begin_search(11.0 + SEARCH_INTERVAL_SECONDS + EPSILON))
+
+    def test_searches_for_a_failing_primary_are_less_frequent(self):
+        self.assertFalse(self.state.is_search_due(11.0))
+        self.state.note_failure("m1", 11.0)
+        self.state.try_begin_search(11.0)
         spacing = SEARCH_INTERVAL_SECONDS + FAILING_SEARCH_PAUSE_SECONDS
-        self.assertFalse(self.belief.is_search_due(11.0 + spacing - JUST))
-        self.assertTrue(self.belief.is_search_due(11.0 + spacing + JUST))
+        self.assertFalse(self.state.is_search_due(11.0 + spacing - EPSILON))
+        self.assertTrue(self.state.is_search_due(11.0 + spacing + EPSILON))
 
 
 class SamplingRulesTest(unittest.TestCase):
-    def test_a_connection_of_the_pool_is_waited_for_a_short_while(self):
-        early, late = LOAN_WAIT_SECONDS - JUST, LOAN_WAIT_SECONDS + JUST
-        self.assertIs(judge_late(early, True, False), LateSample.WAIT)
-        self.assertIs(judge_late(late, True, False), LateSample.OPEN_OWN)
-        self.assertIs(judge_late(late, False, False), LateSample.WAIT)
-
-    def test_an_answer_that_is_late_ends_the_connection(self):
-        self.assertIs(judge_late(SAMPLE_TIMEOUT_SECONDS, False, True), LateSample.WAIT)
-        self.assertIs(judge_late(SAMPLE_TIMEOUT_SECONDS + JUST, False, True), LateSample.GIVE_UP)
-
-    def test_an_opening_that_is_late_counts_early_and_ends_late(self):
-        self.assertIs(judge_late(SAMPLE_TIMEOUT_SECONDS + JUST, False, False), LateSample.SUSPECT)
-        self.assertIs(judge_late(OPEN_TIMEOUT_SECONDS, False, False), LateSample.SUSPECT)
-        self.assertIs(judge_late(OPEN_TIMEOUT_SECONDS + JUST, False, False), LateSample.GIVE_UP)
-
-    def test_a_sample_is_asked_for_where_somebody_waits_or_the_last_proof_is_old(self):
+    def test_a_pooled_connection_is_waited_for_only_briefly(self):
+        early, late = LEASE_WAIT_SECONDS - EPSILON, LEASE_WAIT_SECONDS + EPSILON
+        self.assertIs(sample_timeout_action(early, True, False), SampleTimeoutAction.WAIT)
+        self.assertIs(sample_timeout_action(late, True, False), SampleTimeoutAction.OPEN_DEDICATED)
+        self.assertIs(sample_timeout_action(late, False, False), SampleTimeoutAction.WAIT)
+
+    def test_a_late_answer_closes_the_connection(self):
+        self.assertIs(
+            sample_timeout_action(SAMPLE_TIMEOUT_SECONDS, False, True), SampleTimeoutAction.WAIT
+        )
+        self.assertIs(
+            sample_timeout_action(SAMPLE_TIMEOUT_SECONDS + EPSILON, False, True),
+            SampleTimeoutAction.GIVE_UP,
+        )
+
+    def test_a_slow_open_is_reported_early_and_abandoned_late(self):
+        self.assertIs(
+            sample_timeout_action(SAMPLE_TIMEOUT_SECONDS + EPSILON, False, False),
+            SampleTimeoutAction.SUSPECT,
+        )
+        self.assertIs(
+            sample_timeout_action(OPEN_TIMEOUT_SECONDS, False, False), SampleTimeoutAction.SUSPECT
+        )
+        self.assertIs(
+            sample_timeout_action(OPEN_TIMEOUT_SECONDS + EPSILON, False, False),
+            SampleTimeoutAction.GIVE_UP,
+        )
+
+    def test_a_sample_is_due_when_a_read_waits_or_the_last_proof_is_old(self):
         self.assertTrue(is_sample_due(True, False, 0.0, 0.3))
         self.assertTrue(is_sample_due(False, True, 0.4, 0.3))
         self.assertFalse(is_sample_due(False, True, 0.2, 0.3))
         self.assertFalse(is_sample_due(False, False, 9.0, 0.3))
 
-    def test_a_connection_is_borrowed_only_at_a_primary_that_answers(self):
-        self.assertTrue(may_borrow(True, False, False, can_lend=True))
-        self.assertTrue(may_borrow(True, False, True, can_lend=False))
-        self.assertFalse(may_borrow(True, False, False, can_lend=False))
-        self.assertFalse(may_borrow(False, False, True, can_lend=True))
-        self.assertFalse(may_borrow(True, True, True, can_lend=True))
-
-    def test_a_connection_of_its_own_is_kept_while_it_is_of_use(self):
-        old = OWN_CONNECTION_SECONDS + JUST
-        self.assertTrue(is_needless(False, False, True, 0.0, can_borrow=False))
-        self.assertTrue(is_needless(False, True, True, old, can_borrow=True))
-        self.assertFalse(is_needless(False, True, True, old, can_borrow=False))
-        self.assertFalse(is_needless(False, True, True, OWN_CONNECTION_SECONDS, can_borrow=True))
-        self.assertFalse(is_needless(True, False, True, old, can_borrow=True))
-
-    def test_a_member_that_is_full_is_asked_again_sooner_than_one_that_fails(self):
-        self.assertEqual(retry_at(10.0, is_crowded=True), 10.0 + RETRY_CROWDED_SECONDS)
-        self.assertEqual(retry_at(10.0, is_crowded=False), 10.0 + RETRY_OPEN_SECONDS)
+    def test_the_pool_is_used_only_for_a_primary_that_answers(self):
+        self.assertTrue(should_use_pool(True, False, False, can_lease=True))
+        self.assertTrue(should_use_pool(True, False, True, can_lease=False))
+        self.assertFalse(should_use_pool(True, False, False, can_lease=False))
+        self.assertFalse(should_use_pool(False, False, True, can_lease=True))
+        self.assertFalse(should_use_pool(True, True, True, can_lease=True))
+
+    def test_a_dedicated_connection_is_kept_while_needed(self):
+        old = DEDICATED_CONNECTION_SECONDS + EPSILON
+        self.assertTrue(may_close_dedicated(False, False, True, 0.0, pool_available=False))
+        self.assertTrue(may_close_dedicated(False, True, True, old, pool_available=True))
+        self.assertFalse(may_close_dedicated(False, True, True, old, pool_available=False))
+        self.assertFalse(
+            may_close_dedicated(
+                False, True, True, DEDICATED_CONNECTION_SECONDS, pool_available=True
+            )
+        )
+        self.assertFalse(may_close_dedicated(True, False, True, old, pool_available=True))
+
+    def test_a_member_at_its_connection_limit_is_retried_sooner_than_a_failed_one(self):
+        self.assertEqual(
+            retry_at(10.0, is_at_connection_limit=True), 10.0 + RETRY_CONNECTION_LIMIT_SECONDS
+        )
+        self.assertEqual(retry_at(10.0, is_at_connection_limit=False), 10.0 + RETRY_FAILED_SECONDS)
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -265,8 +265,10 @@
         asked = len(played.near.ran)
         played.clock.advance(1.0)
         self.assertEqual(len(played.near.ran), asked)
-        probes = played.gateway.services["db"].primary._sampler._probes
-        self.assertEqual([name for name, probe in probes.items() if probe.is_open], ["m3"])
+        connections = played.gateway.services["db"].primary._sampler._connections
+        self.assertEqual(
+            [name for name, connection in connections.items() if connection.is_open], ["m3"]
+        )
 
     def test_writes_go_on_as_soon_as_it_proves_to_lead_again(self):
         # Found by the simulator (relayed-statements, seeds 294, 331, 471): the pool of a primary
