--- a/src/rowanrail/gateway/pools/__init__.py
+++ b/src/rowanrail/gateway/pools/__init__.py
@@ -1,5 +1,4 @@
-"""Connections to one member and the queue for them.
+"""Connection pools: the connections to one member and the queue of requests for them.
 
-Owns which connections are idle, leased or being opened, and who waits for one. Relies on
-``members`` for the connection itself.
+The connection itself is defined in :mod:`rowanrail.members.channel`.
 """
--- a/src/rowanrail/gateway/pools/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -1,8 +1,7 @@
-"""The connections of one pool: idle, in use, held by idle transactions or being opened.
+"""Connections of one pool: idle, leased, held by idle transactions or being opened.
 
-Owns all that there are of one member and their limit; relies on
-:mod:`rowanrail.gateway.pools.opening_rules` for when one more is opened and on
-:mod:`rowanrail.gateway.pools.idle_rules` for how long one is kept.
+The rules are in :mod:`rowanrail.gateway.pools.opening_rules` and
+:mod:`rowanrail.gateway.pools.idle_rules`.
 """
 
 from collections.abc import Callable
@@ -11,7 +10,11 @@
 from rowanrail.gateway.pools.idle_rules import surplus_connections
 from rowanrail.gateway.pools.idle_transactions import IdleTransactions
 from rowanrail.gateway.pools.leases import Leases
-from rowanrail.gateway.pools.opening_rules import Opening, decide_opening, may_open_connection
+from rowanrail.gateway.pools.opening_rules import (
+    OpeningDecision,
+    decide_opening,
+    may_open_connection,
+)
 from rowanrail.gateway.pools.openings import Openings
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.channel import Channel, MemberDriver
@@ -22,59 +25,59 @@
 
 
 class Connections:
-    """At most ``limit`` connections to one member; each may be a tenant's."""
+    """Connections to one member, at most ``limit``; each may be bound to a tenant."""
 
     def __init__(self, limit: int, driver: MemberDriver, clock: Clock) -> None:
         self.limit = limit
         self.idle = IdleChannels()
         self.leases = Leases(clock)
-        self.opening = Openings(driver, clock)
+        self.openings = Openings(driver, clock)
         self.idle_transactions = IdleTransactions(clock)
         self._clock = clock
 
     @property
     def established(self) -> int:
-        """Number of those that are open."""
+        """Number of open connections."""
         return len(self.idle) + len(self.leases)
 
     @property
     def count(self) -> int:
-        """Number of those that are open or being opened."""
-        return self.established + len(self.opening)
+        """Number of connections that are open or being opened."""
+        return self.established + len(self.openings)
 
     @property
     def in_flight(self) -> int:
-        """Number of those that occupy the member, those of idle transactions left out."""
-        return max(0, len(self.leases) - len(self.idle_transactions)) + len(self.opening)
+        """Number of leases and openings that occupy the member; idle transactions do not."""
+        return max(0, len(self.leases) - len(self.idle_transactions)) + len(self.openings)
 
     @property
-    def allowed(self) -> int:
-        """How many there may be now."""
-        return self.opening.allowed(self.limit)
+    def effective_limit(self) -> int:
+        """How many connections are allowed now."""
+        return self.openings.effective_limit(self.limit)
 
     @property
     def max_in_flight(self) -> int:
-        """How many can be under way: an idle transaction keeps its own."""
-        return max(self.allowed, self.count) - len(self.idle_transactions)
+        """Upper bound of ``in_flight``, as idle transactions keep their connections."""
+        return max(self.effective_limit, self.count) - len(self.idle_transactions)
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether all that there may be are in use."""
-        return not self.idle and self.count >= self.allowed
+        """Whether all allowed connections are in use."""
+        return not self.idle and self.count >= self.effective_limit
 
     @property
-    def can_lease(self) -> bool:
-        """Whether one may be opened for a sample; it would be no tenant's."""
-        return self.count < self.allowed and not self.leases.has_tenant_leases
+    def can_open_for_sample(self) -> bool:
+        """Whether a connection that is bound to no tenant may be opened for a sample."""
+        return self.count < self.effective_limit and not self.leases.has_tenant_leases
 
     def may_be_released(self, tenant: str) -> bool:
-        """Whether one of a tenant is in use by more than an idle transaction."""
-        if self.opening.of(tenant):
+        """Whether one of a tenant is being opened, or leased by other than an idle transaction."""
+        if self.openings.count_for(tenant):
             return True
-        return self.leases.of(tenant) > self.idle_transactions.count_for(tenant)
+        return self.leases.count_for(tenant) > self.idle_transactions.count_for(tenant)
 
     def has_connection_for(self, tenant: str | None) -> bool:
-        """Whether one that is there would be of use to a tenant, now or when it comes back."""
+        """Whether a tenant can use an existing connection, now or after its release."""
         if tenant is None:
             return self.established > 0
         return tenant in self.idle.tenants or self.may_be_released(tenant)
@@ -82,28 +85,32 @@
     # Opening
 
     def should_open(self, tenant: str | None, waiting: int, waited: float) -> bool:
-        """Whether one should be opened for a tenant, None for whoever comes.
+        """Whether to open a connection for waiting statements.
 
         Parameters
         ----------
+        tenant : str or None
+            Tenant whose connection is wanted; None if any will do.
         waiting : int
-            How many want one of the tenant.
+            Number of statements that wait for it.
         waited : float
-            Milliseconds for which the first of them has waited.
+            Time in milliseconds for which the first of them has waited.
         """
-        if not may_open_connection(len(self.opening), len(self.idle), self.count, self.allowed):
+        if not may_open_connection(
+            len(self.openings), len(self.idle), self.count, self.effective_limit
+        ):
             return False
         if tenant is None and self.leases.has_tenant_leases:
-            return False  # the next that is released will do
+            return False  # the next one released will do
         owner = tenant or ""
-        verdict = decide_opening(
+        decision = decide_opening(
             waiting,
-            self.opening.of(owner),
+            self.openings.count_for(owner),
             self.may_be_released(owner),
             waited,
-            self.opening.average,
+            self.openings.average,
         )
-        return verdict is Opening.NOW
+        return decision is OpeningDecision.NOW
 
     def open(
         self,
@@ -112,30 +119,39 @@
         is_wanted: Callable[[str], bool],
         respond: Callable[[Channel, Answer], None],
     ) -> bool:
-        """Begin to open one, in place of an idle one if need be; return False if none may be."""
-        if self.count >= self.allowed:
+        """Start to open a connection; return False if the limit does not allow it.
+
+        Parameters
+        ----------
+        is_wanted : callable
+            Returns whether statements of a tenant wait. At the limit an idle connection is closed,
+            if possible one that no statement waits for.
+        respond : callable
+            Called with the channel and how the opening ended.
+        """
+        if self.count >= self.effective_limit:
             self._close_idle(is_wanted)
-        if self.count >= self.allowed:
+        if self.count >= self.effective_limit:
             return False
-        self.opening.start(record, tenant, respond)
+        self.openings.start(record, tenant, respond)
         return True
 
     def _close_idle(self, is_wanted: Callable[[str], bool]) -> None:
-        spare = self.idle.spare(is_wanted)
-        if spare is not None:
-            # Its end reaches the member before the start of the next one, which comes later.
-            self.idle.discard(spare)
-            spare.close()
+        candidate = self.idle.eviction_candidate(is_wanted)
+        if candidate is not None:
+            # The member sees this close before the next open, which is sent later.
+            self.idle.discard(candidate)
+            candidate.close()
 
     # Use
 
     def lease(self, channel: Channel) -> None:
-        """Note that one is in use."""
+        """Record that a connection is in use."""
         self.leases.begin(channel)
         channel.on_closed = lambda channel: None
 
-    def keep(self, channel: Channel) -> None:
-        """Keep one that is free, if it is of any more use."""
+    def take_back(self, channel: Channel) -> None:
+        """Take back a released connection; close it if it cannot be reused."""
         if channel.busy or channel.in_transaction or self.count >= self.limit:
             channel.close()
         if channel.closed:
@@ -144,27 +160,27 @@
         channel.on_closed = self.idle.discard
         self.idle.add(channel)
 
-    def trim(self, now: float, is_kept: Callable[[str], bool]) -> None:
-        """Close idle ones that nobody has needed for a while, sooner if there are many.
+    def trim(self, now: float, is_routed_here: Callable[[str], bool]) -> None:
+        """Close connections that exceed their idle timeout.
 
         Parameters
         ----------
         now : float
-            Steady milliseconds.
-        is_kept : callable
-            Says whether a tenant's statements come to this gateway.
+            Monotonic milliseconds.
+        is_routed_here : callable
+            Returns whether a tenant's statements are routed to this gateway.
         """
-        self.idle.trim(now, is_kept, surplus_connections(self.count, self.limit))
+        self.idle.trim(now, is_routed_here, surplus_connections(self.count, self.limit))
 
     def set_limit(self, limit: int) -> None:
-        """Change the limit; surplus idle ones are closed."""
+        """Change the limit; close idle connections beyond it."""
         self.limit = limit
         while self.idle and self.count > limit:
             self._close_idle(lambda tenant: False)
 
     def close(self) -> None:
-        """Close all that are not in use, and keep none from now on."""
+        """Close all connections that are not leased, and keep none from now on."""
         self.limit = 0
         for channel in self.idle.take_all():
             channel.close()
-        self.opening.close()
+        self.openings.close()
--- a/src/rowanrail/gateway/pools/error_rate.py
+++ b/src/rowanrail/gateway/pools/error_rate.py
@@ -1,19 +1,19 @@
-"""The rate of a member's latest answers that were errors of its own.
+"""Moving average of a member's error rate.
 
-A moving average on plain values, in steady milliseconds. Without new answers it fades, so that a
-member that nobody asks is asked again.
+It decays without new answers, so that an unused member is tried again. Times are monotonic
+milliseconds.
 """
 
 import math
 
 __all__ = ["ErrorRate"]
 
-ERROR_SMOOTHING = 0.2  # of the newest answer in the rate of answers that were errors
-ERROR_DECAY_MS = 2000.0  # after it a rate without new answers has shrunk to 1/e
+ERROR_WEIGHT = 0.2  # weight of the newest answer
+ERROR_DECAY_MS = 2000.0  # time in which the rate decays to 1/e without new answers
 
 
 class ErrorRate:
-    """A moving average that is forgotten with time.
+    """Exponentially weighted share of answers that were errors, with decay over time.
 
     Examples
     --------
@@ -24,18 +24,18 @@
     """
 
     def __init__(self) -> None:
-        self._rate = 0.0
+        self._share = 0.0
         self._noted_at = 0.0
 
     def note(self, newest: float, now: float) -> None:
         """Note an answer: 1 for an error, 0 for any other."""
-        rate = self.at(now)
-        if rate or newest:
-            self._rate = rate + ERROR_SMOOTHING * (newest - rate)
+        share = self.at(now)
+        if share or newest:
+            self._share = share + ERROR_WEIGHT * (newest - share)
             self._noted_at = now
 
     def at(self, now: float) -> float:
-        """Return the rate at a moment in milliseconds."""
-        if not self._rate:
+        """Return the error rate at ``now``, from 0 to 1."""
+        if not self._share:
             return 0.0
-        return self._rate * math.exp((self._noted_at - now) / ERROR_DECAY_MS)
+        return self._share * math.exp((self._noted_at - now) / ERROR_DECAY_MS)
--- a/src/rowanrail/gateway/pools/forecasts.py
+++ b/src/rowanrail/gateway/pools/forecasts.py
@@ -1,7 +1,6 @@
-"""What a statement can expect at one member.
+"""Forecasts of the wait and response time of a statement at one member.
 
-Owns the member's usual answer time and how far earlier forecasts were out; reads the connections,
-the concurrency limit and the wait queue of the pool. The rule is
+Keeps the member's average latency and the errors of earlier forecasts. The formula is in
 :mod:`rowanrail.scheduling.wait_forecast`.
 """
 
@@ -18,22 +17,22 @@
 
 
 class MemberForecasts:
-    """Forecasts for statements that come to one member, or wait for it.
+    """Forecasts for statements that arrive at one member's pool or wait in it.
 
     Parameters
     ----------
     connections : Connections
-        Those to the member.
+        Connections to the member.
     concurrency : ConcurrencyLimit
-        How many statements may be under way there.
+        How many statements may be in flight there.
     queue : WaitQueue
-        Those who wait.
+        Statements and samples that wait for a connection.
     """
 
     def __init__(
         self, connections: Connections, concurrency: ConcurrencyLimit, queue: WaitQueue
     ) -> None:
-        self.latency = INITIAL_LATENCY_MS  # ms that an answer takes, as smoothed
+        self.latency = INITIAL_LATENCY_MS  # moving average in ms
         self.errors = ForecastErrors()
         self._connections = connections
         self._concurrency = concurrency
@@ -41,9 +40,9 @@
 
     @property
     def expected_wait(self) -> float:
-        """Milliseconds for which somebody who comes now waits for a connection, about."""
-        # A connection that is being opened is for somebody who waits already.
-        return self._wait(len(self._queue) - len(self._connections.opening), self._places)
+        """Expected wait for a connection in milliseconds, for a statement that arrives now."""
+        # Connections being opened are for statements that wait already.
+        return self._wait(len(self._queue) - len(self._connections.openings), self._places)
 
     @property
     def _places(self) -> int:
@@ -54,13 +53,13 @@
         return expected_wait(ahead, places, connections.in_flight, connections.leases.average)
 
     def for_entry(self, entry: QueueEntry) -> Forecast:
-        """Return what a statement that comes now, or waits already, can expect here."""
+        """Return the forecast for a statement that arrives now or waits already."""
         connections, places = self._connections, self._places
         needs_opening = not connections.has_connection_for(entry.tenant)
-        ahead = self._queue.ahead_of(entry, needs_opening) - len(connections.opening)
-        ahead = max(0.0, ahead)  # who has a connection coming is no longer before it
+        ahead = self._queue.ahead_of(entry, needs_opening) - len(connections.openings)
+        ahead = max(0.0, ahead)  # those with a connection being opened are no longer ahead
         wait = self._wait(ahead, places)
-        opening = connections.opening.average if needs_opening else 0.0
+        opening = connections.openings.average if needs_opening else 0.0
         return Forecast(
             wait + opening,
             self.latency,
@@ -70,5 +69,5 @@
         )
 
     def note_latency(self, taken: float) -> None:
-        """Note how many milliseconds the member's answer took."""
+        """Update the average latency with an answer that took ``taken`` milliseconds."""
         self.latency += LATENCY_SMOOTHING * (taken - self.latency)
--- a/src/rowanrail/gateway/pools/idle_channels.py
+++ b/src/rowanrail/gateway/pools/idle_channels.py
@@ -1,6 +1,6 @@
-"""Connections to one member that nobody uses, the one that was used last at the end.
+"""Idle connections to one member, in order of their last use.
 
-Owns their order; asks :mod:`rowanrail.gateway.pools.idle_rules` how long each is kept.
+Their timeouts come from :mod:`rowanrail.gateway.pools.idle_rules`.
 """
 
 from collections.abc import Callable, Iterator
@@ -13,7 +13,7 @@
 
 
 class IdleChannels:
-    """Idle connections in the order of their last use."""
+    """Idle connections, least recently used first."""
 
     def __init__(self) -> None:
         self._channels: list[Channel] = []
@@ -26,30 +26,30 @@
 
     @property
     def tenants(self) -> set[str]:
-        """Whose they are."""
+        """Tenants to which they are bound; empty for an unbound one."""
         return {channel.tenant for channel in self._channels}
 
-    def spare(self, is_wanted: Callable[[str], bool]) -> Channel | None:
-        """Return the one to give up: unused for longest, and if possible of use to nobody now."""
+    def eviction_candidate(self, is_wanted: Callable[[str], bool]) -> Channel | None:
+        """Return the least recently used one, preferably of a tenant without waiting statements."""
         unwanted = (channel for channel in self._channels if not is_wanted(channel.tenant))
         return next(unwanted, next(iter(self._channels), None))
 
     def add(self, channel: Channel) -> None:
-        """Keep a connection that was just used."""
+        """Add the most recently used connection."""
         self._channels.append(channel)
 
     def discard(self, channel: Channel) -> None:
-        """Forget a connection that was closed."""
+        """Remove a connection that was closed, if it is there."""
         if channel in self._channels:
             self._channels.remove(channel)
 
     def take(self, waiter: Waiter) -> Channel | None:
-        """Remove and return a connection for a statement, None if none is of use to it.
+        """Remove and return a connection for a waiter, None if it can use none.
 
-        One that has the same session values saves commands; else the one that was used last is
-        taken, so that those used longest ago end.
+        One with the same session values is preferred, as it needs no commands to set them; else
+        the most recently used one, so that the others reach their idle timeout.
         """
-        usable = [channel for channel in reversed(self._channels) if waiter.takes(channel)]
+        usable = [channel for channel in reversed(self._channels) if waiter.accepts(channel)]
         if not usable:
             return None
         for channel in usable:
@@ -64,25 +64,25 @@
         return channel
 
     def take_all(self) -> list[Channel]:
-        """Remove and return all."""
+        """Remove and return all connections."""
         channels, self._channels = self._channels, []
         return channels
 
-    def trim(self, now: float, is_kept: Callable[[str], bool], spare: int = 0) -> None:
-        """Close those that nobody has needed for a while.
+    def trim(self, now: float, is_routed_here: Callable[[str], bool], surplus: int = 0) -> None:
+        """Close connections that exceed their idle timeout.
 
         Parameters
         ----------
         now : float
-            Steady milliseconds.
-        is_kept : callable
-            Says whether a tenant's statements come to this gateway.
-        spare : int
-            How many connections there are beyond what should be kept.
+            Monotonic milliseconds.
+        is_routed_here : callable
+            Returns whether a tenant's statements are routed to this gateway.
+        surplus : int
+            Number of the pool's connections that exceed the share retained without demand.
         """
         idle = list(self._channels)
-        for place, channel in enumerate(idle):
-            kept = is_kept(channel.tenant)
-            limit = idle_timeout(place, len(idle), spare, kept, bool(channel.tenant))
-            if channel.last_used < now - limit:
+        for index, channel in enumerate(idle):
+            routed_here = is_routed_here(channel.tenant)
+            timeout = idle_timeout(index, len(idle), surplus, routed_here, bool(channel.tenant))
+            if channel.last_used < now - timeout:
                 channel.close()
--- a/src/rowanrail/gateway/pools/leases.py
+++ b/src/rowanrail/gateway/pools/leases.py
@@ -1,7 +1,6 @@
-"""Connections to one member that are in use, by tenant, and for how long they usually are.
+"""Leased connections to one member, counted by tenant, and their average duration.
 
-Owns their count and the average length of a use, on which forecasts of waiting rest; relies on the
-clock alone.
+Forecasts of waiting times are based on the average.
 """
 
 from collections import Counter
@@ -11,18 +10,17 @@
 
 __all__ = ["LATENCY_SMOOTHING", "Leases"]
 
-LATENCY_SMOOTHING = 0.1  # of the newest answer in a moving average, about the last ten count
-# About a short read within a region, so that no member starts as slow.
-INITIAL_LATENCY_MS = 20.0
+LATENCY_SMOOTHING = 0.1  # weight of the newest answer; averages about the last ten
+INITIAL_LATENCY_MS = 20.0  # a short read within a region, so that no member starts as slow
 
 
 class Leases:
-    """Leases of one pool; the idle time of a transaction is left out."""
+    """Leases of one pool; the idle time of transactions is excluded from their duration."""
 
     def __init__(self, clock: Clock) -> None:
-        self.average = INITIAL_LATENCY_MS  # ms for which one is in use
+        self.average = INITIAL_LATENCY_MS  # duration in ms
         self._clock = clock
-        self._of: Counter[str] = Counter()
+        self._by_tenant: Counter[str] = Counter()
         self._count = 0
 
     def __len__(self) -> int:
@@ -30,25 +28,25 @@
 
     @property
     def has_tenant_leases(self) -> bool:
-        """Whether any belongs to a tenant."""
-        return any(tenant for tenant, count in self._of.items() if count)
+        """Whether any leased connection is bound to a tenant."""
+        return any(tenant for tenant, count in self._by_tenant.items() if count)
 
-    def of(self, tenant: str) -> int:
-        """Return how many are a tenant's."""
-        return self._of[tenant]
+    def count_for(self, tenant: str) -> int:
+        """Return the number of leased connections that are bound to a tenant."""
+        return self._by_tenant[tenant]
 
     def begin(self, channel: Channel) -> None:
-        """Note that a connection is in use."""
+        """Record the start of a lease."""
         self._count += 1
-        self._of[channel.tenant] += 1
+        self._by_tenant[channel.tenant] += 1
         channel.leased_at = self._clock.now
 
     def end(self, channel: Channel) -> None:
-        """Note that it is no longer."""
+        """Record the end of a lease."""
         self._count -= 1
-        self._of[channel.tenant] -= 1
+        self._by_tenant[channel.tenant] -= 1
         self.note(self._clock.now - channel.leased_at)
 
     def note(self, taken: float) -> None:
-        """Note for how many milliseconds one was in use."""
+        """Update the average with a duration in milliseconds."""
         self.average += LATENCY_SMOOTHING * (taken - self.average)
--- a/src/rowanrail/gateway/pools/member_health.py
+++ b/src/rowanrail/gateway/pools/member_health.py
@@ -1,21 +1,19 @@
-"""Whether a member can be reached, and for how long it is left alone after failures.
+"""Health of one member as seen by its pool, with backoff after failures.
 
-A state on plain values, without I/O: the pool tells it what connections and answers showed. Times
-are steady milliseconds.
+Performs no I/O: the pool reports the outcome of connections and answers. Times are monotonic
+milliseconds.
 """
 
 from rowanrail.gateway.pools.error_rate import ErrorRate
 
 __all__ = ["MemberHealth", "backoff_ms"]
 
-# A failed connection is tried again after twice this; chosen, not measured apart.
-BASE_BACKOFF_MS = 100.0
-# A member that came back is noticed by samples sooner, see MemberPool.note_reachable.
-MAXIMUM_BACKOFF_MS = 2000.0
+BASE_BACKOFF_MS = 100.0  # doubled for each failure, including the first
+MAXIMUM_BACKOFF_MS = 2000.0  # samples and probes may end it sooner, see note_reachable
 
 
 def backoff_ms(failures: int) -> float:
-    """Return for how many milliseconds a member is left alone after so many failures running.
+    """Return the backoff in milliseconds after a number of consecutive failures.
 
     Examples
     --------
@@ -26,7 +24,7 @@
 
 
 class MemberHealth:
-    """What failures and answers say of one member.
+    """Failures, backoff and error rate of one member.
 
     Examples
     --------
@@ -34,7 +32,7 @@
     >>> health.note_failure(now=0.0), health.is_failing(now=100.0), health.is_failing(now=300.0)
     (200.0, True, False)
 
-    After a failure it is tried by one request at a time:
+    After a failure it gets one request at a time:
 
     >>> health.is_suspect(now=300.0, load=0), health.is_suspect(now=300.0, load=1)
     (False, True)
@@ -46,48 +44,48 @@
     __slots__ = ("_errors", "_failures", "failing_until")
 
     def __init__(self) -> None:
-        self.failing_until = 0.0  # until then it is left alone
+        self.failing_until = 0.0  # end of the backoff
         self._failures = 0
         self._errors = ErrorRate()
 
     def is_failing(self, now: float) -> bool:
-        """Return whether connections failed a moment ago."""
+        """Return whether the member is in backoff."""
         return now < self.failing_until
 
     def is_suspect(self, now: float, load: int) -> bool:
-        """Return whether new work should go elsewhere.
+        """Return whether new work should use another member.
 
-        After failures the member is tried by one request at a time until one succeeds.
+        After a failure the member gets one request at a time until one succeeds.
 
         Parameters
         ----------
         load : int
-            How many use or wait for a connection to it.
+            Number of requests that use or wait for a connection to it.
         """
         return self._failures > 0 and (self.is_failing(now) or load > 0)
 
     def error_rate(self, now: float) -> float:
-        """Return the share of the latest answers that were errors; forgotten with time."""
+        """Return the share of recent answers that were errors, see :class:`ErrorRate`."""
         return self._errors.at(now)
 
     def note_failure(self, now: float) -> float:
-        """Note a failure, and return for how many milliseconds the member is left alone."""
+        """Record a failure and return the backoff in milliseconds."""
         self._failures += 1
         backoff = backoff_ms(self._failures)
         self.failing_until = now + backoff
         return backoff
 
     def note_success(self) -> None:
-        """Note that a connection was opened."""
+        """Record that a connection was opened."""
         self._failures = 0
 
     def note_reachable(self) -> None:
-        """Note that it answers on another connection: nothing need be waited out."""
+        """End the backoff, because the member answers on another connection."""
         self._failures = 0
         self.failing_until = 0.0
 
     def note_answer(self, is_error: bool, now: float) -> None:
-        """Note an answer, or an error of the member's own."""
+        """Record an answer, or an error of the member itself."""
         if not is_error:
             self._failures = 0
         self._errors.note(float(is_error), now)
--- a/src/rowanrail/gateway/pools/opening_rules.py
+++ b/src/rowanrail/gateway/pools/opening_rules.py
@@ -1,9 +1,8 @@
-"""When one more connection to a member is opened, and how many there may be.
+"""Rules for when to open another connection to a member, and how many may be open.
 
-Functions and a small state on plain values; :class:`.connections.Connections` and
-:class:`.openings.Openings` ask them and act. Each opening takes a slot of the member for a while,
-and its connection still counts there for seconds when this gateway is lost, so that one more is
-opened only for those who would wait longer without it.
+Opening a connection occupies a slot of the member, and the member keeps counting the connection for
+seconds if this gateway crashes. One is therefore opened only for statements that would wait longer
+without it.
 """
 
 import enum
@@ -14,75 +13,75 @@
     "MAX_OPENING_MS",
     "MAX_CONCURRENT_OPENINGS",
     "ConnectionCap",
-    "Opening",
+    "OpeningDecision",
     "may_open_connection",
     "decide_opening",
     "smoothed_opening",
 ]
 
-MAX_CONCURRENT_OPENINGS = 2  # of one pool; each takes a slot of the member for a while; chosen
-CONNECTION_CAP_MS = 500.0  # without new connections after a member had none left; chosen
-INITIAL_OPENING_MS = 30.0  # 12 ms at the member and two round trips inside a region
-MAX_OPENING_MS = 100.0  # a slow opening is no reason to let everybody wait long; chosen
-OPENING_SMOOTHING = 0.1  # of the newest opening in the average: about the last ten count; chosen
+MAX_CONCURRENT_OPENINGS = 2  # per pool, as each occupies a slot of the member
+CONNECTION_CAP_MS = 500.0  # time without new connections after a member had none free
+INITIAL_OPENING_MS = 30.0  # 12 ms at the member and two round trips within a region
+MAX_OPENING_MS = 100.0  # bounds the average, so that a slow opening does not delay others
+OPENING_SMOOTHING = 0.1  # weight of the newest opening; averages about the last ten
 
 
-class Opening(enum.Enum):
-    """Whether one more connection is opened for a tenant."""
+class OpeningDecision(enum.Enum):
+    """Whether to open another connection for a tenant."""
 
     NOW = "now"
     ENOUGH = "as many are being opened as are wanted"
     WAIT = "one that is in use may come back sooner"
 
 
-def may_open_connection(openings: int, idle: int, count: int, allowed: int) -> bool:
-    """Return whether a pool may begin to open one more connection, for whomever.
+def may_open_connection(openings: int, idle: int, count: int, limit: int) -> bool:
+    """Return whether a pool may start to open another connection, for any tenant.
 
     Parameters
     ----------
     openings : int
-        Connections that are being opened.
+        Number of connections being opened.
     idle : int
-        Connections that nobody uses: one of them is given up for the new one if need be.
+        Number of idle connections, one of which can be closed to make room.
     count : int
-        All connections, those that are being opened included.
-    allowed : int
-        How many there may be now.
+        Number of all connections, including those being opened.
+    limit : int
+        How many connections are allowed now.
 
     Examples
     --------
-    >>> may_open_connection(0, idle=0, count=3, allowed=4)
+    >>> may_open_connection(0, idle=0, count=3, limit=4)
     True
     >>> may_open_connection(2, 0, 3, 4), may_open_connection(0, 0, 4, 4)
     (False, False)
-    >>> may_open_connection(0, idle=1, count=4, allowed=4)
+    >>> may_open_connection(0, idle=1, count=4, limit=4)
     True
     """
     if openings >= MAX_CONCURRENT_OPENINGS:
         return False
-    return idle > 0 or count < allowed
+    return idle > 0 or count < limit
 
 
 def decide_opening(
     waiting: int, opening: int, may_be_released: bool, waited: float, opening_time: float
-) -> Opening:
-    """Return whether one more connection is opened for a tenant, given that there is room.
+) -> OpeningDecision:
+    """Return whether to open another connection for a tenant, given that the limit allows it.
 
-    Until the first of its statements has waited for about as long as an opening takes, a
-    connection that is in use may still come back; if none is, there is nothing to wait for.
+    A connection in use may be released sooner than a new one opens. One is therefore opened only
+    after the first statement has waited for as long as an opening takes, or if none is in use.
 
     Parameters
     ----------
     waiting : int
-        Statements that want a connection of the tenant.
+        Number of statements that wait for a connection of the tenant.
     opening : int
-        Connections that are being opened for it.
+        Number of connections being opened for it.
     may_be_released : bool
-        Whether one of its connections is in use by more than a transaction that is idle.
+        Whether one of its connections is being opened, or in use by other than an idle transaction.
     waited : float
-        Milliseconds for which the first of them has waited.
+        Time in milliseconds for which the first of them has waited.
     opening_time : float
-        Milliseconds that an opening takes, as smoothed over the latest.
+        Moving average of the time that an opening takes, in milliseconds.
 
     Examples
     --------
@@ -94,34 +93,34 @@
     'ENOUGH'
     """
     if opening >= waiting:
-        return Opening.ENOUGH
+        return OpeningDecision.ENOUGH
     if waited >= opening_time or not may_be_released:
-        return Opening.NOW
-    return Opening.WAIT
+        return OpeningDecision.NOW
+    return OpeningDecision.WAIT
 
 
 def smoothed_opening(average: float, newest: float) -> float:
-    """Return how many milliseconds an opening takes, with the newest one counted in.
+    """Return the average time of an opening in milliseconds, updated with the newest one.
 
     Examples
     --------
     >>> smoothed_opening(30.0, 50.0), smoothed_opening(30.0, 60_000.0)
     (32.0, 100.0)
     """
-    share = OPENING_SMOOTHING * (newest - average)
-    return min(MAX_OPENING_MS, average + share)
+    change = OPENING_SMOOTHING * (newest - average)
+    return min(MAX_OPENING_MS, average + change)
 
 
 class ConnectionCap:
-    """How many connections there may be at a member that had none left a moment ago.
+    """Temporary limit of connections after a member had none free.
 
     Examples
     --------
     >>> cap = ConnectionCap()
-    >>> cap.allowed(14, now=0.0)
+    >>> cap.effective_limit(14, now=0.0)
     14
     >>> cap.note_limit_reached(open_count=5, now=0.0)
-    >>> cap.allowed(14, now=400.0), cap.allowed(14, now=600.0)
+    >>> cap.effective_limit(14, now=400.0), cap.effective_limit(14, now=600.0)
     (5, 14)
     """
 
@@ -132,10 +131,10 @@
         self._limit = 0
 
     def note_limit_reached(self, open_count: int, now: float) -> None:
-        """Note that the member has no more connections than those that are open."""
+        """Record that the member refused more connections than ``open_count``."""
         self._until = now + CONNECTION_CAP_MS
         self._limit = max(1, open_count)
 
-    def allowed(self, limit: int, now: float) -> int:
-        """Return how many there may be at a moment in milliseconds, of a limit."""
+    def effective_limit(self, limit: int, now: float) -> int:
+        """Return the limit that applies at ``now`` milliseconds, at most ``limit``."""
         return min(limit, self._limit) if now < self._until else limit
--- a/src/rowanrail/gateway/pools/openings.py
+++ b/src/rowanrail/gateway/pools/openings.py
@@ -1,7 +1,7 @@
-"""Connections to one member that are being opened, and what earlier openings have shown.
+"""Connections to one member that are being opened.
 
-Owns the openings under way, how long one takes and the cap after a member had none left; relies on
-the driver for the connections and on :mod:`rowanrail.gateway.pools.opening_rules` for the rules.
+Tracks their average duration and the temporary limit after the member refused one. The rules are in
+:mod:`rowanrail.gateway.pools.opening_rules`.
 """
 
 from collections.abc import Callable, Iterator
@@ -20,10 +20,10 @@
 
 
 class Openings:
-    """Openings of one pool."""
+    """Connections of one pool that are being opened."""
 
     def __init__(self, driver: MemberDriver, clock: Clock) -> None:
-        self.average = INITIAL_OPENING_MS  # ms that one takes
+        self.average = INITIAL_OPENING_MS  # duration in ms
         self._driver = driver
         self._clock = clock
         self._channels: set[Channel] = set()
@@ -35,18 +35,18 @@
     def __iter__(self) -> Iterator[Channel]:
         return iter(self._channels)
 
-    def of(self, tenant: str) -> int:
-        """Return how many are for a tenant."""
+    def count_for(self, tenant: str) -> int:
+        """Return the number of connections being opened for a tenant."""
         return sum(channel.tenant == tenant for channel in self._channels)
 
-    def allowed(self, limit: int) -> int:
-        """Return how many connections may be open, of a limit, after what the member said."""
-        return self._cap.allowed(limit, self._clock.now)
+    def effective_limit(self, limit: int) -> int:
+        """Return the limit that applies now, at most ``limit``, see :class:`ConnectionCap`."""
+        return self._cap.effective_limit(limit, self._clock.now)
 
     def start(
         self, record: MemberRecord, tenant: str, respond: Callable[[Channel, Answer], None]
     ) -> None:
-        """Begin to open one; ``respond`` learns how it ended."""
+        """Start to open a connection; ``respond`` is called with how it ended."""
 
         def on_open(channel: Channel, answer: Answer) -> None:
             self._channels.discard(channel)
@@ -61,10 +61,10 @@
         self._driver.open(record.address, record.service, record.instance, channel)
 
     def note_limit_reached(self, open_count: int) -> None:
-        """Note that the member has no more connections than those that are open."""
+        """Record that the member refused more connections than ``open_count``."""
         self._cap.note_limit_reached(open_count, self._clock.now)
 
     def close(self) -> None:
-        """Close all at once."""
+        """Cancel all openings."""
         for channel in list(self._channels):
             channel.close()
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -1,8 +1,7 @@
-"""Connections to one member and those who wait for one: who goes on, and on which connection.
+"""Connection pool of one member.
 
-Owns a member's connections, health, concurrency limit, forecasts and wait queue, and brings them
-together: each has its rules in its own module. Relies on the driver for connections and on the
-clock for time.
+Combines the member's connections, health, concurrency limit, forecasts and request queue, each of
+which has its rules in its own module.
 """
 
 from collections.abc import Callable
@@ -25,24 +24,29 @@
 
 
 class MemberPool:
-    """Connections to one member, at most ``limit`` open or being opened.
+    """Pool of at most ``limit`` connections to one member.
 
-    Of those, only as many are in use at a time as its :class:`ConcurrencyLimit` says, so that
-    statements wait here, where urgency and deadline are known, and not at the member. A transaction
-    that is idle uses none, and its later statements aren't held back.
+    A :class:`ConcurrencyLimit` bounds how many are in use at a time, so that statements queue here,
+    where urgency and deadline are known, and not at the member. Idle transactions do not count, and
+    their later statements are not queued.
 
     Parameters
     ----------
     record : MemberRecord
         The member, as it announced itself.
     limit : int
-        Connections that there may be.
+        Maximum number of connections, open or being opened.
     driver : MemberDriver
         Opens connections.
     clock : Clock
-        Time and timers in milliseconds.
+        Monotonic clock and timers in milliseconds.
     holders : int
-        How many gateways are thought to share the member.
+        Assumed number of gateways that share the member.
+
+    Attributes
+    ----------
+    on_trouble : callable
+        Called with each :class:`Trouble` of the member.
     """
 
     def __init__(
@@ -66,35 +70,35 @@
 
     @property
     def load(self) -> int:
-        """Number of those who use or wait for a connection."""
+        """Number of requests that use or wait for a connection."""
         return len(self.connections.leases) + len(self.queue)
 
     @property
     def is_failing(self) -> bool:
-        """Whether connections failed a moment ago."""
+        """Whether the member is in backoff after a failure."""
         return self.health.is_failing(self.clock.now)
 
     @property
     def is_suspect(self) -> bool:
-        """Whether new work should go elsewhere."""
+        """Whether new work should use another member."""
         return self.health.is_suspect(self.clock.now, self.load)
 
     @property
     def error_rate(self) -> float:
-        """Share of the latest answers that were errors; forgotten with time."""
+        """Share of recent answers that were errors, from 0 to 1."""
         return self.health.error_rate(self.clock.now)
 
     @property
     def can_lease(self) -> bool:
-        """Whether a connection can be had without waiting for one that is in use."""
+        """Whether a connection is idle or may be opened for a sample."""
         if self.connections.idle:
             return True
-        return not self.is_failing and self.connections.can_lease
+        return not self.is_failing and self.connections.can_open_for_sample
 
-    # Those who wait
+    # Queue
 
     def acquire(self, waiter: Waiter) -> None:
-        """Give the waiter a connection now or later, or a refusal."""
+        """Give the waiter a connection or a refusal, now or later."""
         waiter.since = self.clock.now
         if not self.queue and self._has_room_for(waiter.entry):
             channel = self.connections.idle.take(waiter)
@@ -102,15 +106,15 @@
                 self._lease(channel, waiter)
                 return
         self.queue.add(waiter, waiter.since)
-        self.clock.call_in(self.connections.opening.average, self._serve_queue)
+        self.clock.call_in(self.connections.openings.average, self._serve_queue)
         self._serve_queue()
 
     def _has_room_for(self, entry: QueueEntry) -> bool:
-        # All reads wait for a sample, so that none of them would run in its place.
+        # Samples are not limited: reads wait for them, so nothing else would run instead.
         return entry.urgency < 0 or self.connections.in_flight < self.concurrency.value
 
     def _serve_queue(self) -> None:
-        """Let those go on for whom there is room, in the order of the queue."""
+        """Serve queued requests until none can be served; refuse them if there is no connection."""
         if self._closed or self._is_serving:
             return
         self._is_serving = True
@@ -127,14 +131,14 @@
             self.queue.refuse(Answer(refusal=Refusal.BUSY, message="no connection to be had"))
 
     def _serve_next(self) -> bool:
-        """Give the next one a connection, or open one for it; return whether somebody went on."""
+        """Serve, expire or open a connection for the next request; return False if none can be."""
         if not self.queue:
             return False
         connections = self.connections
         is_full = connections.in_flight >= self.concurrency.value
         now = self.clock.now
         idle = connections.idle
-        supply = Supply(idle.tenants, self._may_open, connections.may_be_released)
+        supply = Supply(idle.tenants, self._should_open, connections.may_be_released)
         pick = self.queue.next(supply, only_samples=is_full)
         if pick is None:
             return False
@@ -145,7 +149,7 @@
             tenant = pick.item.tenant or ""
             return connections.open(self.record, tenant, self._is_wanted, self._on_open)
         channel = idle.take(pick.item)
-        assert channel is not None, "the queue picked somebody for whom none is idle"
+        assert channel is not None, "the queue picked a request without an idle connection"
         self.queue.start(pick.item)
         self._lease(channel, pick.item)
         return True
@@ -155,30 +159,30 @@
         waiter.respond(channel, Answer())
 
     def release(self, channel: Channel, latency: float | None = None) -> None:
-        """Take a connection back; a closed one, or one with answers outstanding, is dropped.
+        """Take back a leased connection; drop it if it is closed or has outstanding answers.
 
         Parameters
         ----------
         latency : float or None
-            Milliseconds that the member took, if it answered a statement.
+            Time in milliseconds that the member took to answer a statement, None without one.
         """
         self.connections.leases.end(channel)
         if latency is not None:
             self.forecasts.note_latency(latency)
-        self.connections.keep(channel)
+        self.connections.take_back(channel)
         self._serve_queue()
 
     # Idle transactions
 
     def note_idle_transaction(self, transaction: IdleTransaction) -> None:
-        """Note that a transaction holds a connection and does nothing."""
+        """Record that a transaction holds a connection and is idle."""
         self.connections.idle_transactions.add(transaction)
         self._serve_queue()
 
     # Opening
 
-    def _may_open(self, tenant: str | None, since: float) -> bool:
-        """Whether a connection should be opened for a tenant that has waited since then."""
+    def _should_open(self, tenant: str | None, since: float) -> bool:
+        """Return whether to open a connection for a tenant that waits since ``since``."""
         waited = self.clock.now - since
         waiting = self.queue.waiting_of(tenant)
         return not self.is_failing and self.connections.should_open(tenant, waiting, waited)
@@ -189,35 +193,35 @@
     def _on_open(self, channel: Channel, answer: Answer) -> None:
         if answer.refusal is None:
             self.health.note_success()
-            self.connections.keep(channel)
+            self.connections.take_back(channel)
             self._serve_queue()
             return
         if answer.refusal is Refusal.TOO_MANY_CONNECTIONS:
-            self.connections.opening.note_limit_reached(self.connections.count)
+            self.connections.openings.note_limit_reached(self.connections.count)
         elif answer.refusal is Refusal.BUSY:
             self.note_answered(Refusal.BUSY, 0.0)
-            self.connections.opening.note_limit_reached(self.connections.count)
+            self.connections.openings.note_limit_reached(self.connections.count)
         else:
             self._note_failure()
             self.on_trouble(Trouble.REFUSED)
         if not self.connections.count:
             self.queue.refuse(answer)
         elif channel.tenant and not self.connections.may_be_released(channel.tenant):
-            # Connections of other tenants are of no use to them.
+            # They cannot use connections of other tenants.
             self.queue.refuse(answer, channel.tenant)
         self._serve_queue()
 
-    # What answers show
+    # Outcomes
 
     def note_answered(self, refusal: Refusal | None, taken: float) -> None:
-        """Note how the member answered a statement that takes a slot.
+        """Update the concurrency limit with the answer to a statement that takes a slot.
 
         Parameters
         ----------
         refusal : Refusal or None
             None if the member ran it.
         taken : float
-            Milliseconds from sending to the answer.
+            Time from sending to the answer, in milliseconds.
         """
         now = self.clock.now
         if refusal is None:
@@ -230,50 +234,50 @@
         self.clock.call_in(backoff, self._serve_queue)
 
     def note_reachable(self) -> None:
-        """Note that the member answers on another connection: nothing need be waited out."""
+        """End the backoff, because the member answers on another connection."""
         if self.is_failing:
             self.health.note_reachable()
             self._serve_queue()
 
     def note_timeout(self) -> None:
-        """Note that the member left a command unanswered."""
+        """Record that the member left a command unanswered."""
         self._note_failure()
         self.on_trouble(Trouble.SILENCE)
 
     def note_answer(self) -> None:
-        """Note that the member answered."""
+        """Record an answer of the member."""
         self.health.note_answer(is_error=False, now=self.clock.now)
 
     def note_error(self) -> None:
-        """Note that the member answered with an error of its own."""
+        """Record an error of the member itself."""
         self.health.note_answer(is_error=True, now=self.clock.now)
         self.on_trouble(Trouble.ERROR)
 
-    # Changes
+    # Maintenance
 
-    def trim(self, is_kept: Callable[[str], bool] = lambda tenant: True) -> None:
-        """Close connections that nobody has needed for a while.
+    def trim(self, is_routed_here: Callable[[str], bool] = lambda tenant: True) -> None:
+        """Expire late requests, reclaim idle transactions and close idle connections.
 
         Parameters
         ----------
-        is_kept : callable
-            Says whether a tenant's statements come to this gateway.
+        is_routed_here : callable
+            Returns whether a tenant's statements are routed to this gateway.
         """
         if not self.queue and not self.connections.count:
-            return  # as are most pools of most gateways, twenty times a second
+            return  # the common case at most gateways, 20 times a second
         now = self.clock.now
         self.queue.expire_late(now, self.forecasts.latency)
         if self.connections.is_exhausted:
             self.connections.idle_transactions.reclaim(waiter.since for waiter in self.queue)
-        self.connections.trim(now, is_kept)
+        self.connections.trim(now, is_routed_here)
 
     def set_limit(self, limit: int) -> None:
-        """Change the limit; surplus idle connections are closed."""
+        """Change the limit; close idle connections beyond it."""
         self.connections.set_limit(limit)
         self._serve_queue()
 
     def close(self) -> None:
-        """Close everything that is not leased and refuse those who wait."""
+        """Close all connections that are not leased and refuse all queued requests."""
         self._closed = True
         self.connections.close()
         self.queue.refuse(Answer(refusal=Refusal.BUSY, message="the member is leaving"))
--- a/src/rowanrail/gateway/pools/pool_lease.py
+++ b/src/rowanrail/gateway/pools/pool_lease.py
@@ -1,8 +1,7 @@
-"""A connection of a pool that is wanted, or used, for a sample of the member's position.
+"""Lease of a pooled connection for a sample or a probe.
 
 Implements :class:`rowanrail.members.sampling_connection.ConnectionLease` on a
-:class:`rowanrail.gateway.pools.pool.MemberPool`; owns the waiter that stands for it in the wait
-queue, before all statements.
+:class:`rowanrail.gateway.pools.pool.MemberPool`. Its request is queued ahead of all statements.
 """
 
 from collections.abc import Callable
@@ -15,16 +14,16 @@
 
 __all__ = ["PoolLease"]
 
-SAMPLE_URGENCY = -1  # all reads wait for a sample
+SAMPLE_URGENCY = -1  # ahead of all statements, as reads wait for samples
 
 
 class PoolLease:
-    """One loan, from the wish to its end.
+    """Lease of one connection.
 
     Parameters
     ----------
     pool : MemberPool
-        The member's connections.
+        The pool of the member.
     """
 
     def __init__(self, pool: MemberPool) -> None:
@@ -32,15 +31,15 @@
         self._waiter: Waiter | None = None
 
     def request(self, take: Callable[[Channel | None, Answer], None]) -> None:
-        """See :meth:`rowanrail.members.sampling_connection.ConnectionLease.request`."""
+        """Request the connection; ``take`` is called with it, or with None and the refusal."""
         self._waiter = Waiter(QueueEntry(SAMPLE_URGENCY, None, 0.0), {}, take)
         self._pool.acquire(self._waiter)
 
     def cancel(self) -> None:
-        """See :meth:`rowanrail.members.sampling_connection.ConnectionLease.cancel`."""
+        """Remove the request from the pool's queue."""
         if self._waiter is not None:
             self._pool.queue.remove(self._waiter)
 
     def release(self, channel: Channel) -> None:
-        """See :meth:`rowanrail.members.sampling_connection.ConnectionLease.release`."""
+        """Return the connection to the pool."""
         self._pool.release(channel)
--- a/src/rowanrail/gateway/pools/queued_request.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -1,7 +1,7 @@
-"""A statement in the wait queue for a connection to one member, until it has one or leaves.
+"""A statement that waits for a connection to one member, until it gets one or leaves the queue.
 
-Owns the timer that judges it again and again; :class:`rowanrail.scheduling.admission.Watch` says
-when, and whether it waits on. Relies on the pool for the queue and for forecasts.
+A timer rechecks whether the statement can still be answered in time;
+:class:`rowanrail.scheduling.admission.Watch` decides when and whether it keeps waiting.
 """
 
 from collections.abc import Callable
@@ -18,39 +18,39 @@
 
 
 class QueuedRequest:
-    """Waits for a connection, and is judged again while it does.
+    """A statement's request for a connection, rechecked while it waits.
 
     Parameters
     ----------
     pool : MemberPool
-        The member's connections.
+        The pool of the member.
     entry : QueueEntry
-        How the statement stands among the others.
-    values : dict
-        Session values that the connection should have already, if one has.
-    take : callable
-        Gets the connection, or None with the reason.
-    give_up : callable
-        Called when it can't be answered in time any more; it has left the queue by then.
+        Urgency, tenant and deadline.
+    session_values : dict
+        Session values of the statement; a connection that has them already is preferred.
+    on_connection : callable
+        Called with the connection, or with None and the refusal.
+    on_expired : callable
+        Called when the deadline can no longer be met, after the request has left the queue.
     """
 
     def __init__(
         self,
         pool: MemberPool,
         entry: QueueEntry,
-        values: dict[str, str],
-        take: Callable[[Channel | None, Answer], None],
-        give_up: Callable[[], None],
+        session_values: dict[str, str],
+        on_connection: Callable[[Channel | None, Answer], None],
+        on_expired: Callable[[], None],
     ) -> None:
         self._pool = pool
-        self._waiter = Waiter(entry, values, self._respond, self._lose)
+        self._waiter = Waiter(entry, session_values, self._respond, self._expire)
         self._clock = pool.clock
-        self._take = take
-        self._give_up = give_up
-        self._given = entry.deadline - entry.arrived
-        self._watch = Watch(self._given)
+        self._on_connection = on_connection
+        self._on_expired = on_expired
+        self._time_limit = entry.deadline - entry.arrived
+        self._admission = Watch(self._time_limit)
         self._error = pool.forecasts.errors.of(entry.urgency)
-        self._expected = 0.0  # ms, forecast when it began to wait
+        self._expected_wait = 0.0  # forecast at the start, in ms
         self._timer: Timer | None = None
         self._is_over = False
 
@@ -59,19 +59,19 @@
         return self._clock.now
 
     @property
-    def _left(self) -> float:
+    def _remaining(self) -> float:
         return self._waiter.entry.deadline - self._now
 
     def start(self) -> None:
-        """Ask for the connection; it may come at once."""
+        """Request the connection, which may be granted at once."""
         self._pool.acquire(self._waiter)
         if not self._is_over:
             forecast = self._pool.forecasts.for_entry(self._waiter.entry)
-            self._expected = forecast.wait
-            self._check_later(forecast)
+            self._expected_wait = forecast.wait
+            self._schedule_check(forecast)
 
     def cancel(self) -> None:
-        """Wait no longer."""
+        """Leave the queue."""
         if not self._is_over:
             self._end()
             self._pool.queue.remove(self._waiter)
@@ -80,28 +80,30 @@
         if channel is not None:
             self._note_waited(was_served=True)
         self._end()
-        self._take(channel, answer)
+        self._on_connection(channel, answer)
 
-    def _check_later(self, forecast: Forecast) -> None:
-        pause = self._watch.next_check(forecast, self._left)
+    def _schedule_check(self, forecast: Forecast) -> None:
+        pause = self._admission.next_check(forecast, self._remaining)
         self._timer = self._clock.call_in(pause, self._check)
 
     def _check(self) -> None:
         forecast = self._pool.forecasts.for_entry(self._waiter.entry)
-        if isinstance(self._watch.judge(forecast, self._left, self._error.certain_share), Admit):
-            self._check_later(forecast)
+        if isinstance(
+            self._admission.judge(forecast, self._remaining, self._error.certain_share), Admit
+        ):
+            self._schedule_check(forecast)
         else:
-            self._lose()
+            self._expire()
 
-    def _lose(self) -> None:
-        """Leave, as it can't be answered in time any more."""
+    def _expire(self) -> None:
+        """Leave the queue because the deadline can no longer be met."""
         self._note_waited(was_served=False)
         self.cancel()
-        self._give_up()
+        self._on_expired()
 
     def _note_waited(self, was_served: bool) -> None:
         waited = self._now - self._waiter.since
-        self._error.note(self._expected, waited, self._given, was_served)
+        self._error.note(self._expected_wait, waited, self._time_limit, was_served)
 
     def _end(self) -> None:
         self._is_over = True
--- a/src/rowanrail/gateway/pools/wait_queue.py
+++ b/src/rowanrail/gateway/pools/wait_queue.py
@@ -1,7 +1,7 @@
-"""Those who wait for a connection to one member, and how they leave without one.
+"""Queue of requests for a connection to one member.
 
-Owns the order of :class:`rowanrail.scheduling.queue.WorkQueue`; who leaves learns it here, and is
-out of the queue by then.
+Adds refusal and expiry to :class:`rowanrail.scheduling.queue.WorkQueue`. A request is removed from
+the queue before it is notified.
 """
 
 from rowanrail.gateway.pools.waiter import Waiter
@@ -15,23 +15,23 @@
     """The wait queue of one pool."""
 
     def longest_wait(self, now: float) -> float:
-        """Return for how many milliseconds the first of those who wait has done so."""
+        """Return how long the oldest request has waited, in milliseconds."""
         oldest = self.oldest
         return 0.0 if oldest is None else now - oldest
 
     def refuse(self, answer: Answer, tenant: str | None = None) -> None:
-        """Refuse all who wait, or those who want a connection of one tenant."""
+        """Refuse all requests, or those for a connection of one tenant."""
         for waiter in list(self):
-            is_meant = tenant is None or waiter.tenant == tenant
-            if is_meant and self.remove(waiter):
+            matches = tenant is None or waiter.tenant == tenant
+            if matches and self.remove(waiter):
                 waiter.respond(None, answer)
 
     def expire(self, waiter: Waiter) -> None:
-        """Tell somebody that it could no longer be answered in time."""
+        """Expire a request that can no longer meet its deadline."""
         if self.remove(waiter):
             waiter.expire()
 
     def expire_late(self, now: float, run_time: float) -> None:
-        """Tell all who could no longer be answered in time; both in milliseconds."""
+        """Expire all requests that can no longer meet their deadline; times in milliseconds."""
         for waiter in self.past_deadline(now, run_time):
             self.expire(waiter)
--- a/src/rowanrail/gateway/pools/waiter.py
+++ b/src/rowanrail/gateway/pools/waiter.py
@@ -1,7 +1,6 @@
-"""Somebody who waits for a connection to one member.
+"""A request for a connection to one member, in the pool's queue.
 
-Owns what the pool needs to choose a connection and to hand it over: for a statement
-(:mod:`rowanrail.gateway.pools.queued_request`) or a sample
+Made for a statement (:mod:`rowanrail.gateway.pools.queued_request`) or a sample
 (:mod:`rowanrail.gateway.pools.pool_lease`).
 """
 
@@ -15,12 +14,18 @@
 
 
 class Waiter:
-    """Somebody who wants a connection.
-
-    :param entry: how urgent it is, whose connection it needs, until when.
-    :param session_values: values that the connection should have already, if one has.
-    :param respond: gets the connection, or None with the reason.
-    :param expire: learns, in place of ``respond``, that it could no longer be answered in time.
+    """A request for a connection.
+
+    Parameters
+    ----------
+    entry : QueueEntry
+        Urgency, tenant and deadline.
+    session_values : dict
+        Session values of the statement; a connection that has them already is preferred.
+    respond : callable
+        Called with the connection, or with None and the refusal.
+    expire : callable
+        Called instead of ``respond`` when the deadline can no longer be met.
     """
 
     __slots__ = ("entry", "expire", "respond", "since", "session_values")
@@ -40,9 +45,9 @@
 
     @property
     def tenant(self) -> str | None:
-        """Whose connection it must be; None if anybody's will do."""
+        """Tenant to which the connection must be bound; None if any will do."""
         return self.entry.tenant
 
-    def takes(self, channel: Channel) -> bool:
-        """Return whether a connection is of use to it."""
+    def accepts(self, channel: Channel) -> bool:
+        """Return whether it can use a connection."""
         return self.tenant is None or self.tenant == channel.tenant
--- a/tests/gateway/test_silent_members.py
+++ b/tests/gateway/test_silent_members.py
@@ -79,7 +79,7 @@
         played.near.silent = True
         played.client("reports").ask("READ b")
         played.clock.advance(0.05)
-        for channel in list(near.connections.opening):
+        for channel in list(near.connections.openings):
             channel.lost("refused")
         self.assertGreater(len(far.queue), 0)
         played.clock.advance(0.12)
