--- a/src/rowanrail/gateway/services/__init__.py
+++ b/src/rowanrail/gateway/services/__init__.py
@@ -1,5 +1,5 @@
-"""One service at one gateway: its members' pools, its primary, the choice of a member.
+"""A service at one gateway: its members' pools, its primary and the choice of a member for reads.
 
-Owns estimates, weights and probes of members. Relies on ``gateway.pools``, ``members`` and the
-decisions of ``scheduling``.
+Includes the estimates, weights and probes of members. The decisions themselves are in
+:mod:`rowanrail.scheduling`.
 """
--- a/src/rowanrail/gateway/services/load_measurement.py
+++ b/src/rowanrail/gateway/services/load_measurement.py
@@ -1,7 +1,7 @@
-"""The load of a service at this gateway, as it is reported to the gateways that send here.
+"""Load of a service at this gateway, as reported to the gateways that forward statements here.
 
-A function of the pools' forecasts, without state; when it is reported is said by
-:class:`rowanrail.scheduling.load.LoadReporter`.
+It is computed from the pools' forecasts; :class:`rowanrail.scheduling.load.LoadReporter` decides
+when to report it.
 """
 
 from rowanrail.gateway.pools.pool import MemberPool
@@ -13,37 +13,39 @@
 
 
 def measure_load(service: Service, tenant: str, now: float) -> ServiceLoad | None:
-    """Return how long a tenant's statements of each urgency take, None if there is room.
+    """Return how long a tenant's statements of each urgency take, None without a wait.
 
-    Members of other regions count for nothing: what needs them is sent on to their own holders.
+    Members of other regions are ignored, as statements for them are forwarded to gateways there.
 
     Parameters
     ----------
     now : float
-        Milliseconds on the steady clock.
+        Monotonic milliseconds.
     """
-    near = [pool for pool in service.pools.values() if _serves(service, pool)]
+    near = [pool for pool in service.pools.values() if _is_available(service, pool)]
     if not any(pool.forecasts.expected_wait for pool in near):
         return None
     weight = service.weight(tenant)
     entries = [QueueEntry(urgency, tenant, now, weight=weight) for urgency in range(URGENCIES)]
     primary = service.primary_pool()
-    writes = [] if primary is None or primary not in near else _waits(primary, entries)
-    reads = [min(waits) for waits in zip(*(_waits(pool, entries) for pool in near), strict=True)]
+    writes = [] if primary is None or primary not in near else _response_times(primary, entries)
+    reads = [
+        min(times) for times in zip(*(_response_times(pool, entries) for pool in near), strict=True)
+    ]
     pace = 0 if primary is None else _pace(primary, entries[0])
     return ServiceLoad(rounded(writes), rounded(reads), pace)
 
 
-def _serves(service: Service, pool: MemberPool) -> bool:
+def _is_available(service: Service, pool: MemberPool) -> bool:
     return not (pool.record.leaving or pool.is_failing or service.is_remote(pool))
 
 
-def _waits(pool: MemberPool, entries: list[QueueEntry]) -> list[float]:
-    """Return how long answers of a member certainly take; 0 where there is room."""
-    return [_certain_time(pool, entry) for entry in entries]
+def _response_times(pool: MemberPool, entries: list[QueueEntry]) -> list[float]:
+    """Return a lower bound of the response time for each entry; 0 where there is room."""
+    return [_response_time(pool, entry) for entry in entries]
 
 
-def _certain_time(pool: MemberPool, entry: QueueEntry) -> float:
+def _response_time(pool: MemberPool, entry: QueueEntry) -> float:
     forecast = pool.forecasts.for_entry(entry)
     if forecast.has_room:
         return 0.0
--- a/src/rowanrail/gateway/services/locality.py
+++ b/src/rowanrail/gateway/services/locality.py
@@ -1,7 +1,4 @@
-"""How near a member is to a gateway: same zone, same region, or further.
-
-A value made from the gateway's own zone and the configured regions, without state.
-"""
+"""Distance between a gateway and a member: same zone, same region or another region."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Locality:
-    """Where a gateway stands.
+    """Location of a gateway.
 
     Parameters
     ----------
     zone : str
         The gateway's own zone.
     regions : mapping of str to str
-        The region of each zone; a zone that is missing counts as a region of its own.
+        The region of each zone; a missing zone is a region of its own.
 
     Examples
     --------
@@ -31,7 +28,7 @@
     regions: Mapping[str, str] = field(default_factory=dict)
 
     def region_of(self, zone: str) -> str:
-        """Return the region of a zone; the zone itself if it is not known."""
+        """Return the region of a zone, or the zone itself if it is not configured."""
         return self.regions.get(zone, zone)
 
     def is_near(self, zone: str) -> bool:
@@ -39,7 +36,7 @@
         return self.region_of(zone) == self.region_of(self.zone)
 
     def distance(self, zone: str) -> int:
-        """Return 0 for the gateway's own zone, 1 for its region, 2 for all others."""
+        """Return 0 for the gateway's own zone, 1 for its own region, 2 for any other."""
         if zone == self.zone:
             return 0
         return 1 if self.is_near(zone) else 2
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -1,8 +1,7 @@
-"""What answers tell about the members of a service, and the candidates for a read made of it.
+"""Estimates about the members of a service, and the candidates for a read made from them.
 
-Owns the run times, lags, warmth and weights of one service's members as this gateway sees them;
-decides nothing: :func:`rowanrail.scheduling.choice.choose` takes the candidates. Relies on the
-primary's samples for the age of what a read must see.
+Run times, replication lag, warm-up and weights are learned from answers as this gateway sees them.
+:func:`rowanrail.scheduling.choice.choose` chooses among the candidates.
 """
 
 from collections import Counter
@@ -30,16 +29,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequirements:
-    """What a read, or a transaction that only reads, asks of a member.
+    """Requirements of a read, or of a read-only transaction, for a member.
 
     Parameters
     ----------
     kind : str
-        Name of its route: reads of one route take about as long as each other.
+        Name of its route; reads of one route have similar run times.
     entry : QueueEntry
-        How it would stand among those that want a connection.
+        Its queue entry: urgency, tenant and deadline.
     floor : Position or None
-        What the member's log must hold.
+        Position that the member's log must hold; None for any.
     """
 
     kind: str = ""
@@ -48,16 +47,16 @@
 
 
 class MemberEstimates:
-    """Run times, lags and warmth of one service's members, as this gateway sees them.
+    """Run times, replication lag, warm-up and weights of one service's members.
 
     Parameters
     ----------
     locality : Locality
-        Where the gateway stands.
+        Location of the gateway.
     tracker : PrimaryTracker
-        Knows since when the primary's log has held a position.
+        Provides the age of positions in the primary's log.
     clock : Clock
-        The time.
+        Monotonic clock in milliseconds.
     """
 
     def __init__(self, locality: Locality, tracker: PrimaryTracker, clock: Clock) -> None:
@@ -67,11 +66,11 @@
         self._times = RunTimes()
         self._lags: dict[str, LagEstimate] = {}
         self._warming: dict[str, Warming] = {}
-        self._sent_remote: Counter[str] = Counter()  # under way at holders of other regions
+        self._sent_remote: Counter[str] = Counter()  # in flight at gateways of other regions
         self.weights = MemberWeights(clock)
 
     def set_members(self, records: list[MemberRecord]) -> None:
-        """Know the members; what was learnt of those that left is forgotten."""
+        """Replace the members; discard the estimates of those that are gone."""
         now = self._clock.now
         warming, self._warming = self._warming, {}
         lags, self._lags = self._lags, {}
@@ -88,7 +87,7 @@
     def note_answer(
         self, instance: str, kind: str, answer: Answer, sent_at: float, floor: Position | None
     ) -> None:
-        """Learn from a member's answer to what was sent at ``sent_at`` seconds."""
+        """Update the estimates with an answer to a statement sent at ``sent_at`` seconds."""
         now = self._clock.now
         lag = self._lags.get(instance)
         if lag is None:
@@ -106,18 +105,18 @@
                 self.weights.note_busy(instance)
 
     def note_sent_remote(self, instance: str) -> None:
-        """Note that a read was sent to the holder in a member's region."""
+        """Record that a read was forwarded to the holder in a member's region."""
         self._sent_remote[instance] += 1
 
     def note_remote_answer(self, instance: str, kind: str, answer: Answer, sent_at: float) -> None:
-        """Learn from the answer of the holder in a member's region, sent at in seconds.
+        """Update the run times with an answer to a read forwarded at ``sent_at`` seconds.
 
-        It may have come from another member there, and what that holder refuses says nothing of
-        the member: only times are learnt.
+        The holder may have used another member of that region, and its refusals may have other
+        causes than the member, so nothing else is learned.
         """
         now = self._clock.now
         if instance not in self._sent_remote:
-            return  # the member left meanwhile
+            return  # the member has left
         self._sent_remote[instance] -= 1
         if answer.refusal is None:
             self._times.note(instance, kind, now - sent_at * 1000, now)
@@ -125,39 +124,39 @@
             self._times.note_busy(instance, kind, now)
 
     def queue_seconds(self, instance: str) -> float:
-        """Return by how many seconds a member's latest answers took longer than usual."""
+        """Return by how many seconds a member's recent answers exceeded their usual time."""
         return self._times.queue(instance, self._clock.now) / 1000
 
     def _age(self, floor: Position) -> float:
-        """Return for how long the primary's log is known to have held a position."""
+        """Return how long the primary's log is known to have held a position, in milliseconds."""
         since = self._tracker.history.held_since(floor)
         return 0.0 if since is None else max(0.0, self._clock.now - since * 1000)
 
     def candidates(
-        self, pools: Mapping[str, MemberPool], wanted: ReadRequirements
+        self, pools: Mapping[str, MemberPool], requirements: ReadRequirements
     ) -> list[Candidate]:
-        """Return members as candidates for a read."""
+        """Return a candidate for each pool's member."""
         now = self._clock.now
-        age = self._age(wanted.floor) if wanted.floor is not None else None
-        return [self._candidate(pool, wanted, age, now) for pool in pools.values()]
+        age = self._age(requirements.floor) if requirements.floor is not None else None
+        return [self._candidate(pool, requirements, age, now) for pool in pools.values()]
 
     def _candidate(
-        self, pool: MemberPool, wanted: ReadRequirements, age: float | None, now: float
+        self, pool: MemberPool, requirements: ReadRequirements, age: float | None, now: float
     ) -> Candidate:
         record = pool.record
         name = record.instance
-        work = self._times.work(wanted.kind)
+        work = self._times.work(requirements.kind)
         is_primary = name == self._tracker.presumed_primary
         behind = 0.0
         if age is not None and not is_primary and name in self._lags:
             behind = self._lags[name].expected_behind(age, now)
         distance = self._locality.distance(record.zone)
         is_remote = distance == 2 and bool(self._locality.regions)
-        usual = self._times.usual(name, wanted.kind)
-        forecast = pool.forecasts.for_entry(wanted.entry)
+        usual = self._times.usual(name, requirements.kind)
+        forecast = pool.forecasts.for_entry(requirements.entry)
         return Candidate(
             instance=name,
-            wait=counted_wait(forecast, bool(wanted.entry.tenant)),
+            wait=counted_wait(forecast, bool(requirements.entry.tenant)),
             run=expected_run(usual, work, is_remote),
             queue=self._times.queue(name, now),
             work=work,
--- a/src/rowanrail/gateway/services/member_probes.py
+++ b/src/rowanrail/gateway/services/member_probes.py
@@ -1,10 +1,9 @@
 """Probes of members that lost weight.
 
-A probe is the question for a member's status, which takes a slot as a statement does: a member
-that only accepts connections does not pass for one that is well. It is asked on a connection that
-is open for statements, if there is one, else on one of its own: clients' statements would wait for
-the end of an opening that a dark member leaves unanswered. The primary's samples prove as much, so
-that it is not probed beside them.
+A probe is a STATUS command. It takes a slot like a statement, so a member that only accepts
+connections does not pass. It uses a pooled connection if one is open, else a dedicated one, because
+clients' statements would wait for an opening that an unreachable member never answers. The primary
+is not probed, as its samples prove the same.
 """
 
 from collections.abc import Mapping
@@ -19,20 +18,20 @@
 
 __all__ = ["MemberProbes"]
 
-PROBE_TIMEOUT_MS = 300.0  # ms; six times a round trip between regions of 20 ms one way
+PROBE_TIMEOUT_MS = 300.0  # six round trips between regions that are 20 ms apart one way
 
 
 class MemberProbes:
-    """Probes one service's members at a bounded rate.
+    """Probes the members of one service at a bounded rate.
 
     Parameters
     ----------
     weights : MemberWeights
-        Says which members are to be probed, and learns what became of it.
+        Decides which members to probe, and receives the outcomes.
     driver : MemberDriver
         Opens connections.
     clock : Clock
-        Time and timers.
+        Monotonic clock and timers in milliseconds.
     """
 
     def __init__(self, weights: MemberWeights, driver: MemberDriver, clock: Clock) -> None:
@@ -45,10 +44,12 @@
 
         Parameters
         ----------
+        pools : mapping of str to MemberPool
+            The pool of each member.
         primary : str
-            The member that is believed to lead.
+            Instance name of the presumed primary.
         gateways : int
-            How many may probe a member, this one included.
+            Number of gateways that probe a member, including this one.
         """
         for instance, pool in pools.items():
             if instance == primary or pool.record.leaving:
@@ -58,7 +59,7 @@
 
 
 class _Probe:
-    """One question to one member."""
+    """One probe of one member."""
 
     def __init__(self, probes: MemberProbes, pool: MemberPool) -> None:
         self._probes = probes
@@ -69,59 +70,59 @@
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Ask for a connection."""
-        self._timer = self._probes.clock.call_in(PROBE_TIMEOUT_MS, self._late)
+        """Request or open a connection."""
+        self._timer = self._probes.clock.call_in(PROBE_TIMEOUT_MS, self._on_timeout)
         if self._pool.connections.established:
             self._lease = PoolLease(self._pool)
-            self._lease.request(self._lent)
+            self._lease.request(self._on_leased)
             return
         record = self._pool.record
-        self._channel = Channel(record.address, self._instance, self._opened)
+        self._channel = Channel(record.address, self._instance, self._on_opened)
         self._probes.driver.open(record.address, record.service, self._instance, self._channel)
 
-    def _lent(self, channel: Channel | None, answer: Answer) -> None:
+    def _on_leased(self, channel: Channel | None, answer: Answer) -> None:
         if channel is None:
-            self._end()  # nothing was asked
+            self._finish()  # nothing was sent
             return
-        channel.on_closed = lambda channel: None  # its answer tells the loss
+        channel.on_closed = lambda channel: None  # a loss is reported by its answer
         self._channel = channel
-        self._ask(channel)
+        self._send(channel)
 
-    def _opened(self, channel: Channel, answer: Answer) -> None:
+    def _on_opened(self, channel: Channel, answer: Answer) -> None:
         if answer.refusal is None:
-            self._ask(channel)
+            self._send(channel)
         elif answer.refusal is Refusal.TOO_MANY_CONNECTIONS:
-            self._end()  # it is full, and alive
+            self._finish()  # alive, but at its connection limit
         else:
             self._fail()
 
-    def _ask(self, channel: Channel) -> None:
-        channel.send([Command(CommandKind.STATUS)], [self._answered])
+    def _send(self, channel: Channel) -> None:
+        channel.send([Command(CommandKind.STATUS)], [self._on_answer])
 
-    def _answered(self, answer: Answer) -> None:
+    def _on_answer(self, answer: Answer) -> None:
         if answer.refusal is None:
-            self._end()
+            self._finish()
             self._probes.weights.note_probe_success(self._instance)
             self._pool.note_reachable()
-        elif answer.refusal is Refusal.BUSY:  # one that is full is alive, and proves no more
-            self._end()
+        elif answer.refusal is Refusal.BUSY:  # alive, but proves no more than that
+            self._finish()
         else:
             self._fail()
 
-    def _late(self) -> None:
+    def _on_timeout(self) -> None:
         if self._channel is None:
-            self._end()  # all connections are in use: nothing was asked
+            self._finish()  # all connections are in use, so nothing was sent
         elif self._channel.transport is None:
             self._fail()
         else:
-            self._channel.close()  # answers as lost
+            self._channel.close()  # answers the command as lost
 
     def _fail(self) -> None:
-        self._end()
+        self._finish()
         self._probes.weights.note_trouble(self._instance, Trouble.PROBE_FAILED)
 
-    def _end(self) -> None:
-        """Give back, or close, what was used."""
+    def _finish(self) -> None:
+        """Stop the timer, and release or close the connection."""
         if self._timer is not None:
             self._timer.cancel()
         channel, self._channel = self._channel, None
--- a/src/rowanrail/gateway/services/member_weights.py
+++ b/src/rowanrail/gateway/services/member_weights.py
@@ -1,7 +1,6 @@
-"""The weights of one service's members at this gateway, and what others reported of them.
+"""Weights of one service's members: those found by this gateway and those reported by others.
 
-Owns a :class:`rowanrail.scheduling.member_weight.MemberWeight` a member, which is the rule, and the
-count of busy refusals running; tells its owner of each member that falls or is back.
+The rule for one member is :class:`rowanrail.scheduling.member_weight.MemberWeight`.
 """
 
 from collections import Counter
@@ -20,7 +19,12 @@
     Parameters
     ----------
     clock : Clock
-        The time.
+        Monotonic clock in milliseconds.
+
+    Attributes
+    ----------
+    on_change : callable
+        Called with the instance and True when a member falls, False when it has recovered.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -28,74 +32,74 @@
         self._clock = clock
         self._weights: dict[str, MemberWeight] = {}
         self._reported = ReportedWeights()
-        self._busy: Counter[str] = Counter()  # busy refusals running
+        self._busy: Counter[str] = Counter()  # consecutive busy refusals
 
     def set_members(self, instances: set[str]) -> None:
-        """Know the members; those that left are forgotten."""
+        """Replace the members; discard the weights of those that are gone."""
         self._weights = {name: self._weights.get(name) or MemberWeight() for name in instances}
         self._reported.keep(instances)
 
     def local_weight(self, instance: str) -> Weight:
-        """Return a member's weight by what was met here."""
-        known = self._weights.get(instance)
-        return Weight(1.0, "", 0) if known is None else known.weight
+        """Return a member's weight according to this gateway alone."""
+        member = self._weights.get(instance)
+        return Weight(1.0, "", 0) if member is None else member.weight
 
     def effective_weight(self, instance: str) -> float:
-        """Return a member's weight with what others reported."""
+        """Return a member's weight, reduced by the reports of other gateways."""
         return self.local_weight(instance).value * self._reported.factor(instance, self._clock.now)
 
-    # What was met here
+    # Outcomes at this gateway
 
     def note_served(self, instance: str) -> None:
-        """Note that a member ran a statement; it gets back no weight by it."""
+        """Reset the count of busy refusals; a served statement does not restore weight."""
         self._busy.pop(instance, None)
 
     def note_busy(self, instance: str) -> None:
-        """Note that a member refused a statement as too busy."""
+        """Record a busy refusal; a run of them counts as trouble."""
         self._busy[instance] += 1
         if is_trouble(self._busy[instance]):
             self._busy.pop(instance)
             self.note_trouble(instance, Trouble.BUSY)
 
     def note_trouble(self, instance: str, trouble: Trouble) -> None:
-        """Note a failure of a member."""
-        known = self._weights.get(instance)
-        if known is None:
+        """Record a failure of a member and reduce its weight."""
+        member = self._weights.get(instance)
+        if member is None:
             return
-        was_fallen = known.is_fallen
-        known.note_trouble(trouble, self._clock.now)
-        if known.is_fallen and not was_fallen:
+        was_fallen = member.is_fallen
+        member.note_trouble(trouble, self._clock.now)
+        if member.is_fallen and not was_fallen:
             self.on_change(instance, True)
 
     # Probes
 
     def claim_probe(self, instance: str, gateways: int) -> bool:
-        """Return whether to probe a member now, which is taken to be done then."""
-        known = self._weights.get(instance)
+        """Return whether to probe a member now; if so, record the probe as sent."""
+        member = self._weights.get(instance)
         now = self._clock.now
-        if known is None or not known.wants_probe(now, gateways):
+        if member is None or not member.wants_probe(now, gateways):
             return False
-        known.note_probing(now)
+        member.note_probing(now)
         return True
 
     def note_probe_success(self, instance: str) -> None:
-        """Note that a member answered a probe."""
-        known = self._weights.get(instance)
-        if known is None:
+        """Restore weight of a member that answered a probe."""
+        member = self._weights.get(instance)
+        if member is None:
             return
-        was_fallen = known.is_fallen
-        known.note_probe(self._clock.now)
-        if was_fallen and not known.is_fallen:
+        was_fallen = member.is_fallen
+        member.note_probe(self._clock.now)
+        if was_fallen and not member.is_fallen:
             self.on_change(instance, False)
 
-    # What gateways report to each other
+    # Reports between gateways
 
     def reduced_weights(self) -> dict[str, int]:
-        """Return the members that lost weight here, and how much is left in hundredths."""
+        """Return the members with reduced weight here, in hundredths of the full weight."""
         weights = {name: weight.weight.value for name, weight in self._weights.items()}
         return {name: round(value * 100) for name, value in weights.items() if value < 1.0}
 
     def note_reported(self, reduced: dict[str, int]) -> None:
-        """Take the members that lost weight at another gateway, and how much is left there."""
-        known = {name: left / 100 for name, left in reduced.items() if name in self._weights}
+        """Add another gateway's report of members with reduced weight, in hundredths."""
+        known = {name: value / 100 for name, value in reduced.items() if name in self._weights}
         self._reported.note(known, self._clock.now)
--- a/src/rowanrail/gateway/services/primary_log.py
+++ b/src/rowanrail/gateway/services/primary_log.py
@@ -1,7 +1,4 @@
-"""Log lines about a service's primary: lost, or found again.
-
-Decides nothing: it writes what the tracker already holds, after its alarm begins or ends.
-"""
+"""Log events for the loss and recovery of a service's primary."""
 
 from rowanrail.gateway.events import PRIMARY_LOST, PRIMARY_PROVED
 from rowanrail.kernel.decisions import DecisionLog
@@ -12,12 +9,12 @@
 
 
 def log_primary_state(decisions: DecisionLog, tracker: PrimaryTracker, now: float) -> None:
-    """Log the state of a service's primary, after an alarm about it.
+    """Log the state of a service's primary after its alarm was raised or cleared.
 
     Parameters
     ----------
     now : float
-        Steady seconds.
+        Monotonic seconds.
     """
     if tracker.failing_since:
         decisions.note(
@@ -32,9 +29,9 @@
             PRIMARY_PROVED,
             service=tracker.service,
             instance=tracker.sample.instance,
-            position=_text(tracker.sample.position),
+            position=_format_position(tracker.sample.position),
         )
 
 
-def _text(position: Position) -> str:
+def _format_position(position: Position) -> str:
     return f"{position.term}.{position.index}"
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -1,9 +1,8 @@
-"""One service: its members' pools, its primary, and the choice of a member for a read.
+"""A service at this gateway: its members' pools, its primary and the choice of a member for a read.
 
-Owns the pools, the primary's tracker, what is known of the members and the share of their
-connections that belongs to this gateway; brings them together and lets time pass. The rules are
-:func:`rowanrail.scheduling.choice.choose` (which member serves a read),
-:class:`.service_share.ServiceShare` (how many connections may be opened) and those of the
+Combines the pools, the primary's tracker, the estimates about members and this gateway's share of
+their connections. The rules are :func:`rowanrail.scheduling.choice.choose` (which member serves a
+read), :class:`.service_share.ServiceShare` (how many connections may be opened) and those of the
 pools and of the primary.
 """
 
@@ -31,12 +30,26 @@
 from rowanrail.scheduling.retrying import RetryTimes
 from rowanrail.tenants.model import Tenant, Tenants
 
-IN_USE_SECONDS = 10.0  # without a statement for so long a primary need not be watched; chosen
+IN_USE_SECONDS = 10.0  # time after the last statement for which the primary is monitored
 _NO_REQUIREMENTS = ReadRequirements()
 
 
 class Service:
-    """Members of one service as this proxy uses them."""
+    """Members of one service and how this gateway uses them.
+
+    Parameters
+    ----------
+    spec : ServiceSpec
+        Configuration of the service.
+    locality : Locality
+        Location of the gateway.
+    driver : MemberDriver
+        Opens connections.
+    scheduler : Scheduler
+        Monotonic clock and timers in seconds.
+    policies : GatewayPolicies
+        Provides the check that a member is primary.
+    """
 
     def __init__(
         self,
@@ -57,9 +70,9 @@
         self.estimates = MemberEstimates(locality, self.primary, clock)
         self._probes = MemberProbes(self.estimates.weights, driver, clock)
         self.used_at = -IN_USE_SECONDS
-        self._held_connections = False
+        self._had_connections = False
         self.retry_times = RetryTimes(clock)
-        # Holders of the zones draw differently, and a simulation can be played again.
+        # Seeded by zone, so that zones choose differently and simulations are reproducible.
         self._randomness = random.Random(f"{locality.zone}/{spec.name}")  # noqa: S311 - no secret
         self._locality = locality
         self._driver = driver
@@ -68,7 +81,7 @@
         self._tenants = Tenants()
 
     def set_members(self, records: list[MemberRecord]) -> None:
-        """Know the members that announced themselves; those that left are closed."""
+        """Replace the members; close the pools of those that left or changed their address."""
         by_instance = {record.instance: record for record in records}
         for instance in list(self.pools):
             known = by_instance.get(instance)
@@ -90,13 +103,13 @@
         self.primary.set_members(records)
 
     def set_spec(self, spec: ServiceSpec) -> None:
-        """Take a changed configuration of the service."""
+        """Apply a changed configuration of the service."""
         self.spec = spec
         self.share = replace(self.share, connections=spec.connections)
         self._apply_limit()
 
     def set_population(self, population: Population) -> None:
-        """Note how many gateways share the members' connections."""
+        """Set how many gateways share the members' connections."""
         self.share = replace(self.share, population=population)
         self.primary.monitor_seconds = monitor_seconds(self.share.samplers)
         self._apply_limit()
@@ -105,11 +118,11 @@
         return self._locality.is_near(record.zone)
 
     def set_tenants(self, tenants: Tenants) -> None:
-        """Know whose statements come."""
+        """Set the configured tenants."""
         self._tenants = tenants
 
     def weight(self, tenant: str) -> float:
-        """Return the share of a tenant among those whose statements are as urgent."""
+        """Return the fair-share weight of a tenant among statements of equal urgency."""
         return tenant_weight(self._tenants.by_name.get(tenant, Tenant(tenant)).priority)
 
     def _apply_limit(self) -> None:
@@ -122,17 +135,17 @@
 
     @property
     def in_use(self) -> bool:
-        """Whether statements came a short while ago."""
+        """Whether a statement arrived within the last ``IN_USE_SECONDS``."""
         return self._scheduler.time() - self.used_at < IN_USE_SECONDS
 
     @property
     def needs_tick(self) -> bool:
-        """Whether time matters to it: it is used, holds connections, or its primary is looked for.
+        """Whether the service is in use, held connections at the last tick, or tracks its primary.
 
-        Connections are opened only while it is used; that they are there is known from the last
-        tick.
+        Connections are opened only while the service is in use, so the state of the last tick is
+        sufficient.
         """
-        return self._held_connections or self.primary.is_active or self.in_use
+        return self._had_connections or self.primary.is_active or self.in_use
 
     def is_remote(self, pool: MemberPool | None) -> bool:
         """Return whether gateways of another region hold the connections to a member."""
@@ -144,34 +157,33 @@
     def has_connections(self) -> bool:
         """Whether any connection to a member is open or being opened.
 
-        Most gateways hold none of most services; looking for their shards 20 times a second took
-        three times the processor time of all else at 25 services (a day of 100 machines).
+        Lets callers skip the services without one, which are most services at most gateways.
         """
         return any(pool.connections.count for pool in self.pools.values())
 
     def primary_pool(self) -> MemberPool | None:
-        """Return the pool of the member believed to lead."""
+        """Return the pool of the presumed primary, None if it is unknown."""
         return self.pools.get(self.primary.presumed_primary)
 
     def choose_member(
-        self, excluded: set[str], wanted: ReadRequirements = _NO_REQUIREMENTS
+        self, excluded: set[str], requirements: ReadRequirements = _NO_REQUIREMENTS
     ) -> MemberPool | None:
-        """Return the member for a read that any member with a fresh log may serve."""
+        """Return the pool of the best member for a read, None if there is no candidate."""
         pools = {
             instance: pool
             for instance, pool in self.pools.items()
             if instance not in excluded and not pool.record.leaving
         }
-        best = choose(self.estimates.candidates(pools, wanted), self._randomness)
+        best = choose(self.estimates.candidates(pools, requirements), self._randomness)
         return None if best is None else pools[best]
 
     def can_lease(self, instance: str) -> bool:
-        """See :meth:`rowanrail.members.sampling_connection.LeaseProvider.can_lease`."""
+        """Return whether the pool of a member can lease a connection at once."""
         pool = self.pools.get(instance)
         return pool is not None and pool.can_lease
 
     def lease(self, instance: str) -> PoolLease | None:
-        """See :meth:`rowanrail.members.sampling_connection.LeaseProvider.lease`."""
+        """Return a lease from the pool of a member, None if the member is not known."""
         pool = self.pools.get(instance)
         return None if pool is None else PoolLease(pool)
 
@@ -184,31 +196,31 @@
             weights.note_probe_success(instance)
 
     def set_shards(self, shards: frozenset[Shard]) -> None:
-        """Note for which shards of the service statements come to this gateway."""
+        """Set the shards of the service whose statements are routed to this gateway."""
         if shards != self.share.shards:
             self.share = replace(self.share, shards=shards)
             self._apply_limit()
 
     def set_allowance(self, allowance: Allowance | None) -> None:
-        """Note what the plan lets this gateway open; None if it does not name the service."""
+        """Set the connections that the plan allows; None if it does not include the service."""
         if allowance != self.share.allowance:
             self.share = replace(self.share, allowance=allowance)
             self._apply_limit()
 
-    def _is_kept(self, tenant: str) -> bool:
+    def _is_routed_here(self, tenant: str) -> bool:
         return self.share.keeps_idle(self.spec.name, tenant)
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Run the periodic work: monitoring, probes and pool maintenance."""
         self.primary.tick(self.in_use)
         if self.in_use:
             self._probes.tick(self.pools, self.primary.presumed_primary, self.share.samplers)
         for pool in self.pools.values():
-            pool.trim(self._is_kept)
-        self._held_connections = self.has_connections
+            pool.trim(self._is_routed_here)
+        self._had_connections = self.has_connections
 
     def close(self) -> None:
-        """Close everything that is not leased."""
+        """Close all connections that are not leased."""
         self.primary.close()
         for pool in self.pools.values():
             pool.close()
--- a/src/rowanrail/gateway/services/service_share.py
+++ b/src/rowanrail/gateway/services/service_share.py
@@ -1,8 +1,7 @@
-"""What part of a service's connections this gateway may open, and how many others share them.
+"""This gateway's share of a service's connections, and how many other gateways share them.
 
-A rule on plain values, without I/O: the service replaces the value when the directory or a plan
-changes, and applies the limits that follow. The figures of a member's connections are those of
-:mod:`rowanrail.placement.hashed`.
+An immutable value that the service replaces when the directory or a plan changes. The connections
+of a member are divided in :mod:`rowanrail.placement.hashed`.
 """
 
 import math
@@ -25,25 +24,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """The part of one service's connections that belongs to this gateway.
+    """This gateway's share of one service's connections.
 
-    Until the directory is known, the number of gateways is assumed.
+    Until the directory is known, a default number of gateways is assumed.
 
     Parameters
     ----------
     connections : int
-        That one member takes from all gateways together.
+        Connections that one member accepts from all gateways together.
     population : Population
-        The gateways among which they are divided.
+        The gateways that share them.
     shards : frozenset of Shard
-        Shards of the service of which statements come to this gateway.
+        Shards of the service whose statements are routed to this gateway.
     allowance : Allowance or None
-        What a plan lets this gateway open; None if there is none, or it doesn't name the service.
+        What a plan allows this gateway; None without a plan that includes the service.
 
     Examples
     --------
-    >>> alone = ServiceShare(40, Population(1, 1))
-    >>> alone.limit(is_near=True), alone.holders(is_near=True)
+    >>> single = ServiceShare(40, Population(1, 1))
+    >>> single.limit(is_near=True), single.holders(is_near=True)
     (37, 1)
     >>> regions = Population(58, 3, is_regional=True)
     >>> region = ServiceShare(32, regions, frozenset({Shard("a", 0)}))
@@ -58,27 +57,27 @@
 
     @property
     def is_shared(self) -> bool:
-        """Whether one gateway of each zone holds the zone's connections."""
+        """Whether one gateway of each zone holds the zone's connections for the others."""
         return is_shared(self.connections, self.population)
 
     @property
     def is_regional(self) -> bool:
-        """Whether each region's gateways hold the connections to the members there."""
+        """Whether the gateways of each region hold the connections to its members."""
         return self.population.is_regional and self.is_shared
 
     @property
     def is_planned(self) -> bool:
-        """Whether a plan names the holders of the service's connections."""
+        """Whether a plan assigns the service's connections to gateways."""
         return self.allowance is not None
 
     @property
     def planned_shards(self) -> frozenset[Shard]:
-        """The shards for which the plan names this gateway."""
+        """The shards that the plan assigns to this gateway."""
         return frozenset() if self.allowance is None else self.allowance.shards
 
     @property
     def samplers(self) -> int:
-        """How many gateways sample the primary: all, or one a zone."""
+        """Number of gateways that sample the primary: all, or one for each zone."""
         return self.population.zones if self.is_shared else self.population.gateways
 
     def limit(self, is_near: bool) -> int:
@@ -96,17 +95,17 @@
         return connection_limit(self.connections, self.population, is_near, shards)
 
     def _planned_share(self, allowance: Allowance) -> float:
-        """Return the share by a plan; who stands in for a holder that is down has an even one.
+        """Return the share by a plan, plus an even share for each shard taken over from others.
 
-        A gateway that the plan does not name, or names no more, may still be asked by those that
-        go by another plan, and finishes what it began.
+        Gateways that follow another plan may still forward to a gateway without a share, so it
+        keeps a reduced one to finish its work.
         """
         even = even_share(self.population)
         share = allowance.share + even * len(self.shards - allowance.shards)
         return share or even * HANDOVER_SHARE_FACTOR
 
     def holders(self, is_near: bool) -> int:
-        """Return how many gateways are thought to use a member as much as this one does."""
+        """Return how many gateways are assumed to use a member as much as this one does."""
         if not self.is_shared:
             return self.population.gateways or ASSUMED_GATEWAYS
         if self.allowance is not None and (is_near or not self.is_regional):
@@ -119,8 +118,8 @@
     def keeps_idle(self, service: str, tenant: str) -> bool:
         """Return whether idle connections of a tenant are kept for its next statement.
 
-        What another gateway of the region is to hold is missing there: a member that both keep
-        full refuses a third of them.
+        If not, they are closed soon, because the gateway that now serves the tenant needs the
+        places at the member.
         """
         if self.is_regional:
             return not tenant or Shard.of(service, tenant) in self.shards
--- a/src/rowanrail/gateway/services/weight_log.py
+++ b/src/rowanrail/gateway/services/weight_log.py
@@ -1,6 +1,6 @@
-"""Log lines on members that lose their weight, or have it back.
+"""Log events for members whose weight falls or recovers.
 
-Decides nothing: it writes what :mod:`rowanrail.scheduling.member_weight` decided, with its inputs.
+The decision is made in :mod:`rowanrail.scheduling.member_weight`.
 """
 
 from rowanrail.gateway.events import MEMBER_FELL, MEMBER_ROSE
@@ -13,9 +13,9 @@
 def log_weight_change(
     decisions: DecisionLog, service: Service, instance: str, has_fallen: bool
 ) -> None:
-    """Log a change of a member's weight with what decided it.
+    """Log that a member fell or recovered, with the inputs of the decision.
 
-    A fall of a member is logged once, until it has risen again, which takes its probes seconds.
+    A fall is logged once until the member has recovered, which takes seconds of probing.
     """
     weight = service.estimates.weights.local_weight(instance)
     pool = service.pools.get(instance)
