--- a/tests/gateway/test_choice_of_member.py
+++ b/tests/gateway/test_choice_of_member.py
@@ -1,4 +1,4 @@
-"""What a gateway's own answers change in its choice of a member for reads."""
+"""How the answers that a gateway receives change its choice of a member for reads."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from rowanrail.placement.hashed import Population
 from tests.support.gateway import PlayedGateway
 
-FULL = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
+BUSY_ANSWER = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
 
 
 class ChoiceOfMemberTest(unittest.TestCase):
@@ -19,15 +19,15 @@
         self.client = self.played.client("carts")
         self.client.run("READ warm", seconds=0.1)
 
-    def answer_times(self, seconds):
-        """Have the near member's answers be known to take so long; here they take no time."""
+    def note_answer_times(self, seconds):
+        """Record answers of all members with a run time, as the played ones take no time."""
         service = self.played.gateway.services["db"]
         for member in self.played.members:
             sent_at = self.played.clock.now - seconds
             done = Answer()
             service.estimates.note_answer(member.instance, "carts", done, sent_at, None)
 
-    def test_a_replica_that_is_behind_is_spared_reads_that_need_more(self):
+    def test_a_replica_that_lags_gets_no_reads_that_need_a_newer_position(self):
         self.client.run("WRITE a 1")
         self.assertIsNone(self.client.run("READ b").refusal)
         self.assertEqual(self.played.primary.texts()[-1], "READ b")
@@ -36,14 +36,14 @@
         self.assertIsNone(self.client.run("READ c").refusal)
         self.assertEqual(len(self.played.near.texts()), known)
 
-    def test_it_still_serves_reads_that_accept_the_age(self):
+    def test_a_lagging_replica_serves_reads_that_accept_its_lag(self):
         self.played.clock.advance(0.5)
         self.client.run("WRITE a 1")
         self.client.run("READ b")
         self.played.client("reports").run("READ d")
         self.assertEqual(self.played.near.texts()[-1], "READ d")
 
-    def test_it_is_tried_again_after_a_while(self):
+    def test_a_lagging_replica_is_tried_again_after_a_while(self):
         self.client.run("WRITE a 1")
         self.client.run("READ b")
         self.played.near.position = self.played.primary.position
@@ -51,20 +51,20 @@
         self.client.run("READ c", seconds=0.1)
         self.assertEqual(self.played.near.texts()[-1], "READ c")
 
-    def test_a_member_that_turned_a_read_away_is_left_alone_for_a_moment(self):
-        self.answer_times(0.02)
-        self.played.near.script = [FULL] * 5
+    def test_a_member_that_refused_a_read_as_busy_is_avoided_for_a_moment(self):
+        self.note_answer_times(0.02)
+        self.played.near.script = [BUSY_ANSWER] * 5
         for text in ("READ a", "READ b", "READ c"):
             self.assertIsNone(self.client.run(text).refusal)
-        turned_away = 5 - len(self.played.near.script)
-        self.assertEqual(turned_away, 1)
+        refused = 5 - len(self.played.near.script)
+        self.assertEqual(refused, 1)
         self.played.near.script.clear()
         self.played.clock.advance(3)
         self.client.run("READ d", seconds=0.1)
         self.assertEqual(self.played.near.texts()[-1], "READ d")
 
-    def test_a_member_that_has_just_started_gets_reads_once_it_is_warm(self):
-        self.answer_times(0.02)
+    def test_a_member_that_has_just_started_gets_reads_after_its_warm_up(self):
+        self.note_answer_times(0.02)
         fresh = self.played.near
         fresh.instance = "m4"
         self.played.driver.members["m4:1"] = fresh
@@ -80,7 +80,7 @@
 
 
 class SlowPrimaryTest(unittest.TestCase):
-    """A primary that is slow still leads; what need not go there does not."""
+    """A slow primary remains primary, but reads that other members can serve avoid it."""
 
     def setUp(self):
         self.played = PlayedGateway()
@@ -98,17 +98,17 @@
             self.note(instance, 0.6)
 
     def note(self, instance, seconds):
-        """Have a member be known to have taken so long for a write or read of the route."""
+        """Record an answer of a member that took ``seconds``."""
         sent_at = self.played.clock.now - seconds
         self.estimates.note_answer(instance, "reports", Answer(), sent_at, None)
 
-    def test_reads_that_accept_an_age_go_elsewhere(self):
+    def test_reads_with_bounded_staleness_use_other_members(self):
         self.assertEqual(self.played.primary.texts()[-1], "READ before")
         for number in range(5):
             self.assertIsNone(self.reader.run(f"READ r{number}", seconds=0.1).refusal)
         self.assertEqual(self.played.primary.texts()[-1], "READ before")
 
-    def test_it_is_not_called_lost_and_keeps_its_writes(self):
+    def test_it_does_not_count_as_failing_and_keeps_its_writes(self):
         (health,) = self.played.gateway.health()
         self.assertEqual(health.failing_for_ms, 0)
         self.assertIsNone(self.writer.run("WRITE a 1", seconds=0.1).refusal)
--- a/tests/gateway/test_crowded.py
+++ b/tests/gateway/test_crowded.py
@@ -1,4 +1,4 @@
-"""Members that have no connection left, as after a restart of all gateways."""
+"""Members at their connection limit, as after a restart of all gateways."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 FULL = Refusal.TOO_MANY_CONNECTIONS
 
 
-class CrowdedPrimaryTest(unittest.TestCase):
+class ConnectionLimitTest(unittest.TestCase):
     def setUp(self):
         self.played = PlayedGateway()
 
@@ -18,36 +18,35 @@
         (health,) = self.played.gateway.health()
         return health
 
-    def test_a_primary_with_no_connection_left_is_not_lost(self):
-        # Found after a loss of all power: three primaries that were merely full were replaced,
-        # and with them commits that had been acknowledged.
+    def test_a_primary_at_its_connection_limit_does_not_count_as_failing(self):
+        # A failover from such a primary would lose commits that had been acknowledged.
         self.played.primary.refuse_start = FULL
         for text in ("READ a", "WRITE a 1"):
             self.played.client("orders").ask(text)
         self.played.clock.advance(1.5)
         self.assertEqual(self.health().failing_for_ms, 0)
 
-    def test_what_waits_for_a_full_primary_is_refused_before_it_is_late(self):
+    def test_statements_for_a_full_primary_are_refused_before_their_deadline(self):
         self.played.primary.refuse_start = FULL
         answer = self.played.client("orders").run("READ a", seconds=0.4)
         self.assertEqual(answer.refusal, Refusal.BUSY)
         self.assertIn("no connection left", answer.message)
 
-    def test_samples_come_on_a_connection_that_is_open_for_statements(self):
+    def test_samples_use_a_pooled_connection(self):
         self.played.client("orders").run("WRITE a 1", seconds=0.1)
         self.played.primary.refuse_start = FULL
         self.played.clock.advance(2.0)
         answer = self.played.client("orders").run("READ a", seconds=0.1)
         self.assertIsNone(answer.refusal)
 
-    def test_a_calm_service_needs_one_connection_to_its_primary(self):
+    def test_a_service_with_little_load_needs_one_connection_to_its_primary(self):
         for _ in range(5):
             self.played.client("orders").run("READ a", seconds=0.1)
             self.played.client("orders").run("WRITE a 1", seconds=0.1)
             self.played.clock.advance(0.5)
         self.assertEqual(len(self.played.primary.open_wires()), 1)
 
-    def test_a_sample_comes_though_all_connections_are_in_use(self):
+    def test_a_sample_succeeds_while_all_connections_are_in_use(self):
         self.played.configure(2, connections=18)
         clients = [self.played.client("orders") for _ in range(8)]
         for client in clients:
@@ -55,8 +54,8 @@
             client.run("READ a", seconds=0.05)
         self.assertIsNone(self.played.client("reports").run("READ b", seconds=0.1).refusal)
 
-    def test_who_waits_at_a_full_member_gets_the_connection_that_a_transaction_gives_back(self):
-        self.played.configure(2, connections=12)  # four for a gateway
+    def test_a_statement_at_a_full_member_gets_the_connection_that_a_transaction_releases(self):
+        self.played.configure(2, connections=12)  # four for each gateway
         holders = [self.played.client("orders") for _ in range(2)]
         for client in holders:
             client.run("BEGIN")
@@ -69,8 +68,8 @@
         holders[0].run("COMMIT")
         self.assertIsNone(waiting.answers[-1].refusal)
 
-    def test_a_write_that_proves_the_primary_shows_that_it_is_not_full(self):
-        # Found by reading: what waited for another reason was told that the primary was full.
+    def test_a_proof_of_the_primary_clears_its_connection_limit(self):
+        # Otherwise statements that wait for another reason are refused as if it were full.
         tracker = self.played.gateway.services["db"].primary
         client = self.played.client("orders")
         self.played.primary.refuse_start = FULL
@@ -80,7 +79,7 @@
         tracker.note_proof("m1", self.played.clock.now, Position(1, 12))
         self.assertFalse(tracker.is_at_connection_limit)
 
-    def test_a_borrowed_connection_that_is_silent_counts_against_the_primary(self):
+    def test_a_sample_unanswered_on_a_pooled_connection_counts_as_a_failure(self):
         self.played.client("orders").run("WRITE a 1", seconds=0.1)
         self.played.clock.advance(0.1)
         self.played.primary.silent = True
@@ -94,9 +93,8 @@
 
 
 class SilentPrimaryTest(unittest.TestCase):
-    def test_silence_is_noticed_though_all_connections_are_in_use(self):
-        # Found on a day with a crash: a sample stood in line for connections whose statements
-        # nobody answered any more, and the loss was noticed 0.9 s after the last proof.
+    def test_a_silent_primary_is_detected_while_all_connections_are_in_use(self):
+        # A sample must not wait for pooled connections whose statements are never answered.
         played = PlayedGateway()
         played.client("orders").run("WRITE a 1", seconds=0.1)
         played.primary.silent = True
@@ -107,9 +105,8 @@
         (health,) = played.gateway.health()
         self.assertGreater(health.failing_for_ms, 0)
 
-    def test_a_primary_that_stays_lost_holds_nobody_up(self):
-        # Gateways cut off from a primary for 5 s held each request for 0.3 to 0.6 s, and their
-        # clients came too late to the gateways that reached it.
+    def test_statements_for_a_long_lost_primary_are_refused_at_once(self):
+        # Their clients must have time left to try a gateway that reaches the primary.
         played = PlayedGateway()
         played.client("orders").run("WRITE a 1", seconds=0.1)
         played.primary.silent = True
@@ -126,9 +123,8 @@
         self.assertIsNone(played.client("orders").run("WRITE c 3", seconds=0.1).refusal)
 
 
-class PatientPoolTest(unittest.TestCase):
+class DelayedOpeningTest(unittest.TestCase):
     def test_a_short_wait_opens_no_further_connection(self):
-        # A day of 9 gateways opened 900 connections, most of them for a wait of a few ms.
         played = PlayedGateway()
         first, second = played.client("orders"), played.client("orders")
         first.run("WRITE a 1", seconds=0.1)
@@ -140,7 +136,7 @@
         self.assertIsNone(second.answers[-1].refusal)
         self.assertEqual(len(played.primary.wires), 1)
 
-    def test_a_wait_of_an_openings_length_opens_one(self):
+    def test_a_wait_as_long_as_an_opening_opens_a_connection(self):
         played = PlayedGateway()
         first, second = played.client("orders"), played.client("orders")
         first.run("WRITE a 1", seconds=0.1)
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -1,8 +1,6 @@
-"""How many connections of tenants a pool keeps while it is calm, so that a restart finds room.
+"""A pool without demand must leave connections free at the member for restarted gateways.
 
-Seen on played days: members count the connections of gateways that lost their power for 3 s more.
-With all that there may be kept for tenants, those that started again found none left: 1,409
-openings beyond the cap in one day, and half of the statements of the first 2 s late.
+Members count the connections of crashed gateways for 3 s more, so full pools would block a restart.
 """
 
 import unittest
@@ -21,7 +19,7 @@
 
 LIMIT = 14
 TENANTS = [f"t{number}" for number in range(LIMIT)]
-KEPT = round(RETAINED_SHARE * LIMIT)
+RETAINED = round(RETAINED_SHARE * LIMIT)
 
 
 class KeptConnectionsTest(unittest.TestCase):
@@ -31,7 +29,7 @@
         self.pool = MemberPool(self.member.record(), LIMIT, self.member, Clock(self.clock))
 
     def use(self, tenant):
-        """Have a statement of a tenant use a connection for a moment."""
+        """Run a statement of a tenant that takes 10 ms."""
 
         def respond(channel, answer):
             self.clock.call_later(0.01, self.pool.release, channel)
@@ -43,30 +41,30 @@
             self.clock.advance(0.05)
             self.pool.trim()
 
-    def test_a_burst_of_many_tenants_may_use_all(self):
+    def test_a_burst_of_many_tenants_may_use_the_whole_limit(self):
         for tenant in TENANTS:
             self.use(tenant)
             self.pass_time(0.1)
         self.assertEqual(self.pool.connections.count, LIMIT)
 
-    def test_half_are_kept_when_it_is_over(self):
-        self.test_a_burst_of_many_tenants_may_use_all()
+    def test_half_of_the_connections_are_kept_after_a_burst(self):
+        self.test_a_burst_of_many_tenants_may_use_the_whole_limit()
         self.pass_time(SURPLUS_IDLE_TIMEOUT_MS / 1000 + 0.1)
-        self.assertEqual(self.pool.connections.count, KEPT)
+        self.assertEqual(self.pool.connections.count, RETAINED)
         self.pass_time(TENANT_IDLE_TIMEOUT_MS / 2000)
-        self.assertEqual(self.pool.connections.count, KEPT)
+        self.assertEqual(self.pool.connections.count, RETAINED)
 
-    def test_those_of_tenants_that_came_last_are_kept(self):
-        self.test_half_are_kept_when_it_is_over()
+    def test_the_most_recently_used_connections_are_kept(self):
+        self.test_half_of_the_connections_are_kept_after_a_burst()
         opened = self.member.opened
-        for tenant in TENANTS[-KEPT:]:
+        for tenant in TENANTS[-RETAINED:]:
             self.use(tenant)
             self.pass_time(0.1)
         self.assertEqual(self.member.opened, opened)
 
-    def test_few_are_all_kept(self):
-        for tenant in TENANTS[:KEPT]:
+    def test_connections_within_the_retained_share_are_all_kept(self):
+        for tenant in TENANTS[:RETAINED]:
             self.use(tenant)
             self.pass_time(0.1)
         self.pass_time(TENANT_IDLE_TIMEOUT_MS / 2000)
-        self.assertEqual(self.pool.connections.count, KEPT)
+        self.assertEqual(self.pool.connections.count, RETAINED)
--- a/tests/gateway/test_member_weight.py
+++ b/tests/gateway/test_member_weight.py
@@ -1,4 +1,4 @@
-"""A member loses weight by what clients met, and gets it back by the gateway's own probes."""
+"""A member loses weight by failures of clients' statements and regains it by probes alone."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from tests.support.gateway import PlayedGateway
 
 FAILED = Answer(refusal=Refusal.FAILED, state=SessionState.IDLE)
-FULL = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
+BUSY_ANSWER = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
 
 
 class MemberWeightTest(unittest.TestCase):
@@ -21,7 +21,7 @@
         return self.weights.local_weight("m2").value
 
     def lose_weight(self):
-        """Have the near member fail reads until it has lost most of its weight."""
+        """Report errors of the near member until it has lost most of its weight."""
         self.played.near.script = [FAILED] * 8
         pool = self.played.gateway.services["db"].pools["m2"]
         while self.weight() >= 0.5:
@@ -34,30 +34,30 @@
         ]
 
     def use(self, seconds):
-        """Have a client keep the service in use, and another member busy with it."""
+        """Run a read every 0.1 s, so that the service stays in use."""
         for _ in range(round(seconds * 10)):
             self.played.clock.advance(0.1)
             self.client.run("READ a", seconds=0.1)
 
-    def test_a_well_member_is_not_probed(self):
+    def test_a_healthy_member_is_not_probed(self):
         self.use(3)
         self.assertEqual(self.probes(), [])
 
-    def test_errors_cost_weight_and_probes_bring_it_back(self):
+    def test_errors_reduce_weight_and_probes_restore_it(self):
         self.lose_weight()
         self.use(2)
         self.assertGreater(len(self.probes()), 0)
         self.use(5)
         self.assertEqual(self.weight(), 1.0)
 
-    def test_errors_inside_of_transactions_that_only_read_cost_weight(self):
+    def test_errors_in_read_only_transactions_reduce_weight(self):
         self.client.run("BEGIN READ")
         self.client.run("READ a")
         self.played.near.script = [FAILED]
         self.assertEqual(self.client.run("READ b").refusal, Refusal.FAILED)
         self.assertLess(self.weight(), 1.0)
 
-    def test_a_probe_a_second_at_most(self):
+    def test_at_most_one_probe_is_sent_each_second(self):
         self.lose_weight()
         self.use(2)
         self.assertLessEqual(len(self.probes()), 3)
@@ -68,14 +68,14 @@
         self.use(2)
         self.assertEqual(self.probes(), [])
 
-    def test_clients_statements_bring_nothing_back(self):
+    def test_clients_statements_do_not_restore_weight(self):
         self.lose_weight()
         before = self.weight()
         for _ in range(20):
             self.client.run("READ a")  # no time passes, so that no probe is due
         self.assertEqual(self.weight(), before)
 
-    def test_a_probe_that_is_left_unanswered_costs_weight(self):
+    def test_an_unanswered_probe_reduces_weight(self):
         self.lose_weight()
         before = self.weight()
         self.played.near.silent = True
@@ -94,31 +94,31 @@
         self.client.run("READ a", seconds=0.5)
         self.assertLess(self.weight(), 0.5)
 
-    def test_a_member_that_always_turns_away_loses_weight_and_a_full_one_does_not(self):
-        self.played.near.script = [FULL] * 3
+    def test_only_many_consecutive_busy_refusals_reduce_weight(self):
+        self.played.near.script = [BUSY_ANSWER] * 3
         for _ in range(3):
             self.played.clock.advance(3)
             self.client.run("READ a", seconds=0.1)
         self.assertEqual(self.weight(), 1.0)
-        self.played.near.script = [FULL] * 9
+        self.played.near.script = [BUSY_ANSWER] * 9
         for _ in range(9):
             self.played.clock.advance(3)
             self.client.run("READ a", seconds=0.1)
         self.assertLess(self.weight(), 1.0)
 
-    def test_a_fall_and_the_return_are_told_once_each_with_what_decided(self):
+    def test_a_fall_and_a_recovery_are_logged_once_each_with_their_inputs(self):
         self.lose_weight()
         pool = self.played.gateway.services["db"].pools["m2"]
         for _ in range(5):
             pool.note_error()
         self.use(10)
         fallen = [line for line in self.played.logs() if '"event":350' in line]
-        risen = [line for line in self.played.logs() if '"event":351' in line]
-        self.assertEqual((len(fallen), len(risen)), (1, 1))
+        recovered = [line for line in self.played.logs() if '"event":351' in line]
+        self.assertEqual((len(fallen), len(recovered)), (1, 1))
         for word in ('"instance":"m2"', '"reason":"error"', '"weight":', '"error_share":'):
             self.assertIn(word, fallen[0])
 
-    def test_operators_see_weight_and_reason(self):
+    def test_gauges_have_weight_and_reason(self):
         self.lose_weight()
         readings = {
             labels["member"]: (labels["reason"], value)
--- a/tests/gateway/test_samples.py
+++ b/tests/gateway/test_samples.py
@@ -1,4 +1,4 @@
-"""The history of proved positions."""
+"""History of position samples, and the interval at which a primary is monitored."""
 
 import doctest
 import unittest
@@ -17,11 +17,11 @@
     def setUp(self):
         self.history = SampleHistory()
 
-    def test_examples_of_the_pages_hold(self):
+    def test_doctests_pass(self):
         for module in (samples, locality, primary):
             self.assertEqual(doctest.testmod(module).failed, 0)
 
-    def test_nothing_older_than_asked_for_is_given(self):
+    def test_no_sample_older_than_requested_is_returned(self):
         for number in range(100):
             self.history.add(number * 0.1, Position(1, number), "m1")
         for number in range(60, 100):
@@ -31,25 +31,25 @@
             self.assertLess(sample.asked_at - since, 0.1)
         self.assertIsNone(self.history.oldest_since(10.0))
 
-    def test_it_stays_small(self):
+    def test_the_history_is_bounded(self):
         for number in range(20_000):
             self.history.add(number * 0.001, Position(1, number), "m1")
         self.assertLessEqual(len(self.history._kept), HISTORY_SECONDS / 0.02 + 1)
         self.assertEqual(self.history.newest.position, Position(1, 19_999))
 
-    def test_the_newest_is_given_even_if_it_was_not_kept(self):
+    def test_the_newest_sample_is_returned_even_if_it_is_not_in_the_history(self):
         self.history.add(1.0, Position(1, 1), "m1")
         self.history.add(1.01, Position(1, 2), "m1")
         self.assertEqual(self.history.oldest_since(1.005).position, Position(1, 2))
 
-    def test_an_answer_that_came_late_changes_nothing(self):
+    def test_a_late_answer_changes_nothing(self):
         self.history.add(2.0, Position(1, 5), "m1")
         self.assertTrue(self.history.add(1.0, Position(1, 3), "m1"))
         self.assertEqual(self.history.newest.asked_at, 2.0)
 
 
 class MonitorTest(unittest.TestCase):
-    """How often a primary is sampled when nobody waits for its position."""
+    """Sampling rate of a primary when no read waits for a sample."""
 
     def played(self, gateways):
         played = PlayedGateway()
@@ -65,12 +65,12 @@
         played.clock.advance(6.0)
         return sum(c.kind is CommandKind.BEGIN for _, c in played.primary.ran[known:])
 
-    def test_many_gateways_sample_less_each(self):
-        # Found on hb-subrail-large: 194 gateways sampled each primary 650 times a second.
+    def test_with_many_gateways_each_samples_less_often(self):
+        # The rate from all gateways together must stay bounded.
         self.assertGreater(self.samples_in_six_seconds(12), 15)
         self.assertLess(194 * self.samples_in_six_seconds(194) / 6, 360)
 
-    def test_a_silent_primary_is_told_in_time_also_there(self):
+    def test_with_many_gateways_a_silent_primary_is_reported_in_time(self):
         played = self.played(194)
         alarms = []
         played.gateway.on_alarm = lambda: alarms.append(played.clock.now)
--- a/tests/gateway/test_service_share.py
+++ b/tests/gateway/test_service_share.py
@@ -1,4 +1,4 @@
-"""How many connections a gateway may open, and how many others are thought to share a member."""
+"""A gateway's share of connections, and the assumed number of gateways that share a member."""
 
 import unittest
 from dataclasses import replace
@@ -18,40 +18,40 @@
         self.assertEqual(share.holders(is_near=True), ASSUMED_GATEWAYS)
         self.assertEqual(share.limit(is_near=True), connection_limit(40, Population()))
 
-    def test_with_connections_for_all_each_gateway_counts_as_a_holder_and_samples(self):
+    def test_unshared_connections_count_each_gateway_as_holder_and_sampler(self):
         share = ServiceShare(40, Population(7, 3))
         self.assertFalse(share.is_shared)
         self.assertEqual((share.holders(True), share.samplers), (7, 7))
 
-    def test_a_zone_that_shares_counts_as_one(self):
+    def test_a_zone_that_shares_connections_counts_as_one_gateway(self):
         share = ServiceShare(40, ZONES)
         self.assertTrue(share.is_shared)
         self.assertEqual((share.holders(True), share.samplers), (6, 6))
 
-    def test_in_a_region_the_holder_of_more_shards_shares_with_fewer(self):
+    def test_in_a_region_more_shards_mean_fewer_other_holders(self):
         for number, holders in ((1, SHARDS), (2, 2), (3, 1)):
             shards = frozenset(Shard("db", shard) for shard in range(number))
             share = ServiceShare(32, REGIONS, shards)
             self.assertEqual(share.holders(is_near=True), holders)
             self.assertEqual(share.holders(is_near=False), SHARDS * 3)
 
-    def test_a_planned_share_says_how_many_share_a_near_member_only(self):
+    def test_a_planned_share_applies_to_near_members_only(self):
         allowance = Allowance(0.5, samplers=2, shards=frozenset([SHARD]))
         share = ServiceShare(32, REGIONS, frozenset([SHARD]), allowance)
         self.assertEqual(share.holders(is_near=True), 2)
         self.assertEqual(share.holders(is_near=False), SHARDS * 3)
 
-    def test_who_stands_in_for_a_planned_holder_has_an_even_share(self):
+    def test_a_substitute_for_a_planned_holder_has_an_even_share(self):
         named = ServiceShare(40, ZONES, frozenset([SHARD]), Allowance(0.25, 1, frozenset([SHARD])))
-        stands_in = replace(named, allowance=Allowance(0.0, 1, frozenset()))
+        substitute = replace(named, allowance=Allowance(0.0, 1, frozenset()))
         self.assertEqual(named.holders(True), 4)
-        self.assertEqual(stands_in.holders(True), 6)
+        self.assertEqual(substitute.holders(True), 6)
 
-    def test_whom_no_plan_names_finishes_with_a_part_of_an_even_share(self):
+    def test_a_gateway_outside_the_plan_keeps_part_of_an_even_share(self):
         share = ServiceShare(40, ZONES, allowance=Allowance(0.0, 1, frozenset()))
         self.assertEqual(share.holders(True), round(6 / HANDOVER_SHARE_FACTOR))
 
-    def test_idle_connections_are_kept_for_what_comes_to_this_gateway(self):
+    def test_idle_connections_are_kept_for_tenants_routed_to_this_gateway(self):
         shards = frozenset([Shard.of("db", "anna")])
         other = next(name for name in map(str, range(99)) if Shard.of("db", name) not in shards)
         share = ServiceShare(32, REGIONS, shards)
@@ -59,7 +59,7 @@
         self.assertTrue(share.keeps_idle("db", ""))
         self.assertFalse(share.keeps_idle("db", other))
 
-    def test_without_regions_all_are_kept_unless_a_plan_names_others(self):
+    def test_without_regions_all_are_kept_unless_a_plan_assigns_them_elsewhere(self):
         share = ServiceShare(40, ZONES)
         self.assertTrue(share.keeps_idle("db", "anna"))
         planned = replace(share, allowance=Allowance(0.0, 1, frozenset()))
--- a/tests/gateway/test_silent_members.py
+++ b/tests/gateway/test_silent_members.py
@@ -1,4 +1,4 @@
-"""Members that take work and leave it unanswered, seen from transactions that only read."""
+"""Read-only transactions at members that accept statements and never answer."""
 
 import unittest
 
@@ -7,11 +7,7 @@
 
 
 class SilentMemberTest(unittest.TestCase):
-    """Found on hb-subrail-large, scale-2: a member hung for 6.6 s.
-
-    Single reads went to another member after 0.4 s. Transactions stayed for their route's whole
-    time, were aborted, and their successors went to the same member again.
-    """
+    """Transactions must not wait for a hung member, nor their retries return to it."""
 
     def setUp(self):
         self.played = PlayedGateway()
@@ -23,36 +19,36 @@
         self.played.near.silent = True
         answer = self.client.run("READ a", seconds=0.45)
         self.assertIsNone(answer.refusal)
-        self.assertNotIn("READ a", self.played.near.texts())  # its BEGIN was never answered
+        self.assertNotIn("READ a", self.played.near.texts())  # its BEGIN was not answered
 
-    def test_a_first_read_whose_begin_was_answered_is_aborted_in_time_to_begin_again(self):
-        # Not moved: it may have run, and the others must run on the connection where it did.
+    def test_a_first_read_after_an_answered_begin_is_aborted_in_time_for_a_retry(self):
+        # Not retried elsewhere: it may have run, and later statements need the same connection.
         self.played.near.script = [None]
         answer = self.client.run("READ a", seconds=0.45)
         self.assertEqual(answer.refusal, Refusal.ABORTED)
         others = [t for m in (self.played.primary, self.played.far) for t in m.texts()]
         self.assertEqual(others, [])
 
-    def test_the_log_tells_at_how_many_members_it_was_tried(self):
+    def test_the_log_has_the_number_of_members_tried(self):
         self.played.near.silent = True
         self.client.run("READ a", seconds=0.45)
         line = [line for line in self.played.logs() if '"event":300' in line][-1]
         self.assertIn('"attempts":2', line)
 
-    def test_a_later_read_is_aborted_in_time_for_the_client_to_begin_again(self):
+    def test_a_later_read_is_aborted_in_time_for_a_retry(self):
         self.assertIsNone(self.client.run("READ a").refusal)
         self.played.near.silent = True
         answer = self.client.run("READ b", seconds=0.45)
         self.assertEqual(answer.refusal, Refusal.ABORTED)
 
-    def test_the_next_transaction_keeps_away_from_it(self):
+    def test_the_next_transaction_avoids_the_silent_member(self):
         self.played.near.silent = True
         self.client.run("READ a", seconds=0.45)
         follower = self.played.client("reports")
         follower.run("BEGIN READ")
         self.assertIsNone(follower.run("READ b", seconds=0.01).refusal)
 
-    def test_a_transaction_that_writes_is_not_begun_again_elsewhere(self):
+    def test_a_transaction_that_writes_is_not_retried_at_another_member(self):
         client = self.played.client("orders")
         client.run("BEGIN")
         self.played.primary.silent = True
@@ -63,9 +59,9 @@
 
 
 class OpeningTest(unittest.TestCase):
-    def test_a_member_is_not_blamed_for_the_opening_at_another(self):
-        # Found by reading: the 0.15 s for a first connection to one member went on at the next,
-        # where the read stood in line; that member counted as silent then.
+    def test_a_slow_opening_at_one_member_does_not_count_against_another(self):
+        # The timeout for opening a connection at one member must not continue at the next, where
+        # the read is queued, and count that one as silent.
         played = PlayedGateway()
         played.client("orders").run("WRITE a 1", seconds=0.1)
         played.far.position = played.near.position = played.primary.position
