--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -157,7 +157,7 @@
     ),
     CauseRule(
         "no route",
-        "rowanrail.gateway.sessions.access.Access.refuse_database",
+        "rowanrail.gateway.sessions.access.AccessControl.refuse_unknown_database",
         lambda known: known.outcome == Refusal.UNKNOWN_DATABASE.value,
         lambda known: _missing_route(known.statement, known.around),
     ),
@@ -171,7 +171,7 @@
     ),
     CauseRule(
         "its outcome is unknown",
-        f"{_WORK}.attempts.unanswered",
+        f"{_WORK}.attempts.refusal_without_answer",
         lambda known: known.outcome == Refusal.OUTCOME_UNKNOWN.value,
         lambda known: (
             f"it was sent to {known.member} and its answer did not come ({known.reason})"
@@ -180,13 +180,13 @@
     ),
     CauseRule(
         "no connection free, with a primary that is well",
-        "rowanrail.scheduling.admission.judge_waiting",
+        "rowanrail.scheduling.admission.decide_while_waiting",
         lambda known: known.stage == Stage.WAITS_FOR_CONNECTION.value and not known.lost,
         _connection_sentence,
     ),
     CauseRule(
         "rejected by admission; explain.rejections names the rule of each cause",
-        "rowanrail.scheduling.admission.judge_arriving",
+        "rowanrail.scheduling.admission.decide_on_arrival",
         lambda known: bool(known.rejected),
         lambda known: f"{known.reason}: {known.rejected}{known.lost}",
     ),
@@ -200,7 +200,7 @@
     ),
     CauseRule(
         "the primary was lost",
-        f"{_WORK}.refusals.primary_trouble",
+        f"{_WORK}.refusals.primary_unavailable_reason",
         lambda known: bool(known.lost),
         lambda known: f"it could not run{known.lost}",
     ),
--- a/src/rowanrail/gateway/pools/queued_request.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -1,7 +1,7 @@
 """A statement that waits for a connection to one member, until it gets one or leaves the queue.
 
 A timer rechecks whether the statement can still be answered in time;
-:class:`rowanrail.scheduling.admission.Watch` decides when and whether it keeps waiting.
+:class:`rowanrail.scheduling.admission.WaitingMonitor` decides when and whether it keeps waiting.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from rowanrail.kernel.clock import Timer
 from rowanrail.members.channel import Channel
 from rowanrail.model.statements import Answer
-from rowanrail.scheduling.admission import Admit, Forecast, Watch
+from rowanrail.scheduling.admission import Admit, Forecast, WaitingMonitor
 from rowanrail.scheduling.queue import QueueEntry
 
 __all__ = ["QueuedRequest"]
@@ -48,7 +48,7 @@
         self._on_connection = on_connection
         self._on_expired = on_expired
         self._time_limit = entry.deadline - entry.arrived
-        self._admission = Watch(self._time_limit)
+        self._monitor = WaitingMonitor(self._time_limit)
         self._error = pool.forecasts.errors.of(entry.urgency)
         self._expected_wait = 0.0  # forecast at the start, in ms
         self._timer: Timer | None = None
@@ -83,13 +83,13 @@
         self._on_connection(channel, answer)
 
     def _schedule_check(self, forecast: Forecast) -> None:
-        pause = self._admission.next_check(forecast, self._remaining)
+        pause = self._monitor.next_check(forecast, self._remaining)
         self._timer = self._clock.call_in(pause, self._check)
 
     def _check(self) -> None:
         forecast = self._pool.forecasts.for_entry(self._waiter.entry)
         if isinstance(
-            self._admission.judge(forecast, self._remaining, self._error.certain_share), Admit
+            self._monitor.check(forecast, self._remaining, self._error.reliable_share), Admit
         ):
             self._schedule_check(forecast)
         else:
--- a/src/rowanrail/gateway/relay/forwarding_rules.py
+++ b/src/rowanrail/gateway/relay/forwarding_rules.py
@@ -1,156 +1,157 @@
-"""What becomes of a statement that was sent to another gateway which doesn't answer it.
+"""What to do about a forwarded statement that its holder does not answer.
 
-The rules promise a client that nothing was kept only where that is certain. A read is asked for
-again elsewhere, a write or a commit never is; a transaction whose holder is lost is over, since
-what ran of it can't be moved.
+A client is told that nothing was committed only if that is certain. Reads are retried at another
+gateway; writes and commits never are. A transaction whose holder is lost is aborted, since its
+state can't be moved.
 
 Owns nothing; the functions take plain values, with times in milliseconds. Relies on ``work`` for
-the share of an objective that a statement waits for somebody to run it. :mod:`forwarded` and
-:mod:`forwarding` act on the verdicts.
+the share of an objective that a statement may wait for a gateway to run it.
+:mod:`forwarded_call` and :mod:`forwarding` act on the decisions.
 """
 
 from dataclasses import dataclass
 
-from rowanrail.gateway.work.attempts import Sent, unanswered
-from rowanrail.gateway.work.refusals import DEFER_SHARE
+from rowanrail.gateway.work.attempts import SentRequest, refusal_without_answer
+from rowanrail.gateway.work.refusals import DEFERRAL_FRACTION
 from rowanrail.model.statements import Refusal
 
 __all__ = [
+    "HOLDER_LOOKUP_INTERVAL_MS",
     "HOLDER_RETRY_AFTER_MS",
-    "PLACE_RETRY_MS",
-    "LostAtHolder",
-    "PlaceLater",
-    "PlaceNow",
+    "Decision",
+    "LinkLost",
     "Refuse",
     "RejectNotRun",
-    "Verdict",
-    "after_loss",
+    "RetryLater",
+    "RetryNow",
+    "after_link_loss",
     "after_not_served",
     "after_timeout",
-    "may_be_kept",
+    "may_persist",
     "without_holder",
 ]
 
-PLACE_RETRY_MS = 10.0  # until a holder is looked for again: a link inside a zone opens within it
-# Told to clients, in milliseconds, while no holder is known: about the time until one is found or
-# the next gateway of the order takes over.
+HOLDER_LOOKUP_INTERVAL_MS = 10.0  # long enough for a link inside a zone to open
+# Retry delay that clients get while no holder is known: about the time until one is found or the
+# next gateway in the order takes over.
 HOLDER_RETRY_AFTER_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceNow:
-    """Look for a holder at once: nothing of the statement is kept anywhere."""
+class RetryNow:
+    """Look up a holder and send the statement at once: it has had no effect."""
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceLater:
-    """Look for a holder again after ``PLACE_RETRY_MS``."""
+class RetryLater:
+    """Look up a holder again after ``HOLDER_LOOKUP_INTERVAL_MS``."""
 
 
 @dataclass(frozen=True, slots=True)
 class RejectNotRun:
-    """Answer that nothing ran, and after how long to retry."""
+    """Answer that nothing ran, with a retry delay."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer with a refusal."""
+    """Answer with the given refusal."""
 
     refusal: Refusal
 
 
 @dataclass(frozen=True, slots=True)
-class LostAtHolder:
-    """Answer with what the guard of lost links promises; assume nothing of the holder's load."""
+class LinkLost:
+    """Answer as the ``LinkOutcome`` policy says, and forget the load that the holder reported."""
 
-    may_be_kept: bool
+    may_persist: bool
 
 
-Verdict = PlaceNow | PlaceLater | RejectNotRun | Refuse | LostAtHolder
+Decision = RetryNow | RetryLater | RejectNotRun | Refuse | LinkLost
 
 
-def may_be_kept(sent: Sent) -> bool:
-    """Return whether the database may have kept something if the statement ran.
+def may_persist(sent: SentRequest) -> bool:
+    """Return whether the statement, if it ran, may have changed the database for good.
 
     Examples
     --------
-    >>> [sent.value for sent in Sent if may_be_kept(sent)]
+    >>> [sent.value for sent in SentRequest if may_persist(sent)]
     ['write', 'commit']
     """
-    return sent is Sent.WRITE or sent is Sent.COMMIT
+    return sent is SentRequest.WRITE or sent is SentRequest.COMMIT
 
 
-def after_not_served(has_run: bool) -> PlaceLater | Refuse:
-    """Return what follows where the holder ran nothing of a statement and can't run it.
+def after_not_served(has_run: bool) -> RetryLater | Refuse:
+    """Return what to do if the holder did not run a statement and can't run it.
 
-    What begins may begin elsewhere. A transaction of which something ran is over.
+    A single statement or a new transaction may start at another gateway. A transaction that has
+    run a statement is aborted.
 
     Parameters
     ----------
     has_run : bool
-        Whether a statement of the same transaction was answered before.
+        Whether an earlier statement of the same transaction was answered.
 
     Examples
     --------
     >>> after_not_served(has_run=True)
     Refuse(refusal=<Refusal.ABORTED: 'aborted'>)
     """
-    return Refuse(Refusal.ABORTED) if has_run else PlaceLater()
+    return Refuse(Refusal.ABORTED) if has_run else RetryLater()
 
 
-def after_loss(sent: Sent) -> PlaceNow | LostAtHolder:
-    """Return what follows where the link was lost while an answer was owed.
+def after_link_loss(sent: SentRequest) -> RetryNow | LinkLost:
+    """Return what to do if the link was lost while a call was pending.
 
     Examples
     --------
-    >>> after_loss(Sent.READ), after_loss(Sent.WRITE)
-    (PlaceNow(), LostAtHolder(may_be_kept=True))
+    >>> after_link_loss(SentRequest.READ), after_link_loss(SentRequest.WRITE)
+    (RetryNow(), LinkLost(may_persist=True))
     """
-    return PlaceNow() if sent is Sent.READ else LostAtHolder(may_be_kept(sent))
+    return RetryNow() if sent is SentRequest.READ else LinkLost(may_persist(sent))
 
 
-def after_timeout(sent: Sent, is_owed: bool) -> RejectNotRun | Refuse | LostAtHolder:
-    """Return what follows at the end of a statement's time.
+def after_timeout(sent: SentRequest, is_pending: bool) -> RejectNotRun | Refuse | LinkLost:
+    """Return what to do when a statement's deadline has passed.
 
     Parameters
     ----------
-    sent : Sent
-        What the statement is.
-    is_owed : bool
-        Whether a holder has it and owes an answer; if not, nothing ran.
+    sent : SentRequest
+        Kind of statement.
+    is_pending : bool
+        Whether it was sent to a holder that has not answered; if not, nothing ran.
 
     Examples
     --------
-    >>> after_timeout(Sent.WRITE, is_owed=True)
+    >>> after_timeout(SentRequest.WRITE, is_pending=True)
     Refuse(refusal=<Refusal.OUTCOME_UNKNOWN: 'outcome-unknown'>)
     """
-    if not is_owed:
+    if not is_pending:
         return RejectNotRun()
     match sent:
-        case Sent.READ | Sent.WRITE:
-            return Refuse(unanswered(sent))
-        case Sent.IN_TRANSACTION | Sent.COMMIT:
-            return LostAtHolder(may_be_kept(sent))
+        case SentRequest.READ | SentRequest.WRITE:
+            return Refuse(refusal_without_answer(sent))
+        case SentRequest.IN_TRANSACTION | SentRequest.COMMIT:
+            return LinkLost(may_persist(sent))
 
 
-def without_holder(now: float, began: float, objective: float) -> PlaceLater | RejectNotRun:
-    """Return what follows while no gateway is known to run a statement.
+def without_holder(now: float, began: float, objective: float) -> RetryLater | RejectNotRun:
+    """Return what to do while no gateway is known to run a statement.
 
-    It waits for one as long as a new primary would be waited for, so that a holder that is
-    replaced costs clients a delay and no refusal.
+    The statement waits as long as it would wait for a new primary, so that the replacement of a
+    holder delays clients instead of rejecting them.
 
     Parameters
     ----------
     now, began : float
-        On the steady clock; ``began`` is when the client's statement came.
+        Times on the monotonic clock; ``began`` is the arrival of the client's statement.
     objective : float
-        Latency that its operation should stay within.
+        Latency objective of its operation.
 
     Examples
     --------
     >>> without_holder(1100.0, 1000.0, objective=200.0), without_holder(1131.0, 1000.0, 200.0)
-    (PlaceLater(), RejectNotRun())
+    (RetryLater(), RejectNotRun())
     """
-    if now + PLACE_RETRY_MS > began + DEFER_SHARE * objective:
+    if now + HOLDER_LOOKUP_INTERVAL_MS > began + DEFERRAL_FRACTION * objective:
         return RejectNotRun()
-    return PlaceLater()
+    return RetryLater()
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -1,14 +1,15 @@
-"""What this gateway holds of services' connections: by the plan, and by the hash without one.
+"""The shards that this gateway holds, by the plan or by rendezvous hashing, and their limits.
 
-Owns the plan in force and the count of gateways that share. Relies on ``placement`` for the shares,
-on :mod:`neighbours` for who stands in for a holder that is down, and sets services' limits.
+Owns the plan in force and the number of gateways that share connections, and sets the limits of
+services. Relies on ``placement`` for the shares and on :mod:`neighbours` for which gateway replaces
+a holder that is down.
 """
 
 from collections.abc import Iterable
 from typing import Protocol
 
 from rowanrail.gateway.events import HOLDING_BEGUN, HOLDING_ENDED, PLAN_TAKEN
-from rowanrail.gateway.relay.holder_choice import HeldHere
+from rowanrail.gateway.relay.holder_choice import HeldLocally
 from rowanrail.gateway.relay.load_meter import LoadMeter
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.services.service import Service
@@ -22,23 +23,23 @@
 
 
 class HoldingsHost(Protocol):
-    """What is asked of the gateway."""
+    """Port: the state of the gateway that holdings need."""
 
     stopping: bool
     services: dict[str, Service]
 
 
 class Holdings:
-    """Sets how many connections services may open here, and which are kept.
+    """Sets how many connections services may open at this gateway, and for which shards.
 
     Parameters
     ----------
     host : HoldingsHost
         The gateway.
     peers : Peers
-        The gateways with which connections are shared, those of other groups, and the plan.
+        The gateways that share connections, those of other groups, and the plan.
     decisions : DecisionLog
-        Gets what begins and ends to be held.
+        Log of the shards that this gateway begins and ceases to hold.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self._decisions = decisions
         self._population = Population()
         self._is_handing_over = False
-        self.meter: LoadMeter | None = None
+        self.load_meter: LoadMeter | None = None
         if planned is not None and neighbours is not None:
             neighbours.planned = planned
         if planned is not None and detours is not None:
@@ -63,51 +64,51 @@
 
     @property
     def planned(self) -> PlannedHolders | None:
-        """The plan; None if holders are hashed."""
+        """The plan; None if holders are chosen by rendezvous hashing only."""
         return self._planned
 
     def note_held(self, shard: Shard) -> None:
-        """Count a statement that another gateway sent here."""
-        if self.meter is not None and self._is_shared(shard.service):
-            self.meter.note_held(shard)
+        """Count a statement that another gateway sent to this one."""
+        if self.load_meter is not None and self._is_shared(shard.service):
+            self.load_meter.note_held(shard)
 
     def note_own(self, tenant: str, trace: Trace | None) -> None:
-        """Count a statement of a client of this gateway, held here if no other one ran it."""
-        if self.meter is None or trace is None or not self._is_shared(trace.service):
+        """Count a statement of this gateway's client, also as held if it ran at this gateway."""
+        if self.load_meter is None or trace is None or not self._is_shared(trace.service):
             return
-        self.meter.note_own()
+        self.load_meter.note_own()
         if not trace.via:
-            self.meter.note_held(Shard.of(trace.service, tenant))
+            self.load_meter.note_held(Shard.of(trace.service, tenant))
 
     def _is_shared(self, name: str) -> bool:
         service = self._host.services.get(name)
         return service is not None and service.share.is_shared
 
-    def take(self, plan: Plan) -> None:
-        """Go by a plan if it is newer than the one in force.
+    def adopt_plan(self, plan: Plan) -> None:
+        """Put a plan in force if it is newer than the current one.
 
-        Statements under way stay where they are.
+        Statements that are running stay where they are.
         """
         planned = self._planned
         if planned is None or self._neighbours is None:
             return
         before = planned.held
-        if not planned.take(plan, self._hashed_share):
+        if not planned.adopt(plan, self._hashed_share):
             return
         if self._detours is not None:
             self._detours.set_addresses(plan.addresses)
         self._is_handing_over = planned.is_handing_over
-        self._note(before, planned, plan)
-        self.apply()
+        self._log_changes(before, planned, plan)
+        self.apply_limits()
 
     def _hashed_share(self, key: str) -> float:
-        """Return the share that this gateway has of a shard by the hash; 0 if others hold it."""
+        """Return this gateway's share of a shard by rendezvous hashing; 0 if others hold it."""
         assert self._neighbours is not None
         name = self._neighbours.name
         is_first = rank(key, [*self._neighbours.names, name])[0] == name
         return even_share(self._population) if is_first else 0.0
 
-    def _note(self, before: Iterable[str], planned: PlannedHolders, plan: Plan) -> None:
+    def _log_changes(self, before: Iterable[str], planned: PlannedHolders, plan: Plan) -> None:
         held = planned.held
         shards = sum(len(shards) for shards in plan.groups.values())
         self._decisions.note(PLAN_TAKEN, number=plan.number, parts=shards, held=sorted(held))
@@ -125,33 +126,36 @@
             self._decisions.note(HOLDING_ENDED, number=plan.number, part=key)
 
     def set_population(self, population: Population) -> None:
-        """Note how many gateways share connections."""
+        """Set the number of gateways that share connections, and update limits."""
         self._population = population
-        self.apply()
+        self.apply_limits()
 
-    def apply(self) -> None:
-        """Set what services may open by the plan in force."""
+    def apply_limits(self) -> None:
+        """Set the connection limits of all services by the plan in force."""
         for service in self._host.services.values():
             self._set_allowance(service)
 
     def tick(self, services: Iterable[Service]) -> None:
-        """Let time pass: handovers end, and others stand in for holders that are down.
+        """Update limits after the end of a handover, and after failures of holders.
 
-        Only services with connections are gone through: most gateways hold none of most services.
+        Services without connections are skipped, since most gateways hold none of most services.
 
         Parameters
         ----------
         services : iterable of Service
-            Those that may have any.
+            Services that may have connections.
         """
-        was_handing_over, self._is_handing_over = self._is_handing_over, self._hands_over()
+        was_handing_over, self._is_handing_over = (
+            self._is_handing_over,
+            self._is_plan_handing_over(),
+        )
         if was_handing_over and not self._is_handing_over:
-            self.apply()
+            self.apply_limits()
         for service in services:
             if service.has_connections and (service.share.is_regional or service.share.is_planned):
                 self._set_allowance(service)
 
-    def _hands_over(self) -> bool:
+    def _is_plan_handing_over(self) -> bool:
         return self._planned is not None and self._planned.is_handing_over
 
     def _set_allowance(self, service: Service) -> None:
@@ -166,16 +170,18 @@
             service.set_shards(allowance.shards)
 
     def _shards_held(self, service: Service) -> frozenset[Shard]:
-        """Return for which shards of a service statements come to this gateway."""
+        """Return the shards of a service for which statements are sent to this gateway."""
         if self._host.stopping:
             return frozenset()
         name = service.spec.name
         shards = shards_of(name) if service.share.is_regional else [Shard(name)]
         if self._neighbours is None:
             return frozenset(shards)
-        named = service.share.planned_shards
-        where_held = self._neighbours.where_held
-        here = frozenset(
-            p for p in shards if p not in named and isinstance(where_held(p), HeldHere)
+        planned_shards = service.share.planned_shards
+        locate_holder = self._neighbours.locate_holder
+        located = frozenset(
+            shard
+            for shard in shards
+            if shard not in planned_shards and isinstance(locate_holder(shard), HeldLocally)
         )
-        return named | here
+        return planned_shards | located
--- a/src/rowanrail/gateway/relay/terms.py
+++ b/src/rowanrail/gateway/relay/message_mapping.py
@@ -1,14 +1,14 @@
-"""Statements and answers as messages between gateways, and back.
+"""Conversion of statements and answers to messages between gateways, and back.
 
-Owns how much of a statement's time is kept for the round trip. Relies on :mod:`messages` for the
-forms; nothing here does I/O or keeps state.
+Owns the part of a statement's timeout that is reserved for the round trip. Relies on
+:mod:`messages` for the message types; nothing here does I/O or keeps state.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 from types import MappingProxyType
 
-from rowanrail.gateway.relay.messages import Reply, Run
+from rowanrail.gateway.relay.messages import Reply, RunStatement
 from rowanrail.gateway.session_values import SessionValues, is_write
 from rowanrail.model.position import Position
 from rowanrail.model.routing import Route
@@ -18,37 +18,37 @@
 from rowanrail.tenants.model import ClientIdentity
 
 __all__ = [
-    "Outgoing",
-    "answer_of",
-    "load_session",
+    "OutgoingStatement",
+    "answer_from",
+    "apply_session_values",
+    "build_reply",
+    "build_run_message",
     "reply_margin",
-    "reply_to",
-    "route_of",
-    "run_of",
-    "statement_of",
+    "route_from",
+    "statement_from",
 ]
 
-REPLY_MARGIN_MS = 30.0  # chosen: the holder gives up this much sooner, so its answer is in time
-# The same for a holder in another region: the round trip takes 40 ms more. Without it, its answer
-# that a statement has not run came too late, and the client was told that it might have.
+REPLY_MARGIN_MS = 30.0  # the holder times out this much earlier, so that its answer is in time
+# The same for a holder in another region, whose round trip is 40 ms longer. If the answer that a
+# statement has not run came too late, the client would be told that it might have run.
 REMOTE_REPLY_MARGIN_MS = 80.0
-SHORTEST_MS = 1.0  # a statement that is out of time still gets its answer
+MIN_TIMEOUT_MS = 1.0  # a statement without time left still gets its answer from the holder
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
-    """A statement that is sent to another gateway, as its session hands it over.
+class OutgoingStatement:
+    """A statement to send to another gateway, with the session state that it needs.
 
     Parameters
     ----------
     timeout : float
-        Milliseconds that are left for it.
+        Milliseconds until its deadline.
     transaction : int
         0 for a single statement.
     begins : bool
         Whether it is the first statement of its transaction.
     version : int
-        Of the configuration by which the client's key was taken.
+        Version of the configuration by which the client's key was accepted.
     """
 
     statement: TypedStatement
@@ -63,24 +63,24 @@
 
 
 def reply_margin(is_detour: bool) -> float:
-    """Return how much of a statement's milliseconds is kept for the round trip."""
+    """Return how many milliseconds of a statement's timeout are reserved for the round trip."""
     return REMOTE_REPLY_MARGIN_MS if is_detour else REPLY_MARGIN_MS
 
 
-def run_of(outgoing: Outgoing, call: int) -> Run:
-    """Return the message that has a statement run."""
+def build_run_message(outgoing: OutgoingStatement, call: int) -> RunStatement:
+    """Return the message that asks a holder to run a statement."""
     statement, route, session = outgoing.statement, outgoing.route, outgoing.session
     shape = ""
     if statement.kind is StatementKind.EXECUTE:
         shape = session.prepared[statement.name][1]
-    return Run(
+    return RunStatement(
         call=call,
         transaction=outgoing.transaction,
         read_only=outgoing.read_only,
         service=route.service,
         route=route.name,
         consistency=route.consistency,
-        timeout=max(SHORTEST_MS, outgoing.timeout - reply_margin(outgoing.is_detour)),
+        timeout=max(MIN_TIMEOUT_MS, outgoing.timeout - reply_margin(outgoing.is_detour)),
         objective=route.objective_seconds * 1000,
         staleness=route.staleness_seconds * 1000,
         priority=route.priority,
@@ -99,12 +99,12 @@
         key=session.identity.key,
         database=route.database,
         version=outgoing.version,
-        returned=session.is_retrying,
+        is_retry=session.is_retrying,
     )
 
 
-def route_of(run: Run) -> Route:
-    """Return the route under which a statement came."""
+def route_from(run: RunStatement) -> Route:
+    """Return the route of a forwarded statement."""
     return Route(
         name=run.route,
         database=run.database or run.route,
@@ -117,31 +117,31 @@
     )
 
 
-def statement_of(run: Run) -> TypedStatement:
-    """Return the client's statement."""
+def statement_from(run: RunStatement) -> TypedStatement:
+    """Return the client's statement from a message."""
     return TypedStatement(run.request_id, run.kind, run.text, run.name, run.value)
 
 
-def load_session(session: SessionValues, run: Run) -> None:
-    """Give ``session`` exactly what the client's session has set."""
+def apply_session_values(session: SessionValues, run: RunStatement) -> None:
+    """Set in ``session`` what the client's session has set."""
     session.identity = ClientIdentity(run.tenant, run.key)
     session.values = run.values
-    session.is_retrying = run.returned
+    session.is_retrying = run.is_retry
     if run.kind is StatementKind.EXECUTE:
         session.prepared[run.name] = (run.writes, run.shape)
     if run.floor is not None:
         session.floors[run.service] = run.floor
 
 
-def reply_to(
-    run: Run,
+def build_reply(
+    run: RunStatement,
     answer: Answer,
     floor: Position | None,
     trace: Trace,
     load: ServiceLoad | None = None,
     doubts: Mapping[str, int] = MappingProxyType({}),
 ) -> Reply:
-    """Return the message that answers a statement, with what the holder knows of its service."""
+    """Return the reply to a statement, with the load and the doubted members of the holder."""
     return Reply(
         call=run.call,
         rows=answer.rows,
@@ -156,8 +156,8 @@
     )
 
 
-def answer_of(reply: Reply) -> Answer:
-    """Return the answer for the client."""
+def answer_from(reply: Reply) -> Answer:
+    """Return the client's answer from a reply."""
     return Answer(
         rows=reply.rows,
         signature=reply.signature,
--- a/src/rowanrail/gateway/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -1,8 +1,8 @@
-"""The gateways with which this one shares connections, and the links to them.
+"""The gateways that share connections with this one, and the links to them.
 
-Owns a link for each gateway that is wanted, opened when it is and again after a while when it was
-lost. Relies on :mod:`holder_choice` for which of them runs a service's statements, on
-:mod:`liveness` for when a lost one is tried again, and on a transport that opens connections.
+Owns one link per gateway, opened on demand and reopened after a backoff. Relies on
+:mod:`holder_choice` for the gateway that runs a service's statements, on :mod:`liveness` for the
+backoff, and on a transport that opens connections.
 """
 
 from abc import ABC, abstractmethod
@@ -11,12 +11,12 @@
 from itertools import chain
 
 from rowanrail.gateway.relay.holder_choice import (
-    HeldAt,
-    HeldHere,
+    HeldLocally,
+    HeldRemotely,
+    HolderLocation,
     NoHolder,
-    WhereHeld,
     choose_holder,
-    usable,
+    location_via,
 )
 from rowanrail.gateway.relay.link import Link
 from rowanrail.gateway.relay.liveness import Backoff
@@ -24,32 +24,33 @@
 from rowanrail.placement.hashed import Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 
-__all__ = ["LinkKeeper", "LinkOpener", "Neighbour", "Neighbours"]
+__all__ = ["LinkManager", "LinkOpener", "Neighbour", "Neighbours"]
 
-CONNECTED = 2  # gateways of an order that are kept connected, so that one can take over at once
+CONNECTED_HOLDERS = 2  # a holder and the next gateway, which can take over at once
 
 
 @dataclass(frozen=True, slots=True)
 class Neighbour:
-    """A gateway of the same zone and the address at which it takes statements."""
+    """A gateway, and the address at which it accepts links."""
 
     name: str
     address: str
 
 
 class LinkOpener(ABC):
-    """Port: opens the connection below a link.
+    """Port: opens the transport connection of a link.
 
-    Implementations call ``link.opened``, then ``link.receive`` and ``link.lost``.
+    Implementations call ``link.opened``, then ``link.receive`` for each message and ``link.lost``
+    at the end; only ``link.lost`` if the connection can't be opened.
     """
 
     @abstractmethod
     def open(self, address: str, link: Link) -> None:
-        """Begin to open a connection."""
+        """Start to open a connection to an address (``host:port``)."""
 
 
 class _Peer:
-    """What is known of one neighbour."""
+    """The link and backoff of one neighbour."""
 
     __slots__ = ("backoff", "link", "neighbour")
 
@@ -59,8 +60,8 @@
         self.backoff = Backoff()
 
 
-class LinkKeeper:
-    """Links to gateways, opened when they are wanted and again after a while when they are lost.
+class LinkManager:
+    """Links to gateways, opened on demand and reopened after a backoff.
 
     Parameters
     ----------
@@ -83,11 +84,11 @@
 
     @property
     def names(self) -> list[str]:
-        """Names of the gateways that are known."""
+        """Names of the known gateways."""
         return list(self._peers)
 
     def set_neighbours(self, neighbours: Iterable[Neighbour]) -> None:
-        """Know these gateways and no others."""
+        """Replace the known gateways; close links to those that are gone or have moved."""
         known = {neighbour.name: neighbour for neighbour in neighbours}
         for name, peer in list(self._peers.items()):
             if known.get(name) != peer.neighbour:
@@ -98,8 +99,8 @@
             if name not in self._peers:
                 self._peers[name] = _Peer(neighbour)
 
-    def reach(self, name: str) -> HeldAt | NoHolder | None:
-        """Return where a gateway is reached, None if it counts as down; opens a link if needed."""
+    def reach(self, name: str) -> HeldRemotely | NoHolder | None:
+        """Return the location of a gateway, None if it counts as down; open its link if needed."""
         peer = self._peers.get(name)
         if peer is None:
             return None
@@ -108,7 +109,7 @@
                 return None
             peer.link = Link(peer.neighbour.name, self._clock, self._on_down)
             self._opener.open(peer.neighbour.address, peer.link)
-        return None if peer.link is None else usable(peer.link)
+        return None if peer.link is None else location_via(peer.link)
 
     def _on_down(self, link: Link, reason: str) -> None:
         peer = self._peers.get(link.peer)
@@ -119,7 +120,7 @@
         self.on_link(link.peer, False, reason)
 
     def note_answer(self, link: Link) -> None:
-        """Note that a gateway answered: the next loss is waited out from the start."""
+        """Record an answer of a gateway: its backoff is reset."""
         peer = self._peers.get(link.peer)
         if peer is not None and peer.link is link and peer.backoff.note_answer():
             self.on_link(link.peer, True, "it answers")
@@ -131,8 +132,8 @@
                 peer.link.close("the gateway is stopping")
 
 
-class Neighbours(LinkKeeper):
-    """Chooses where a service's statements run, and keeps the links for it.
+class Neighbours(LinkManager):
+    """Locates the holders of shards in the own group, and keeps the links to them.
 
     Parameters
     ----------
@@ -147,7 +148,7 @@
     def __init__(self, name: str, clock: Clock, opener: LinkOpener) -> None:
         super().__init__(clock, opener)
         self._name = name
-        self._orders: dict[str, list[str]] = {}
+        self._rankings: dict[str, list[str]] = {}
         self.planned: PlannedHolders | None = None
 
     @property
@@ -156,30 +157,32 @@
         return self._name
 
     def set_neighbours(self, neighbours: Iterable[Neighbour]) -> None:
-        """Know the gateways of the zone; this one may be among them or not."""
+        """Replace the known gateways of the group; this one may be among them."""
         super().set_neighbours(n for n in neighbours if n.name != self._name)
-        self._orders.clear()
+        self._rankings.clear()
 
-    def where_held(self, shard: Shard) -> WhereHeld:
-        """See :meth:`rowanrail.gateway.relay.forwarding.Placement.where_held`."""
-        order = self._order(shard.key)
-        planned = self.planned.order_here(shard) if self.planned is not None else []
+    def locate_holder(self, shard: Shard) -> HolderLocation:
+        """Return the holder of a shard: by the plan, then by rendezvous hashing."""
+        order = self._ranking(shard.key)
+        planned = self.planned.local_holders(shard) if self.planned is not None else []
         if not planned:
-            return self._first(order)
-        return self._first(chain(planned, (name for name in order if name not in planned)))
+            return self._first_available(order)
+        return self._first_available(
+            chain(planned, (name for name in order if name not in planned))
+        )
 
-    def hashed_holder(self, key: str) -> WhereHeld:
-        """Return which gateway of the group holds something, by the hash."""
-        return self._first(self._order(key))
+    def hashed_holder(self, key: str) -> HolderLocation:
+        """Return the first available gateway of the group for a key, by rendezvous hashing."""
+        return self._first_available(self._ranking(key))
 
-    def _order(self, key: str) -> list[str]:
-        order = self._orders.get(key)
+    def _ranking(self, key: str) -> list[str]:
+        order = self._rankings.get(key)
         if order is None:
-            order = self._orders[key] = rank(key, [*self._peers, self._name])
+            order = self._rankings[key] = rank(key, [*self._peers, self._name])
         return order
 
-    def _first(self, order: Iterable[str]) -> WhereHeld:
-        return choose_holder(order, self._reach_or_self, CONNECTED)
+    def _first_available(self, order: Iterable[str]) -> HolderLocation:
+        return choose_holder(order, self._reach_or_self, CONNECTED_HOLDERS)
 
-    def _reach_or_self(self, name: str) -> WhereHeld | None:
-        return HeldHere() if name == self._name else self.reach(name)
+    def _reach_or_self(self, name: str) -> HolderLocation | None:
+        return HeldLocally() if name == self._name else self.reach(name)
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -1,39 +1,43 @@
-"""The holder's side: statements that other gateways send, run on this gateway's connections.
+"""The holder's side of forwarding: runs other gateways' statements on its own connections.
 
-What the holder reports of a statement that has not run is certain: it runs nothing that it says it
-does not serve, and what its sender no longer waits for is ended. A transaction whose sender is gone
-is rolled back.
+A statement that is answered as not served has not run and never will. Statements that the sender
+cancels are ended, and transactions of a lost sender are rolled back.
 
 Owns the statements and transactions of each link. Relies on :mod:`serving_rules` for which of them
-run, on ``work`` to run them, on :mod:`terms` to read and answer them, and on the gateway for keys,
-samples and loads.
+run, on ``work`` to run them, on :mod:`message_mapping` to convert them, and on the gateway for
+keys, samples and loads.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from rowanrail.gateway.relay.message_mapping import (
+    apply_session_values,
+    build_reply,
+    route_from,
+    statement_from,
+)
 from rowanrail.gateway.relay.messages import (
-    AskSample,
-    CountDemand,
-    DemandCounted,
-    Drop,
-    End,
+    Cancel,
+    DemandReport,
+    DemandTotals,
     FromGateway,
     FromHolder,
     Leaving,
     NotServed,
     Ping,
     Pong,
-    Run,
+    Rollback,
+    RunStatement,
     SampleReply,
+    SampleRequest,
 )
-from rowanrail.gateway.relay.serving_rules import Arrival, judge_arrival
-from rowanrail.gateway.relay.terms import load_session, reply_to, route_of, statement_of
+from rowanrail.gateway.relay.serving_rules import ArrivalDecision, decide_arrival
 from rowanrail.gateway.session_values import SessionValues
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.local import LocalWork
-from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
+from rowanrail.gateway.work.local import LocalExecutor
+from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
 from rowanrail.kernel.clock import Clock
 from rowanrail.members.samples import PositionSample
 from rowanrail.model.statements import Answer, Refusal
@@ -45,68 +49,72 @@
 
 __all__ = ["Holder", "HolderHost", "ServedLink"]
 
-IDLE_MARGIN_MS = 1000.0  # chosen: the client's own gateway ends an idle transaction before that
-IDLE_CHECK_MS = 1000.0  # chosen: between checks for transactions that have been idle for too long
+IDLE_MARGIN_MS = 1000.0  # the client's gateway ends an idle transaction this much earlier
+IDLE_CHECK_MS = 1000.0  # interval between checks for idle transactions
 
 Send = Callable[[FromHolder], None]
 
 
 class HolderHost(Protocol):
-    """What a holder needs of its gateway."""
+    """Port: what a holder needs of its gateway."""
 
     @property
     def stopping(self) -> bool:
         """Whether a planned stop has begun."""
 
-    def local_work(self, service: str, is_detour: bool = False) -> LocalWork | None:
-        """Return the work on own connections, None if the service isn't known here.
+    def local_work(self, service: str, is_detour: bool = False) -> LocalExecutor | None:
+        """Return work on own connections, None if the service is not served here.
 
-        What comes on a detour is sent no further.
+        Work that arrived on a detour is not forwarded.
         """
 
     @property
     def demand(self) -> DemandBook:
-        """What clients of other gateways ask for."""
+        """Demand of other gateways' clients."""
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
-        """Return whether a neighbour's client may run statements, by the newest configuration.
+        """Return whether a neighbour's client may run statements, by the newer configuration.
 
         Parameters
         ----------
+        database : str
+            The name that the client connected to.
+        identity : ClientIdentity
+            The client's tenant and key.
         version : int
-            Of the configuration by which the neighbour took the client's key.
+            Version of the configuration by which the neighbour accepted the client's key.
         """
 
     def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
-        """Give a new sample of a service's primary, None if there is none in time."""
+        """Call ``give`` with a new sample of a service's primary, None if there is none in time."""
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
-        """Return what a tenant's statements of a service would wait here, None if nothing."""
+        """Return a service's load for a tenant's statements, None if they need not wait."""
 
     def idle_transaction_seconds(self) -> float:
-        """Return how long a transaction may be idle."""
+        """Return how many seconds a transaction may be idle."""
 
 
 @dataclass(slots=True)
 class _Transaction:
-    """A neighbour's transaction; its work begins with its first statement."""
+    """A transaction of a neighbour's client."""
 
-    local: LocalWork
-    work: WorkInTransaction
+    local: LocalExecutor
+    work: TransactionExecution
     session: SessionValues
-    call: int = 0  # of the statement that runs, 0 while it is idle
+    call: int = 0  # id of the running statement's call, 0 while idle
     idle_since: float = 0.0
 
 
 @dataclass(slots=True)
-class _Single:
-    local: LocalWork
-    work: SingleStatement
+class _SingleStatement:
+    local: LocalExecutor
+    work: AutocommitExecution
     session: SessionValues = field(default_factory=SessionValues)
 
 
 class Holder:
-    """All neighbours that this gateway runs statements for.
+    """Serves the links of all neighbours.
 
     Parameters
     ----------
@@ -117,29 +125,29 @@
 
     Attributes
     ----------
-    on_run : callable
-        Gets the shard to which each statement of a neighbour belongs.
-    on_region : callable
-        Gets what another region reported of its clients' demand.
+    on_statement : callable
+        Called with the shard of each statement that a neighbour sends.
+    on_region_report : callable
+        Called with each demand report of another region.
     """
 
     def __init__(self, host: HolderHost, clock: Clock) -> None:
         self.host = host
         self.clock = clock
-        self.teller = LoadReporter(clock, host.load)
-        self.on_region: Callable[[CountDemand], None] = lambda message: None
+        self.load_reporter = LoadReporter(clock, host.load)
+        self.on_region_report: Callable[[DemandReport], None] = lambda message: None
         self._links: dict[ServedLink, None] = {}
-        self.on_run: Callable[[Shard], None] = lambda shard: None
+        self.on_statement: Callable[[Shard], None] = lambda shard: None
 
     @property
     def open_transactions(self) -> int:
-        """Transactions of neighbours that are open here."""
+        """Number of neighbours' transactions that are open here."""
         return sum(link.open_transactions for link in self._links)
 
     @property
-    def running(self) -> int:
-        """Statements of neighbours that run here."""
-        return sum(link.running for link in self._links)
+    def running_statements(self) -> int:
+        """Number of neighbours' statements that are running here."""
+        return sum(link.running_statements for link in self._links)
 
     def accept(self, send: Send) -> "ServedLink":
         """Serve a neighbour's new connection."""
@@ -150,26 +158,26 @@
         return link
 
     def forget(self, link: "ServedLink") -> None:
-        """Forget a connection that is gone."""
+        """Remove a connection that has ended."""
         self._links.pop(link, None)
 
     def start(self) -> None:
-        """Begin to check for transactions that have been idle for too long."""
-        self.clock.call_in(IDLE_CHECK_MS, self._sweep)
+        """Start the periodic check for idle transactions."""
+        self.clock.call_in(IDLE_CHECK_MS, self._end_expired)
 
-    def _sweep(self) -> None:
+    def _end_expired(self) -> None:
         limit = self.host.idle_transaction_seconds() * 1000 + IDLE_MARGIN_MS
         for link in self._links:
             link.end_idle_since(self.clock.now - limit)
-        self.clock.call_in(IDLE_CHECK_MS, self._sweep)
+        self.clock.call_in(IDLE_CHECK_MS, self._end_expired)
 
-    def leave(self) -> None:
-        """Have the neighbours send new work elsewhere; what is open goes on."""
+    def announce_leaving(self) -> None:
+        """Ask neighbours to send new work to other gateways; open transactions continue."""
         for link in self._links:
             link.send(Leaving())
 
     def end_idle_transactions(self) -> None:
-        """End the transactions that are idle."""
+        """Roll back all idle transactions."""
         for link in self._links:
             link.end_idle_since(self.clock.now)
 
@@ -180,7 +188,7 @@
     Parameters
     ----------
     holder : Holder
-        To which it belongs.
+        The holder to which it belongs.
     send : callable
         Sends a message to the neighbour.
     """
@@ -188,39 +196,39 @@
     def __init__(self, holder: Holder, send: Send) -> None:
         self.send = send
         self._holder = holder
-        self._singles: dict[int, _Single] = {}
+        self._singles: dict[int, _SingleStatement] = {}
         self._transactions: dict[int, _Transaction] = {}
 
     @property
     def open_transactions(self) -> int:
-        """Transactions that are open."""
+        """Number of open transactions."""
         return len(self._transactions)
 
     @property
-    def running(self) -> int:
-        """Statements that run."""
+    def running_statements(self) -> int:
+        """Number of running statements."""
         return len(self._singles) + sum(t.call > 0 for t in self._transactions.values())
 
     def receive(self, message: FromGateway) -> None:
-        """Take a message of the neighbour."""
-        if isinstance(message, Run):
-            self._holder.on_run(Shard.of(message.service, message.tenant))
+        """Handle a message of the neighbour."""
+        if isinstance(message, RunStatement):
+            self._holder.on_statement(Shard.of(message.service, message.tenant))
         match message:
-            case Run():
+            case RunStatement():
                 self._run(message)
-            case End(transaction=number):
+            case Rollback(transaction=number):
                 self._end(number)
-            case Drop(call=call):
+            case Cancel(call=call):
                 self._drop(call)
-            case AskSample(call=call, service=service):
+            case SampleRequest(call=call, service=service):
                 self._report_sample(call, service)
-            case CountDemand():
-                self._count(message)
+            case DemandReport():
+                self._add_demand(message)
             case Ping():
                 self.send(Pong())
 
     def lost(self) -> None:
-        """End what nobody waits for any more: statements are given up, transactions rolled back."""
+        """Handle the end of the connection: cancel its statements, roll back its transactions."""
         self._holder.forget(self)
         for call in list(self._singles):
             self._drop(call)
@@ -236,81 +244,81 @@
 
         self._holder.host.prove_primary(service, give)
 
-    def _count(self, message: CountDemand) -> None:
+    def _add_demand(self, message: DemandReport) -> None:
         book = self._holder.host.demand
         if message.is_region:
             book.note_region(message.sender, message.report)
-            self._holder.on_region(message)
+            self._holder.on_region_report(message)
         else:
             book.note_gateway(message.sender, message.report)
         fleet = book.fleet()
         asked = message.report.tenants
         named = {tenant: total for tenant, total in fleet.tenants.items() if tenant in asked}
-        self.send(DemandCounted(message.call, Report(named, fleet.gateways, fleet.unknown)))
+        self.send(DemandTotals(message.call, Report(named, fleet.gateways, fleet.unknown)))
 
     # Statements
 
-    def _run(self, run: Run) -> None:
+    def _run(self, run: RunStatement) -> None:
         is_open = run.transaction in self._transactions
         begins = run.begins or not run.transaction
-        match judge_arrival(is_open, begins, self._admits(run), self._holder.host.stopping):
-            case Arrival.RUN if is_open:
-                self._run_on(self._transactions[run.transaction], run)
-            case Arrival.RUN:
+        match decide_arrival(is_open, begins, self._admits(run), self._holder.host.stopping):
+            case ArrivalDecision.RUN if is_open:
+                self._run_in_transaction(self._transactions[run.transaction], run)
+            case ArrivalDecision.RUN:
                 self._begin(run)
-            case Arrival.NOT_SERVED:
+            case ArrivalDecision.NOT_SERVED:
                 self.send(NotServed(run.call, "it is stopping"))
-            case Arrival.DENIED:
+            case ArrivalDecision.DENIED:
                 self._end(run.transaction)
                 self._refuse(run, Refusal.DENIED, "the key was withdrawn")
-            case Arrival.ENDED:
+            case ArrivalDecision.ENDED:
                 self._refuse(run, Refusal.ABORTED, "the transaction was ended at its holder")
 
-    def _admits(self, run: Run) -> bool:
+    def _admits(self, run: RunStatement) -> bool:
         identity = ClientIdentity(run.tenant, run.key)
         return self._holder.host.admits(run.database, identity, run.version)
 
-    def _begin(self, run: Run) -> None:
-        """Begin a single statement or a transaction, if its service is known here."""
+    def _begin(self, run: RunStatement) -> None:
+        """Start a single statement or a transaction, if its service is served here."""
         work = self._holder.host.local_work(run.service, run.is_detour)
         if work is None:
             self.send(NotServed(run.call, f"it does not serve {run.service} now"))
         elif run.transaction:
             session = SessionValues()
-            opened = work.transaction(route_of(run), session, run.read_only)
+            opened = work.transaction(route_from(run), session, run.read_only)
             transaction = self._transactions[run.transaction] = _Transaction(work, opened, session)
-            self._run_on(transaction, run)
+            self._run_in_transaction(transaction, run)
         else:
             self._run_single(work, run)
 
-    def _refuse(self, run: Run, refusal: Refusal, reason: str) -> None:
-        """Refuse a statement of which nothing may run, here or elsewhere."""
+    def _refuse(self, run: RunStatement, refusal: Refusal, reason: str) -> None:
+        """Refuse a statement that must not run, here or at another gateway."""
         trace = Trace(run.service, Stage.ACCEPTED.value)
-        self.send(reply_to(run, Answer(refusal=refusal, message=reason), None, trace))
+        self.send(build_reply(run, Answer(refusal=refusal, message=reason), None, trace))
 
-    def _run_single(self, work: LocalWork, run: Run) -> None:
+    def _run_single(self, work: LocalExecutor, run: RunStatement) -> None:
         session = SessionValues()
-        load_session(session, run)
-        single = work.single(route_of(run), session, run.writes)
-        self._singles[run.call] = _Single(work, single, session)
-        single.start(statement_of(run), lambda answer: self._answer_single(run, answer))
+        apply_session_values(session, run)
+        single = work.autocommit(route_from(run), session, run.writes)
+        self._singles[run.call] = _SingleStatement(work, single, session)
+        single.start(statement_from(run), lambda answer: self._answer_single(run, answer))
 
-    def _answer_single(self, run: Run, answer: Answer) -> None:
+    def _answer_single(self, run: RunStatement, answer: Answer) -> None:
         single = self._singles.pop(run.call, None)
         if single is not None:
             floor = single.session.floors.get(run.service)
-            load = self._holder.teller.report(run.service, run.tenant)
-            doubts = single.local.doubts()
-            self.send(reply_to(run, answer, floor, single.work.trace(), load, doubts))
+            load = self._holder.load_reporter.report(run.service, run.tenant)
+            doubts = single.local.reduced_weights()
+            self.send(build_reply(run, answer, floor, single.work.trace(), load, doubts))
 
-    def _run_on(self, transaction: _Transaction, run: Run) -> None:
-        load_session(transaction.session, run)
+    def _run_in_transaction(self, transaction: _Transaction, run: RunStatement) -> None:
+        apply_session_values(transaction.session, run)
         transaction.call = run.call
         transaction.work.run(
-            statement_of(run), lambda answer: self._answer_in_transaction(run, answer)
+            statement_from(run), lambda answer: self._answer_in_transaction(run, answer)
         )
 
-    def _answer_in_transaction(self, run: Run, answer: Answer) -> None:
+    def _answer_in_transaction(self, run: RunStatement, answer: Answer) -> None:
         transaction = self._transactions.get(run.transaction)
         if transaction is None or transaction.call != run.call:
             return
@@ -320,18 +328,18 @@
             del self._transactions[run.transaction]
             transaction.work.end()
         floor = transaction.session.floors.get(run.service)
-        load = self._holder.teller.report(run.service, run.tenant)
-        doubts = transaction.local.doubts()
-        self.send(reply_to(run, answer, floor, transaction.work.trace(), load, doubts))
+        load = self._holder.load_reporter.report(run.service, run.tenant)
+        doubts = transaction.local.reduced_weights()
+        self.send(build_reply(run, answer, floor, transaction.work.trace(), load, doubts))
 
     def _end(self, number: int) -> None:
         transaction = self._transactions.pop(number, None)
         if transaction is not None:
-            transaction.work.finish(_left())
+            transaction.work.finish(_sender_gone())
             transaction.work.end()
 
     def end_idle_since(self, since: float) -> None:
-        """End the transactions that have been idle since a moment or longer."""
+        """Roll back the transactions that have been idle since ``since`` or longer."""
         for number, transaction in list(self._transactions.items()):
             if not transaction.call and transaction.idle_since <= since:
                 self._end(number)
@@ -339,8 +347,8 @@
     def _drop(self, call: int) -> None:
         single = self._singles.pop(call, None)
         if single is not None:
-            single.work.finish(_left())
+            single.work.finish(_sender_gone())
 
 
-def _left() -> Answer:
+def _sender_gone() -> Answer:
     return Answer(refusal=Refusal.ABORTED, message="the neighbour left")
--- a/src/rowanrail/gateway/services/load_measurement.py
+++ b/src/rowanrail/gateway/services/load_measurement.py
@@ -6,7 +6,7 @@
 
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.service import Service
-from rowanrail.scheduling.load import URGENCIES, ServiceLoad, rounded
+from rowanrail.scheduling.load import URGENCY_LEVELS, ServiceLoad, round_waits
 from rowanrail.scheduling.queue import QueueEntry
 
 __all__ = ["measure_load"]
@@ -26,14 +26,14 @@
     if not any(pool.forecasts.expected_wait for pool in near):
         return None
     weight = service.weight(tenant)
-    entries = [QueueEntry(urgency, tenant, now, weight=weight) for urgency in range(URGENCIES)]
+    entries = [QueueEntry(urgency, tenant, now, weight=weight) for urgency in range(URGENCY_LEVELS)]
     primary = service.primary_pool()
     writes = [] if primary is None or primary not in near else _response_times(primary, entries)
     reads = [
         min(times) for times in zip(*(_response_times(pool, entries) for pool in near), strict=True)
     ]
     pace = 0 if primary is None else _pace(primary, entries[0])
-    return ServiceLoad(rounded(writes), rounded(reads), pace)
+    return ServiceLoad(round_waits(writes), round_waits(reads), pace)
 
 
 def _is_available(service: Service, pool: MemberPool) -> bool:
@@ -49,9 +49,11 @@
     forecast = pool.forecasts.for_entry(entry)
     if forecast.has_room:
         return 0.0
-    return forecast.wait * pool.forecasts.errors.of(entry.urgency).certain_share + forecast.run
+    return (
+        forecast.wait * pool.forecasts.errors.of(entry.urgency).reliable_share + forecast.run_time
+    )
 
 
 def _pace(pool: MemberPool, entry: QueueEntry) -> int:
-    interval = pool.forecasts.for_entry(entry).interval
+    interval = pool.forecasts.for_entry(entry).drain_interval
     return round(1000 / interval) if interval else 0
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -1,9 +1,9 @@
 """A service at this gateway: its members' pools, its primary and the choice of a member for a read.
 
 Combines the pools, the primary's tracker, the estimates about members and this gateway's share of
-their connections. The rules are :func:`rowanrail.scheduling.choice.choose` (which member serves a
-read), :class:`.service_share.ServiceShare` (how many connections may be opened) and those of the
-pools and of the primary.
+their connections. The rules are :func:`rowanrail.scheduling.choice.choose_member` (which member
+serves a read), :class:`.service_share.ServiceShare` (how many connections may be opened) and those
+of the pools and of the primary.
 """
 
 import random
@@ -25,7 +25,7 @@
 from rowanrail.model.routing import ServiceSpec
 from rowanrail.placement.hashed import Population, Shard
 from rowanrail.placement.planned import Allowance
-from rowanrail.scheduling.choice import choose
+from rowanrail.scheduling.choice import choose_member
 from rowanrail.scheduling.queue import tenant_weight
 from rowanrail.scheduling.retrying import RetryTimes
 from rowanrail.tenants.model import Tenant, Tenants
@@ -174,7 +174,7 @@
             for instance, pool in self.pools.items()
             if instance not in excluded and not pool.record.leaving
         }
-        best = choose(self.estimates.candidates(pools, requirements), self._randomness)
+        best = choose_member(self.estimates.candidates(pools, requirements), self._randomness)
         return None if best is None else pools[best]
 
     def can_lease(self, instance: str) -> bool:
--- a/src/rowanrail/gateway/sessions/outcomes.py
+++ b/src/rowanrail/gateway/sessions/outcomes.py
@@ -1,7 +1,7 @@
 """Where the answers of clients' statements are noted: log, metrics, clients that will retry.
 
 For the sessions, which report each answer. Owns the log lines 300 and 301; relies on the trace that
-the work of a statement gives, and on :class:`Access` to remember who was rejected.
+the work of a statement gives, and on :class:`AccessControl` to remember who was rejected.
 """
 
 from collections.abc import Callable
@@ -10,29 +10,29 @@
 import msgspec
 
 from rowanrail.gateway.events import ANSWERED, REFUSED
-from rowanrail.gateway.sessions.access import Access
+from rowanrail.gateway.sessions.access import AccessControl
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.gateway.work.connected import Stage
-from rowanrail.gateway.work.ports import SingleStatement, WorkInTransaction
+from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.statements import Answer, Refusal, TypedStatement
 from rowanrail.model.trace import Rejection, Trace
 
-__all__ = ["Outcomes"]
+__all__ = ["OutcomeRecorder"]
 
 
-class Outcomes:
+class OutcomeRecorder:
     """Notes the answer of each statement.
 
     Parameters
     ----------
     decisions : DecisionLog
         Gets a line for each answer that a member gave, and for each refusal.
-    access : Access
+    access : AccessControl
         Knows the version in force, and remembers who was rejected.
     """
 
-    def __init__(self, decisions: DecisionLog, access: Access) -> None:
+    def __init__(self, decisions: DecisionLog, access: AccessControl) -> None:
         self.on_outcome: Callable[[str, str, str, float], None] = lambda *outcome: None
         self.on_trace: Callable[[str, Trace | None], None] = lambda tenant, trace: None
         self._decisions = decisions
@@ -44,7 +44,7 @@
         statement: TypedStatement,
         answer: Answer,
         seconds: float,
-        operation: SingleStatement | WorkInTransaction | None,
+        operation: AutocommitExecution | TransactionExecution | None,
     ) -> None:
         """See :meth:`rowanrail.gateway.sessions.session.SessionOutcomes.note`."""
         outcome = answer.refusal.value if answer.refusal else "done"
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -16,19 +16,23 @@
 from rowanrail.gateway.work.connected import ConnectedStatement, Stage
 from rowanrail.gateway.work.ports import (
     NO_OTHERS,
+    AutocommitExecution,
     OtherGateways,
-    SingleStatement,
-    Work,
-    WorkInTransaction,
+    StatementExecutor,
+    TransactionExecution,
+)
+from rowanrail.gateway.work.refusals import (
+    PRIMARY_RETRY_AFTER_MS,
+    busy_answer,
+    primary_unavailable_reason,
 )
-from rowanrail.gateway.work.refusals import PRIMARY_RETRY_AFTER_MS, busy, primary_trouble
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import AnswerCallback, Channel
 from rowanrail.model.position import Position
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
 from rowanrail.model.trace import Trace
-from rowanrail.scheduling.admission import Admit, RejectionCause, judge_arriving
+from rowanrail.scheduling.admission import Admit, RejectionCause, decide_on_arrival
 from rowanrail.scheduling.entry import QueueEntry
 from rowanrail.scheduling.retrying import retry_after_base
 
@@ -60,7 +64,7 @@
         self.others = others
         self.attempts = 0
         self.floor: Position | None = None  # what a member's log must hold
-        self.remote: SingleStatement | WorkInTransaction | None = None
+        self.remote: AutocommitExecution | TransactionExecution | None = None
         service.used_at = clock.time()
 
     def trace(self) -> Trace:
@@ -89,7 +93,7 @@
     def on_deferral_over(self) -> None:
         """Reject what could not run so far if the primary is lost, or has no connection left."""
         tracker = self.service.primary
-        trouble = primary_trouble(tracker.failing_since, tracker.is_at_connection_limit)
+        trouble = primary_unavailable_reason(tracker.failing_since, tracker.is_at_connection_limit)
         if self.channel is not None or not trouble:
             return
         tracker.cancel_wait(self.floor_callback())
@@ -123,10 +127,12 @@
         holder = self.others.find_remote_holder(self.tenant, instance)
         return self._hand_to(holder, statement, writes)
 
-    def _hand_to(self, work: Work | None, statement: TypedStatement, writes: bool) -> bool:
+    def _hand_to(
+        self, work: StatementExecutor | None, statement: TypedStatement, writes: bool
+    ) -> bool:
         if work is None:
             return False
-        remote = work.single(self.route_left(), self.session, writes)
+        remote = work.autocommit(self.route_left(), self.session, writes)
         self.remote = remote
         self.stop_timers()
         remote.start(statement, self.finish)
@@ -154,13 +160,13 @@
             return
         if pool is None or pool.is_failing:
             tracker.request_sample()
-            self.retry_later(again, busy("no primary is known"))
+            self.retry_later(again, busy_answer("no primary is known"))
         elif not self.may_wait_at(pool):
             self.reject_crowded(pool)
         else:
             self.acquire(pool, take)
 
-    def move_to(self, work: Work | None) -> bool:
+    def move_to(self, work: StatementExecutor | None) -> bool:
         """Have another gateway run what writes, if one is named; return whether it does."""
         raise NotImplementedError
 
@@ -174,7 +180,7 @@
         if not tracker.is_failover_overdue:
             return False
         seconds = self.clock.time() - tracker.failing_since
-        self.finish(busy(f"the primary has been lost for {seconds:.1f} s; retry elsewhere"))
+        self.finish(busy_answer(f"the primary has been lost for {seconds:.1f} s; retry elsewhere"))
         return True
 
     # Admission
@@ -199,8 +205,8 @@
     def may_wait_at(self, pool: MemberPool) -> bool:
         """Return whether the statement can still be served at a member."""
         forecast = pool.forecasts.for_entry(self.entry())
-        certain = pool.forecasts.errors.of(self.route.priority).certain_share
-        verdict = judge_arriving(forecast, self.time_left_ms, self.time_given_ms, certain)
+        certain = pool.forecasts.errors.of(self.route.priority).reliable_share
+        verdict = decide_on_arrival(forecast, self.time_left_ms, self.time_given_ms, certain)
         return isinstance(verdict, Admit)
 
     def is_prompt(self, pool: MemberPool) -> bool:
@@ -243,7 +249,7 @@
         return found
 
     def reject_crowded(
-        self, pool: MemberPool, cause: RejectionCause = RejectionCause.CROWDED
+        self, pool: MemberPool, cause: RejectionCause = RejectionCause.OVERLOADED
     ) -> None:
         """Refuse, as not run, since all connections are in use for too long."""
         self.member = pool.record.instance
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -6,9 +6,9 @@
 
 MODULES = (
     "rowanrail.cluster.membership",
-    "rowanrail.coordination.gateway_census",
+    "rowanrail.coordination.gateway_reconciler",
     "rowanrail.directory.digests",
-    "rowanrail.directory.reports",
+    "rowanrail.directory.health_filter",
     "rowanrail.cli.load_view",
     "rowanrail.explain.rejections",
     "rowanrail.gateway.discovery.control_choice",
