--- a/src/rowanrail/gateway/services/load_measurement.py
+++ b/src/rowanrail/gateway/services/load_measurement.py
@@ -13,7 +13,7 @@
 
 
 def measure_load(service: Service, tenant: str, now: float) -> ServiceLoad | None:
-    """Return how long a tenant's statements of each urgency take, None without a wait.
+    """Return how long a tenant's statements of each urgency take, None if there is room.
 
     Members of other regions are ignored, as statements for them are forwarded to gateways there.
 
@@ -28,10 +28,8 @@
     weight = service.weight(tenant)
     entries = [QueueEntry(urgency, tenant, now, weight=weight) for urgency in range(URGENCY_LEVELS)]
     primary = service.primary_pool()
-    writes = [] if primary is None or primary not in near else _response_times(primary, entries)
-    reads = [
-        min(times) for times in zip(*(_response_times(pool, entries) for pool in near), strict=True)
-    ]
+    writes = [] if primary is None or primary not in near else _waits(primary, entries)
+    reads = [min(waits) for waits in zip(*(_waits(pool, entries) for pool in near), strict=True)]
     pace = 0 if primary is None else _pace(primary, entries[0])
     return ServiceLoad(round_waits(writes), round_waits(reads), pace)
 
@@ -40,7 +38,7 @@
     return not (pool.record.leaving or pool.is_failing or service.is_remote(pool))
 
 
-def _response_times(pool: MemberPool, entries: list[QueueEntry]) -> list[float]:
+def _waits(pool: MemberPool, entries: list[QueueEntry]) -> list[float]:
     """Return a lower bound of the response time for each entry; 0 where there is room."""
     return [_response_time(pool, entry) for entry in entries]
 
