--- a/src/rowanrail/gateway/pools/opening_rules.py
+++ b/src/rowanrail/gateway/pools/opening_rules.py
@@ -10,12 +10,12 @@
 __all__ = [
     "CONNECTION_CAP_MS",
     "INITIAL_OPENING_MS",
-    "MAX_OPENING_MS",
     "MAX_CONCURRENT_OPENINGS",
+    "MAX_OPENING_MS",
     "ConnectionCap",
     "OpeningDecision",
-    "may_open_connection",
     "decide_opening",
+    "may_open_connection",
     "smoothed_opening",
 ]
 
@@ -30,8 +30,8 @@
     """Whether to open another connection for a tenant."""
 
     NOW = "now"
-    ENOUGH = "as many are being opened as are wanted"
-    WAIT = "one that is in use may come back sooner"
+    ENOUGH = "enough connections are being opened"
+    WAIT = "a connection in use may be released sooner"
 
 
 def may_open_connection(openings: int, idle: int, count: int, limit: int) -> bool:
--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -65,18 +65,18 @@
         self._clock = clock
         self._times = RunTimes()
         self._lags: dict[str, LagEstimate] = {}
-        self._warming: dict[str, WarmUp] = {}
+        self._warm_ups: dict[str, WarmUp] = {}
         self._sent_remote: Counter[str] = Counter()  # in flight at gateways of other regions
         self.weights = MemberWeights(clock)
 
     def set_members(self, records: list[MemberRecord]) -> None:
         """Replace the members; discard the estimates of those that are gone."""
         now = self._clock.now
-        warming, self._warming = self._warming, {}
+        warm_ups, self._warm_ups = self._warm_ups, {}
         lags, self._lags = self._lags, {}
         for record in records:
             name = record.instance
-            self._warming[name] = warming.get(name) or WarmUp(record.cold_ms, now)
+            self._warm_ups[name] = warm_ups.get(name) or WarmUp(record.cold_ms, now)
             self._lags[name] = lags.get(name) or LagEstimate()
         instances = set(self._lags)
         self._times.keep(instances)
@@ -165,7 +165,7 @@
             is_primary=is_primary,
             error_share=pool.error_rate,
             is_suspect=pool.is_suspect,
-            slowdown=self._warming[name].slowdown(now) if name in self._warming else 1.0,
+            slowdown=self._warm_ups[name].slowdown(now) if name in self._warm_ups else 1.0,
             weight=self.weights.effective_weight(name),
             distance=distance,
             catch_up_time=catch_up_time,
--- a/src/rowanrail/members/channel.py
+++ b/src/rowanrail/members/channel.py
@@ -46,7 +46,7 @@
     instance : str
         Instance name of the member.
     on_open : callable
-        Called once with the channel and how the opening ended.
+        Called with the channel and how the opening ended, unless it was closed before.
     tenant : str
         Tenant to which the connection belongs; empty for none.
     """
--- a/src/rowanrail/members/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -102,7 +102,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a sample is in flight, the primary fails, or reads wait."""
+        """Whether members are being sampled, the primary fails, or reads wait."""
         return bool(len(self._sampler) or self.failing_since or len(self._waiting))
 
     @property
@@ -160,11 +160,11 @@
         if self.history.add(asked_at, position, instance):
             self._waiting.notify(self.sample)
 
-    def note_begin_answer(self, instance: str, asked_at: float, begun: Answer) -> None:
+    def note_begin_answer(self, instance: str, asked_at: float, answer: Answer) -> None:
         """Process a member's answer to a plain BEGIN."""
-        if self._proof.is_proof(begun):
-            self.note_proof(instance, asked_at, begun.position)
-        elif begun.refusal is Refusal.NOT_PRIMARY:
+        if self._proof.is_proof(answer):
+            self.note_proof(instance, asked_at, answer.position)
+        elif answer.refusal is Refusal.NOT_PRIMARY:
             self.note_not_primary(instance)
 
     def note_not_primary(self, instance: str) -> None:
--- a/src/rowanrail/members/sampler.py
+++ b/src/rowanrail/members/sampler.py
@@ -36,7 +36,7 @@
     def request_sample(self) -> None:
         """Request a sample of the primary."""
 
-    def note_begin_answer(self, instance: str, asked_at: float, begun: Answer) -> None:
+    def note_begin_answer(self, instance: str, asked_at: float, answer: Answer) -> None:
         """Process the answer to a plain BEGIN that was requested at ``asked_at`` seconds."""
 
     def note_failure(self, instance: str) -> None:
@@ -191,22 +191,24 @@
     def _send(self, connection: SamplingConnection) -> None:
         assert connection.channel is not None
         asked_at = connection.asked_at
-        begun = Answer(refusal=Refusal.LOST)
+        begin_answer = Answer(refusal=Refusal.LOST)
 
         def on_begin(answer: Answer) -> None:
-            nonlocal begun
-            begun = answer
+            nonlocal begin_answer
+            begin_answer = answer
 
         def on_end(answer: Answer) -> None:
-            self._on_answered(connection, asked_at, begun)
+            self._on_answered(connection, asked_at, begin_answer)
 
         connection.channel.send(_SAMPLE_COMMANDS, [on_begin, on_end])
 
-    def _on_answered(self, connection: SamplingConnection, asked_at: float, begun: Answer) -> None:
+    def _on_answered(
+        self, connection: SamplingConnection, asked_at: float, begin_answer: Answer
+    ) -> None:
         instance = connection.record.instance
         is_closed = connection.channel_closed()
         connection.release()  # first, as a proof lets waiting reads request connections
-        self._listener.note_begin_answer(instance, asked_at, begun)
+        self._listener.note_begin_answer(instance, asked_at, begin_answer)
         if self._connections.get(instance) is not connection:
             return
         connection.in_flight = False
--- a/src/rowanrail/members/samples.py
+++ b/src/rowanrail/members/samples.py
@@ -14,7 +14,7 @@
 
 from rowanrail.model.position import Position
 
-__all__ = ["PositionWaiters", "PositionCallback", "PositionSample", "SampleHistory"]
+__all__ = ["PositionCallback", "PositionSample", "PositionWaiters", "SampleHistory"]
 
 HISTORY_SECONDS = 5.0  # maximum age of a retained sample
 HISTORY_STEP_SECONDS = 0.02  # minimum time between retained samples
@@ -56,10 +56,10 @@
     'm2'
     """
 
-    __slots__ = ("_kept", "_newest")
+    __slots__ = ("_retained", "_newest")
 
     def __init__(self) -> None:
-        self._kept: deque[PositionSample] = deque()
+        self._retained: deque[PositionSample] = deque()
         self._newest: PositionSample | None = None
 
     @property
@@ -81,20 +81,20 @@
         return True
 
     def _append(self, sample: PositionSample) -> None:
-        kept = self._kept
+        retained = self._retained
         if self._newest is not None and self._newest.position.term != sample.position.term:
-            kept.clear()  # a failover may have discarded these positions
-        while kept and sample.asked_at - kept[0].asked_at > HISTORY_SECONDS:
-            kept.popleft()
-        if not kept or sample.asked_at - kept[-1].asked_at >= HISTORY_STEP_SECONDS:
-            kept.append(sample)
+            retained.clear()  # a failover may have discarded these positions
+        while retained and sample.asked_at - retained[0].asked_at > HISTORY_SECONDS:
+            retained.popleft()
+        if not retained or sample.asked_at - retained[-1].asked_at >= HISTORY_STEP_SECONDS:
+            retained.append(sample)
         self._newest = sample
 
     def oldest_since(self, asked_since: float) -> PositionSample | None:
         """Return the oldest sample requested at ``asked_since`` or later, None without one."""
-        place = bisect_left(self._kept, asked_since, key=lambda sample: sample.asked_at)
-        if place < len(self._kept):
-            return self._kept[place]
+        place = bisect_left(self._retained, asked_since, key=lambda sample: sample.asked_at)
+        if place < len(self._retained):
+            return self._retained[place]
         newest = self._newest
         return newest if newest is not None and newest.asked_at >= asked_since else None
 
@@ -108,9 +108,9 @@
         >>> history.held_since(Position(1, 11)), history.held_since(Position(1, 13))
         (11.0, None)
         """
-        place = bisect_left(self._kept, position, key=lambda sample: sample.position)
-        if place < len(self._kept):
-            return self._kept[place].asked_at
+        place = bisect_left(self._retained, position, key=lambda sample: sample.position)
+        if place < len(self._retained):
+            return self._retained[place].asked_at
         newest = self._newest
         return newest.asked_at if newest is not None and newest.position >= position else None
 
--- a/src/rowanrail/members/sampling_rules.py
+++ b/src/rowanrail/members/sampling_rules.py
@@ -8,15 +8,15 @@
 import enum
 
 __all__ = [
-    "OPEN_TIMEOUT_SECONDS",
     "DEDICATED_CONNECTION_SECONDS",
+    "OPEN_TIMEOUT_SECONDS",
     "SAMPLE_TIMEOUT_SECONDS",
     "SampleTimeoutAction",
-    "may_close_dedicated",
     "is_sample_due",
+    "may_close_dedicated",
+    "retry_at",
     "sample_timeout_action",
     "should_use_pool",
-    "retry_at",
 ]
 
 SAMPLE_TIMEOUT_SECONDS = 0.3  # six round trips between regions that are 20 ms apart one way
@@ -31,9 +31,9 @@
     """What to do about a sample that is still outstanding."""
 
     WAIT = "wait"
-    OPEN_DEDICATED = "open its own connection"
-    SUSPECT = "note a failure, and go on"
-    GIVE_UP = "note a failure, close the connection and try again later"
+    OPEN_DEDICATED = "open a dedicated connection"
+    SUSPECT = "report a failure, and keep waiting"
+    GIVE_UP = "report a failure, close the connection and retry later"
 
 
 def sample_timeout_action(
--- a/tests/gateway/test_samples.py
+++ b/tests/gateway/test_samples.py
@@ -34,7 +34,7 @@
     def test_the_history_is_bounded(self):
         for number in range(20_000):
             self.history.add(number * 0.001, Position(1, number), "m1")
-        self.assertLessEqual(len(self.history._kept), HISTORY_SECONDS / 0.02 + 1)
+        self.assertLessEqual(len(self.history._retained), HISTORY_SECONDS / 0.02 + 1)
         self.assertEqual(self.history.newest.position, Position(1, 19_999))
 
     def test_the_newest_sample_is_returned_even_if_it_is_not_in_the_history(self):
