--- a/src/rowanrail/gateway/pools/opening_rules.py
+++ b/src/rowanrail/gateway/pools/opening_rules.py
@@ -30,8 +30,8 @@
     """Whether to open another connection for a tenant."""
 
     NOW = "now"
-    ENOUGH = "enough connections are being opened"
-    WAIT = "a connection in use may be released sooner"
+    ENOUGH = "as many are being opened as are wanted"
+    WAIT = "one that is in use may come back sooner"
 
 
 def may_open_connection(openings: int, idle: int, count: int, limit: int) -> bool:
--- a/src/rowanrail/members/sampling_rules.py
+++ b/src/rowanrail/members/sampling_rules.py
@@ -31,9 +31,9 @@
     """What to do about a sample that is still outstanding."""
 
     WAIT = "wait"
-    OPEN_DEDICATED = "open a dedicated connection"
-    SUSPECT = "report a failure, and keep waiting"
-    GIVE_UP = "report a failure, close the connection and retry later"
+    OPEN_DEDICATED = "open its own connection"
+    SUSPECT = "note a failure, and go on"
+    GIVE_UP = "note a failure, close the connection and try again later"
 
 
 def sample_timeout_action(
