--- a/src/rowanrail/coordination/failover_controller.py
+++ b/src/rowanrail/coordination/failover_controller.py
@@ -1,8 +1,8 @@
-"""The failover duty: the shell around :mod:`rowanrail.coordination.failover`.
+"""Automatic failover by the leader; the rules are in :mod:`rowanrail.coordination.failover`.
 
-Only an established leader holds the duty. It samples each primary itself, as one vantage
-point beside the gateways, asks statuses when a primary seems lost, makes its intent durable,
-and then asks the platform to promote, with the intent's place in the log as fencing token.
+Only an established leader replaces primaries. It samples each primary itself, in addition to the
+gateways' reports, and asks members for their statuses when a primary seems lost. It logs its
+intent before it orders the platform to promote; the intent's log index is the fencing token.
 """
 
 import asyncio
@@ -34,12 +34,12 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Command, CommandKind
 
-CHECK_SECONDS = 0.1  # between checks of all services; a failover gap grows by half of it on average
-OWN_SOURCE = "failover-duty"
+CHECK_INTERVAL_SECONDS = 0.1  # delays a failover by half of it on average
+LOCAL_SOURCE = "failover-duty"
 
 
 class PromotionOutcome(enum.Enum):
-    """What the platform said to an order to promote."""
+    """The platform's answer to a promotion order."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -47,11 +47,11 @@
 
 
 class Promoter(ABC):
-    """Port: asks the platform to make a member its service's primary."""
+    """Orders the platform to make a member its service's primary."""
 
     @abstractmethod
     async def promote(self, service: str, instance: str, token: int) -> PromotionOutcome:
-        """Send one order; without an answer it may still be carried out."""
+        """Send one promotion order; ``UNKNOWN`` means that it may still be carried out."""
 
 
 class _PromotionAttempt:
@@ -62,7 +62,27 @@
 
 
 class FailoverController:
-    """Watches the primaries while its node leads."""
+    """Checks the primaries of all services while its node leads, and replaces lost ones.
+
+    Parameters
+    ----------
+    node : ConsensusNode
+        Tells whether this node leads.
+    service : CoordinationService
+        Holds the replicated state and the gateways' reports.
+    driver : MemberDriver
+        Opens connections to members.
+    reader : StatusReader
+        Parses members' statuses.
+    promoter : Promoter
+        Sends promotion orders.
+    decisions : DecisionLog
+        Writes the log lines.
+    proof : LeadershipProof
+        Rule by which a sample proves that a member leads.
+    acknowledging_replicas : callable
+        Returns how many replicas of a service must hold a commit before it is acknowledged.
+    """
 
     def __init__(
         self,
@@ -86,50 +106,50 @@
         self._trackers: dict[str, PrimaryTracker] = {}
         self._attempts: dict[str, _PromotionAttempt] = {}
         self._waiting_reasons: dict[str, str] = {}
-        self._busy: set[str] = set()
+        self._in_progress: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._holding_since: float | None = None
+        self._leading_since: float | None = None
         self._known_revision = -1
         self._indexed_revision = -1
-        self._by_service: dict[str, list[MemberRecord]] = {}
+        self._members_by_service: dict[str, list[MemberRecord]] = {}
         self._reconciler = GatewayReconciler(
             service.state, service.liveness, service.propose, self._now
         )
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin."""
+        """Start the periodic checks."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Stop."""
+        """Cancel the checks and all promotions under way."""
         for task in (self._task, *self._tasks):
             if task is not None:
                 task.cancel()
         self._reconciler.stop()
-        self._release()
+        self._reset()
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             self._decisions.flush()
             if not self._node.raft.is_established_leader:
-                self._release()
+                self._reset()
                 continue
-            if self._holding_since is None:
-                self._holding_since = self._now()
-            self._follow_directory()
+            if self._leading_since is None:
+                self._leading_since = self._now()
+            self._update_trackers()
             for name, tracker in self._trackers.items():
                 tracker.tick(in_use=True)
-                self._consider(name)
+                self._check_service(name)
             self._reconciler.tick()
 
     @staticmethod
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    def _release(self) -> None:
-        self._holding_since = None
+    def _reset(self) -> None:
+        self._leading_since = None
         self._known_revision = -1
         self._attempts.clear()
         for tracker in self._trackers.values():
@@ -140,12 +160,12 @@
         state = self._service.state
         if state.revision != self._indexed_revision:
             self._indexed_revision = state.revision
-            self._by_service = {}
+            self._members_by_service = {}
             for member in state.members.values():
-                self._by_service.setdefault(member.service, []).append(member)
-        return self._by_service.get(service, [])
+                self._members_by_service.setdefault(member.service, []).append(member)
+        return self._members_by_service.get(service, [])
 
-    def _follow_directory(self) -> None:
+    def _update_trackers(self) -> None:
         state = self._service.state
         if state.revision == self._known_revision:
             return
@@ -162,41 +182,43 @@
 
     # Deciding
 
-    def _consider(self, service: str) -> None:
-        if service in self._busy:
+    def _check_service(self, service: str) -> None:
+        if service in self._in_progress:
             return
-        if self._is_calm(service):
+        if self._is_healthy(service):
             self._waiting_reasons.pop(service, None)
             return
         decision = decide(self._view(service, {}))
         if decision.action is Action.WAIT:
             self._waiting_reasons.pop(service, None)
             return
-        self._busy.add(service)
-        task = asyncio.ensure_future(self._replace(service, decision))
+        self._in_progress.add(service)
+        task = asyncio.ensure_future(self._replace_primary(service, decision))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _is_calm(self, service: str) -> bool:
-        """Return whether nothing speaks for a replacement of the primary, which is the usual case.
+    def _is_healthy(self, service: str) -> bool:
+        """Return whether there is no sign of a lost primary.
 
-        It saves reading all gateways' reports; :func:`decide` would say wait as well.
+        This is the usual case, in which :func:`decide` would wait; it saves reading all reports.
         """
-        if self._trackers[service].failing_since or self._service.liveness.fails(service):
+        if self._trackers[service].failing_since or self._service.liveness.has_failure_report(
+            service
+        ):
             return False
         return any(member.primary and not member.leaving for member in self._members(service))
 
-    async def _replace(self, service: str, first: Decision) -> None:
+    async def _replace_primary(self, service: str, first: Decision) -> None:
         try:
             decision = await self._decide_with_statuses(service)
             if decision.action is Action.PROMOTE:
                 await self._promote(service, decision)
             else:
-                self._note_waiting(service, first.reason, decision.reason)
+                self._log_waiting(service, first.reason, decision.reason)
         except RowanrailError as error:
-            self._note_waiting(service, first.reason, str(error))
+            self._log_waiting(service, first.reason, str(error))
         finally:
-            self._busy.discard(service)
+            self._in_progress.discard(service)
 
     async def _decide_with_statuses(self, service: str) -> Decision:
         statuses = await self._queries.query(self._members(service), Command(CommandKind.STATUS))
@@ -208,7 +230,7 @@
             await self._queries.query(self._replicas(service), Command(CommandKind.RESUME))
         return decision
 
-    def _note_waiting(self, service: str, cause: str, reason: str) -> None:
+    def _log_waiting(self, service: str, cause: str, reason: str) -> None:
         if self._waiting_reasons.get(service) != reason:
             self._waiting_reasons[service] = reason
             self._decisions.note(PROMOTION_WAITS, service=service, cause=cause, reason=reason)
@@ -231,12 +253,12 @@
                 )
             )
         health = primary_health_report(self._trackers[service], now)
-        own = report_view(OWN_SOURCE, health, age=0.0)
-        holding_since = now if self._holding_since is None else self._holding_since
+        own = report_view(LOCAL_SOURCE, health, age=0.0)
+        holding_since = now if self._leading_since is None else self._leading_since
         return ServiceView(
             service,
             members,
-            [own, *liveness.views(service)],
+            [own, *liveness.report_views(service)],
             self._attempt_view(service, now),
             now - holding_since,
             1 + liveness.gateway_count,
@@ -256,9 +278,10 @@
     async def _pause_replicas(
         self, service: str, statuses: dict[str, StatusReply]
     ) -> dict[str, StatusReply]:
-        """Stop the replicas from receiving, so that nothing is acknowledged any more.
+        """Pause replication, so that no further commit is acknowledged; return new statuses.
 
-        What they hold then is all that ever was acknowledged. The promotion, or RESUME, ends it.
+        What the replicas hold while paused is all that was ever acknowledged. A promotion or
+        RESUME ends the pause.
         """
         newest = max((status.term for status in statuses.values()), default=0)
         command = Command(CommandKind.PAUSE, str(newest + 1))
