--- a/src/rowanrail/gateway/pools/connections.py
+++ b/src/rowanrail/gateway/pools/connections.py
@@ -56,8 +56,8 @@
         return self.openings.effective_limit(self.limit)
 
     @property
-    def max_in_flight(self) -> int:
-        """Upper bound of ``in_flight``, as idle transactions keep their connections."""
+    def usable(self) -> int:
+        """Number of connections that may be in flight; idle transactions keep theirs."""
         return max(self.effective_limit, self.count) - len(self.idle_transactions)
 
     @property
--- a/src/rowanrail/gateway/pools/forecasts.py
+++ b/src/rowanrail/gateway/pools/forecasts.py
@@ -11,7 +11,7 @@
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
 from rowanrail.scheduling.forecast_error import ForecastErrors
 from rowanrail.scheduling.queue import QueueEntry
-from rowanrail.scheduling.wait_forecast import expected_wait, places
+from rowanrail.scheduling.wait_forecast import expected_wait, max_in_flight
 
 __all__ = ["MemberForecasts"]
 
@@ -42,29 +42,29 @@
     def expected_wait(self) -> float:
         """Expected wait for a connection in milliseconds, for a statement that arrives now."""
         # Connections being opened are for statements that wait already.
-        return self._wait(len(self._queue) - len(self._connections.openings), self._places)
+        return self._wait(len(self._queue) - len(self._connections.openings), self._max_in_flight)
 
     @property
-    def _places(self) -> int:
-        return places(self._concurrency.value, self._connections.max_in_flight)
+    def _max_in_flight(self) -> int:
+        return max_in_flight(self._concurrency.value, self._connections.usable)
 
-    def _wait(self, ahead: float, places: int) -> float:
+    def _wait(self, ahead: float, limit: int) -> float:
         connections = self._connections
-        return expected_wait(ahead, places, connections.in_flight, connections.leases.average)
+        return expected_wait(ahead, limit, connections.in_flight, connections.leases.average)
 
     def for_entry(self, entry: QueueEntry) -> Forecast:
         """Return the forecast for a statement that arrives now or waits already."""
-        connections, places = self._connections, self._places
+        connections, limit = self._connections, self._max_in_flight
         needs_opening = not connections.has_connection_for(entry.tenant)
         ahead = self._queue.ahead_of(entry, needs_opening) - len(connections.openings)
         ahead = max(0.0, ahead)  # those with a connection being opened are no longer ahead
-        wait = self._wait(ahead, places)
+        wait = self._wait(ahead, limit)
         opening = connections.openings.average if needs_opening else 0.0
         return Forecast(
             wait + opening,
             self.latency,
             has_room=wait == 0 and not ahead,
-            drain_interval=connections.leases.average / places,
+            drain_interval=connections.leases.average / limit,
             opening=opening,
         )
 
--- a/src/rowanrail/gateway/pools/pool.py
+++ b/src/rowanrail/gateway/pools/pool.py
@@ -17,8 +17,8 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.concurrency import ConcurrencyLimit
-from rowanrail.scheduling.member_weight import Trouble
-from rowanrail.scheduling.queue import QueueEntry, Supply, is_past_deadline
+from rowanrail.scheduling.member_weight import FailureKind
+from rowanrail.scheduling.queue import ConnectionSupply, QueueEntry, is_past_deadline
 
 __all__ = ["MemberPool"]
 
@@ -45,8 +45,8 @@
 
     Attributes
     ----------
-    on_trouble : callable
-        Called with each :class:`Trouble` of the member.
+    on_failure : callable
+        Called with the kind of each failure of the member.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.connections = Connections(limit, driver, clock)
         self.queue = WaitQueue()
         self.forecasts = MemberForecasts(self.connections, self.concurrency, self.queue)
-        self.on_trouble: Callable[[Trouble], None] = lambda trouble: None
+        self.on_failure: Callable[[FailureKind], None] = lambda kind: None
         self.clock = clock
         self._is_serving = False
         self._closed = False
@@ -138,7 +138,7 @@
         is_full = connections.in_flight >= self.concurrency.value
         now = self.clock.now
         idle = connections.idle
-        supply = Supply(idle.tenants, self._should_open, connections.may_be_released)
+        supply = ConnectionSupply(idle.tenants, self._should_open, connections.may_be_released)
         pick = self.queue.next(supply, only_samples=is_full)
         if pick is None:
             return False
@@ -184,11 +184,11 @@
     def _should_open(self, tenant: str | None, since: float) -> bool:
         """Return whether to open a connection for a tenant that waits since ``since``."""
         waited = self.clock.now - since
-        waiting = self.queue.waiting_of(tenant)
+        waiting = self.queue.count_waiting(tenant)
         return not self.is_failing and self.connections.should_open(tenant, waiting, waited)
 
     def _is_wanted(self, tenant: str) -> bool:
-        return self.queue.waiting_of(tenant) > 0
+        return self.queue.count_waiting(tenant) > 0
 
     def _on_open(self, channel: Channel, answer: Answer) -> None:
         if answer.refusal is None:
@@ -203,7 +203,7 @@
             self.connections.openings.note_limit_reached(self.connections.count)
         else:
             self._note_failure()
-            self.on_trouble(Trouble.REFUSED)
+            self.on_failure(FailureKind.REFUSED)
         if not self.connections.count:
             self.queue.refuse(answer)
         elif channel.tenant and not self.connections.may_be_released(channel.tenant):
@@ -242,7 +242,7 @@
     def note_timeout(self) -> None:
         """Record that the member left a command unanswered."""
         self._note_failure()
-        self.on_trouble(Trouble.SILENCE)
+        self.on_failure(FailureKind.SILENCE)
 
     def note_answer(self) -> None:
         """Record an answer of the member."""
@@ -251,7 +251,7 @@
     def note_error(self) -> None:
         """Record an error of the member itself."""
         self.health.note_answer(is_error=True, now=self.clock.now)
-        self.on_trouble(Trouble.ERROR)
+        self.on_failure(FailureKind.ERROR)
 
     # Maintenance
 
--- a/src/rowanrail/gateway/services/member_weights.py
+++ b/src/rowanrail/gateway/services/member_weights.py
@@ -7,7 +7,12 @@
 from collections.abc import Callable
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.scheduling.member_weight import MemberWeight, Trouble, Weight, is_trouble
+from rowanrail.scheduling.member_weight import (
+    FailureKind,
+    MemberWeight,
+    WeightStatus,
+    is_persistently_busy,
+)
 from rowanrail.scheduling.reported_weights import ReportedWeights
 
 __all__ = ["MemberWeights"]
@@ -24,11 +29,11 @@
     Attributes
     ----------
     on_change : callable
-        Called with the instance and True when a member falls, False when it has recovered.
+        Called with the instance and True when a member is degraded, False when it has recovered.
     """
 
     def __init__(self, clock: Clock) -> None:
-        self.on_change: Callable[[str, bool], None] = lambda instance, has_fallen: None
+        self.on_change: Callable[[str, bool], None] = lambda instance, is_degraded: None
         self._clock = clock
         self._weights: dict[str, MemberWeight] = {}
         self._reported = ReportedWeights()
@@ -39,10 +44,10 @@
         self._weights = {name: self._weights.get(name) or MemberWeight() for name in instances}
         self._reported.keep(instances)
 
-    def local_weight(self, instance: str) -> Weight:
+    def local_weight(self, instance: str) -> WeightStatus:
         """Return a member's weight according to this gateway alone."""
         member = self._weights.get(instance)
-        return Weight(1.0, "", 0) if member is None else member.weight
+        return WeightStatus(1.0, "", 0) if member is None else member.weight
 
     def effective_weight(self, instance: str) -> float:
         """Return a member's weight, reduced by the reports of other gateways."""
@@ -55,20 +60,20 @@
         self._busy.pop(instance, None)
 
     def note_busy(self, instance: str) -> None:
-        """Record a busy refusal; a run of them counts as trouble."""
+        """Record a busy refusal; a run of them counts as a failure."""
         self._busy[instance] += 1
-        if is_trouble(self._busy[instance]):
+        if is_persistently_busy(self._busy[instance]):
             self._busy.pop(instance)
-            self.note_trouble(instance, Trouble.BUSY)
+            self.note_failure(instance, FailureKind.BUSY)
 
-    def note_trouble(self, instance: str, trouble: Trouble) -> None:
+    def note_failure(self, instance: str, kind: FailureKind) -> None:
         """Record a failure of a member and reduce its weight."""
         member = self._weights.get(instance)
         if member is None:
             return
-        was_fallen = member.is_fallen
-        member.note_trouble(trouble, self._clock.now)
-        if member.is_fallen and not was_fallen:
+        was_degraded = member.is_degraded
+        member.note_failure(kind, self._clock.now)
+        if member.is_degraded and not was_degraded:
             self.on_change(instance, True)
 
     # Probes
@@ -77,9 +82,9 @@
         """Return whether to probe a member now; if so, record the probe as sent."""
         member = self._weights.get(instance)
         now = self._clock.now
-        if member is None or not member.wants_probe(now, gateways):
+        if member is None or not member.is_probe_due(now, gateways):
             return False
-        member.note_probing(now)
+        member.note_probe_sent(now)
         return True
 
     def note_probe_success(self, instance: str) -> None:
@@ -87,9 +92,9 @@
         member = self._weights.get(instance)
         if member is None:
             return
-        was_fallen = member.is_fallen
-        member.note_probe(self._clock.now)
-        if was_fallen and not member.is_fallen:
+        was_degraded = member.is_degraded
+        member.note_probe_answered(self._clock.now)
+        if was_degraded and not member.is_degraded:
             self.on_change(instance, False)
 
     # Reports between gateways
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -93,7 +93,7 @@
                 limit = self.share.limit(self._is_near(record))
                 holders = self.share.holders(self._is_near(record))
                 pool = MemberPool(record, limit, self._driver, self._clock, holders)
-                pool.on_trouble = partial(self.estimates.weights.note_trouble, record.instance)
+                pool.on_failure = partial(self.estimates.weights.note_failure, record.instance)
                 self.pools[record.instance] = pool
             else:
                 pool.record = record
--- a/src/rowanrail/gateway/services/weight_log.py
+++ b/src/rowanrail/gateway/services/weight_log.py
@@ -1,4 +1,4 @@
-"""Log events for members whose weight falls or recovers.
+"""Log events for members that are degraded or recover.
 
 The decision is made in :mod:`rowanrail.scheduling.member_weight`.
 """
@@ -11,16 +11,16 @@
 
 
 def log_weight_change(
-    decisions: DecisionLog, service: Service, instance: str, has_fallen: bool
+    decisions: DecisionLog, service: Service, instance: str, is_degraded: bool
 ) -> None:
-    """Log that a member fell or recovered, with the inputs of the decision.
+    """Log that a member was degraded or recovered, with the inputs of the decision.
 
-    A fall is logged once until the member has recovered, which takes seconds of probing.
+    A degradation is logged once until the member has recovered, which takes seconds of probing.
     """
     weight = service.estimates.weights.local_weight(instance)
     pool = service.pools.get(instance)
     decisions.note(
-        MEMBER_FELL if has_fallen else MEMBER_ROSE,
+        MEMBER_FELL if is_degraded else MEMBER_ROSE,
         service=service.spec.name,
         instance=instance,
         weight=weight.value,
