--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -263,8 +263,10 @@
         asked = len(played.near.ran)
         played.clock.advance(1.0)
         self.assertEqual(len(played.near.ran), asked)
-        probes = played.gateway.services["db"].primary._sampler._probes
-        self.assertEqual([name for name, probe in probes.items() if probe.is_open], ["m3"])
+        connections = played.gateway.services["db"].primary._sampler._connections
+        self.assertEqual(
+            [name for name, connection in connections.items() if connection.is_open], ["m3"]
+        )
 
     def test_writes_resume_as_soon_as_the_primary_is_proved_again(self):
         # Regression: the pool of a recovered primary was avoided for up to 2 s longer.
