--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -143,7 +143,7 @@
     ),
     CauseRule(
         "its key was withdrawn",
-        "rowanrail.gateway.policies.KeyCheck.holds",
+        "rowanrail.gateway.policies.KeyCheck.is_same_identity",
         lambda known: known.outcome == Refusal.DENIED.value,
         lambda known: (
             f"its key is no longer tenant {known.fields.get('tenant')}'s ({known.reason})"
--- a/src/rowanrail/explain/diagnosis.py
+++ b/src/rowanrail/explain/diagnosis.py
@@ -12,7 +12,7 @@
 from rowanrail.explain.lines import LogLine
 from rowanrail.gateway import events as gateway_events
 from rowanrail.kernel import decisions
-from rowanrail.model.statements import NOT_RUN, Refusal
+from rowanrail.model.statements import NO_EFFECT_REFUSALS, Refusal
 
 AROUND_SECONDS = 6.0  # a replacement of a primary takes up to 4 s, with what led to it
 SHOWN_LINES = 40  # about a screen
@@ -110,7 +110,7 @@
         return "it succeeded"
     known = {refusal.value: refusal for refusal in Refusal}
     refusal = known.get(outcome)
-    if refusal in NOT_RUN:
+    if refusal in NO_EFFECT_REFUSALS:
         return "nothing of it is kept; it may be sent again"
     if refusal in _USELESS_AGAIN:
         return "it did not run; sending it again will not help"
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -24,7 +24,7 @@
 )
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.gauges import directory_gauges, gauges, relay_gauges, tenant_gauges
-from rowanrail.gateway.planned_stop import plan_stop
+from rowanrail.gateway.planned_stop import stop_gracefully
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.load_meter import LoadMeter
 from rowanrail.gateway.relay.metering import Metering
@@ -204,7 +204,7 @@
     if parts.is_planned:
         parts.gateway.holdings.load_meter = parts.meter
         parts.holder.on_statement = parts.gateway.holdings.note_held
-    parts.gateway.on_alarm = parts.follower.report_now
+    parts.gateway.on_primary_change = parts.follower.report_now
 
 
 def _relay_address(settings: GatewaySettings) -> str:
@@ -276,7 +276,7 @@
     """Stop as planned; the answer to the probe and the link to the control nodes end last."""
     name, decisions = parts.settings.name, parts.decisions
     decisions.note(GATEWAY_STOPPING, name=name, sessions=len(parts.gateway.sessions))
-    await plan_stop(parts.gateway, parts.frontend, parts.holder, parts.settings.stop_seconds)
+    await stop_gracefully(parts.gateway, parts.frontend, parts.holder, parts.settings.stop_seconds)
     parts.holder_server.close()
     parts.follower.stop()
     ready_server.close()
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -27,7 +27,7 @@
 from rowanrail.gateway.services.primary_log import log_primary_state
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.services.weight_log import log_weight_change
-from rowanrail.gateway.session_values import PreparedNames
+from rowanrail.gateway.session_context import PreparedStatementNames
 from rowanrail.gateway.sessions.access import AccessControl
 from rowanrail.gateway.sessions.outcomes import OutcomeRecorder
 from rowanrail.gateway.sessions.pending import PendingSample, PendingSessionStart
@@ -72,12 +72,12 @@
         quota_terms: QuotaTerms = QuotaTerms(),  # noqa: B008 - it is frozen
     ) -> None:
         self.clock = clock
-        self.names = PreparedNames()
+        self.names = PreparedStatementNames()
         self.configuration: RoutingConfiguration | None = None
         self.services: dict[str, Service] = {}
         self.sessions: dict[Session, None] = {}
         self.stopping = False
-        self.on_alarm: Callable[[], None] = lambda: None
+        self.on_primary_change: Callable[[], None] = lambda: None
         self._locality = locality
         self._driver = driver
         self._decisions = decisions
@@ -235,7 +235,7 @@
     def _note_primary(self, service: Service) -> None:
         """Log that a primary was lost or found again, and have the control nodes told."""
         log_primary_state(self._decisions, service.primary, self.clock.time())
-        self.on_alarm()
+        self.on_primary_change()
 
     def health(self) -> list[PrimaryHealth]:
         """Return what this proxy sees of the primaries that it uses."""
--- a/src/rowanrail/gateway/planned_stop.py
+++ b/src/rowanrail/gateway/planned_stop.py
@@ -11,7 +11,7 @@
 from rowanrail.gateway.relay.serving import Holder
 from rowanrail.gateway.sessions.frontend import Frontend
 
-__all__ = ["StopPhase", "plan_stop", "stop_phase"]
+__all__ = ["StopPhase", "stop_gracefully", "stop_phase"]
 
 # Of the time to stop: until then clients still come that don't know better. Chosen.
 LEAVE_SHARE = 0.37
@@ -60,7 +60,7 @@
     return StopPhase.FINISHING
 
 
-async def plan_stop(
+async def stop_gracefully(
     gateway: Gateway, frontend: Frontend, holder: Holder, stop_seconds: float
 ) -> None:
     """Stop as planned: unwelcome first, then idle sessions, then transactions, then all."""
--- a/src/rowanrail/gateway/policies.py
+++ b/src/rowanrail/gateway/policies.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from rowanrail.gateway.session_values import SessionValues, replay
+from rowanrail.gateway.session_context import SessionContext, replay_session
 from rowanrail.kernel.registry import Registry, register
 from rowanrail.members.channel import Channel
 from rowanrail.members.leadership import LeadershipProof
@@ -19,9 +19,9 @@
 class StateReplay:
     """A connection has exactly the session's values before a statement runs on it."""
 
-    def commands(self, channel: Channel, session: SessionValues) -> list[Command]:
+    def commands(self, channel: Channel, session: SessionContext) -> list[Command]:
         """Return what must run on the connection first."""
-        return replay(channel, session)
+        return replay_session(channel, session)
 
 
 @register("gateway-guard", "link-outcome")
@@ -43,7 +43,7 @@
 class KeyCheck:
     """A session runs statements only while its key is still the same tenant's."""
 
-    def holds(self, opened: ClientIdentity, known: ClientIdentity | None) -> bool:
+    def is_same_identity(self, opened: ClientIdentity, known: ClientIdentity | None) -> bool:
         """Return whether a session may go on.
 
         Parameters
--- a/src/rowanrail/gateway/relay/forwarded_call.py
+++ b/src/rowanrail/gateway/relay/forwarded_call.py
@@ -38,7 +38,7 @@
     reply_margin,
 )
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.local import LocalExecutor
@@ -99,7 +99,7 @@
 class ForwardedCall:
     """One statement under way at a neighbour, with its deadline and its one answer."""
 
-    def __init__(self, context: ForwardingContext, route: Route, session: SessionValues) -> None:
+    def __init__(self, context: ForwardingContext, route: Route, session: SessionContext) -> None:
         self._context = context
         self._route = route
         self._session = session
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -17,7 +17,7 @@
 )
 from rowanrail.gateway.relay.link import Counted, Link, Lost, NotRun, Outcome, Replied, Sampled
 from rowanrail.gateway.relay.messages import Rollback
-from rowanrail.gateway.session_values import SessionValues, is_write
+from rowanrail.gateway.session_context import SessionContext, is_write
 from rowanrail.gateway.work.attempts import SentRequest
 from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
 from rowanrail.gateway.work.refusals import NO_ANSWER_MESSAGE
@@ -34,12 +34,14 @@
 
     __slots__ = ()
 
-    def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
+    def autocommit(
+        self, route: Route, session: SessionContext, writes: bool
+    ) -> AutocommitExecution:
         """See :meth:`rowanrail.gateway.work.ports.StatementExecutor.autocommit`."""
         return ForwardedStatement(self, route, session, writes)
 
     def transaction(
-        self, route: Route, session: SessionValues, read_only: bool
+        self, route: Route, session: SessionContext, read_only: bool
     ) -> TransactionExecution:
         """See :meth:`rowanrail.gateway.work.ports.StatementExecutor.transaction`."""
         return ForwardedTransaction(self, route, session, read_only)
@@ -49,7 +51,7 @@
     """A single read or write; a read is asked for again elsewhere when its link is lost."""
 
     def __init__(
-        self, context: ForwardedWork, route: Route, session: SessionValues, writes: bool
+        self, context: ForwardedWork, route: Route, session: SessionContext, writes: bool
     ) -> None:
         super().__init__(context, route, session)
         self._writes = writes
@@ -112,7 +114,7 @@
     """A transaction that stays at the neighbour where its first statement ran."""
 
     def __init__(
-        self, context: ForwardedWork, route: Route, session: SessionValues, read_only: bool
+        self, context: ForwardedWork, route: Route, session: SessionContext, read_only: bool
     ) -> None:
         super().__init__(context, route, session)
         self._read_only = read_only
--- a/src/rowanrail/gateway/relay/message_mapping.py
+++ b/src/rowanrail/gateway/relay/message_mapping.py
@@ -9,7 +9,7 @@
 from types import MappingProxyType
 
 from rowanrail.gateway.relay.messages import Reply, RunStatement
-from rowanrail.gateway.session_values import SessionValues, is_write
+from rowanrail.gateway.session_context import SessionContext, is_write
 from rowanrail.model.position import Position
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, StatementKind, TypedStatement
@@ -53,7 +53,7 @@
 
     statement: TypedStatement
     route: Route
-    session: SessionValues
+    session: SessionContext
     timeout: float
     transaction: int = 0
     read_only: bool = False
@@ -122,7 +122,7 @@
     return TypedStatement(run.request_id, run.kind, run.text, run.name, run.value)
 
 
-def apply_session_values(session: SessionValues, run: RunStatement) -> None:
+def apply_session_values(session: SessionContext, run: RunStatement) -> None:
     """Give ``session`` exactly what the client's session has set."""
     session.identity = ClientIdentity(run.tenant, run.key)
     session.values = run.values
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -35,7 +35,7 @@
     SampleRequest,
 )
 from rowanrail.gateway.relay.serving_rules import ArrivalDecision, decide_arrival
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.local import LocalExecutor
 from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
@@ -98,7 +98,7 @@
 
     local: LocalExecutor
     work: TransactionExecution
-    session: SessionValues
+    session: SessionContext
     call: int = 0  # of the statement that runs, 0 while it is idle
     idle_since: float = 0.0
 
@@ -107,7 +107,7 @@
 class _SingleStatement:
     local: LocalExecutor
     work: AutocommitExecution
-    session: SessionValues = field(default_factory=SessionValues)
+    session: SessionContext = field(default_factory=SessionContext)
 
 
 class Holder:
@@ -281,7 +281,7 @@
         if work is None:
             self.send(NotServed(run.call, f"it does not serve {run.service} now"))
         elif run.transaction:
-            session = SessionValues()
+            session = SessionContext()
             opened = work.transaction(route_from(run), session, run.read_only)
             transaction = self._transactions[run.transaction] = _Transaction(work, opened, session)
             self._run_in_transaction(transaction, run)
@@ -294,7 +294,7 @@
         self.send(build_reply(run, Answer(refusal=refusal, message=reason), None, trace))
 
     def _run_single(self, work: LocalExecutor, run: RunStatement) -> None:
-        session = SessionValues()
+        session = SessionContext()
         apply_session_values(session, run)
         single = work.autocommit(route_from(run), session, run.writes)
         self._singles[run.call] = _SingleStatement(work, single, session)
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -28,7 +28,7 @@
 from rowanrail.gateway.relay.remote_holder import RemoteHolder
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import PreparedNames
+from rowanrail.gateway.session_context import PreparedStatementNames
 from rowanrail.gateway.work.local import LocalExecutor
 from rowanrail.gateway.work.ports import OtherGateways, StatementExecutor
 from rowanrail.kernel.clock import Clock, Scheduler
@@ -67,7 +67,7 @@
     ----------
     locality : Locality
         Where the gateway stands.
-    names : PreparedNames
+    names : PreparedStatementNames
         Names under which it prepares shapes at members.
     scheduler : Scheduler
         Time and timers, in seconds: for work on own connections.
@@ -84,7 +84,7 @@
     def __init__(
         self,
         locality: Locality,
-        names: PreparedNames,
+        names: PreparedStatementNames,
         scheduler: Scheduler,
         link_outcome: LinkOutcome,
         remote_admission: RemoteAdmission,
--- a/src/rowanrail/gateway/session_values.py
+++ b/src/rowanrail/gateway/session_context.py
@@ -10,7 +10,7 @@
 from rowanrail.tenants.model import ClientIdentity
 
 
-class SessionValues:
+class SessionContext:
     """What a session set: values and prepared names, which stand until it ends.
 
     Its identity says on whose connections its statements run. ``rejections`` says how many times
@@ -29,7 +29,7 @@
         self.rejections = 0
 
 
-class PreparedNames:
+class PreparedStatementNames:
     """Names under which the proxy prepares shapes at members; one for each shape."""
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         return self._names.setdefault(shape, f"p{len(self._names) + 1}")
 
 
-def replay(channel: Channel, session: SessionValues) -> list[Command]:
+def replay_session(channel: Channel, session: SessionContext) -> list[Command]:
     """Return the commands that give a connection exactly the session's values."""
     commands: list[Command] = []
     wanted = session.values
@@ -56,7 +56,7 @@
     return commands
 
 
-def replay_in_transaction(channel: Channel, session: SessionValues) -> list[Command]:
+def replay_new_values(channel: Channel, session: SessionContext) -> list[Command]:
     """Return the commands for values that the session set since its transaction began."""
     commands = []
     for name, value in session.values.items():
@@ -66,7 +66,7 @@
     return commands
 
 
-def is_write(statement: TypedStatement, session: SessionValues) -> bool:
+def is_write(statement: TypedStatement, session: SessionContext) -> bool:
     """Return whether a statement writes; an EXECUTE does as it was prepared."""
     if statement.kind is StatementKind.EXECUTE:
         return session.prepared[statement.name][0]
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -121,7 +121,7 @@
 
     def is_key_valid(self, database: str, identity: ClientIdentity) -> bool:
         """Return whether a key is still the same tenant's as when its session opened."""
-        return self._key_check.holds(identity, self.identify(database, identity.key))
+        return self._key_check.is_same_identity(identity, self.identify(database, identity.key))
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from rowanrail.gateway.session_values import SessionValues, is_write
+from rowanrail.gateway.session_context import SessionContext, is_write
 from rowanrail.gateway.work.ports import (
     AutocommitExecution,
     StatementExecutor,
@@ -17,7 +17,7 @@
 from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import (
-    NOT_RUN,
+    NO_EFFECT_REFUSALS,
     Answer,
     Refusal,
     SessionState,
@@ -111,7 +111,7 @@
         self.database = database
         self.label = label
         self.state = SessionState.IDLE
-        self.values = SessionValues(identity)
+        self.values = SessionContext(identity)
         self.on_denied: Callable[[], None] = lambda: None
         self.closed = False
         self._host = host
@@ -281,7 +281,7 @@
         return over is None
 
     def _single_answered(self, answer: Answer) -> None:
-        if answer.refusal in NOT_RUN:
+        if answer.refusal in NO_EFFECT_REFUSALS:
             self._host.access.note_not_run(self)
         self._finish(answer)
 
--- a/src/rowanrail/gateway/work/commands.py
+++ b/src/rowanrail/gateway/work/commands.py
@@ -5,7 +5,7 @@
 :class:`rowanrail.gateway.policies.StateReplay`.
 """
 
-from rowanrail.gateway.session_values import PreparedNames, SessionValues
+from rowanrail.gateway.session_context import PreparedStatementNames, SessionContext
 from rowanrail.members.channel import Channel
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Command, CommandKind, StatementKind, TypedStatement
@@ -17,8 +17,8 @@
     statement: TypedStatement,
     floor: Position | None,
     channel: Channel,
-    session: SessionValues,
-    names: PreparedNames,
+    session: SessionContext,
+    names: PreparedStatementNames,
 ) -> list[Command]:
     """Return the commands for a read or write, the statement's own last.
 
--- a/src/rowanrail/gateway/work/connected.py
+++ b/src/rowanrail/gateway/work/connected.py
@@ -11,7 +11,7 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.pools.queued_request import QueuedRequest
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.gateway.work.attempts import OPEN_ATTEMPT_SECONDS, answer_limit_seconds
 from rowanrail.gateway.work.statement import Statement
 from rowanrail.kernel.clock import Scheduler, Timer
@@ -42,7 +42,7 @@
     """A statement that waits for a connection to a member, or uses one."""
 
     def __init__(
-        self, service: Service, route: Route, session: SessionValues, clock: Scheduler
+        self, service: Service, route: Route, session: SessionContext, clock: Scheduler
     ) -> None:
         super().__init__(service, route, session, clock)
         self.stage = Stage.ACCEPTED
--- a/src/rowanrail/gateway/work/freshness.py
+++ b/src/rowanrail/gateway/work/freshness.py
@@ -6,7 +6,7 @@
 """
 
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency, Route
 
@@ -44,7 +44,7 @@
 
 def note_commit(
     service: Service,
-    session: SessionValues,
+    session: SessionContext,
     instance: str,
     sent_at: float,
     position: Position | None,
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -5,7 +5,7 @@
 """
 
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import PreparedNames, SessionValues
+from rowanrail.gateway.session_context import PreparedStatementNames, SessionContext
 from rowanrail.gateway.work.autocommit_read import AutocommitRead
 from rowanrail.gateway.work.autocommit_write import AutocommitWrite
 from rowanrail.gateway.work.ports import NO_OTHERS, AutocommitExecution, OtherGateways
@@ -23,7 +23,7 @@
     ----------
     service : Service
         The members.
-    names : PreparedNames
+    names : PreparedStatementNames
         Names under which this gateway prepares shapes at members.
     clock : Scheduler
         Time and timers.
@@ -36,7 +36,7 @@
     def __init__(
         self,
         service: Service,
-        names: PreparedNames,
+        names: PreparedStatementNames,
         clock: Scheduler,
         others: OtherGateways = NO_OTHERS,
     ) -> None:
@@ -45,12 +45,14 @@
         self._clock = clock
         self._others = others
 
-    def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
+    def autocommit(
+        self, route: Route, session: SessionContext, writes: bool
+    ) -> AutocommitExecution:
         """See :meth:`StatementExecutor.autocommit`."""
         kind = AutocommitWrite if writes else AutocommitRead
         return kind(self._service, route, session, self._names, self._clock, self._others)
 
-    def transaction(self, route: Route, session: SessionValues, read_only: bool) -> Transaction:
+    def transaction(self, route: Route, session: SessionContext, read_only: bool) -> Transaction:
         """See :meth:`StatementExecutor.transaction`."""
         return Transaction(
             self._service, route, session, self._names, self._clock, self._others, read_only
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -11,7 +11,7 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.member_estimates import ReadRequirements
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import PreparedNames, SessionValues
+from rowanrail.gateway.session_context import PreparedStatementNames, SessionContext
 from rowanrail.gateway.work.attempts import is_prompt
 from rowanrail.gateway.work.connected import ConnectedStatement, Stage
 from rowanrail.gateway.work.ports import (
@@ -44,7 +44,7 @@
     ----------
     service, route, session, clock
         See :class:`Statement`.
-    names : PreparedNames
+    names : PreparedStatementNames
         Names under which this gateway prepares shapes at members.
     others : OtherGateways
         Where it may run if not on this gateway's connections.
@@ -54,8 +54,8 @@
         self,
         service: Service,
         route: Route,
-        session: SessionValues,
-        names: PreparedNames,
+        session: SessionContext,
+        names: PreparedStatementNames,
         clock: Scheduler,
         others: OtherGateways = NO_OTHERS,
     ) -> None:
--- a/src/rowanrail/gateway/work/ports.py
+++ b/src/rowanrail/gateway/work/ports.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.members.channel import AnswerCallback
 from rowanrail.model.routing import Route
 from rowanrail.model.statements import Answer, TypedStatement
@@ -54,11 +54,13 @@
 class StatementExecutor(Protocol):
     """Where statements of one service run."""
 
-    def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
+    def autocommit(
+        self, route: Route, session: SessionContext, writes: bool
+    ) -> AutocommitExecution:
         """Return the work for one read or write."""
 
     def transaction(
-        self, route: Route, session: SessionValues, read_only: bool
+        self, route: Route, session: SessionContext, read_only: bool
     ) -> TransactionExecution:
         """Return the work for a transaction."""
 
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.gateway.work.attempts import MEMBER_RETRY_SECONDS
 from rowanrail.gateway.work.refusals import (
     busy_answer,
@@ -42,14 +42,14 @@
         At whose members it runs.
     route : Route
         Says how much time it has.
-    session : SessionValues
+    session : SessionContext
         Of its client.
     clock : Scheduler
         Time and timers.
     """
 
     def __init__(
-        self, service: Service, route: Route, session: SessionValues, clock: Scheduler
+        self, service: Service, route: Route, session: SessionContext, clock: Scheduler
     ) -> None:
         self.service = service
         self.route = route
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -9,11 +9,11 @@
 
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import (
-    PreparedNames,
-    SessionValues,
+from rowanrail.gateway.session_context import (
+    PreparedStatementNames,
+    SessionContext,
     is_write,
-    replay_in_transaction,
+    replay_new_values,
 )
 from rowanrail.gateway.work.attempts import (
     SentRequest,
@@ -53,8 +53,8 @@
         self,
         service: Service,
         route: Route,
-        session: SessionValues,
-        names: PreparedNames,
+        session: SessionContext,
+        names: PreparedStatementNames,
         clock: Scheduler,
         others: OtherGateways,
         read_only: bool,
@@ -235,7 +235,7 @@
         assert self.channel is not None
         if is_write(self.statement, self.session):
             self.wrote = True
-        commands = replay_in_transaction(self.channel, self.session)
+        commands = replay_new_values(self.channel, self.session)
         commands += commands_for(self.statement, None, self.channel, self.session, self.names)
         if self.read_only:
             self.limit_answer()
--- a/src/rowanrail/model/statements.py
+++ b/src/rowanrail/model/statements.py
@@ -1,7 +1,7 @@
 """Statements, commands to members and answers, as front ends and drivers exchange them.
 
-Owns their types, and :data:`NOT_RUN`: which refusals promise that nothing of the attempt is kept.
-Relies on :mod:`position`.
+Also defines :data:`NO_EFFECT_REFUSALS`: the refusals which guarantee that nothing of the attempt
+takes effect. Depends on :mod:`position`.
 """
 
 import enum
@@ -87,7 +87,7 @@
 class Refusal(enum.Enum):
     """Why a statement did not succeed.
 
-    Only members of :data:`NOT_RUN` promise that nothing of the attempt is kept.
+    Only members of :data:`NO_EFFECT_REFUSALS` promise that nothing of the attempt is kept.
     """
 
     BUSY = "busy"
@@ -107,7 +107,7 @@
     LOST = "lost"
 
 
-NOT_RUN = frozenset(
+NO_EFFECT_REFUSALS = frozenset(
     {
         Refusal.BUSY,
         Refusal.ABORTED,
--- a/tests/gateway/test_samples.py
+++ b/tests/gateway/test_samples.py
@@ -73,7 +73,7 @@
     def test_a_silent_primary_is_told_in_time_also_there(self):
         played = self.played(194)
         alarms = []
-        played.gateway.on_alarm = lambda: alarms.append(played.clock.now)
+        played.gateway.on_primary_change = lambda: alarms.append(played.clock.now)
         began = played.clock.now
         played.primary.silent = True
         played.clock.advance(2.0)
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -5,7 +5,13 @@
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.model.position import Position
-from rowanrail.model.statements import NOT_RUN, Answer, CommandKind, Refusal, SessionState
+from rowanrail.model.statements import (
+    NO_EFFECT_REFUSALS,
+    Answer,
+    CommandKind,
+    Refusal,
+    SessionState,
+)
 from rowanrail.placement.hashed import Population
 from rowanrail.scheduling.queue import QueueEntry
 from tests.support.gateway import PlayedGateway
@@ -193,7 +199,7 @@
         # Found in the logs of a played day: the loss was never told, only polled.
         played = PlayedGateway()
         alarms = []
-        played.gateway.on_alarm = lambda: alarms.append(played.clock.now)
+        played.gateway.on_primary_change = lambda: alarms.append(played.clock.now)
         client = played.client("orders")
         client.run("WRITE a 1")
         played.clock.advance(0.1)
@@ -564,7 +570,7 @@
         client = self.played.client("orders")
         self.played.primary.primary = False
         answer = client.run("WRITE a 1", seconds=0.36)
-        self.assertIn(answer.refusal, NOT_RUN)
+        self.assertIn(answer.refusal, NO_EFFECT_REFUSALS)
         self.assertEqual(self.played.primary.texts(), ["WRITE a 1"])
 
 
--- a/tests/gateway/test_statement_rules.py
+++ b/tests/gateway/test_statement_rules.py
@@ -5,7 +5,7 @@
 from rowanrail.gateway.work import attempts, freshness, refusals
 from rowanrail.gateway.work.attempts import ReadStep, SentRequest, WriteStep
 from rowanrail.model.routing import Consistency, Route
-from rowanrail.model.statements import NOT_RUN, Refusal, SessionState
+from rowanrail.model.statements import NO_EFFECT_REFUSALS, Refusal, SessionState
 from rowanrail.scheduling.admission import Forecast, RejectionCause
 from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS
 
@@ -89,7 +89,7 @@
     def test_only_what_did_not_run_is_sent_again(self):
         again = [r for r in Refusal if attempts.step_after_write(r) is WriteStep.RETRY]
         self.assertEqual(set(again), {Refusal.NOT_PRIMARY, Refusal.BUSY, Refusal.UNKNOWN_NAME})
-        self.assertLessEqual(set(again), NOT_RUN)
+        self.assertLessEqual(set(again), NO_EFFECT_REFUSALS)
 
     def test_a_lost_connection_leaves_it_unknown(self):
         self.assertIs(attempts.step_after_write(Refusal.LOST), WriteStep.UNKNOWN)
@@ -130,7 +130,7 @@
             },
         )
         for sent in (SentRequest.WRITE, SentRequest.COMMIT):
-            self.assertNotIn(told[sent], NOT_RUN)
+            self.assertNotIn(told[sent], NO_EFFECT_REFUSALS)
 
     def test_a_lost_connection_is_told_as_no_answer(self):
         for sent in SentRequest:
--- a/tests/gateway/test_time_limits.py
+++ b/tests/gateway/test_time_limits.py
@@ -3,7 +3,7 @@
 import unittest
 
 from rowanrail.model.routing import Consistency, Route, RoutingConfiguration, ServiceSpec
-from rowanrail.model.statements import NOT_RUN
+from rowanrail.model.statements import NO_EFFECT_REFUSALS
 from tests.support.gateway import PlayedGateway
 
 SHORT, LONG = 0.1, 5.0  # seconds of a route
@@ -46,7 +46,7 @@
                 wire.channel.lost("reset")
             member.silent = True
         answer = self.played.client("short").run("READ a", seconds=SHORT)
-        self.assertIn(answer.refusal, NOT_RUN)
+        self.assertIn(answer.refusal, NO_EFFECT_REFUSALS)
         self.assertEqual([m.texts() for m in self.played.members], [[], [], []])
 
     def test_a_transaction_begins_elsewhere_if_a_member_opens_no_connection(self):
--- a/tests/relay/test_forwarding.py
+++ b/tests/relay/test_forwarding.py
@@ -4,7 +4,7 @@
 
 from rowanrail.gateway.relay.messages import Pong
 from rowanrail.model.position import Position
-from rowanrail.model.statements import NOT_RUN, CommandKind, Refusal, SessionState
+from rowanrail.model.statements import NO_EFFECT_REFUSALS, CommandKind, Refusal, SessionState
 from tests.support.relay import PlayedZone
 
 
@@ -165,7 +165,7 @@
     def test_a_holder_without_a_configuration_is_no_reason_to_promise_wrongly(self):
         self.zone.first.gateway.services.clear()
         answer = self.zone.last.client("orders").run("WRITE a 1", seconds=1.0)
-        self.assertIn(answer.refusal, NOT_RUN)
+        self.assertIn(answer.refusal, NO_EFFECT_REFUSALS)
         self.assertEqual(self.zone.primary.texts(), [])
 
     def test_a_client_that_leaves_frees_what_it_used(self):
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -11,7 +11,7 @@
 )
 from rowanrail.gateway.relay.messages import Reply, RunStatement
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission, RemoteRequest
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.model.routing import Consistency, Route
 from rowanrail.model.statements import Refusal
 from rowanrail.model.trace import Trace
@@ -168,7 +168,7 @@
 
 class ReturnedTest(unittest.TestCase):
     def test_who_goes_before_newcomers_is_known_at_the_holder(self):
-        session, held = SessionValues(), SessionValues()
+        session, held = SessionContext(), SessionContext()
         session.is_retrying = True
         route = Route("orders", "orders", "db", Consistency.PRIMARY, 1.0, 0.5)
         run = build_run_message(
