--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -15,7 +15,7 @@
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
 from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.gateway.discovery.control_follower import ControlFollower
+from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
     GATEWAY_STARTED,
@@ -85,7 +85,7 @@
         What is reported for the plan of holders; started only if there is one.
     frontend : Frontend
         Where clients connect.
-    follower : ControlFollower
+    follower : ControlPlaneClient
         Follows the control nodes.
     """
 
@@ -100,7 +100,7 @@
     holder_server: TcpHolderServer
     meter: LoadMeter
     frontend: Frontend
-    follower: ControlFollower
+    follower: ControlPlaneClient
 
     @property
     def is_planned(self) -> bool:
@@ -158,7 +158,7 @@
         holder_server,
         meter,
         registry.create("frontend", settings.protocol, gateway),
-        ControlFollower(
+        ControlPlaneClient(
             gateway,
             network,
             rpc_addresses(settings.control_nodes, settings.rpc_port),
--- a/src/rowanrail/gateway/discovery/control_choice.py
+++ b/src/rowanrail/gateway/discovery/control_node_selector.py
@@ -12,10 +12,10 @@
 from rowanrail.directory.messages import controls_checksum
 from rowanrail.gateway.services.locality import Locality
 
-__all__ = ["ControlChoice"]
+__all__ = ["ControlNodeSelector"]
 
 
-class ControlChoice:
+class ControlNodeSelector:
     """The control nodes by address, the one that is followed first.
 
     Parameters
@@ -27,12 +27,12 @@
 
     Examples
     --------
-    >>> choice = ControlChoice(["n1", "n2"], Locality("a1", {"a1": "a", "b1": "b"}))
-    >>> choice.note_zone("n1", "b1")
-    >>> choice.note_zone("n2", "a1")
+    >>> choice = ControlNodeSelector(["n1", "n2"], Locality("a1", {"a1": "a", "b1": "b"}))
+    >>> choice.set_zone("n1", "b1")
+    >>> choice.set_zone("n2", "a1")
     >>> choice.current, choice.nearest()
     ('n1', 'n2')
-    >>> choice.leave_current()
+    >>> choice.demote_current()
     >>> choice.current
     'n2'
     """
@@ -42,7 +42,7 @@
         self._addresses = list(seeds)
         self._locality = locality
         self._zones: dict[str, str] = {}
-        self._known_mark = 0
+        self._known_checksum = 0
 
     @property
     def addresses(self) -> list[str]:
@@ -55,27 +55,27 @@
         return self._addresses[0]
 
     @property
-    def known_mark(self) -> int:
+    def known_checksum(self) -> int:
         """By what a request says which control nodes are known, so that they aren't sent again."""
-        return self._known_mark
+        return self._known_checksum
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
         """Take a changed list from the settings; the control nodes are asked for theirs again."""
         self._seeds = list(seeds)
-        self._known_mark = 0
+        self._known_checksum = 0
         self._addresses.extend(seed for seed in seeds if seed not in self._addresses)
 
-    def take_reported(self, reported: Sequence[str]) -> None:
+    def set_reported(self, reported: Sequence[str]) -> None:
         """Know the control nodes of the log's membership; an empty list says nothing."""
         if not reported:
             return
-        self._known_mark = controls_checksum(list(reported))
+        self._known_checksum = controls_checksum(list(reported))
         wanted = dict.fromkeys([*reported, *self._seeds])
         kept = [address for address in self._addresses if address in wanted]
         self._addresses = kept + [address for address in wanted if address not in kept]
         self._zones = {known: zone for known, zone in self._zones.items() if known in wanted}
 
-    def note_zone(self, address: str, zone: str) -> None:
+    def set_zone(self, address: str, zone: str) -> None:
         """Note where a control node stands, as it said itself."""
         self._zones[address] = zone
 
@@ -83,7 +83,7 @@
         """Ask this control node first from now on."""
         self._addresses = [address, *(other for other in self._addresses if other != address)]
 
-    def leave_current(self) -> None:
+    def demote_current(self) -> None:
         """Ask the next control node from now on: this one doesn't answer, or isn't sure."""
         self._addresses.append(self._addresses.pop(0))
 
--- a/src/rowanrail/gateway/discovery/control_follower.py
+++ b/src/rowanrail/gateway/discovery/control_plane_client.py
@@ -5,9 +5,9 @@
 node that hears no leader says so, and the gateway asks the next one. What is taken only ever
 grows: a lower version or revision is left aside.
 
-Owns the calls to control nodes and the gateway's copy of the directory. Relies on
-:mod:`control_choice` for whom to ask, on :mod:`provisional` for what to take from nodes that are
-not sure, on ``rpc`` for calls, and hands what is new to the gateway.
+Makes the calls to control nodes and keeps the gateway's copy of the directory. Depends on
+:mod:`control_node_selector` for whom to ask, on :mod:`provisional` for what to apply from nodes
+that have no leader, and on ``rpc`` for calls; passes updates to the gateway.
 """
 
 import asyncio
@@ -25,10 +25,10 @@
     LoggedDirectoryReply,
     LoggedDirectoryRequest,
 )
-from rowanrail.gateway.discovery.control_choice import ControlChoice
+from rowanrail.gateway.discovery.control_node_selector import ControlNodeSelector
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.discovery.directory_copy import DirectoryCopy
-from rowanrail.gateway.discovery.provisional import ProvisionalDirectory, may_take_unsure
+from rowanrail.gateway.discovery.provisional import ProvisionalDirectory, accepts_stale_reply
 from rowanrail.gateway.events import (
     CONTROL_LOST,
     CONTROL_REGAINED,
@@ -43,7 +43,7 @@
 from rowanrail.rpc.network import Network
 from rowanrail.scheduling.plan import Plan
 
-__all__ = ["ControlFollower", "DirectoryHost"]
+__all__ = ["ControlPlaneClient", "DirectoryHost"]
 
 # For which a control node lets a poll wait for news; chosen. It is also the time between reports,
 # by which control nodes judge whether a gateway is live (REPORT_LIVE_SECONDS).
@@ -64,7 +64,9 @@
 
     access: AccessControl
 
-    def apply(self, configuration: RoutingConfiguration, corrects: bool = False) -> bool:
+    def apply(
+        self, configuration: RoutingConfiguration, replaces_provisional: bool = False
+    ) -> bool:
         """Put a configuration in force, see :meth:`rowanrail.gateway.gateway.Gateway.apply`."""
 
     def set_directory(self, directory: Directory) -> None:
@@ -74,7 +76,7 @@
         """Know who holds services' connections by the newest plan."""
 
 
-class ControlFollower:
+class ControlPlaneClient:
     """Keeps a gateway's configuration and members up to date.
 
     Parameters
@@ -110,7 +112,7 @@
     ) -> None:
         self._gateway = gateway
         self._network = network
-        self._controls = ControlChoice(controls, locality)
+        self._controls = ControlNodeSelector(controls, locality)
         self._format = configuration_format
         self._make_report = make_report
         self._decisions = decisions
@@ -161,7 +163,7 @@
             await self._return_nearer()
             if await self._poll(self._controls.current, POLL_WAIT_SECONDS):
                 continue
-            self._controls.leave_current()
+            self._controls.demote_current()
             await asyncio.sleep(NEXT_CONTROL_SECONDS)
 
     # The start
@@ -211,16 +213,16 @@
 
     def _take_logged(self, reply: LoggedDirectoryReply) -> None:
         """Go by what a majority holds, until a node is sure."""
-        longest = self._provisional.note(reply)
+        longest = self._provisional.record(reply)
         if longest is None:
             return
         directory = longest.directory
         parsed = self._format.parse(zlib.decompress(directory.document))
         provisional = msgspec.structs.replace(directory, revision=PROVISIONAL_REVISION)
-        members = self._new_copy().take(provisional)
+        members = self._new_copy().apply(provisional)
         if not isinstance(parsed, Success) or members is None:
             return
-        self._provisional.note_taken(directory)
+        self._provisional.set_applied(directory)
         self._gateway.apply(parsed.unwrap())
         self._gateway.set_directory(members)
         self._decisions.note(
@@ -248,8 +250,8 @@
         """Ask one control node for what is newer; return whether to stay with it."""
         try:
             reply = await self._call(address, wait_seconds)
-            self._controls.note_zone(address, reply.zone)
-            if reply.current or self._may_take_unsure():
+            self._controls.set_zone(address, reply.zone)
+            if reply.current or self._accepts_stale_reply():
                 self._take(address, reply)
         except TransportError as error:
             self._note_lost(address, str(error))
@@ -270,8 +272,8 @@
             self._copy.revision,
             wait_seconds,
             accepts_updates=True,
-            wants_full=self._copy.is_broken,
-            known_controls_checksum=self._controls.known_mark,
+            wants_full=self._copy.is_inconsistent,
+            known_controls_checksum=self._controls.known_checksum,
             known_plan=self._plan,
         )
         reply = await self._network.call(address, request, wait_seconds + ROUND_TRIP_SECONDS)
@@ -279,9 +281,9 @@
             raise TransportError(f"unexpected {type(reply).__name__}", peer=address)
         return reply
 
-    def _may_take_unsure(self) -> bool:
+    def _accepts_stale_reply(self) -> bool:
         waited = asyncio.get_running_loop().time() - self._started_at
-        return may_take_unsure(self._version > 0, waited)
+        return accepts_stale_reply(self._version > 0, waited)
 
     def _note_lost(self, address: str, reason: str) -> None:
         if not self._is_lost:
@@ -301,21 +303,21 @@
             parsed = self._format.parse(zlib.decompress(reply.document))
             if isinstance(parsed, Success):
                 self._version = reply.version
-                corrects = self._provisional.is_corrected_by(reply)
-                self._gateway.apply(parsed.unwrap(), corrects=corrects)
-                self._provisional.note_replaced()
+                replaces_provisional = self._provisional.is_superseded_by(reply)
+                self._gateway.apply(parsed.unwrap(), replaces_provisional=replaces_provisional)
+                self._provisional.clear()
         self._take_directory(address, reply)
         if reply.plan is not None:
             self._plan = reply.plan.number
             self._gateway.set_plan(reply.plan)
-        self._controls.take_reported(reply.controls)
+        self._controls.set_reported(reply.controls)
 
     def _take_directory(self, address: str, reply: DirectoryReply) -> None:
-        was_broken = self._copy.is_broken
-        directory = self._copy.take(reply)
+        was_inconsistent = self._copy.is_inconsistent
+        directory = self._copy.apply(reply)
         if directory is not None:
             self._gateway.set_directory(directory)
-        elif self._copy.is_broken and not was_broken:
+        elif self._copy.is_inconsistent and not was_inconsistent:
             self._decisions.note(
                 DIRECTORY_DIFFERS,
                 peer=address,
--- a/src/rowanrail/gateway/discovery/known_directory.py
+++ b/src/rowanrail/gateway/discovery/current_directory.py
@@ -12,10 +12,10 @@
 from rowanrail.model.members import MemberRecord
 from rowanrail.placement.hashed import Population
 
-__all__ = ["KnownDirectory"]
+__all__ = ["CurrentDirectory"]
 
 
-class KnownDirectory:
+class CurrentDirectory:
     """Members by service, and the gateways beside this one.
 
     To rank the gateways of a zone anew for each service takes longer than all else that a change
@@ -47,7 +47,7 @@
         """Return the members of a service."""
         return self._members.get(service, [])
 
-    def set(self, directory: Directory, services: Mapping[str, Service]) -> bool:
+    def update(self, directory: Directory, services: Mapping[str, Service]) -> bool:
         """Know a directory, unless a newer one is known; return whether it was taken."""
         before = self._directory
         if directory.revision < before.revision:
@@ -64,8 +64,10 @@
         is_own_group = directory.neighbours != before.neighbours
         if self._neighbours is not None and is_own_group:
             self._neighbours.set_neighbours(directory.neighbours)
-        if self._detours is not None and (is_own_group or directory.others != before.others):
-            self._detours.set_gateways(directory.neighbours, directory.others)
+        if self._detours is not None and (
+            is_own_group or directory.remote_gateways != before.remote_gateways
+        ):
+            self._detours.set_gateways(directory.neighbours, directory.remote_gateways)
 
     def _set_members(self, records: list[MemberRecord], services: Mapping[str, Service]) -> None:
         """Hand their members to services where they changed, and where a primary is looked for."""
--- a/src/rowanrail/gateway/discovery/directory.py
+++ b/src/rowanrail/gateway/discovery/directory.py
@@ -27,7 +27,7 @@
         How many gateways share the members' connections.
     neighbours : list of Neighbour
         Gateways of the same zone that take statements.
-    others : dict of str to list of Neighbour
+    remote_gateways : dict of str to list of Neighbour
         By zone, gateways of the other zones that hold connections for it.
     """
 
@@ -35,4 +35,4 @@
     members: list[MemberRecord]
     population: Population = Population()
     neighbours: list[Neighbour] = field(default_factory=list)
-    others: dict[str, list[Neighbour]] = field(default_factory=dict)
+    remote_gateways: dict[str, list[Neighbour]] = field(default_factory=dict)
--- a/src/rowanrail/gateway/discovery/directory_copy.py
+++ b/src/rowanrail/gateway/discovery/directory_copy.py
@@ -98,7 +98,7 @@
         self._wholes = 0
         self._differences = 0
         self._mismatches = 0
-        self._is_broken = False
+        self._is_inconsistent = False
         self._revision = NO_REVISION
         self._clear()
 
@@ -115,9 +115,9 @@
         return self._revision
 
     @property
-    def is_broken(self) -> bool:
+    def is_inconsistent(self) -> bool:
         """Whether a difference led elsewhere, so that the whole is needed."""
-        return self._is_broken
+        return self._is_inconsistent
 
     @property
     def counts(self) -> dict[str, int]:
@@ -128,7 +128,7 @@
             "mismatch": self._mismatches,
         }
 
-    def take(self, reply: DirectoryReply) -> Directory | None:
+    def apply(self, reply: DirectoryReply) -> Directory | None:
         """Bring the copy up to date; return the directory if it is a newer one.
 
         What is older is left aside. A difference that leads to another directory than the
@@ -140,11 +140,11 @@
         TransportError
             If the reply's part can't be read.
         """
-        if reply.revision < self._revision + (not self._is_broken):
+        if reply.revision < self._revision + (not self._is_inconsistent):
             return None
         part = _part_of(reply)
         is_whole = part is not None and part.base_revision == NO_REVISION
-        if part is None or (self._is_broken and not is_whole):
+        if part is None or (self._is_inconsistent and not is_whole):
             return None
         if is_whole:
             self._wholes += 1
@@ -152,8 +152,8 @@
         else:
             self._differences += 1
         self._change(part)
-        self._is_broken = not is_whole and self._digest != part.digest
-        if self._is_broken:
+        self._is_inconsistent = not is_whole and self._digest != part.digest
+        if self._is_inconsistent:
             self._mismatches += 1
             return None
         self._revision = reply.revision
--- a/src/rowanrail/gateway/discovery/provisional.py
+++ b/src/rowanrail/gateway/discovery/provisional.py
@@ -9,21 +9,21 @@
 leader's answer replaces it, also under the same version.
 
 Owns what the control nodes' logs held and what of it was taken; asks nobody itself. Relies on
-``directory`` for the messages. :mod:`control_follower` acts on it.
+``directory`` for the messages. :mod:`control_plane_client` acts on it.
 """
 
 from collections.abc import Iterable
 
 from rowanrail.directory.messages import DirectoryReply, LoggedDirectoryReply
 
-__all__ = ["ProvisionalDirectory", "longest_of_majority", "may_take_unsure"]
+__all__ = ["ProvisionalDirectory", "latest_log_of_majority", "accepts_stale_reply"]
 
 # Without a sure answer since the start. An election takes less than 1 s; after this, old
 # configurations and members are better than none.
-UNSURE_START_SECONDS = 3.0
+STALE_REPLY_AFTER_SECONDS = 3.0
 
 
-def may_take_unsure(knows_configuration: bool, waited_seconds: float) -> bool:
+def accepts_stale_reply(knows_configuration: bool, waited_seconds: float) -> bool:
     """Return whether to take the answer of a control node that is cut off from the leader.
 
     A gateway that knows a configuration loses nothing by it, since lower versions and revisions
@@ -39,13 +39,15 @@
 
     Examples
     --------
-    >>> may_take_unsure(True, 0.1), may_take_unsure(False, 3.0), may_take_unsure(False, 3.1)
-    (True, False, True)
+    >>> accepts_stale_reply(True, 0.1), accepts_stale_reply(False, 3.0)
+    (True, False)
+    >>> accepts_stale_reply(False, 3.1)
+    True
     """
-    return knows_configuration or waited_seconds > UNSURE_START_SECONDS
+    return knows_configuration or waited_seconds > STALE_REPLY_AFTER_SECONDS
 
 
-def longest_of_majority(replies: Iterable[LoggedDirectoryReply]) -> LoggedDirectoryReply | None:
+def latest_log_of_majority(replies: Iterable[LoggedDirectoryReply]) -> LoggedDirectoryReply | None:
     """Return the reply that holds all that is committed, None if too few have answered.
 
     Parameters
@@ -75,7 +77,7 @@
         self._replies: dict[str, LoggedDirectoryReply] = {}
         self._taken: DirectoryReply | None = None
 
-    def note(self, reply: LoggedDirectoryReply) -> LoggedDirectoryReply | None:
+    def record(self, reply: LoggedDirectoryReply) -> LoggedDirectoryReply | None:
         """Note what a control node's log holds.
 
         Returns
@@ -85,7 +87,7 @@
             configuration yet, or if the same was taken from another node.
         """
         self._replies[reply.node] = reply
-        longest = longest_of_majority(self._replies.values())
+        longest = latest_log_of_majority(self._replies.values())
         if longest is None or not longest.directory.version or self._is_taken(longest.directory):
             return None
         return longest
@@ -98,11 +100,11 @@
             directory.document,
         )
 
-    def note_taken(self, directory: DirectoryReply) -> None:
+    def set_applied(self, directory: DirectoryReply) -> None:
         """Note that the gateway goes by this."""
         self._taken = directory
 
-    def is_corrected_by(self, reply: DirectoryReply) -> bool:
+    def is_superseded_by(self, reply: DirectoryReply) -> bool:
         """Return whether another document won the version that was taken."""
         taken = self._taken
         return (
@@ -111,6 +113,6 @@
             and taken.document != reply.document
         )
 
-    def note_replaced(self) -> None:
+    def clear(self) -> None:
         """Note that the gateway goes by a configuration that a control node gave."""
         self._taken = None
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -8,8 +8,8 @@
 import functools
 from collections.abc import Callable
 
+from rowanrail.gateway.discovery.current_directory import CurrentDirectory
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.discovery.known_directory import KnownDirectory
 from rowanrail.gateway.events import (
     CONFIGURATION_TAKEN,
     DETOUR_FOUND,
@@ -91,7 +91,7 @@
         self.outcomes = OutcomeRecorder(decisions, self.access)
         self.holdings = Holdings(self, peers, decisions)
         self.outcomes.on_trace = self.holdings.note_own
-        self._known = KnownDirectory(peers)
+        self._known = CurrentDirectory(peers)
         self._remote_admission = RemoteAdmission(Clock(clock))
         self._router = self._make_router()
         self._follow_peers()
@@ -152,13 +152,15 @@
 
     # Configuration and members
 
-    def apply(self, configuration: RoutingConfiguration, corrects: bool = False) -> bool:
+    def apply(
+        self, configuration: RoutingConfiguration, replaces_provisional: bool = False
+    ) -> bool:
         """Put a configuration in force if its version is higher than the one in force.
 
-        One that ``corrects`` a provisional one replaces it under the same version, too.
+        With ``replaces_provisional`` a configuration of the same version is also applied.
         """
         known = self.configuration
-        if known is not None and configuration.version < known.version + (not corrects):
+        if known is not None and configuration.version < known.version + (not replaces_provisional):
             return False
         self.configuration = configuration
         self._set_services(configuration)
@@ -207,7 +209,7 @@
 
     def set_directory(self, directory: Directory) -> None:
         """Know the members that announced themselves, and the gateways beside this one."""
-        if not self._known.set(directory, self.services):
+        if not self._known.update(directory, self.services):
             return
         self.access.quota.set_population(directory.population.gateways)
         self.holdings.set_population(directory.population)
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -4,7 +4,7 @@
 on the properties of the gateway's parts.
 """
 
-from rowanrail.gateway.discovery.control_follower import ControlFollower
+from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.relay.detours import Detours
@@ -98,7 +98,7 @@
     return readings
 
 
-def directory_gauges(follower: ControlFollower) -> list[Reading]:
+def directory_gauges(follower: ControlPlaneClient) -> list[Reading]:
     """Return how the directory came: whole, by difference, and by difference that differed."""
     counts = follower.counts.items()
     return [("directories_taken", {"kind": kind}, count) for kind, count in counts]
--- a/tests/coordination/test_differences.py
+++ b/tests/coordination/test_differences.py
@@ -21,7 +21,7 @@
     LoggedDirectoryRequest,
 )
 from rowanrail.directory.update_encoding import decode_update, encode_update
-from rowanrail.gateway.discovery.control_follower import ControlFollower
+from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
 from rowanrail.gateway.discovery.directory_copy import DirectoryCopy
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
@@ -80,10 +80,10 @@
             self.copy.revision,
             0.0,
             accepts_updates=True,
-            wants_full=self.copy.is_broken,
+            wants_full=self.copy.is_inconsistent,
         )
         reply = await node.service.handle(request)
-        directory = self.copy.take(reply)
+        directory = self.copy.apply(reply)
         if directory is not None:
             self.directory = directory
         return decode_update(reply.update) if reply.update else None
@@ -108,7 +108,10 @@
     return (
         sorted(directory.members, key=lambda one: one.instance),
         sorted(gateway.name for gateway in directory.neighbours),
-        {zone: sorted(one.name for one in listed) for zone, listed in directory.others.items()},
+        {
+            zone: sorted(one.name for one in listed)
+            for zone, listed in directory.remote_gateways.items()
+        },
         (directory.population.gateways, directory.population.zones),
     )
 
@@ -155,7 +158,7 @@
     async def judge(self, follower, node):
         before = follower.copy.revision
         await follower.ask(node)
-        self.assertFalse(follower.copy.is_broken)
+        self.assertFalse(follower.copy.is_inconsistent)
         self.assertGreaterEqual(follower.copy.revision, before)
         self.assertEqual(follower.copy.revision, max(before, node.state.revision))
         if follower.copy.revision == node.state.revision:
@@ -223,7 +226,7 @@
         self.log.append(Remove("m3"))
         self.node.apply(self.log, len(self.log))
         await self.follower.ask(self.node)
-        self.assertTrue(self.follower.copy.is_broken)
+        self.assertTrue(self.follower.copy.is_inconsistent)
         self.assertIs(self.follower.directory, before)
         self.assertEqual((await self.follower.ask(self.node)).base_revision, NO_REVISION)
         self.assertEqual(known(self.follower.directory), seen(self.node.state, "a"))
@@ -236,13 +239,13 @@
         await self.follower.ask(self.node.apply(self.log, len(self.log)))
         behind = ControlledNode().apply(self.log, 4)
         self.assertIsNone(await self.follower.ask(behind))
-        self.assertIsNone(self.follower.copy.take(self.plain_whole(behind)))
-        self.assertTrue(self.follower.copy.is_broken)
+        self.assertIsNone(self.follower.copy.apply(self.plain_whole(behind)))
+        self.assertTrue(self.follower.copy.is_inconsistent)
 
     async def test_answers_that_come_out_of_order_take_nothing_back(self):
         behind = ControlledNode().apply(self.log, 4)
         await self.follower.ask(self.node)
-        self.assertIsNone(self.follower.copy.take(self.plain_whole(behind)))
+        self.assertIsNone(self.follower.copy.apply(self.plain_whole(behind)))
         self.assertEqual(self.follower.copy.revision, 9)
 
     @staticmethod
@@ -315,7 +318,7 @@
     def watch(self, network):
         self.gateway = FollowingGateway()
         self.log = NotedEvents()
-        return ControlFollower(
+        return ControlPlaneClient(
             self.gateway,
             network,
             list(network.nodes),
--- a/tests/gateway/test_control_follower.py
+++ b/tests/gateway/test_control_follower.py
@@ -13,8 +13,8 @@
     LoggedDirectoryRequest,
     controls_checksum,
 )
-from rowanrail.gateway.discovery.control_follower import ControlFollower
-from rowanrail.gateway.discovery.provisional import longest_of_majority
+from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
+from rowanrail.gateway.discovery.provisional import latest_log_of_majority
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
 from rowanrail.model.routing import RoutingConfiguration
@@ -87,8 +87,8 @@
         self.corrected = []
         self.revisions = []
 
-    def apply(self, configuration, corrects=False):
-        if corrects:
+    def apply(self, configuration, replaces_provisional=False):
+        if replaces_provisional:
             self.corrected.append(configuration.version)
         if configuration.version not in self.versions:
             self.versions.append(configuration.version)
@@ -108,7 +108,7 @@
 class FollowTest(unittest.IsolatedAsyncioTestCase):
     async def follow(self, controls, seconds):
         self.gateway = TakenGateway()
-        watch = ControlFollower(
+        watch = ControlPlaneClient(
             self.gateway,
             controls,
             ["n1", "n2", "n3"],
@@ -150,7 +150,7 @@
 
     def setUp(self):
         self.network = PlayedControls()
-        self.watch = ControlFollower(
+        self.watch = ControlPlaneClient(
             TakenGateway(),
             self.network,
             ["n1"],
@@ -245,17 +245,17 @@
 class LongestOfMajorityTest(unittest.TestCase):
     def test_the_longest_log_by_term_then_index_is_taken(self):
         replies = [held("v1", 2, 9, 7), held("v2", 3, 4, 5), held("v3", 3, 5, 6)]
-        self.assertEqual(longest_of_majority(replies).node, "v3")
+        self.assertEqual(latest_log_of_majority(replies).node, "v3")
 
     def test_a_node_with_an_empty_disk_does_not_count(self):
         empty = LoggedDirectoryReply("v3@new", 0, 0, [], held("", 0, 0, 0).directory)
-        self.assertIsNone(longest_of_majority([held("v1", 2, 9, 7), empty]))
+        self.assertIsNone(latest_log_of_majority([held("v1", 2, 9, 7), empty]))
 
     def test_nodes_that_no_longer_vote_do_not_count(self):
         newest = LoggedDirectoryReply("v1", 4, 9, ["v1", "v4", "v5"], held("v1", 4, 9, 7).directory)
-        self.assertIsNone(longest_of_majority([newest, held("v2", 2, 9, 7)]))
+        self.assertIsNone(latest_log_of_majority([newest, held("v2", 2, 9, 7)]))
         fourth = LoggedDirectoryReply("v4", 4, 8, ["v1", "v4", "v5"], held("v4", 4, 8, 7).directory)
-        self.assertEqual(longest_of_majority([newest, fourth]).node, "v1")
+        self.assertEqual(latest_log_of_majority([newest, fourth]).node, "v1")
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_known_directory.py
+++ b/tests/gateway/test_known_directory.py
@@ -2,8 +2,8 @@
 
 import unittest
 
+from rowanrail.gateway.discovery.current_directory import CurrentDirectory
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.discovery.known_directory import KnownDirectory
 from rowanrail.gateway.relay.neighbours import Neighbour
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.model.members import MemberRecord
@@ -49,7 +49,7 @@
     def setUp(self):
         self.neighbours, self.detours = ToldGateways(), ToldGateways()
         self.services = {"db1": ToldService(), "db2": ToldService()}
-        self.known = KnownDirectory(Peers(self.neighbours, self.detours))
+        self.known = CurrentDirectory(Peers(self.neighbours, self.detours))
         self.members = [member("m1", "db1"), member("m2", "db2")]
         self.set(1)
         for service in self.services.values():
@@ -60,7 +60,7 @@
         directory = Directory(
             revision, members, population, neighbours or list(NEIGHBOURS), others or dict(OTHERS)
         )
-        return self.known.set(directory, self.services)
+        return self.known.update(directory, self.services)
 
     def told(self):
         return [service.told for service in self.services.values()]
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -19,7 +19,7 @@
 from rowanrail.coordination.state import CoordinationState
 from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayRecord, GatewayReport
-from rowanrail.gateway.discovery.control_follower import ControlFollower
+from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.kernel.errors import TransportError
 from rowanrail.model.members import MemberRecord, PrimaryHealth
@@ -72,7 +72,7 @@
         self.directory = None
         self.version = 0
 
-    def apply(self, configuration, corrects=False):
+    def apply(self, configuration, replaces_provisional=False):
         self.version = configuration.version
 
     def set_directory(self, directory):
@@ -164,7 +164,7 @@
     def _follow(self, record):
         gateway = FollowingGateway()
         health = [PrimaryHealth(f"db{n}", "", -1, 0) for n in range(self.services)]
-        watch = ControlFollower(
+        watch = ControlPlaneClient(
             gateway,
             self.network,
             ["c1:1"],
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -11,7 +11,7 @@
     "rowanrail.directory.health_filter",
     "rowanrail.cli.load_view",
     "rowanrail.explain.rejections",
-    "rowanrail.gateway.discovery.control_choice",
+    "rowanrail.gateway.discovery.control_node_selector",
     "rowanrail.gateway.discovery.provisional",
     "rowanrail.gateway.pools.error_rate",
     "rowanrail.gateway.pools.idle_rules",
