--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -151,7 +151,7 @@
     ),
     CauseRule(
         "its tenant was over the limit",
-        "rowanrail.tenants.quota.QuotaGuard.begin",
+        "rowanrail.tenants.quota.QuotaLimiter.admit",
         lambda known: bool(known.over_limit),
         lambda known: known.over_limit,
     ),
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -42,7 +42,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.rpc.network import Network
-from rowanrail.tenants.terms import QuotaTerms
+from rowanrail.tenants.quota_parameters import QuotaParameters
 
 READY_PATH = "/ready"
 ReloadSettings = Callable[[], GatewaySettings | None]
@@ -138,7 +138,7 @@
     peers = _make_peers(settings, clock)
     locality = Locality(settings.zone, settings.regions)
     driver = registry.create("member-driver", settings.protocol)
-    terms = QuotaTerms(
+    terms = QuotaParameters(
         settings.quota_window_seconds * 1000, settings.quota_excess, settings.quota_slack
     )
     gateway = Gateway(locality, driver, loop, decisions, registry, peers, terms)
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -45,9 +45,9 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.scheduling.plan import Plan
-from rowanrail.tenants.demand import DemandBook
+from rowanrail.tenants.demand import DemandAggregator
 from rowanrail.tenants.model import ClientIdentity, Tenants
-from rowanrail.tenants.terms import QuotaTerms
+from rowanrail.tenants.quota_parameters import QuotaParameters
 
 TICK_SECONDS = 0.05  # a sixth of the shortest time that is watched, SAMPLE_TIMEOUT_SECONDS
 # Of them, between checks of services that nobody uses. 75 such services took 0.7 % of a core when
@@ -69,7 +69,7 @@
         decisions: DecisionLog,
         registry: Registry,
         peers: Peers = NO_PEERS,
-        quota_terms: QuotaTerms = QuotaTerms(),  # noqa: B008 - it is frozen
+        quota_terms: QuotaParameters = QuotaParameters(),  # noqa: B008 - it is frozen
     ) -> None:
         self.clock = clock
         self.names = PreparedStatementNames()
@@ -265,7 +265,7 @@
         return self.access.admits(database, identity, version)
 
     @property
-    def demand(self) -> DemandBook:
+    def demand(self) -> DemandAggregator:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.demand`."""
         return self.access.demand
 
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -88,12 +88,12 @@
 def tenant_gauges(gateway: Gateway) -> list[Reading]:
     """Return the largest tenants with their limits, and how much of the fleet is heard."""
     quota = gateway.access.quota
-    readings: list[Reading] = [("quota_heard_share", {}, quota.heard_share)]
-    for tenant in quota.largest(SHOWN_TENANTS):
+    readings: list[Reading] = [("quota_heard_share", {}, quota.reporting_share)]
+    for tenant in quota.top_tenants(SHOWN_TENANTS):
         labels = {"tenant": tenant.name}
         readings.append(("tenant_limit", labels, tenant.limit))
-        readings.append(("tenant_begun", labels, tenant.begun))
-        readings.append(("tenant_asked", labels, tenant.asked))
+        readings.append(("tenant_begun", labels, tenant.admitted))
+        readings.append(("tenant_asked", labels, tenant.requested))
         readings.append(("tenant_refused", labels, tenant.refused))
     return readings
 
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -28,7 +28,7 @@
 )
 from rowanrail.kernel.clock import Clock, Timer
 from rowanrail.model.position import Position
-from rowanrail.tenants.demand import Report
+from rowanrail.tenants.demand import DemandSummary
 
 __all__ = [
     "Counted",
@@ -97,7 +97,7 @@
 class Counted:
     """The neighbour reported what the fleet's clients ask for, by tenant."""
 
-    fleet: Report
+    fleet: DemandSummary
 
 
 Outcome = Replied | NotRun | Lost | Sampled | Counted
--- a/src/rowanrail/gateway/relay/messages.py
+++ b/src/rowanrail/gateway/relay/messages.py
@@ -15,7 +15,7 @@
 from rowanrail.model.statements import Refusal, StatementKind
 from rowanrail.model.trace import Trace
 from rowanrail.scheduling.load import ServiceLoad
-from rowanrail.tenants.demand import Report
+from rowanrail.tenants.demand import DemandSummary
 
 __all__ = [
     "Cancel",
@@ -130,7 +130,7 @@
 
     call: int
     sender: str
-    report: Report
+    report: DemandSummary
     is_region: bool = False
     is_forwarded: bool = False
 
@@ -190,7 +190,7 @@
     """What clients of the whole fleet asked for, of the tenants that the report named."""
 
     call: int
-    fleet: Report
+    fleet: DemandSummary
 
 
 FromGateway = RunStatement | Rollback | Cancel | Ping | SampleRequest | DemandReport
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/metering.py
@@ -20,9 +20,9 @@
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.kernel.clock import Clock
 from rowanrail.placement.hashed import DEMAND_AGGREGATOR
-from rowanrail.tenants.counts import REPORT_MS
-from rowanrail.tenants.demand import DemandBook
-from rowanrail.tenants.quota import QuotaGuard
+from rowanrail.tenants.demand import DemandAggregator
+from rowanrail.tenants.quota import QuotaLimiter
+from rowanrail.tenants.tenant_counters import REPORT_INTERVAL_MS
 
 __all__ = ["Metering"]
 
@@ -47,9 +47,9 @@
         The gateways of the region.
     detours : Detours
         Gateways of other regions.
-    guard : QuotaGuard
+    guard : QuotaLimiter
         Counts here, and decides.
-    book : DemandBook
+    book : DemandAggregator
         Sums what others reported to this gateway.
     """
 
@@ -60,8 +60,8 @@
         clock: Clock,
         neighbours: Neighbours,
         detours: Detours,
-        guard: QuotaGuard,
-        book: DemandBook,
+        guard: QuotaLimiter,
+        book: DemandAggregator,
     ) -> None:
         self._incarnation = f"{name} {secrets.token_hex(INCARNATION_BYTES)}"
         self._region = region
@@ -70,7 +70,7 @@
         self._detours = detours
         self._guard = guard
         self._book = book
-        self._due_at = clock.now + REPORT_MS
+        self._due_at = clock.now + REPORT_INTERVAL_MS
 
     def start(self) -> None:
         """Begin to report."""
@@ -78,8 +78,8 @@
 
     def _tick(self) -> None:
         is_due = self._clock.now >= self._due_at
-        if self._guard.is_limiting and (is_due or self._guard.has_burst or self._book.has_burst):
-            self._due_at = self._clock.now + REPORT_MS
+        if self._guard.has_limits and (is_due or self._guard.has_burst or self._book.has_burst):
+            self._due_at = self._clock.now + REPORT_INTERVAL_MS
             self._report(is_early=self._guard.has_burst)
         self._clock.call_in(BURST_CHECK_MS, self._tick)
 
@@ -87,8 +87,8 @@
         report = msgspec.structs.replace(self._guard.report(), is_early=is_early)
         match self._neighbours.hashed_holder(DEMAND_AGGREGATOR):
             case HeldLocally():
-                self._book.note_gateway(self._incarnation, report)
-                self._guard.take_fleet(self._book.fleet())
+                self._book.record_gateway(self._incarnation, report)
+                self._guard.set_fleet_totals(self._book.fleet_totals())
                 self._report_to_regions()
             case HeldRemotely(link=link):
                 message = DemandReport(link.next_call_id(), self._incarnation, report)
@@ -114,10 +114,10 @@
 
     def _on_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Counted):
-            self._guard.take_fleet(outcome.fleet)
+            self._guard.set_fleet_totals(outcome.fleet)
 
     def _report_to_regions(self) -> None:
-        report = self._book.tell_region()
+        report = self._book.take_region_totals()
         for group in self._detours.groups:
             holder = self._detours.hashed_holder_in(group, DEMAND_AGGREGATOR)
             if isinstance(holder, HeldRemotely):
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -45,7 +45,7 @@
 from rowanrail.model.trace import Trace
 from rowanrail.placement.hashed import Shard
 from rowanrail.scheduling.load import LoadReporter, ServiceLoad
-from rowanrail.tenants.demand import DemandBook, Report
+from rowanrail.tenants.demand import DemandAggregator, DemandSummary
 from rowanrail.tenants.model import ClientIdentity
 
 __all__ = ["Holder", "HolderHost", "ServedLink"]
@@ -70,7 +70,7 @@
         """
 
     @property
-    def demand(self) -> DemandBook:
+    def demand(self) -> DemandAggregator:
         """What clients of other gateways ask for."""
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
@@ -244,14 +244,16 @@
     def _add_demand(self, message: DemandReport) -> None:
         book = self._holder.host.demand
         if message.is_region:
-            book.note_region(message.sender, message.report)
+            book.record_region(message.sender, message.report)
             self._holder.on_region_report(message)
         else:
-            book.note_gateway(message.sender, message.report)
-        fleet = book.fleet()
+            book.record_gateway(message.sender, message.report)
+        fleet = book.fleet_totals()
         asked = message.report.tenants
         named = {tenant: total for tenant, total in fleet.tenants.items() if tenant in asked}
-        self.send(DemandTotals(message.call, Report(named, fleet.gateways, fleet.unknown)))
+        self.send(
+            DemandTotals(message.call, DemandSummary(named, fleet.gateways, fleet.unknown_windows))
+        )
 
     # Statements
 
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -18,10 +18,10 @@
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import RejectionCause
 from rowanrail.scheduling.retrying import GOES_FIRST_AFTER, Label, RetryingClients, client_label
-from rowanrail.tenants.demand import DemandBook
+from rowanrail.tenants.demand import DemandAggregator
 from rowanrail.tenants.model import ClientIdentity, Tenants, key_digest
-from rowanrail.tenants.quota import QuotaGuard
-from rowanrail.tenants.terms import QuotaTerms
+from rowanrail.tenants.quota import QuotaLimiter
+from rowanrail.tenants.quota_parameters import QuotaParameters
 
 __all__ = ["AccessControl"]
 
@@ -39,32 +39,32 @@
         Gets no key, nor a digest of one.
     key_check : KeyCheck
         Says whether a session may go on.
-    terms : QuotaTerms
+    terms : QuotaParameters
         How limits are judged.
     """
 
     def __init__(
-        self, clock: Clock, decisions: DecisionLog, key_check: KeyCheck, terms: QuotaTerms
+        self, clock: Clock, decisions: DecisionLog, key_check: KeyCheck, terms: QuotaParameters
     ) -> None:
         self._clock = clock
         self._decisions = decisions
         self._followed = ""
         self._heard_at: float | None = None
         self._key_check = key_check
-        self._quota = QuotaGuard(clock, terms)
-        self._demand = DemandBook(clock)
+        self._quota = QuotaLimiter(clock, terms)
+        self._demand = DemandAggregator(clock)
         self._configuration: RoutingConfiguration | None = None
         self._retrying_clients = RetryingClients(clock)
         self._over_limit = 0
         self.on_rejection: Callable[[str, int, float], None] = lambda *rejection: None
 
     @property
-    def quota(self) -> QuotaGuard:
+    def quota(self) -> QuotaLimiter:
         """Counts operations of this gateway's clients."""
         return self._quota
 
     @property
-    def demand(self) -> DemandBook:
+    def demand(self) -> DemandAggregator:
         """What clients of other gateways run."""
         return self._demand
 
@@ -149,21 +149,21 @@
     def refuse_over_quota(self, session: Session) -> Answer | None:
         """Count an operation of a session's tenant, or return why it may not begin now."""
         urgency = self._urgency(session)
-        over = self._quota.begin(session.identity.tenant, urgency)
+        over = self._quota.admit(session.identity.tenant, urgency)
         if over is None:
             return None
         self._over_limit += 1
-        retry_after_ms = limit_retry_after_ms(self._over_limit, over.wait)
+        retry_after_ms = limit_retry_after_ms(self._over_limit, over.retry_after)
         self._decisions.note(
             OVER_QUOTA,
             session=session.label,
             tenant=session.identity.tenant,
             limit=round(over.limit),
-            fleet=over.fleet,
-            asked=over.asked,
-            part=round(over.part, 2),
-            age_ms=round(over.age),
-            heard=round(over.heard, 2),
+            fleet=over.fleet_admitted,
+            asked=over.fleet_requested,
+            part=round(over.admitted_fraction, 2),
+            age_ms=round(over.totals_age),
+            heard=round(over.reporting_share, 2),
             urgency=urgency,
             version=self.version,
             return_in=round(retry_after_ms),
@@ -203,7 +203,7 @@
 
     def note_not_run(self, session: Session) -> None:
         """Count an operation no longer: nothing of it reached a member."""
-        self._quota.note_not_run(session.identity.tenant)
+        self._quota.refund(session.identity.tenant)
 
 
 def _label(session: Session) -> Label:
--- a/src/rowanrail/tenants/quota.py
+++ b/src/rowanrail/tenants/quota.py
@@ -19,12 +19,12 @@
 from dataclasses import dataclass
 
 from rowanrail.kernel.clock import Clock
-from rowanrail.tenants.counts import LATELY_MS, Counts, TenantCount
-from rowanrail.tenants.demand import Demand, Report
+from rowanrail.tenants.demand import Demand, DemandSummary
 from rowanrail.tenants.model import Tenant, Tenants
-from rowanrail.tenants.terms import URGENT_MARGIN, USED_MARGIN, QuotaTerms
+from rowanrail.tenants.quota_parameters import URGENT_MARGIN, USED_MARGIN, QuotaParameters
+from rowanrail.tenants.tenant_counters import RATE_WINDOW_MS, TenantCounters, TenantUsage
 
-__all__ = ["OverLimit", "QuotaGuard"]
+__all__ = ["QuotaExceeded", "QuotaLimiter"]
 
 # For which sums of a part of the fleet are passed over after sums of all of it: two reports, after
 # which a meter that has just taken over has heard of everybody.
@@ -37,7 +37,7 @@
 REACH_MS = 500.0
 # Without sums of the fleet for so long a gateway counts as alone. Shorter than the 5 s for which
 # others count its last report, so that its part is not given away while it still uses it.
-ALONE_MS = 3000.0
+ISOLATED_AFTER_MS = 3000.0
 # Of a target, for a gateway that is alone, and operations on top, so that a small tenant is not
 # shut out: three such gateways stay within what is tolerated beyond a limit.
 ALONE_SHARE = 0.01
@@ -49,42 +49,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OverLimit:
+class QuotaExceeded:
     """Why an operation may not begin.
 
     Parameters
     ----------
     limit : float
         Operations of the tenant in a window.
-    fleet : int
+    fleet_admitted : int
         What began at all gateways in the last window, as far as known.
-    asked : int
+    fleet_requested : int
         What was asked for at all gateways in the last second.
-    part : float
+    admitted_fraction : float
         Of what is asked for may begin.
-    age : float
+    totals_age : float
         Milliseconds since the last sums of the fleet.
-    heard : float
+    reporting_share : float
         Share of the fleet's gateways that were heard.
     """
 
     limit: float
-    fleet: int
-    asked: int
-    part: float
-    age: float
-    heard: float = 1.0
+    fleet_admitted: int
+    fleet_requested: int
+    admitted_fraction: float
+    totals_age: float
+    reporting_share: float = 1.0
 
     @property
-    def wait(self) -> float:
+    def retry_after(self) -> float:
         """Milliseconds after which to retry: until about one in two may begin."""
-        return min(LONGEST_WAIT_MS, REACH_MS / max(self.part, 0.01) / 2)
+        return min(LONGEST_WAIT_MS, REACH_MS / max(self.admitted_fraction, 0.01) / 2)
 
 
 LONGEST_WAIT_MS = 3000.0  # more than half of a window has left by then
 
 
-def part_that_begins(fleet: Demand, target: float, unknown: float = 0.0) -> float:
+def admitted_fraction(fleet: Demand, target: float, unknown: float = 0.0) -> float:
     """Return which part of what is asked for may begin; 1 or more for all.
 
     Parameters
@@ -100,39 +100,39 @@
     --------
     At the limit as many begin as leave the window, here a third of what is asked for:
 
-    >>> round(part_that_begins(Demand(500, 100, 300, 100), 500), 2)
+    >>> round(admitted_fraction(Demand(500, 100, 300, 100), 500), 2)
     0.33
-    >>> part_that_begins(Demand(300, 60, 60, 60), 500) > 1
+    >>> admitted_fraction(Demand(300, 60, 60, 60), 500) > 1
     True
     """
-    leaving = fleet.leaving / LATELY_MS
-    growing = fleet.begun_lately / LATELY_MS - leaving
-    by_now = fleet.begun + LATE_MS * growing + unknown
+    leaving = fleet.expiring / RATE_WINDOW_MS
+    growing = fleet.recently_admitted / RATE_WINDOW_MS - leaving
+    by_now = fleet.admitted + LATE_MS * growing + unknown
     may_begin = leaving + (target - by_now) / REACH_MS
-    asked = fleet.asked_lately / LATELY_MS
+    asked = fleet.recently_requested / RATE_WINDOW_MS
     return max(0.0, may_begin / asked) if asked else 1.0
 
 
-class QuotaGuard:
+class QuotaLimiter:
     """Counts a gateway's operations by tenant and says which may begin.
 
     Parameters
     ----------
     clock : Clock
         Time in milliseconds.
-    terms : QuotaTerms
+    terms : QuotaParameters
         How limits are judged.
     """
 
-    def __init__(self, clock: Clock, terms: QuotaTerms) -> None:
+    def __init__(self, clock: Clock, terms: QuotaParameters) -> None:
         self._clock = clock
         self._terms = terms
         self._tenants = Tenants()
-        self._counts: dict[str, Counts] = {}
+        self._counts: dict[str, TenantCounters] = {}
         self._started_at = self._heard_at = clock.now
         self._unknown_share = 0.0
         self._population = 0
-        self._heard_share = 1.0
+        self._reporting_share = 1.0
         self._whole_at = -math.inf
         self._has_burst = False
 
@@ -142,12 +142,12 @@
         return self._has_burst
 
     @property
-    def heard_share(self) -> float:
+    def reporting_share(self) -> float:
         """Share of the fleet's gateways that are heard; 1 unless the network is split."""
-        return self._heard_share
+        return self._reporting_share
 
     @property
-    def is_limiting(self) -> bool:
+    def has_limits(self) -> bool:
         """Whether any tenant has a limit."""
         return any(tenant.rate is not None for tenant in self._tenants.by_name.values())
 
@@ -162,7 +162,7 @@
         """Know how many gateways there are; 0 if that is not known."""
         self._population = gateways
 
-    def begin(self, name: str, urgency: int = 0) -> OverLimit | None:
+    def admit(self, name: str, urgency: int = 0) -> QuotaExceeded | None:
         """Count an operation of a tenant that begins now, or return why it may not.
 
         Parameters
@@ -176,68 +176,70 @@
         now = self._clock.now
         counts = self._counts.get(name)
         if counts is None:
-            counts = self._counts[name] = Counts(self._terms.window)
-        counts.ask(now, urgency)
+            counts = self._counts[name] = TenantCounters(self._terms.window_ms)
+        counts.record_request(now, urgency)
         self._has_burst = self._has_burst or counts.is_burst
-        margin = URGENT_MARGIN if counts.is_urgent(urgency) else USED_MARGIN
+        margin = URGENT_MARGIN if counts.has_less_urgent_requests(urgency) else USED_MARGIN
         target = self._terms.target(tenant, margin)
-        part = part_that_begins(counts.fleet, target, self._unknown(tenant))
+        part = admitted_fraction(counts.fleet, target, self._unknown(tenant))
         if not self._may_begin(counts, target, part, urgency):
             counts.refused += 1
             fleet = counts.fleet
             age = now - self._heard_at
             limit = self._terms.limit(tenant)
-            return OverLimit(limit, fleet.begun, fleet.asked_lately, part, age, self._heard_share)
-        counts.begin(now)
+            return QuotaExceeded(
+                limit, fleet.admitted, fleet.recently_requested, part, age, self._reporting_share
+            )
+        counts.record_admission(now)
         return None
 
     def _unknown(self, tenant: Tenant) -> float:
         """Return what a tenant may have begun in the unknown part of the window, in a second."""
         share = max(0.0, self._unknown_share - UNKNOWN_STEP)
-        return share * self._terms.unknown(tenant)
+        return share * self._terms.assumed_admissions(tenant)
 
-    def _may_begin(self, counts: Counts, target: float, part: float, urgency: int) -> bool:
+    def _may_begin(self, counts: TenantCounters, target: float, part: float, urgency: int) -> bool:
         now = self._clock.now
-        begun = counts.begun.at(now)
-        if now - self._heard_at > ALONE_MS:
+        begun = counts.admitted.count(now)
+        if now - self._heard_at > ISOLATED_AFTER_MS:
             return begun + 1 <= ALONE_LEAST + ALONE_SHARE * target
         if begun + 1 > target:
             return False
         return part >= 1 or counts.spend_credit(now, part, urgency)
 
-    def note_not_run(self, name: str) -> None:
+    def refund(self, name: str) -> None:
         """Take back an operation of which no member ran anything."""
         counts = self._counts.get(name)
         if counts is not None:
-            counts.begin(self._clock.now, -1.0)
+            counts.record_admission(self._clock.now, -1.0)
 
-    def largest(self, number: int) -> list[TenantCount]:
+    def top_tenants(self, number: int) -> list[TenantUsage]:
         """Return the tenants that were refused, or ask for, most here."""
         now = self._clock.now
         counted = [
-            TenantCount(
+            TenantUsage(
                 name,
                 self._terms.limit(self._tenants.by_name[name]),
-                counts.begun.at(now),
-                counts.asked_lately.at(now),
+                counts.admitted.count(now),
+                counts.recently_requested.count(now),
                 counts.refused,
             )
             for name, counts in self._counts.items()
         ]
-        return sorted(counted, key=lambda one: (one.refused, one.begun), reverse=True)[:number]
+        return sorted(counted, key=lambda one: (one.refused, one.admitted), reverse=True)[:number]
 
     # What gateways tell each other
 
-    def report(self) -> Report:
+    def report(self) -> DemandSummary:
         """Return what began and was asked for here."""
         now = self._clock.now
         self._has_burst = False
-        demands = {name: counts.demand(now) for name, counts in self._counts.items()}
+        demands = {name: counts.make_report(now) for name, counts in self._counts.items()}
         reported = {name: demand for name, demand in demands.items() if demand != _NOTHING}
-        unknown = max(0.0, 1 - (now - self._started_at) / self._terms.window)
-        return Report(reported, unknown=unknown)
+        unknown = max(0.0, 1 - (now - self._started_at) / self._terms.window_ms)
+        return DemandSummary(reported, unknown_windows=unknown)
 
-    def take_fleet(self, fleet: Report) -> None:
+    def set_fleet_totals(self, fleet: DemandSummary) -> None:
         """Learn the sums of all gateways."""
         now = self._clock.now
         share = self._share_of(fleet.gateways)
@@ -247,10 +249,12 @@
             return
         self._heard_at = now
         self._unknown_share = fleet.unknown_share
-        self._heard_share = share
+        self._reporting_share = share
         for name, counts in self._counts.items():
             heard = fleet.tenants.get(name, _NOTHING)
-            counts.fleet = heard if self._heard_share >= 1 else heard.scaled(self._heard_share)
+            counts.fleet = (
+                heard if self._reporting_share >= 1 else heard.scaled(self._reporting_share)
+            )
 
     def _share_of(self, gateways: int) -> float:
         """Return which share of the fleet so many gateways are, 1 if nothing is split."""
--- a/src/rowanrail/tenants/terms.py
+++ b/src/rowanrail/tenants/quota_parameters.py
@@ -8,7 +8,7 @@
 
 from rowanrail.tenants.model import Tenant
 
-__all__ = ["URGENT_MARGIN", "USED_MARGIN", "QuotaTerms"]
+__all__ = ["URGENT_MARGIN", "USED_MARGIN", "QuotaParameters"]
 
 # Of what is tolerated beyond the limit, so that nothing is refused below it though the sums are a
 # little late, and though a side's part of the demand is not exactly its part of the gateways while
@@ -25,12 +25,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaTerms:
+class QuotaParameters:
     """How limits are judged.
 
     Parameters
     ----------
-    window : float
+    window_ms : float
         Milliseconds of a window.
     excess : float
         Share of a limit that is tolerated beyond it.
@@ -38,7 +38,7 @@
         Operations that are tolerated beyond that.
     """
 
-    window: float = 5000.0
+    window_ms: float = 5000.0
     excess: float = 0.1
     slack: float = 20.0
 
@@ -46,7 +46,7 @@
         """Return the operations of a tenant in a window, infinite without a rate."""
         if tenant.rate is None:
             return float("inf")
-        return tenant.rate * self.window / 1000 + tenant.burst
+        return tenant.rate * self.window_ms / 1000 + tenant.burst
 
     def target(self, tenant: Tenant, margin: float = USED_MARGIN) -> float:
         """Return to how many operations in a window a tenant is held.
@@ -58,22 +58,22 @@
 
         Examples
         --------
-        >>> QuotaTerms().target(Tenant("a", rate=100, burst=100))
+        >>> QuotaParameters().target(Tenant("a", rate=100, burst=100))
         640.0
         """
         limit = self.limit(tenant)
         return limit + margin * (limit * self.excess + self.slack)
 
-    def unknown(self, tenant: Tenant) -> float:
+    def assumed_admissions(self, tenant: Tenant) -> float:
         """Return what a tenant is taken to have begun in a window of which nothing is known.
 
         That is its limit, without what a restart leaves empty and what is tolerated beyond it.
 
         Examples
         --------
-        >>> round(QuotaTerms().unknown(Tenant("a", rate=100, burst=100)))
+        >>> round(QuotaParameters().assumed_admissions(Tenant("a", rate=100, burst=100)))
         524
-        >>> QuotaTerms().unknown(Tenant("a", rate=0.5, burst=0.5))
+        >>> QuotaParameters().assumed_admissions(Tenant("a", rate=0.5, burst=0.5))
         0.0
         """
         limit = self.limit(tenant)
--- a/src/rowanrail/tenants/window.py
+++ b/src/rowanrail/tenants/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counts over a sliding window of time.
+"""TenantCounters over a sliding window of time.
 
 Owns steps of 100 ms, in steady milliseconds; a count is never too low, and too high by one step at
 most.
@@ -6,30 +6,32 @@
 
 from collections import deque
 
-__all__ = ["SlidingCount"]
+__all__ = ["SlidingWindowCounter"]
 
 STEP_MS = 100.0  # a fiftieth of a window of 5 s: what is counted leaves that much late at most
 
 
-class SlidingCount:
+class SlidingWindowCounter:
     """How often something happened in the last window; never too few.
 
     Parameters
     ----------
-    window : float
+    window_ms : float
         Milliseconds.
 
     Examples
     --------
-    >>> count = SlidingCount(5000.0)
-    >>> count.add(0.0), count.add(4000.0), count.at(4900.0), count.at(5200.0), count.at(9999.0)
-    (None, None, 2.0, 1.0, 0.0)
+    >>> counter = SlidingWindowCounter(5000.0)
+    >>> counter.add(0.0)
+    >>> counter.add(4000.0)
+    >>> counter.count(4900.0), counter.count(5200.0), counter.count(9999.0)
+    (2.0, 1.0, 0.0)
     """
 
-    __slots__ = ("_sum", "_steps", "_window")
+    __slots__ = ("_sum", "_steps", "_window_ms")
 
-    def __init__(self, window: float) -> None:
-        self._window = window
+    def __init__(self, window_ms: float) -> None:
+        self._window_ms = window_ms
         self._steps: deque[list[float]] = deque()  # the end of a step, and its count
         self._sum = 0.0
 
@@ -40,21 +42,23 @@
         self._steps[-1][1] += number
         self._sum += number
 
-    def at(self, now: float) -> float:
+    def count(self, now: float) -> float:
         """Return the count of the window that ends now."""
-        while self._steps and self._steps[0][0] + self._window <= now:
+        while self._steps and self._steps[0][0] + self._window_ms <= now:
             self._sum -= self._steps.popleft()[1]
         return max(0.0, self._sum)
 
-    def leaving(self, now: float, span: float) -> float:
+    def expiring(self, now: float, span: float) -> float:
         """Return how many of the window that ends now leave it within ``span`` milliseconds.
 
         Examples
         --------
-        >>> count = SlidingCount(5000.0)
-        >>> count.add(0.0), count.add(1000.0), count.leaving(4900.0, 500.0)
-        (None, None, 1.0)
+        >>> counter = SlidingWindowCounter(5000.0)
+        >>> counter.add(0.0)
+        >>> counter.add(1000.0)
+        >>> counter.expiring(4900.0, 500.0)
+        1.0
         """
-        self.at(now)
-        limit = now + span - self._window
+        self.count(now)
+        limit = now + span - self._window_ms
         return max(0.0, sum(number for end, number in self._steps if end <= limit))
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -14,7 +14,7 @@
 from rowanrail.kernel.catalogue import Level
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.statements import Answer, Refusal
-from rowanrail.tenants.demand import Report
+from rowanrail.tenants.demand import DemandSummary
 from tests.gateway.test_tenants import TenantGateway
 from tests.support.gateway import PlayedGateway
 from tests.support.relay import PlayedZone
@@ -74,7 +74,7 @@
     def test_refused_over_a_limit(self):
         self.played = TenantGateway()
         self.played.configure(2, rate=1.0, burst=1.0)
-        self.played.gateway.access.quota.take_fleet(Report({}))
+        self.played.gateway.access.quota.set_fleet_totals(DemandSummary({}))
         client = self.played.client("orders")
         while client.run("WRITE a 1", seconds=0.01).refusal is None:
             pass
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -6,7 +6,7 @@
 from rowanrail.model.position import Position
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Answer, Refusal, SessionState
-from rowanrail.tenants.demand import Report
+from rowanrail.tenants.demand import DemandSummary
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.support.gateway import PlayedClient, PlayedGateway, routes
 
@@ -149,7 +149,7 @@
     def test_what_is_over_the_limit_is_refused_before_it_takes_a_connection(self):
         played = TenantGateway()
         played.configure(2, rate=1.0, burst=1.0)
-        played.gateway.access.quota.take_fleet(Report({}))
+        played.gateway.access.quota.set_fleet_totals(DemandSummary({}))
         client = played.client("orders")
         answers = [client.run("WRITE a 1", seconds=0.01) for _ in range(40)]
         refused = [answer for answer in answers if answer.refusal is not None]
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -262,10 +262,10 @@
 
     def ask(self, one, number):
         for _ in range(number):
-            one.gateway.access.quota.begin("a")
+            one.gateway.access.quota.admit("a")
 
     def fleet_at(self, one):
-        return one.gateway.access.quota._counts["a"].fleet.begun
+        return one.gateway.access.quota._counts["a"].fleet.admitted
 
     def test_each_gateway_learns_what_all_are_asked_for(self):
         for one, number in zip(self.world.gateways.values(), (5, 7, 11, 13), strict=True):
--- a/tests/tenants/test_quota.py
+++ b/tests/tenants/test_quota.py
@@ -9,14 +9,20 @@
 
 from rowanrail.gateway.relay.metering import BURST_CHECK_MS
 from rowanrail.kernel.clock import Clock
-from rowanrail.tenants.demand import GATEWAY_MS, REGION_MS, Demand, DemandBook, Report
+from rowanrail.tenants.demand import (
+    GATEWAY_REPORT_TTL_MS,
+    REGION_REPORT_TTL_MS,
+    Demand,
+    DemandAggregator,
+    DemandSummary,
+)
 from rowanrail.tenants.model import Tenant, Tenants
-from rowanrail.tenants.quota import ALONE_MS, QuotaGuard
-from rowanrail.tenants.terms import QuotaTerms
+from rowanrail.tenants.quota import ISOLATED_AFTER_MS, QuotaLimiter
+from rowanrail.tenants.quota_parameters import QuotaParameters
 from tests.support.gateway import ManualClock
 
 REPORT_SECONDS = 0.3
-TERMS = QuotaTerms()
+TERMS = QuotaParameters()
 
 
 class Fleet:
@@ -28,14 +34,14 @@
         self.tenant = tenant
         self.lives = itertools.count()
         self.guards = [self.new_guard() for _ in range(gateways)]
-        self.books = [DemandBook(self.clock) for _ in range(regions)]
+        self.books = [DemandAggregator(self.clock) for _ in range(regions)]
         self.begun = []
         self.refused = 0
         self.cut_off = set()
         self.limit(tenant)
 
     def new_guard(self):
-        guard = QuotaGuard(self.clock, TERMS)
+        guard = QuotaLimiter(self.clock, TERMS)
         guard.life = next(self.lives)
         return guard
 
@@ -48,7 +54,7 @@
         """Have all gateways lose what they knew, for half a second."""
         self.manual.advance(0.5)
         self.guards = [self.new_guard() for _ in self.guards]
-        self.books = [DemandBook(self.clock) for _ in self.books]
+        self.books = [DemandAggregator(self.clock) for _ in self.books]
         self.limit(self.tenant)
 
     def exchange(self):
@@ -69,15 +75,15 @@
             guard = self.guards[number]
             book = books[number % len(books)]
             report = msgspec.structs.replace(guard.report(), is_early=is_early)
-            book.note_gateway(f"{number} {guard.life}", report)  # each life has a name of its own
-            guard.take_fleet(book.fleet())
+            book.record_gateway(f"{number} {guard.life}", report)  # each life has a name of its own
+            guard.set_fleet_totals(book.fleet_totals())
 
     def tell_regions(self, books):
         for number, book in enumerate(books):
-            report = book.tell_region()
+            report = book.take_region_totals()
             for other in books:
                 if other is not book:
-                    other.note_region(str(number), report)
+                    other.record_region(str(number), report)
 
     def play(self, seconds, rate, weights, chooser):
         """Have ``rate`` operations a second come to gateways by weight."""
@@ -92,7 +98,7 @@
                 self.look()
                 next_look += BURST_CHECK_MS / 1000
             (guard,) = chooser.choices(self.guards, weights)
-            if guard.begin(self.tenant.name) is None:
+            if guard.admit(self.tenant.name) is None:
                 self.begun.append(self.manual.now)
             else:
                 self.refused += 1
@@ -101,7 +107,7 @@
         times = [moment for moment in self.begun if moment >= since]
         most = first = 0
         for last, moment in enumerate(times):
-            while moment - times[first] > TERMS.window / 1000:
+            while moment - times[first] > TERMS.window_ms / 1000:
                 first += 1
             most = max(most, last - first + 1)
         return most
@@ -165,7 +171,7 @@
         chooser = random.Random(1)
         outcomes = {0: [0, 0], 2: [0, 0]}  # by urgency: asked, begun
         fleet.play(8, 31, [1] * 12, chooser)
-        begin = QuotaGuard.begin
+        begin = QuotaLimiter.admit
 
         def mixed(guard, name):
             urgency = 0 if chooser.random() < 0.125 else 2
@@ -174,7 +180,7 @@
             outcomes[urgency][1] += over is None
             return over
 
-        with unittest.mock.patch.object(QuotaGuard, "begin", mixed):
+        with unittest.mock.patch.object(QuotaLimiter, "admit", mixed):
             fleet.play(10, 200, [1] * 12, chooser)
         urgent, others = (begun / asked for asked, begun in outcomes.values())
         self.assertGreater(urgent, 0.8)
@@ -238,7 +244,7 @@
 
     def split(self):
         self.is_split = True
-        self.other_books = [DemandBook(self.clock) for _ in self.books]
+        self.other_books = [DemandAggregator(self.clock) for _ in self.books]
 
     def heal(self):
         self.is_split = False
@@ -333,7 +339,7 @@
             guard.set_population(len(fleet.guards))
         weights = [0.5**n for n in range(12)]
         fleet.play(8, 31, weights, chooser)
-        fleet.books = [DemandBook(fleet.clock) for _ in fleet.books]
+        fleet.books = [DemandAggregator(fleet.clock) for _ in fleet.books]
         fleet.play(8, 31, weights, chooser)
         self.assertEqual(fleet.refused, 0)
 
@@ -361,49 +367,49 @@
 class GuardTest(unittest.TestCase):
     def setUp(self):
         self.manual = ManualClock()
-        self.guard = QuotaGuard(Clock(self.manual), TERMS)
+        self.guard = QuotaLimiter(Clock(self.manual), TERMS)
         self.guard.set_tenants(Tenants({"a": Tenant("a", rate=2, burst=2), "b": Tenant("b")}))
-        self.guard.take_fleet(Report({}))
+        self.guard.set_fleet_totals(DemandSummary({}))
 
     def test_a_tenant_without_a_rate_has_no_limit(self):
-        self.assertEqual({self.guard.begin("b") for _ in range(500)}, {None})
+        self.assertEqual({self.guard.admit("b") for _ in range(500)}, {None})
 
     def test_what_did_not_run_does_not_count(self):
         for _ in range(200):
-            self.assertIsNone(self.guard.begin("a"))
-            self.guard.note_not_run("a")
+            self.assertIsNone(self.guard.admit("a"))
+            self.guard.refund("a")
 
     def test_a_refusal_says_when_to_come_back(self):
-        refused = next(over for _ in range(100) if (over := self.guard.begin("a")))
+        refused = next(over for _ in range(100) if (over := self.guard.admit("a")))
         self.assertEqual(refused.limit, 12)
-        self.assertLessEqual(refused.wait, TERMS.window)
-        self.manual.advance(TERMS.window / 1000 + 0.2)
-        self.guard.take_fleet(Report({}))
-        self.assertIsNone(self.guard.begin("a"))
+        self.assertLessEqual(refused.retry_after, TERMS.window_ms)
+        self.manual.advance(TERMS.window_ms / 1000 + 0.2)
+        self.guard.set_fleet_totals(DemandSummary({}))
+        self.assertIsNone(self.guard.admit("a"))
 
     def test_a_gateway_that_hears_nothing_counts_as_alone(self):
-        self.manual.advance(ALONE_MS / 1000 + 1)
-        begun = sum(self.guard.begin("a") is None for _ in range(50))
+        self.manual.advance(ISOLATED_AFTER_MS / 1000 + 1)
+        begun = sum(self.guard.admit("a") is None for _ in range(50))
         self.assertLess(begun, 12 / 2)
 
 
 class DemandBookTest(unittest.TestCase):
     def setUp(self):
         self.manual = ManualClock()
-        self.book = DemandBook(Clock(self.manual))
+        self.book = DemandAggregator(Clock(self.manual))
 
     def test_the_last_word_of_each_counts_once(self):
-        self.book.note_gateway("g1", Report({"a": Demand(5)}))
-        self.book.note_gateway("g1", Report({"a": Demand(7, 2, 3), "b": Demand(1)}))
-        self.book.note_gateway("g2", Report({"a": Demand(1, 1, 1)}))
-        self.book.note_region("r2", Report({"a": Demand(10)}))
-        self.assertEqual(self.book.region().tenants, {"a": Demand(8, 3, 4), "b": Demand(1)})
-        self.assertEqual(self.book.fleet().tenants, {"a": Demand(18, 3, 4), "b": Demand(1)})
+        self.book.record_gateway("g1", DemandSummary({"a": Demand(5)}))
+        self.book.record_gateway("g1", DemandSummary({"a": Demand(7, 2, 3), "b": Demand(1)}))
+        self.book.record_gateway("g2", DemandSummary({"a": Demand(1, 1, 1)}))
+        self.book.record_region("r2", DemandSummary({"a": Demand(10)}))
+        self.assertEqual(self.book.region_totals().tenants, {"a": Demand(8, 3, 4), "b": Demand(1)})
+        self.assertEqual(self.book.fleet_totals().tenants, {"a": Demand(18, 3, 4), "b": Demand(1)})
 
     def test_old_words_are_forgotten(self):
-        self.book.note_gateway("g1", Report({"a": Demand(5)}))
-        self.book.note_region("r2", Report({"a": Demand(10)}))
-        self.manual.advance(GATEWAY_MS / 1000 + 0.1)
-        self.assertEqual(self.book.fleet().tenants, {"a": Demand(10, silent=10)})
-        self.manual.advance((REGION_MS - GATEWAY_MS) / 1000)
-        self.assertEqual(self.book.fleet().tenants, {})
+        self.book.record_gateway("g1", DemandSummary({"a": Demand(5)}))
+        self.book.record_region("r2", DemandSummary({"a": Demand(10)}))
+        self.manual.advance(GATEWAY_REPORT_TTL_MS / 1000 + 0.1)
+        self.assertEqual(self.book.fleet_totals().tenants, {"a": Demand(10, stale=10)})
+        self.manual.advance((REGION_REPORT_TTL_MS - GATEWAY_REPORT_TTL_MS) / 1000)
+        self.assertEqual(self.book.fleet_totals().tenants, {})
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -50,10 +50,10 @@
     "rowanrail.scheduling.warming",
     "rowanrail.tenants.demand",
     "rowanrail.tenants.model",
-    "rowanrail.tenants.precedence",
+    "rowanrail.tenants.priority_classes",
     "rowanrail.tenants.quota",
-    "rowanrail.tenants.terms",
-    "rowanrail.tenants.window",
+    "rowanrail.tenants.quota_parameters",
+    "rowanrail.tenants.sliding_window",
 )
 
 
--- a/tests/unit/test_inspect_load.py
+++ b/tests/unit/test_inspect_load.py
@@ -18,7 +18,7 @@
     """Return the metrics of a gateway whose tenant was refused some times."""
     quota = played.gateway.access.quota
     quota.set_tenants(Tenants({"anna": Tenant("anna", rate=1, burst=1)}))
-    while quota.begin("anna") is None or sum(one.refused for one in quota.largest(1)) < refused:
+    while quota.admit("anna") is None or sum(one.refused for one in quota.top_tenants(1)) < refused:
         pass
     played.client("reports").run("READ a", seconds=0.1)
     metrics = Metrics(
