--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -1,7 +1,7 @@
-"""A client's session: its statements one after the other, its values, its transaction.
+"""A client's session: runs its statements in order, and keeps its values and its transaction.
 
-For the front ends. Owns the session's state, its values and the transaction that is open; relies on
-its gateway for routes, limits and the log, and on the ports of work to run statements.
+Routes, limits and the outcome log are provided by the gateway; statements are run by a
+:class:`rowanrail.gateway.work.ports.StatementExecutor`.
 """
 
 from collections.abc import Callable
@@ -26,25 +26,25 @@
 )
 from rowanrail.tenants.model import ClientIdentity
 
-MAXIMUM_VALUES = 200  # bounds the memory of a session; clients set a few
-_DONE = Answer()
+MAX_SESSION_VALUES = 200  # bounds the memory of a session
+_SUCCESS = Answer()
 
 
 class SessionAccess(Protocol):
-    """Port: the limit of a session's tenant, and which clients retry after a rejection."""
+    """Port: limits of tenants, and priority of clients that retry after a rejection."""
 
     def refuse_over_quota(self, session: "Session") -> Answer | None:
-        """Count an operation of a session's tenant, or return why it may not begin now."""
+        """Count an operation of a session's tenant, or return its refusal if over the limit."""
 
-    def note_return(self, session: "Session") -> None:
-        """Tell a session whether its client was rejected and retries when it was told to."""
+    def note_retry(self, session: "Session") -> None:
+        """Set a session's priority by whether its client retries a rejected operation in time."""
 
     def note_not_run(self, session: "Session") -> None:
-        """Count an operation no longer: nothing of it reached a member."""
+        """Remove an operation that did not run from its tenant's count."""
 
 
 class SessionOutcomes(Protocol):
-    """Port: gets each answer of a session, for the log and the metrics."""
+    """Port: records the outcome of each statement in the log and in metrics."""
 
     def note(
         self,
@@ -54,34 +54,51 @@
         seconds: float,
         operation: AutocommitExecution | TransactionExecution | None,
     ) -> None:
-        """Count and log what became of a statement."""
+        """Count and log the outcome of a statement that took ``seconds``."""
 
 
 class SessionHost(Protocol):
-    """What a session needs of its gateway."""
+    """Port: the gateway of a session."""
 
     clock: Scheduler
 
     @property
     def access(self) -> SessionAccess:
-        """Limits of tenants."""
+        """Limits of tenants, and retrying clients."""
 
     @property
     def outcomes(self) -> SessionOutcomes:
-        """Gets each answer."""
+        """Recorder of the outcome of each statement."""
 
     def route(self, database: str, tenant: str) -> tuple[Route, StatementExecutor] | Answer:
-        """Return the route in force for a database and where a tenant's work is done."""
+        """Return a database's route and the executor for a tenant, or the refusal."""
 
     def idle_transaction_seconds(self) -> float:
-        """Return how long a transaction may be idle."""
+        """Return how long a transaction may be idle, in seconds."""
 
     def session_closed(self, session: "Session") -> None:
-        """Forget a session."""
+        """Remove a closed session."""
 
 
 class Session:
-    """One client's session. A front end gives it one statement at a time."""
+    """A client's session; a front end passes it one statement at a time.
+
+    Parameters
+    ----------
+    host : SessionHost
+        The gateway.
+    database : str
+        Name of the database that the client named.
+    identity : ClientIdentity
+        Tenant and key of the client.
+    label : str
+        Name of the session in the log.
+
+    Attributes
+    ----------
+    on_denied : callable
+        Called when the client's key is withdrawn.
+    """
 
     __slots__ = (
         "_abort_reason",
@@ -126,17 +143,17 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a statement runs."""
+        """Whether a statement is running."""
         return self._respond is not None
 
     @property
     def identity(self) -> ClientIdentity:
-        """Whose statements it sends."""
+        """Tenant and key of the client."""
         return self.values.identity
 
     @property
     def is_denied(self) -> bool:
-        """Whether its key was withdrawn."""
+        """Whether the client's key was withdrawn."""
         return self._denied
 
     @property
@@ -147,7 +164,7 @@
     # Statements
 
     def execute(self, statement: TypedStatement, respond: AnswerCallback) -> None:
-        """Run a statement; ``respond`` gets its answer once, perhaps at once."""
+        """Run a statement; ``respond`` is called once, possibly before this method returns."""
         assert self._respond is None, "statements of a session run one after the other"
         self._respond = respond
         self._statement = statement
@@ -159,11 +176,11 @@
             self._end_transaction()
             self._refuse(Refusal.DENIED, "the key was withdrawn")
         elif self.state is SessionState.FAILED:
-            self._in_failed(statement)
+            self._execute_in_failed(statement)
         elif statement.kind in (StatementKind.READ, StatementKind.WRITE, StatementKind.EXECUTE):
-            self._work(statement)
+            self._execute_data(statement)
         else:
-            self._control(statement)
+            self._execute_control(statement)
 
     def _finish(self, answer: Answer) -> None:
         respond, self._respond = self._respond, None
@@ -173,7 +190,7 @@
             return
         if self.state is SessionState.TRANSACTION and not self.closed:
             self._idle_timer = self._host.clock.call_later(
-                self._host.idle_transaction_seconds(), self._idle_for_too_long
+                self._host.idle_transaction_seconds(), self._on_idle_timeout
             )
         seconds = self._host.clock.time() - self._received_at
         self._host.outcomes.note(self, statement, answer, seconds, operation)
@@ -182,11 +199,11 @@
     def _refuse(self, refusal: Refusal, message: str) -> None:
         self._finish(Answer(refusal=refusal, message=message))
 
-    def _in_failed(self, statement: TypedStatement) -> None:
+    def _execute_in_failed(self, statement: TypedStatement) -> None:
         reason, self._abort_reason = self._abort_reason, ""
         if statement.kind is StatementKind.ROLLBACK:
             self._end_transaction()
-            self._finish(_DONE)
+            self._finish(_SUCCESS)
         elif statement.kind is StatementKind.COMMIT:
             self._end_transaction()
             self._refuse(Refusal.ABORTED, reason or "the transaction had failed")
@@ -195,7 +212,7 @@
         else:
             self._refuse(Refusal.INVALID, "the transaction failed; end it first")
 
-    def _control(self, statement: TypedStatement) -> None:
+    def _execute_control(self, statement: TypedStatement) -> None:
         kind = statement.kind
         if kind is StatementKind.SET:
             self._set(statement)
@@ -205,36 +222,38 @@
             if self.values.prepared.pop(statement.name, None) is None:
                 self._refuse(Refusal.UNKNOWN_NAME, f"nothing is prepared as {statement.name}")
             else:
-                self._finish(_DONE)
+                self._finish(_SUCCESS)
         elif kind in (StatementKind.BEGIN, StatementKind.BEGIN_READ):
             self._begin(statement)
         elif self._transaction is None:
             if kind is StatementKind.ROLLBACK:
-                self._finish(_DONE)
+                self._finish(_SUCCESS)
             else:
                 self._refuse(Refusal.INVALID, "no transaction is open")
         elif kind is StatementKind.ROLLBACK:
             self._end_transaction()
-            self._finish(_DONE)
+            self._finish(_SUCCESS)
         else:
             self._operation = self._transaction
-            self._transaction.run(statement, self._committed)
+            self._transaction.run(statement, self._on_commit_answer)
 
     def _set(self, statement: TypedStatement) -> None:
         values = self.values.values
-        if len(values) >= MAXIMUM_VALUES and statement.name not in values:
-            self._refuse(Refusal.TOO_LARGE, f"a session holds at most {MAXIMUM_VALUES} values")
+        if len(values) >= MAX_SESSION_VALUES and statement.name not in values:
+            self._refuse(Refusal.TOO_LARGE, f"a session holds at most {MAX_SESSION_VALUES} values")
             return
         values[statement.name] = statement.value
-        self._finish(_DONE)
+        self._finish(_SUCCESS)
 
     def _prepare(self, statement: TypedStatement) -> None:
         prepared = self.values.prepared
-        if len(prepared) >= MAXIMUM_VALUES and statement.name not in prepared:
-            self._refuse(Refusal.TOO_LARGE, f"a session prepares at most {MAXIMUM_VALUES} names")
+        if len(prepared) >= MAX_SESSION_VALUES and statement.name not in prepared:
+            self._refuse(
+                Refusal.TOO_LARGE, f"a session prepares at most {MAX_SESSION_VALUES} names"
+            )
             return
         prepared[statement.name] = (statement.writes, statement.value)
-        self._finish(_DONE)
+        self._finish(_SUCCESS)
 
     def _begin(self, statement: TypedStatement) -> None:
         if self._transaction is not None:
@@ -244,55 +263,55 @@
         if isinstance(found, Answer):
             self._finish(found)
             return
-        if not self._may_begin():
+        if not self._is_admitted():
             return
-        route, work = found
+        route, executor = found
         read_only = statement.kind is StatementKind.BEGIN_READ
-        self._transaction = work.transaction(route, self.values, read_only)
+        self._transaction = executor.transaction(route, self.values, read_only)
         self.state = SessionState.TRANSACTION
-        self._finish(_DONE)
+        self._finish(_SUCCESS)
 
-    def _work(self, statement: TypedStatement) -> None:
+    def _execute_data(self, statement: TypedStatement) -> None:
         if statement.kind is StatementKind.EXECUTE and statement.name not in self.values.prepared:
             self._refuse(Refusal.UNKNOWN_NAME, f"nothing is prepared as {statement.name}")
             return
         if self._transaction is not None:
             self._operation = self._transaction
-            self._transaction.run(statement, self._transaction_answered)
+            self._transaction.run(statement, self._on_transaction_answer)
             return
         found = self._host.route(self.database, self.identity.tenant)
         if isinstance(found, Answer):
             self._finish(found)
             return
-        if not self._may_begin():
+        if not self._is_admitted():
             return
-        route, work = found
-        operation = work.autocommit(route, self.values, is_write(statement, self.values))
+        route, executor = found
+        operation = executor.autocommit(route, self.values, is_write(statement, self.values))
         self._operation = operation
-        operation.start(statement, self._single_answered)
+        operation.start(statement, self._on_autocommit_answer)
 
-    def _may_begin(self) -> bool:
-        """Count an operation of the tenant; over its limit it is answered, and False returned."""
+    def _is_admitted(self) -> bool:
+        """Count an operation of the tenant; refuse it and return False if over the limit."""
         access = self._host.access
-        access.note_return(self)
-        over = access.refuse_over_quota(self)
-        if over is not None:
-            self._finish(over)
-        return over is None
+        access.note_retry(self)
+        refusal = access.refuse_over_quota(self)
+        if refusal is not None:
+            self._finish(refusal)
+        return refusal is None
 
-    def _single_answered(self, answer: Answer) -> None:
+    def _on_autocommit_answer(self, answer: Answer) -> None:
         if answer.refusal in NO_EFFECT_REFUSALS:
             self._host.access.note_not_run(self)
         self._finish(answer)
 
     # Transactions
 
-    def _transaction_answered(self, answer: Answer) -> None:
+    def _on_transaction_answer(self, answer: Answer) -> None:
         if answer.refusal is not None:
             self.state = SessionState.FAILED
         self._finish(answer)
 
-    def _committed(self, answer: Answer) -> None:
+    def _on_commit_answer(self, answer: Answer) -> None:
         self._transaction = None
         self.state = SessionState.IDLE
         self._finish(answer)
@@ -303,14 +322,14 @@
         if transaction is not None:
             transaction.end()
 
-    def _idle_for_too_long(self) -> None:
+    def _on_idle_timeout(self) -> None:
         self._idle_timer = None
         self.abort("the transaction rested for too long")
 
     def deny(self) -> None:
-        """Run nothing more: the client's key was withdrawn.
+        """Refuse all further statements, because the client's key was withdrawn.
 
-        A statement under way keeps its answer; the front end then closes.
+        A running statement is still answered; then the front end closes the session.
         """
         self._denied = True
         if not self.busy:
@@ -318,7 +337,7 @@
         self.on_denied()
 
     def abort(self, reason: str) -> None:
-        """End a transaction that is idle; its client learns it at its next statement."""
+        """Roll an idle transaction back; the client's next statement is refused with the reason."""
         if self._transaction is None or self.busy:
             return
         self._transaction.end()
@@ -327,7 +346,7 @@
         self._abort_reason = reason
 
     def close(self) -> None:
-        """End the session: its transaction is rolled back, and no answer is given any more."""
+        """Close the session without further answers, and roll its transaction back."""
         if self.closed:
             return
         self.closed = True
--- a/tests/relay/test_forwarding_rules.py
+++ b/tests/relay/test_forwarding_rules.py
@@ -1,4 +1,4 @@
-"""What becomes of a statement whose holder is silent, leaves or is lost."""
+"""Decisions about forwarded statements whose holder does not answer, leaves or is lost."""
 
 import unittest
 
@@ -19,10 +19,10 @@
 
 
 class NotServedTest(unittest.TestCase):
-    def test_what_begins_may_begin_elsewhere(self):
+    def test_new_work_may_start_at_another_gateway(self):
         self.assertEqual(after_not_served(has_run=False), RetryLater())
 
-    def test_a_transaction_of_which_something_ran_is_aborted(self):
+    def test_a_transaction_that_has_run_a_statement_is_aborted(self):
         self.assertEqual(after_not_served(has_run=True), Refuse(Refusal.ABORTED))
 
 
@@ -31,26 +31,26 @@
         again = [sent for sent in SentRequest if after_link_loss(sent) == RetryNow()]
         self.assertEqual(again, [SentRequest.READ])
 
-    def test_a_write_and_a_commit_may_be_kept_and_nothing_else(self):
+    def test_only_a_write_and_a_commit_may_persist(self):
         self.assertEqual(after_link_loss(SentRequest.WRITE), LinkLost(may_persist=True))
         self.assertEqual(after_link_loss(SentRequest.COMMIT), LinkLost(may_persist=True))
         self.assertEqual(after_link_loss(SentRequest.IN_TRANSACTION), LinkLost(may_persist=False))
 
 
 class TimeoutTest(unittest.TestCase):
-    def test_what_no_holder_has_is_rejected_as_not_run(self):
+    def test_a_statement_without_a_holder_is_rejected_as_not_run(self):
         for sent in SentRequest:
-            self.assertEqual(after_timeout(sent, is_owed=False), RejectNotRun())
+            self.assertEqual(after_timeout(sent, is_pending=False), RejectNotRun())
 
-    def test_what_a_holder_has_is_promised_nothing_that_is_not_certain(self):
-        for sent, verdict in (
+    def test_a_statement_at_a_holder_is_answered_by_what_is_certain(self):
+        for sent, decision in (
             (SentRequest.READ, Refuse(Refusal.TIMEOUT)),
             (SentRequest.WRITE, Refuse(Refusal.OUTCOME_UNKNOWN)),
             (SentRequest.IN_TRANSACTION, LinkLost(may_persist=False)),
             (SentRequest.COMMIT, LinkLost(may_persist=True)),
         ):
             with self.subTest(sent):
-                self.assertEqual(after_timeout(sent, is_owed=True), verdict)
+                self.assertEqual(after_timeout(sent, is_pending=True), decision)
 
 
 class WithoutHolderTest(unittest.TestCase):
