--- a/src/rowanrail/tenants/__init__.py
+++ b/src/rowanrail/tenants/__init__.py
@@ -1,4 +1,4 @@
-"""Tenants: whose key a client holds, and how many operations a tenant may run.
+"""Tenants: identification of clients by key, and limits on tenants' operations.
 
-Decisions only, no I/O. The gateway asks; the operator's configuration says who there is.
+Pure decisions without I/O, made for the gateway from the operator's configuration.
 """
--- a/src/rowanrail/tenants/demand.py
+++ b/src/rowanrail/tenants/demand.py
@@ -1,7 +1,7 @@
-"""What the gateways of a region, and the other regions, run for tenants: summed by one of them.
+"""Tenants' demand, summed over the gateways of a region and over all regions.
 
-Owns the last report of each gateway and region with its age; what is older than its time is left
-out of the sums. The order of the messages' fields is on the wire.
+One gateway of a region aggregates the last report of each gateway and region; expired reports are
+left out. The structs are encoded as arrays, so the order of their fields is fixed.
 """
 
 from collections.abc import Iterable
@@ -13,30 +13,29 @@
 
 __all__ = ["Demand", "DemandAggregator", "DemandSummary"]
 
-# A gateway's last report counts for a window, and for the 3 s before it counts as alone.
+# A window, plus the 3 s after which a gateway without totals counts as isolated.
 GATEWAY_REPORT_TTL_MS = 8000.0
-# Another region's counts for longer, since its clients go on where it is only cut off; twice
-# the time for which regions lose each other on most days.
+# Longer than for a gateway, since an unreachable region still serves its clients.
 REGION_REPORT_TTL_MS = 10000.0
-# Three reports: after it nothing is known of how a count goes on, and the sender counts as silent.
+# Three report intervals, after which the sender's rates are unknown.
 STALE_MS = 1000.0
 
 
 class Demand(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Operations of one tenant.
+    """Numbers of operations of one tenant.
 
     Parameters
     ----------
     admitted : int
-        That began in the last window.
+        Admitted in the last window.
     recently_admitted : int
-        That began in the last second.
+        Admitted in the last second.
     recently_requested : int
-        That were asked for in the last second, begun or refused.
+        Requested in the last second, whether admitted or refused.
     expiring : int
-        That leave the window within the next second.
+        Expiring from the window within the next second.
     stale : int
-        Of those that began, what is known from gateways that are not heard any more.
+        Admitted ones that are known only from stale reports.
     """
 
     admitted: int = 0
@@ -62,19 +61,19 @@
         )
 
     def scaled(self, reporting_share: float) -> "Demand":
-        """Return the demand of the whole fleet, of which only a share is heard.
+        """Return the demand extrapolated to the whole fleet, of which only a share reports.
 
-        Who is not heard is taken to run as much as the others: all sides of a split do so, and
-        hold themselves to parts of a limit that add up to the limit.
+        Gateways that don't report are assumed to admit as much as the others. All partitions of a
+        network do so, and thus hold themselves to shares that add up to the limit.
 
         Examples
         --------
         >>> Demand(60, 10, 20, 8, stale=20).scaled(0.5)
         Demand(admitted=80, recently_admitted=20, recently_requested=40, expiring=16, stale=20)
         """
-        heard = (self.admitted - self.stale) / reporting_share
+        extrapolated = (self.admitted - self.stale) / reporting_share
         return Demand(
-            max(self.admitted, round(heard)),
+            max(self.admitted, round(extrapolated)),
             round(self.recently_admitted / reporting_share),
             round(self.recently_requested / reporting_share),
             round(self.expiring / reporting_share),
@@ -83,17 +82,17 @@
 
 
 class DemandSummary(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What one gateway, or all of a region, run for tenants.
+    """Demand of all tenants at one gateway, or at all gateways of a region.
 
     Parameters
     ----------
     tenants : dict of str to Demand
     gateways : int
-        How many gateways it speaks for that are still heard.
+        Number of gateways included whose reports are not stale.
     unknown_windows : float
-        Of how many of their windows nothing is known, since they have started a short while ago.
+        Sum of the unknown shares of their windows, from before the gateways started.
     is_early : bool
-        Whether it comes before its turn, since some tenant's demand has grown suddenly.
+        Whether a burst of some tenant made it immediate.
     """
 
     tenants: dict[str, Demand]
@@ -103,17 +102,17 @@
 
     @property
     def unknown_share(self) -> float:
-        """Which share of the last window nothing is known of."""
+        """Share of the last window of which nothing is known."""
         return self.unknown_windows / max(1, self.gateways)
 
 
-class _Heard(NamedTuple):
+class _ReceivedReport(NamedTuple):
     report: DemandSummary
-    at: float
+    received_at: float
 
 
 class DemandAggregator:
-    """The last report of each gateway of the own region and of each other region.
+    """Sums the last reports of the gateways of this region and of the other regions.
 
     Parameters
     ----------
@@ -123,56 +122,58 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._gateways: dict[str, _Heard] = {}
-        self._regions: dict[str, _Heard] = {}
+        self._gateways: dict[str, _ReceivedReport] = {}
+        self._regions: dict[str, _ReceivedReport] = {}
         self._has_burst = False
 
     @property
     def has_burst(self) -> bool:
-        """Whether a gateway reported a burst that other regions have not heard of yet."""
+        """Whether a gateway reported a burst that other regions don't know yet."""
         return self._has_burst
 
     def record_gateway(self, name: str, report: DemandSummary) -> None:
-        """Note what a gateway of this region runs for its clients.
+        """Record the report of a gateway of this region.
 
         Parameters
         ----------
         name : str
-            Another one for each life of a gateway: what it began before it ended still counts.
+            Unique to each run of a gateway: what it admitted before a restart still counts.
         """
         self._has_burst = self._has_burst or report.is_early
-        self._gateways[name] = _Heard(report, self._clock.now)
+        self._gateways[name] = _ReceivedReport(report, self._clock.now)
 
     def record_region(self, name: str, report: DemandSummary) -> None:
-        """Note what another region runs for its clients."""
-        self._regions[name] = _Heard(report, self._clock.now)
+        """Record the report of another region."""
+        self._regions[name] = _ReceivedReport(report, self._clock.now)
 
     def take_region_totals(self) -> DemandSummary:
-        """Return the sums of this region for the others, who know of each burst then."""
+        """Return the totals of this region for the others, and reset the burst flag."""
         self._has_burst = False
         return self.region_totals()
 
     def region_totals(self) -> DemandSummary:
-        """Return the sums of this region."""
-        self._gateways = self._since(self._gateways, GATEWAY_REPORT_TTL_MS)
+        """Return the totals of this region."""
+        self._gateways = self._unexpired(self._gateways, GATEWAY_REPORT_TTL_MS)
         return _sum(map(self._as_of_now, self._gateways.values()))
 
     def fleet_totals(self) -> DemandSummary:
-        """Return the sums of all regions."""
-        self._regions = self._since(self._regions, REGION_REPORT_TTL_MS)
+        """Return the totals of all regions."""
+        self._regions = self._unexpired(self._regions, REGION_REPORT_TTL_MS)
         return _sum([self.region_totals(), *map(self._as_of_now, self._regions.values())])
 
-    def _as_of_now(self, heard: _Heard) -> DemandSummary:
-        """Return a report; of an old one only what began, not how that goes on."""
-        if self._clock.now - heard.at <= STALE_MS:
-            return heard.report
-        tenants = heard.report.tenants.items()
-        silent = {name: Demand(demand.admitted, stale=demand.admitted) for name, demand in tenants}
-        return DemandSummary(silent, gateways=0)
+    def _as_of_now(self, received: _ReceivedReport) -> DemandSummary:
+        """Return a report; of a stale one only the admitted operations, without rates."""
+        if self._clock.now - received.received_at <= STALE_MS:
+            return received.report
+        tenants = received.report.tenants.items()
+        stale = {name: Demand(demand.admitted, stale=demand.admitted) for name, demand in tenants}
+        return DemandSummary(stale, gateways=0)
 
-    def _since(self, known: dict[str, _Heard], age: float) -> dict[str, _Heard]:
-        limit = self._clock.now - age
-        return {name: heard for name, heard in known.items() if heard.at >= limit}
+    def _unexpired(
+        self, reports: dict[str, _ReceivedReport], ttl_ms: float
+    ) -> dict[str, _ReceivedReport]:
+        since = self._clock.now - ttl_ms
+        return {name: report for name, report in reports.items() if report.received_at >= since}
 
 
 def _sum(reports: Iterable[DemandSummary]) -> DemandSummary:
@@ -183,8 +184,8 @@
         gateways += report.gateways
         unknown += report.unknown_windows
         for tenant, demand in report.tenants.items():
-            tenants[tenant] = tenants.get(tenant, _NONE) + demand
+            tenants[tenant] = tenants.get(tenant, _NO_DEMAND) + demand
     return DemandSummary(tenants, gateways, unknown)
 
 
-_NONE = Demand()
+_NO_DEMAND = Demand()
--- a/src/rowanrail/tenants/model.py
+++ b/src/rowanrail/tenants/model.py
@@ -1,6 +1,6 @@
-"""Tenants as configured, and the digests by which their API keys are known.
+"""Configured tenants and the digests of their API keys.
 
-Values without state. Keys themselves are neither kept nor logged.
+Immutable values. The keys themselves are neither kept nor logged.
 """
 
 import hashlib
@@ -9,15 +9,15 @@
 
 __all__ = ["ANONYMOUS", "ClientIdentity", "Tenant", "Tenants", "key_digest"]
 
-ANONYMOUS = "anonymous"  # named to members for clients of routes that take anybody
-KEY_DIGEST_BYTES = 16  # 128 bits: two of a few thousand keys collide with a chance below 1e-30
-_PURPOSE = b"rowanrail key"  # so that a digest here is none that another program would make
+ANONYMOUS = "anonymous"  # sent to members for clients without a key
+KEY_DIGEST_BYTES = 16  # 128 bits: a few thousand keys collide with a probability below 1e-30
+_PURPOSE = b"rowanrail key"  # separates these digests from those of other programs
 
 
 def key_digest(key: str) -> bytes:
-    """Return what stands for an API key in memory and between gateways.
+    """Return the digest that represents an API key in memory and between gateways.
 
-    The operator's keys are long random words, so that a plain hash can't be undone by guessing.
+    Keys are long and random, so an unsalted hash can't be reversed by guessing.
 
     Examples
     --------
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant.
+    """A tenant and its limit.
 
     Parameters
     ----------
     priority : int
         0 is the most urgent.
     rate : float or None
-        Operations a second, summed over all gateways; None for no limit.
+        Operations per second over all gateways; None for no limit.
     burst : float
         Operations beyond the rate in any window.
     """
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientIdentity:
-    """Whose statements a session sends.
+    """Tenant and key of a session's client.
 
     Parameters
     ----------
     tenant : str
-        Named to members; empty where a deployment has no tenants.
+        Sent to members; empty where a deployment has no tenants.
     key : bytes
-        Digest of the client's key; empty for clients of routes that take anybody.
+        Digest of the client's key; empty for clients without a key.
     """
 
     tenant: str = ""
@@ -71,21 +71,21 @@
     ----------
     by_name : mapping of str to Tenant
     owners : mapping of bytes to str
-        The tenant's name of each key's digest.
+        Names of tenants by the digests of their keys.
     """
 
     by_name: Mapping[str, Tenant] = field(default_factory=dict)
     owners: Mapping[bytes, str] = field(default_factory=dict)
 
     def identify(self, key: bytes, takes_anybody: bool) -> ClientIdentity | None:
-        """Return whose key it is, None if it is nobody's and a key is needed.
+        """Return the identity of a key, None if it is unknown and the route requires one.
 
         Parameters
         ----------
         key : bytes
             Digest of the client's key.
         takes_anybody : bool
-            Whether the route needs no key; a known one counts there all the same.
+            Whether the route accepts clients without a key; known keys are still identified.
 
         Examples
         --------
--- a/src/rowanrail/tenants/quota.py
+++ b/src/rowanrail/tenants/quota.py
@@ -1,18 +1,15 @@
-"""Limits of tenants over all gateways, kept by letting a part of what is asked for begin.
-
-Each gateway counts what its own clients ask for and what begins, and learns the sums of the fleet a
-few times a second. From these it works out which part of what is asked for may begin so that the
-count of a window comes to the limit within half a second: all of it while the limit is far, and in
-the long run as many as leave the window. Every gateway works out the same part from the same
-sums, so that it does not matter at which of them a tenant's clients are, and nothing is divided.
-
-A split of the network parts these sums. Gateways know from the directory how many they are, and
-from the sums how many of them are heard; a side that hears a share of the gateways takes the others
-to run as much as those it hears, so that the sides together stay at the limit whatever each of them
-runs. Neither a meter nor a gateway need remember anything for that.
-
-A share of the limit for each gateway, by its part of the demand, was tried before: with 58 gateways
-a share was often below one operation, and clients were refused at half of a limit.
+"""Limits tenants to their quota over all gateways by admitting a fraction of their requests.
+
+Each gateway counts the requests and admissions of its own clients and receives the fleet's totals a
+few times a second. From the totals it computes the fraction of requests to admit so that the
+window's count converges to the limit within ``CONVERGENCE_MS``: all requests far below the limit,
+and at the limit as many as expire from the window. Every gateway computes the same fraction from
+the same totals, so the limit is not divided among gateways and clients may use any of them.
+
+A network partition splits the totals. A gateway knows the number of gateways from the directory
+and the number of those that report from the totals, and assumes that the others admit as much as
+those that report. The partitions together stay at the limit, whatever each of them admits, and
+neither an aggregator nor a gateway has to remember anything.
 """
 
 import math
@@ -26,46 +23,46 @@
 
 __all__ = ["QuotaExceeded", "QuotaLimiter"]
 
-# For which sums of a part of the fleet are passed over after sums of all of it: two reports, after
-# which a meter that has just taken over has heard of everybody.
-GRACE_MS = 700.0
-# Age of the fleet's sums while a tenant's demand grows: two checks for a burst, and the way between
-# regions. At other times they are up to 600 ms old, but then little changes.
-LATE_MS = 300.0
-# In which the count is led to the limit. With 1,000 refusals begin while a tenth of a limit is
-# free; with 300 the count swings by a tenth.
-REACH_MS = 500.0
-# Without sums of the fleet for so long a gateway counts as alone. Shorter than the 5 s for which
-# others count its last report, so that its part is not given away while it still uses it.
+# For how long partial totals are ignored after complete ones: two reports, within which a new
+# aggregator hears from all gateways.
+PARTIAL_TOTALS_GRACE_MS = 700.0
+# Age of the totals while a tenant's demand grows: two burst checks and the delay between regions.
+# Totals may otherwise be up to 600 ms old, but change little then.
+TOTALS_DELAY_MS = 300.0
+# Time in which the count converges to the limit. A longer time refuses requests well below the
+# limit; a shorter one makes the count oscillate.
+CONVERGENCE_MS = 500.0
+# Age of the totals after which a gateway counts as isolated. Shorter than the time for which other
+# gateways count its last report, so that its share is not used twice.
 ISOLATED_AFTER_MS = 3000.0
-# Of a target, for a gateway that is alone, and operations on top, so that a small tenant is not
-# shut out: three such gateways stay within what is tolerated beyond a limit.
-ALONE_SHARE = 0.01
-ALONE_LEAST = 2.0
-UNKNOWN_STEP = 0.2  # of a window: what leaves a window of 5 s in a second
-# Of the gateways, that are heard when nothing is split: some are always being started again, and
-# their last reports of before still count.
-WHOLE_SHARE = 0.9
+# Share of a target that an isolated gateway admits, plus a minimum of operations that keeps small
+# tenants running. Three isolated gateways stay within the tolerated excess.
+ISOLATED_SHARE = 0.01
+ISOLATED_MINIMUM = 2.0
+UNKNOWN_TOLERANCE = 0.2  # share of a window: what expires from a window of 5 s in one second
+# Share of gateways that report while the network is whole: some are always restarting, and the
+# last reports from before their restart still count.
+COMPLETE_SHARE = 0.9
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaExceeded:
-    """Why an operation may not begin.
+    """Why an operation was refused.
 
     Parameters
     ----------
     limit : float
         Operations of the tenant in a window.
     fleet_admitted : int
-        What began at all gateways in the last window, as far as known.
+        Operations that all reporting gateways admitted in the last window.
     fleet_requested : int
-        What was asked for at all gateways in the last second.
+        Operations that were requested at all reporting gateways in the last second.
     admitted_fraction : float
-        Of what is asked for may begin.
+        Fraction of the requests that may be admitted.
     totals_age : float
-        Milliseconds since the last sums of the fleet.
+        Milliseconds since the fleet's totals were last received.
     reporting_share : float
-        Share of the fleet's gateways that were heard.
+        Share of the fleet's gateways that report.
     """
 
     limit: float
@@ -77,73 +74,73 @@
 
     @property
     def retry_after(self) -> float:
-        """Milliseconds after which to retry: until about one in two may begin."""
-        return min(LONGEST_WAIT_MS, REACH_MS / max(self.admitted_fraction, 0.01) / 2)
+        """Milliseconds until about one in two retries is admitted."""
+        return min(MAXIMUM_RETRY_MS, CONVERGENCE_MS / max(self.admitted_fraction, 0.01) / 2)
 
 
-LONGEST_WAIT_MS = 3000.0  # more than half of a window has left by then
+MAXIMUM_RETRY_MS = 3000.0  # more than half of a window has expired by then
 
 
 def admitted_fraction(fleet: Demand, target: float, unknown: float = 0.0) -> float:
-    """Return which part of what is asked for may begin; 1 or more for all.
+    """Return the fraction of requests to admit; 1 or more for all.
 
     Parameters
     ----------
     fleet : Demand
-        The sums of all gateways, LATE_MS old.
+        Totals of all gateways, ``TOTALS_DELAY_MS`` old.
     target : float
         Operations in a window.
     unknown : float
-        Operations that may have begun, but of which nothing is known since gateways started.
+        Operations that may have been admitted unseen before gateways restarted.
 
     Examples
     --------
-    At the limit as many begin as leave the window, here a third of what is asked for:
+    At the limit as many are admitted as expire from the window, here a third of the requests:
 
     >>> round(admitted_fraction(Demand(500, 100, 300, 100), 500), 2)
     0.33
     >>> admitted_fraction(Demand(300, 60, 60, 60), 500) > 1
     True
     """
-    leaving = fleet.expiring / RATE_WINDOW_MS
-    growing = fleet.recently_admitted / RATE_WINDOW_MS - leaving
-    by_now = fleet.admitted + LATE_MS * growing + unknown
-    may_begin = leaving + (target - by_now) / REACH_MS
-    asked = fleet.recently_requested / RATE_WINDOW_MS
-    return max(0.0, may_begin / asked) if asked else 1.0
+    expiring = fleet.expiring / RATE_WINDOW_MS
+    growth = fleet.recently_admitted / RATE_WINDOW_MS - expiring
+    admitted_now = fleet.admitted + TOTALS_DELAY_MS * growth + unknown
+    admissible = expiring + (target - admitted_now) / CONVERGENCE_MS
+    requested = fleet.recently_requested / RATE_WINDOW_MS
+    return max(0.0, admissible / requested) if requested else 1.0
 
 
 class QuotaLimiter:
-    """Counts a gateway's operations by tenant and says which may begin.
+    """Counts a gateway's operations by tenant and decides which to admit.
 
     Parameters
     ----------
     clock : Clock
         Time in milliseconds.
-    terms : QuotaParameters
-        How limits are judged.
+    parameters : QuotaParameters
+        Window and tolerance of the limits.
     """
 
-    def __init__(self, clock: Clock, terms: QuotaParameters) -> None:
+    def __init__(self, clock: Clock, parameters: QuotaParameters) -> None:
         self._clock = clock
-        self._terms = terms
+        self._parameters = parameters
         self._tenants = Tenants()
         self._counts: dict[str, TenantCounters] = {}
-        self._started_at = self._heard_at = clock.now
+        self._started_at = self._totals_at = clock.now
         self._unknown_share = 0.0
         self._population = 0
         self._reporting_share = 1.0
-        self._whole_at = -math.inf
+        self._complete_at = -math.inf
         self._has_burst = False
 
     @property
     def has_burst(self) -> bool:
-        """Whether some tenant's demand has grown so much that others should know at once."""
+        """Whether a tenant's demand grew so much that it should be reported immediately."""
         return self._has_burst
 
     @property
     def reporting_share(self) -> float:
-        """Share of the fleet's gateways that are heard; 1 unless the network is split."""
+        """Share of the fleet's gateways that report; 1 unless the network is partitioned."""
         return self._reporting_share
 
     @property
@@ -152,23 +149,23 @@
         return any(tenant.rate is not None for tenant in self._tenants.by_name.values())
 
     def set_tenants(self, tenants: Tenants) -> None:
-        """Take the limits of a configuration; what was counted stays."""
+        """Apply the limits of a configuration and keep the counts of remaining tenants."""
         self._tenants = tenants
-        gone = [name for name in self._counts if name not in tenants.by_name]
-        for name in gone:
+        removed = [name for name in self._counts if name not in tenants.by_name]
+        for name in removed:
             del self._counts[name]
 
     def set_population(self, gateways: int) -> None:
-        """Know how many gateways there are; 0 if that is not known."""
+        """Set the number of gateways; 0 if it is unknown."""
         self._population = gateways
 
     def admit(self, name: str, urgency: int = 0) -> QuotaExceeded | None:
-        """Count an operation of a tenant that begins now, or return why it may not.
+        """Count and admit an operation of a tenant, or return why it is refused.
 
         Parameters
         ----------
         urgency : int
-            Priority of its route: at a limit the most urgent operations begin first.
+            Priority of its route: at a limit the most urgent operations are admitted first.
         """
         tenant = self._tenants.by_name.get(name)
         if tenant is None or tenant.rate is None:
@@ -176,90 +173,99 @@
         now = self._clock.now
         counts = self._counts.get(name)
         if counts is None:
-            counts = self._counts[name] = TenantCounters(self._terms.window_ms)
+            counts = self._counts[name] = TenantCounters(self._parameters.window_ms)
         counts.record_request(now, urgency)
         self._has_burst = self._has_burst or counts.is_burst
         margin = URGENT_MARGIN if counts.has_less_urgent_requests(urgency) else USED_MARGIN
-        target = self._terms.target(tenant, margin)
-        part = admitted_fraction(counts.fleet, target, self._unknown(tenant))
-        if not self._may_begin(counts, target, part, urgency):
+        target = self._parameters.target(tenant, margin)
+        fraction = admitted_fraction(counts.fleet, target, self._unknown(tenant))
+        if not self._is_admissible(counts, target, fraction, urgency):
             counts.refused += 1
             fleet = counts.fleet
-            age = now - self._heard_at
-            limit = self._terms.limit(tenant)
+            age = now - self._totals_at
+            limit = self._parameters.limit(tenant)
             return QuotaExceeded(
-                limit, fleet.admitted, fleet.recently_requested, part, age, self._reporting_share
+                limit,
+                fleet.admitted,
+                fleet.recently_requested,
+                fraction,
+                age,
+                self._reporting_share,
             )
         counts.record_admission(now)
         return None
 
     def _unknown(self, tenant: Tenant) -> float:
-        """Return what a tenant may have begun in the unknown part of the window, in a second."""
-        share = max(0.0, self._unknown_share - UNKNOWN_STEP)
-        return share * self._terms.assumed_admissions(tenant)
+        """Return the operations that may be unknown in the window that ends one second from now."""
+        share = max(0.0, self._unknown_share - UNKNOWN_TOLERANCE)
+        return share * self._parameters.assumed_admissions(tenant)
 
-    def _may_begin(self, counts: TenantCounters, target: float, part: float, urgency: int) -> bool:
+    def _is_admissible(
+        self, counts: TenantCounters, target: float, fraction: float, urgency: int
+    ) -> bool:
         now = self._clock.now
-        begun = counts.admitted.count(now)
-        if now - self._heard_at > ISOLATED_AFTER_MS:
-            return begun + 1 <= ALONE_LEAST + ALONE_SHARE * target
-        if begun + 1 > target:
+        admitted = counts.admitted.count(now)
+        if now - self._totals_at > ISOLATED_AFTER_MS:
+            return admitted + 1 <= ISOLATED_MINIMUM + ISOLATED_SHARE * target
+        if admitted + 1 > target:
             return False
-        return part >= 1 or counts.spend_credit(now, part, urgency)
+        return fraction >= 1 or counts.spend_credit(now, fraction, urgency)
 
     def refund(self, name: str) -> None:
-        """Take back an operation of which no member ran anything."""
+        """Take back an admitted operation of which no member ran anything."""
         counts = self._counts.get(name)
         if counts is not None:
             counts.record_admission(self._clock.now, -1.0)
 
     def top_tenants(self, number: int) -> list[TenantUsage]:
-        """Return the tenants that were refused, or ask for, most here."""
+        """Return the tenants with the most refusals here, then with the most admissions."""
         now = self._clock.now
-        counted = [
+        usages = [
             TenantUsage(
                 name,
-                self._terms.limit(self._tenants.by_name[name]),
+                self._parameters.limit(self._tenants.by_name[name]),
                 counts.admitted.count(now),
                 counts.recently_requested.count(now),
                 counts.refused,
             )
             for name, counts in self._counts.items()
         ]
-        return sorted(counted, key=lambda one: (one.refused, one.admitted), reverse=True)[:number]
+        return sorted(usages, key=lambda usage: (usage.refused, usage.admitted), reverse=True)[
+            :number
+        ]
 
-    # What gateways tell each other
+    # Exchange with other gateways
 
     def report(self) -> DemandSummary:
-        """Return what began and was asked for here."""
+        """Return the admissions and requests of this gateway."""
         now = self._clock.now
         self._has_burst = False
         demands = {name: counts.make_report(now) for name, counts in self._counts.items()}
-        reported = {name: demand for name, demand in demands.items() if demand != _NOTHING}
-        unknown = max(0.0, 1 - (now - self._started_at) / self._terms.window_ms)
+        reported = {name: demand for name, demand in demands.items() if demand != _NO_DEMAND}
+        unknown = max(0.0, 1 - (now - self._started_at) / self._parameters.window_ms)
         return DemandSummary(reported, unknown_windows=unknown)
 
     def set_fleet_totals(self, fleet: DemandSummary) -> None:
-        """Learn the sums of all gateways."""
+        """Apply the totals of all gateways; partial ones are ignored for a grace time."""
         now = self._clock.now
         share = self._share_of(fleet.gateways)
         if share >= 1:
-            self._whole_at = now
-        elif now - self._whole_at < GRACE_MS:
+            self._complete_at = now
+        elif now - self._complete_at < PARTIAL_TOTALS_GRACE_MS:
             return
-        self._heard_at = now
+        self._totals_at = now
         self._unknown_share = fleet.unknown_share
         self._reporting_share = share
         for name, counts in self._counts.items():
-            heard = fleet.tenants.get(name, _NOTHING)
+            total = fleet.tenants.get(name, _NO_DEMAND)
             counts.fleet = (
-                heard if self._reporting_share >= 1 else heard.scaled(self._reporting_share)
+                total if self._reporting_share >= 1 else total.scaled(self._reporting_share)
             )
 
     def _share_of(self, gateways: int) -> float:
-        """Return which share of the fleet so many gateways are, 1 if nothing is split."""
+        """Return a number of gateways as a share of the fleet; 1 if enough report."""
         share = max(1, gateways) / max(1, self._population)
-        return 1.0 if share >= WHOLE_SHARE else share
+        return 1.0 if share >= COMPLETE_SHARE else share
 
 
-_NOTHING = Demand()
+_NO_DEMAND = Demand()
--- a/src/rowanrail/tenants/quota_parameters.py
+++ b/src/rowanrail/tenants/quota_parameters.py
@@ -1,7 +1,6 @@
-"""How limits of tenants are judged, and to which counts they are held.
+"""Parameters of tenants' quotas: the limit in a window, its target and its tolerance.
 
-A value made from the settings, and functions of it without state: the limit in a window, the count
-to which a tenant is held, and what is assumed of a window of which nothing is known.
+Values made from the settings and pure functions of them.
 """
 
 from dataclasses import dataclass
@@ -10,28 +9,26 @@
 
 __all__ = ["URGENT_MARGIN", "USED_MARGIN", "QuotaParameters"]
 
-# Of what is tolerated beyond the limit, so that nothing is refused below it though the sums are a
-# little late, and though a side's part of the demand is not exactly its part of the gateways while
-# the network is split. The rest is for what begins before the sums come. With a quarter in place
-# of half, 28 in place of 11 of 1,444 operations were refused below a limit (12 gateways, test).
+# Share of the tolerated excess that is used, so that nothing is refused below the limit though the
+# totals are late, and though a partition's share of the demand differs from its share of the
+# gateways. The rest covers what is admitted before the totals arrive.
 USED_MARGIN = 0.5
-# The same for operations that are more urgent than others of their tenant. The count swings about
-# the limit; what is between the two margins keeps urgent operations going when it is above.
+# The same for operations that are more urgent than others of their tenant. The count oscillates
+# about the limit; between the two margins only urgent operations are admitted.
 URGENT_MARGIN = 0.9
-# Of a window that is empty when gateways are back after a loss of all: 0.5 s at the least until
-# they start; the 0.27 s until they listen are left as a margin.
+# Share of a window that is empty after a restart of all gateways: 0.5 s until they start.
 RESTART_SHARE = 0.1
-UNKNOWN_MARGIN = 0.2  # of what is tolerated beyond a limit; the rest is used otherwise
+UNKNOWN_MARGIN = 0.2  # share of the tolerated excess that assumed admissions leave out
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaParameters:
-    """How limits are judged.
+    """Window and tolerance of the limits.
 
     Parameters
     ----------
     window_ms : float
-        Milliseconds of a window.
+        Length of a window in milliseconds.
     excess : float
         Share of a limit that is tolerated beyond it.
     slack : float
@@ -49,12 +46,12 @@
         return tenant.rate * self.window_ms / 1000 + tenant.burst
 
     def target(self, tenant: Tenant, margin: float = USED_MARGIN) -> float:
-        """Return to how many operations in a window a tenant is held.
+        """Return the number of operations in a window to which a tenant is held.
 
         Parameters
         ----------
         margin : float
-            Of what is tolerated beyond the limit.
+            Share of the tolerated excess that is used.
 
         Examples
         --------
@@ -65,9 +62,9 @@
         return limit + margin * (limit * self.excess + self.slack)
 
     def assumed_admissions(self, tenant: Tenant) -> float:
-        """Return what a tenant is taken to have begun in a window of which nothing is known.
+        """Return the operations that a tenant is assumed to have run in an unknown window.
 
-        That is its limit, without what a restart leaves empty and what is tolerated beyond it.
+        This is its limit, less the share that a restart leaves empty and a share of the tolerance.
 
         Examples
         --------
--- a/src/rowanrail/tenants/sliding_window.py
+++ b/src/rowanrail/tenants/sliding_window.py
@@ -1,23 +1,23 @@
-"""TenantCounters over a sliding window of time.
+"""Event counts over a sliding time window, in monotonic milliseconds.
 
-Owns steps of 100 ms, in steady milliseconds; a count is never too low, and too high by one step at
-most.
+Events are counted in steps of ``STEP_MS``: a count is never too low, and includes at most one
+expired step.
 """
 
 from collections import deque
 
 __all__ = ["SlidingWindowCounter"]
 
-STEP_MS = 100.0  # a fiftieth of a window of 5 s: what is counted leaves that much late at most
+STEP_MS = 100.0  # events expire at most this much late
 
 
 class SlidingWindowCounter:
-    """How often something happened in the last window; never too few.
+    """Counts the events of the last window; a count is never too low.
 
     Parameters
     ----------
     window_ms : float
-        Milliseconds.
+        Length of the window in milliseconds.
 
     Examples
     --------
@@ -32,11 +32,11 @@
 
     def __init__(self, window_ms: float) -> None:
         self._window_ms = window_ms
-        self._steps: deque[list[float]] = deque()  # the end of a step, and its count
+        self._steps: deque[list[float]] = deque()  # [end of the step, count]
         self._sum = 0.0
 
     def add(self, now: float, number: float = 1.0) -> None:
-        """Count something that happens now; a negative number takes back what did not."""
+        """Count events that happen now; a negative number takes events back."""
         if not self._steps or now >= self._steps[-1][0]:
             self._steps.append([now + STEP_MS, 0.0])
         self._steps[-1][1] += number
@@ -49,7 +49,7 @@
         return max(0.0, self._sum)
 
     def expiring(self, now: float, span: float) -> float:
-        """Return how many of the window that ends now leave it within ``span`` milliseconds.
+        """Return how many events of the current window expire within ``span`` milliseconds.
 
         Examples
         --------
--- a/src/rowanrail/tenants/tenant_counters.py
+++ b/src/rowanrail/tenants/tenant_counters.py
@@ -1,7 +1,7 @@
-"""What one gateway counts of one tenant.
+"""Counters of one tenant at one gateway.
 
-Owns sliding counts of what was asked for and began here, and the credits of each class of urgency;
-:class:`rowanrail.tenants.quota.QuotaLimiter` decides by them and by the sums of the fleet.
+Sliding counts of requested and admitted operations, and the credits of each priority class;
+:class:`rowanrail.tenants.quota.QuotaLimiter` decides by them and by the fleet's totals.
 """
 
 from dataclasses import dataclass
@@ -12,35 +12,33 @@
 
 __all__ = ["RATE_WINDOW_MS", "REPORT_INTERVAL_MS", "TenantCounters", "TenantUsage"]
 
-# Between reports of a gateway. With 58 gateways and 72 tenants about 35 KB a second inside of
-# regions and 14 KB between them, reckoned from the sizes of the messages.
-REPORT_INTERVAL_MS = 300.0
-RATE_WINDOW_MS = 1000.0  # over which rates are taken: three reports
-# What a tenant asks for here since the last report, against what the last report lets expect, and
-# operations at least: then the next report doesn't wait for its turn. The sums would else tell of
-# a burst 0.3 to 0.6 s late, and at four times a limit that is all that is tolerated beyond it.
+REPORT_INTERVAL_MS = 300.0  # between reports of a gateway
+RATE_WINDOW_MS = 1000.0  # over which rates are averaged: three reports
+# Requests since the last report, as a multiple of what that report predicts and as a minimum, that
+# make the next report immediate. Otherwise the totals show a burst 0.3 to 0.6 s late, in which four
+# times a limit uses up the tolerated excess.
 BURST_FACTOR = 2.0
-BURST_LEAST = 3
-# Over which a gateway counts how a tenant's demand is made up of urgent and other operations: a
-# few of each kind come to one gateway in it, and a mix changes slowly.
-MIX_MS = 3000.0
-FIRST_CREDIT = 0.5  # of an operation: gateways that begin together don't all begin with one
+BURST_MINIMUM = 3
+# Over which the shares of the priority classes are counted: long enough for a gateway to see a few
+# operations of each class.
+CLASS_MIX_WINDOW_MS = 3000.0
+INITIAL_CREDIT = 0.5  # operations; below 1 so that gateways don't all start by admitting one
 
 
 @dataclass(frozen=True, slots=True)
 class TenantUsage:
-    """One tenant at this gateway, for operators.
+    """Usage of one tenant at this gateway, for operators.
 
     Parameters
     ----------
     limit : float
         Operations of the tenant in a window, over all gateways.
     admitted : float
-        What began here in the last window.
+        Operations admitted here in the last window.
     requested : float
-        What was asked for here in the last second.
+        Operations requested here in the last second.
     refused : int
-        What was refused here since the start.
+        Operations refused here since the start.
     """
 
     name: str
@@ -51,7 +49,7 @@
 
 
 class TenantCounters:
-    """One tenant at this gateway."""
+    """Counts the operations of one tenant at this gateway."""
 
     __slots__ = (
         "requested_by_urgency",
@@ -73,37 +71,41 @@
         self.requested_by_urgency: dict[int, SlidingWindowCounter] = {}
         self.credits: dict[int, float] = {}
         self.refused = 0
-        self.unreported = 0  # asked for since the last report
-        self.expected = 0.0  # to be asked for until the next one
+        self.unreported = 0  # requests since the last report
+        self.expected = 0.0  # requests expected until the next report
 
     @property
     def is_burst(self) -> bool:
-        """Whether much more is asked for than the last report lets expect."""
-        return self.unreported >= max(BURST_LEAST, BURST_FACTOR * self.expected)
+        """Whether requests far exceed the number that the last report predicts."""
+        return self.unreported >= max(BURST_MINIMUM, BURST_FACTOR * self.expected)
 
     def record_request(self, now: float, urgency: int) -> None:
-        """Count an operation that is asked for."""
+        """Count a requested operation."""
         self.recently_requested.add(now)
         self.unreported += 1
-        count = self.requested_by_urgency.get(urgency)
-        if count is None:
-            count = self.requested_by_urgency[urgency] = SlidingWindowCounter(MIX_MS)
-        count.add(now)
+        counter = self.requested_by_urgency.get(urgency)
+        if counter is None:
+            counter = self.requested_by_urgency[urgency] = SlidingWindowCounter(CLASS_MIX_WINDOW_MS)
+        counter.add(now)
 
     def has_less_urgent_requests(self, urgency: int) -> bool:
-        """Whether the tenant also asks for what is less urgent."""
+        """Return whether the tenant also requests less urgent operations."""
         return urgency < max(self.requested_by_urgency)
 
-    def spend_credit(self, now: float, part: float, urgency: int) -> bool:
-        """Return whether an operation is among the part of its class that may begin."""
-        asked = {other: count.count(now) for other, count in self.requested_by_urgency.items()}
-        credit = self.credits.get(urgency, FIRST_CREDIT) + class_fraction(part, asked, urgency)
+    def spend_credit(self, now: float, fraction: float, urgency: int) -> bool:
+        """Return whether an operation is in the fraction of its class that is admitted."""
+        requested = {
+            other: counter.count(now) for other, counter in self.requested_by_urgency.items()
+        }
+        credit = self.credits.get(urgency, INITIAL_CREDIT) + class_fraction(
+            fraction, requested, urgency
+        )
         is_enough = credit >= 1
         self.credits[urgency] = min(credit - is_enough, 1.0)
         return is_enough
 
     def make_report(self, now: float) -> Demand:
-        """Return what is reported."""
+        """Return the demand to report, and start counting for the next report."""
         self.unreported = 0
         self.expected = self.recently_requested.count(now) * REPORT_INTERVAL_MS / RATE_WINDOW_MS
         return Demand(
@@ -114,15 +116,16 @@
         )
 
     def _expiring(self, now: float) -> float:
-        """Return what leaves the window within a second, at the slower rate if that changes.
+        """Return the operations that expire from the window within a second.
 
-        After a burst many leave at once, and then few. Room that is only about to come free is not
-        given away: the sums of others are late by as much.
+        The lower of the rates over a report interval and over a second: after a burst many expire
+        at once and then few, and capacity that is not free yet must not be granted, since the
+        totals of other gateways are late by as much.
         """
         soon = self.admitted.expiring(now, REPORT_INTERVAL_MS) * RATE_WINDOW_MS / REPORT_INTERVAL_MS
         return min(soon, self.admitted.expiring(now, RATE_WINDOW_MS))
 
     def record_admission(self, now: float, number: float = 1.0) -> None:
-        """Count an operation that begins; a negative number takes back one that did not run."""
+        """Count an admitted operation; a negative number takes back one that did not run."""
         self.admitted.add(now, number)
         self.recently_admitted.add(now, number)
