--- a/src/rowanrail/gateway/discovery/__init__.py
+++ b/src/rowanrail/gateway/discovery/__init__.py
@@ -1,5 +1,5 @@
-"""What a gateway learns from its control nodes: configuration, members, other gateways.
+"""Discovery of the configuration, members and other gateways from the control nodes.
 
-Owns the gateway's copy of the directory, and the calls that keep it up to date. Relies on
-``directory`` for the messages and on ``rpc`` for calls; hands what is new to the gateway.
+Keeps the gateway's copy of the directory up to date and passes updates to the gateway. Depends on
+``directory`` for the messages and on ``rpc`` for the calls.
 """
--- a/src/rowanrail/gateway/discovery/control_node_selector.py
+++ b/src/rowanrail/gateway/discovery/control_node_selector.py
@@ -1,10 +1,10 @@
-"""Which control node a gateway asks: the nearest that is sure, and the next when one is not.
+"""Selects the control node that a gateway polls: the nearest one that is up to date.
 
-Calls to a far control node cost bytes between regions, so that a gateway goes back to a near one;
-one that doesn't answer costs a time limit, so that near ones are tried now and then only.
+Calls to a remote control node cost traffic between regions, so a gateway returns to a nearer one;
+a node that doesn't answer costs a timeout, so nearer nodes are probed at intervals only.
 
-Owns the list of control nodes: those of the log's membership, which the control nodes report, and
-those of the settings, which stay as a hint. Relies on ``services.locality`` for distances.
+Keeps the addresses of the log's membership, which control nodes report, and the seed addresses of
+the settings. Depends on ``services.locality`` for distances.
 """
 
 from collections.abc import Sequence
@@ -16,24 +16,24 @@
 
 
 class ControlNodeSelector:
-    """The control nodes by address, the one that is followed first.
+    """Addresses of the control nodes in polling order, the current one first.
 
     Parameters
     ----------
     seeds : sequence of str
         Addresses from the settings.
     locality : Locality
-        Says how far a zone is.
+        Distances of zones.
 
     Examples
     --------
-    >>> choice = ControlNodeSelector(["n1", "n2"], Locality("a1", {"a1": "a", "b1": "b"}))
-    >>> choice.set_zone("n1", "b1")
-    >>> choice.set_zone("n2", "a1")
-    >>> choice.current, choice.nearest()
+    >>> selector = ControlNodeSelector(["n1", "n2"], Locality("a1", {"a1": "a", "b1": "b"}))
+    >>> selector.set_zone("n1", "b1")
+    >>> selector.set_zone("n2", "a1")
+    >>> selector.current, selector.nearest()
     ('n1', 'n2')
-    >>> choice.demote_current()
-    >>> choice.current
+    >>> selector.demote_current()
+    >>> selector.current
     'n2'
     """
 
@@ -46,49 +46,49 @@
 
     @property
     def addresses(self) -> list[str]:
-        """All control nodes, in the order in which they are asked."""
+        """Addresses of all control nodes in polling order."""
         return self._addresses
 
     @property
     def current(self) -> str:
-        """The control node that is followed."""
+        """Address of the control node that is polled."""
         return self._addresses[0]
 
     @property
     def known_checksum(self) -> int:
-        """By what a request says which control nodes are known, so that they aren't sent again."""
+        """Checksum of the reported addresses, with which a request avoids their repetition."""
         return self._known_checksum
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """Take a changed list from the settings; the control nodes are asked for theirs again."""
+        """Replace the seed addresses, and have the control nodes report their list again."""
         self._seeds = list(seeds)
         self._known_checksum = 0
         self._addresses.extend(seed for seed in seeds if seed not in self._addresses)
 
     def set_reported(self, reported: Sequence[str]) -> None:
-        """Know the control nodes of the log's membership; an empty list says nothing."""
+        """Set the addresses of the log's membership; an empty list is ignored."""
         if not reported:
             return
         self._known_checksum = controls_checksum(list(reported))
         wanted = dict.fromkeys([*reported, *self._seeds])
         kept = [address for address in self._addresses if address in wanted]
         self._addresses = kept + [address for address in wanted if address not in kept]
-        self._zones = {known: zone for known, zone in self._zones.items() if known in wanted}
+        self._zones = {address: zone for address, zone in self._zones.items() if address in wanted}
 
     def set_zone(self, address: str, zone: str) -> None:
-        """Note where a control node stands, as it said itself."""
+        """Set the zone that a control node reported for itself."""
         self._zones[address] = zone
 
-    def follow(self, address: str) -> None:
-        """Ask this control node first from now on."""
+    def select(self, address: str) -> None:
+        """Poll this control node from now on."""
         self._addresses = [address, *(other for other in self._addresses if other != address)]
 
     def demote_current(self) -> None:
-        """Ask the next control node from now on: this one doesn't answer, or isn't sure."""
+        """Move the current control node to the end, so that the next one is polled."""
         self._addresses.append(self._addresses.pop(0))
 
     def nearest(self) -> str:
-        """Return the nearest control node; one that was never heard counts as near."""
+        """Return the nearest control node; one of unknown zone counts as nearest."""
         return min(self._addresses, key=self._distance)
 
     def is_nearer(self, address: str, other: str) -> bool:
--- a/src/rowanrail/gateway/discovery/control_plane_client.py
+++ b/src/rowanrail/gateway/discovery/control_plane_client.py
@@ -1,13 +1,13 @@
-"""How a gateway follows its control nodes: long polls at the nearest that is sure.
+"""Keeps a gateway up to date by long polls of the nearest control node that is up to date.
 
-A gateway that starts asks all of them at once and takes the first answer that is sure; then it
-follows one. Until then it goes by what a majority of them holds on disk, if that comes first. A
-node that hears no leader says so, and the gateway asks the next one. What is taken only ever
-grows: a lower version or revision is left aside.
+At the start all control nodes are polled concurrently until one of them is up to date; from then on
+one node is polled. Before that the gateway uses the directory in the logs of a majority of the
+nodes, if it is available first. A node without a leader reports itself as not current, and the
+gateway polls the next one. Replies with a lower version or revision are ignored.
 
 Makes the calls to control nodes and keeps the gateway's copy of the directory. Depends on
-:mod:`control_node_selector` for whom to ask, on :mod:`provisional` for what to apply from nodes
-that have no leader, and on ``rpc`` for calls; passes updates to the gateway.
+:mod:`control_node_selector` for the node to poll, on :mod:`provisional` for replies of nodes that
+are not up to date, and on ``rpc`` for calls; passes updates to the gateway.
 """
 
 import asyncio
@@ -45,58 +45,58 @@
 
 __all__ = ["ControlPlaneClient", "DirectoryHost"]
 
-# For which a control node lets a poll wait for news; chosen. It is also the time between reports,
-# by which control nodes judge whether a gateway is live (REPORT_LIVE_SECONDS).
+# For which a control node holds a poll without updates. It is also the interval of reports, from
+# which control nodes decide whether a gateway is live (REPORT_LIVE_SECONDS).
 POLL_WAIT_SECONDS = 1.0
-# On top of the wait, for the round trip and the control node's own time; chosen.
+# Added to the hold time for the round trip and the control node's processing.
 ROUND_TRIP_SECONDS = 0.6
-NEXT_CONTROL_SECONDS = 0.1  # chosen: before the next control node is asked
-START_POLL_WAIT_SECONDS = 1.0  # a control node that has just started knows a leader within it
-START_RETRY_SECONDS = 0.05  # control nodes listen about 0.2 s before gateways, or soon after them
-PROVISIONAL_REVISION = 0  # below any that the log gives
-# Chosen: between checks whether a nearer control node answers than the one that is followed; at
-# the start, between checks for control nodes that became known.
+NEXT_CONTROL_SECONDS = 0.1  # delay before the next control node is polled
+START_POLL_WAIT_SECONDS = 1.0  # a restarted control node has a leader within this time
+START_RETRY_SECONDS = 0.05  # control nodes listen 0.2 s before gateways or soon after
+PROVISIONAL_REVISION = 0  # below every revision of the log
+# Between polls of a nearer control node than the current one; at the start, between checks for
+# newly discovered control nodes.
 NEARER_CHECK_SECONDS = 2.0
 
 
 class DirectoryHost(Protocol):
-    """What takes the news: the gateway."""
+    """Port: the gateway, which applies updates."""
 
     access: AccessControl
 
     def apply(
         self, configuration: RoutingConfiguration, replaces_provisional: bool = False
     ) -> bool:
-        """Put a configuration in force, see :meth:`rowanrail.gateway.gateway.Gateway.apply`."""
+        """Apply a configuration, see :meth:`rowanrail.gateway.gateway.Gateway.apply`."""
 
     def set_directory(self, directory: Directory) -> None:
-        """Know the members that announced themselves, and other gateways."""
+        """Apply a directory of members and other gateways."""
 
     def set_plan(self, plan: Plan) -> None:
-        """Know who holds services' connections by the newest plan."""
+        """Apply the newest plan of the holders of connections."""
 
 
 class ControlPlaneClient:
-    """Keeps a gateway's configuration and members up to date.
+    """Keeps a gateway's configuration, directory and plan up to date.
 
     Parameters
     ----------
     gateway : DirectoryHost
-        Takes what is new.
+        Applies updates.
     network : Network
-        Calls control nodes.
+        Transport for calls to control nodes.
     controls : list of str
-        Addresses of control nodes from the settings.
+        Seed addresses of control nodes from the settings.
     configuration_format : ConfigurationFormat
-        Reads the operator's document.
+        Parses the operator's document.
     make_report : callable
-        Returns what the gateway reports with each poll.
+        Returns the report that the gateway sends with each poll.
     decisions : DecisionLog
-        Gets the loss and the return of the control nodes, and what was taken provisionally.
+        Logs the loss and return of control nodes, and provisional directories.
     locality : Locality
-        Says how far control nodes are.
-    takes_plans : bool
-        Whether the gateway goes by a plan of holders.
+        Distances of control nodes.
+    uses_plans : bool
+        Whether the gateway uses a plan of holders.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         make_report: Callable[[], GatewayReport],
         decisions: DecisionLog,
         locality: Locality,
-        takes_plans: bool = False,
+        uses_plans: bool = False,
     ) -> None:
         self._gateway = gateway
         self._network = network
@@ -117,7 +117,7 @@
         self._make_report = make_report
         self._decisions = decisions
         self._version = 0
-        self._plan = 0 if takes_plans else None
+        self._plan = 0 if uses_plans else None
         self._is_lost = False
         self._started_at = 0.0
         self._nearer_check_due = 0.0
@@ -127,96 +127,98 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """How many directories were taken whole and by difference, and how many differed."""
+        """Numbers of full and incremental directory updates, and of digest mismatches."""
         return self._copy.counts
 
     @property
     def controls(self) -> list[str]:
-        """Addresses of the control nodes, the one that is followed first."""
+        """Addresses of the control nodes in polling order."""
         return self._controls.addresses
 
     @property
-    def _is_informed(self) -> bool:
+    def _is_initialized(self) -> bool:
         return self._version > 0 and self._copy.revision >= 0
 
     def start(self) -> None:
-        """Begin to follow the control nodes."""
+        """Start polling the control nodes."""
         self._started_at = asyncio.get_running_loop().time()
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Stop following them."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
 
     def set_seeds(self, controls: list[str]) -> None:
-        """Take a changed list of control nodes from the settings."""
+        """Replace the seed addresses of control nodes."""
         self._controls.set_seeds(controls)
 
     def report_now(self) -> None:
-        """Send the control node that is followed what this gateway sees, at once."""
+        """Send a report to the current control node immediately."""
         self._network.notify(self._controls.current, self._make_report())
 
     async def _run(self) -> None:
-        await self._make_first_contact()
+        await self._initialize()
         while True:
-            await self._return_nearer()
+            await self._try_nearer_node()
             if await self._poll(self._controls.current, POLL_WAIT_SECONDS):
                 continue
             self._controls.demote_current()
             await asyncio.sleep(NEXT_CONTROL_SECONDS)
 
-    # The start
+    # Start
 
-    async def _make_first_contact(self) -> None:
-        """Ask all control nodes until one of them gave a configuration and the members.
+    async def _initialize(self) -> None:
+        """Poll all control nodes until one of them gives a configuration and the members.
 
-        After a loss of all power nobody knows which node will be there, and lead, first.
+        After a full restart it is unknown which node is available, and has a leader, first.
         """
-        asked: dict[str, asyncio.Task[None]] = {}
-        asked_logged: list[asyncio.Task[None]] = []
+        polls: dict[str, asyncio.Task[None]] = {}
+        log_queries: list[asyncio.Task[None]] = []
         try:
-            while not self._is_informed:
+            while not self._is_initialized:
                 for address in self._controls.addresses:
-                    if address not in asked:
-                        asked[address] = asyncio.ensure_future(self._ask_until_informed(address))
-                        asked_logged.append(asyncio.ensure_future(self._ask_logged(address)))
+                    if address not in polls:
+                        polls[address] = asyncio.ensure_future(
+                            self._poll_until_initialized(address)
+                        )
+                        log_queries.append(asyncio.ensure_future(self._query_log(address)))
                 await asyncio.wait(
-                    asked.values(),
+                    polls.values(),
                     timeout=NEARER_CHECK_SECONDS,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
         finally:
-            for task in [*asked.values(), *asked_logged]:
+            for task in [*polls.values(), *log_queries]:
                 task.cancel()
 
-    async def _ask_until_informed(self, address: str) -> None:
-        while not self._is_informed:
-            if await self._poll(address, START_POLL_WAIT_SECONDS) and self._is_informed:
-                self._controls.follow(address)
+    async def _poll_until_initialized(self, address: str) -> None:
+        while not self._is_initialized:
+            if await self._poll(address, START_POLL_WAIT_SECONDS) and self._is_initialized:
+                self._controls.select(address)
                 return
             await asyncio.sleep(START_RETRY_SECONDS)
 
-    async def _ask_logged(self, address: str) -> None:
-        """Ask one control node what its log holds, until it answers."""
-        while not self._is_informed:
+    async def _query_log(self, address: str) -> None:
+        """Request the directory in one control node's log until it answers."""
+        while not self._is_initialized:
             try:
                 request = LoggedDirectoryRequest(
                     self._make_report().sharing_group, accepts_updates=True
                 )
                 reply = await self._network.call(address, request, ROUND_TRIP_SECONDS)
-                if isinstance(reply, LoggedDirectoryReply) and not self._is_informed:
-                    self._take_logged(reply)
+                if isinstance(reply, LoggedDirectoryReply) and not self._is_initialized:
+                    self._apply_logged(reply)
                 return
             except TransportError:
                 await asyncio.sleep(START_RETRY_SECONDS)
 
-    def _take_logged(self, reply: LoggedDirectoryReply) -> None:
-        """Go by what a majority holds, until a node is sure."""
-        longest = self._provisional.record(reply)
-        if longest is None:
+    def _apply_logged(self, reply: LoggedDirectoryReply) -> None:
+        """Apply the directory in the logs of a majority until a node is up to date."""
+        latest = self._provisional.record(reply)
+        if latest is None:
             return
-        directory = longest.directory
+        directory = latest.directory
         parsed = self._format.parse(zlib.decompress(directory.document))
         provisional = msgspec.structs.replace(directory, revision=PROVISIONAL_REVISION)
         members = self._new_copy().apply(provisional)
@@ -229,13 +231,13 @@
             PROVISIONAL_TAKEN,
             version=directory.version,
             revision=directory.revision,
-            held=longest.node,
+            held=latest.node,
         )
 
-    # Long polls
+    # Polling
 
-    async def _return_nearer(self) -> None:
-        """Follow a nearer control node again, if one answers and is sure."""
+    async def _try_nearer_node(self) -> None:
+        """Poll a nearer control node at intervals, and select it if it is up to date."""
         loop = asyncio.get_running_loop()
         if loop.time() < self._nearer_check_due:
             return
@@ -243,16 +245,16 @@
         current, nearest = self._controls.current, self._controls.nearest()
         if nearest == current or not await self._poll(nearest, 0.0):
             return
-        if self._controls.is_nearer(nearest, current):  # only its answer may have said where it is
-            self._controls.follow(nearest)
+        if self._controls.is_nearer(nearest, current):  # its zone may be known only from this reply
+            self._controls.select(nearest)
 
     async def _poll(self, address: str, wait_seconds: float) -> bool:
-        """Ask one control node for what is newer; return whether to stay with it."""
+        """Poll one control node and apply its reply; return whether it is up to date."""
         try:
             reply = await self._call(address, wait_seconds)
             self._controls.set_zone(address, reply.zone)
             if reply.current or self._accepts_stale_reply():
-                self._take(address, reply)
+                self._apply(address, reply)
         except TransportError as error:
             self._note_lost(address, str(error))
             return False
@@ -296,9 +298,9 @@
             )
         self._is_lost = True
 
-    # What is new
+    # Updates
 
-    def _take(self, address: str, reply: DirectoryReply) -> None:
+    def _apply(self, address: str, reply: DirectoryReply) -> None:
         if reply.version > self._version and reply.document:
             parsed = self._format.parse(zlib.decompress(reply.document))
             if isinstance(parsed, Success):
@@ -306,13 +308,13 @@
                 replaces_provisional = self._provisional.is_superseded_by(reply)
                 self._gateway.apply(parsed.unwrap(), replaces_provisional=replaces_provisional)
                 self._provisional.clear()
-        self._take_directory(address, reply)
+        self._apply_directory(address, reply)
         if reply.plan is not None:
             self._plan = reply.plan.number
             self._gateway.set_plan(reply.plan)
         self._controls.set_reported(reply.controls)
 
-    def _take_directory(self, address: str, reply: DirectoryReply) -> None:
+    def _apply_directory(self, address: str, reply: DirectoryReply) -> None:
         was_inconsistent = self._copy.is_inconsistent
         directory = self._copy.apply(reply)
         if directory is not None:
--- a/src/rowanrail/gateway/discovery/current_directory.py
+++ b/src/rowanrail/gateway/discovery/current_directory.py
@@ -1,7 +1,6 @@
-"""The directory in force at a gateway: hands on what has changed, and nothing else.
+"""The directory in use at a gateway, which passes on only what changed.
 
-Owns the directory in force and the members by service. Relies on :mod:`directory`; hands services,
-neighbours and detours what is new to them.
+Keeps the directory and its members by service, and updates services, neighbours and detours.
 """
 
 from collections.abc import Mapping
@@ -16,15 +15,15 @@
 
 
 class CurrentDirectory:
-    """Members by service, and the gateways beside this one.
+    """Members by service, and the other gateways.
 
-    To rank the gateways of a zone anew for each service takes longer than all else that a change
-    of one member asks of a gateway.
+    Updates only what changed: ranking a zone's gateways for each service costs more than all other
+    work for a change of one member.
 
     Parameters
     ----------
     peers : Peers
-        Gateways of the same group, where connections are shared, and those of other groups.
+        Gateways of the same group, which share connections, and those of other groups.
     """
 
     def __init__(self, peers: Peers) -> None:
@@ -35,12 +34,12 @@
 
     @property
     def has_members(self) -> bool:
-        """Whether any member is known."""
+        """Whether the directory has any members."""
         return bool(self._members)
 
     @property
     def population(self) -> Population:
-        """How many gateways share the members' connections."""
+        """Numbers of gateways and zones that share the members' connections."""
         return self._directory.population
 
     def members(self, service: str) -> list[MemberRecord]:
@@ -48,7 +47,7 @@
         return self._members.get(service, [])
 
     def update(self, directory: Directory, services: Mapping[str, Service]) -> bool:
-        """Know a directory, unless a newer one is known; return whether it was taken."""
+        """Apply a directory unless the current one is newer; return whether it was applied."""
         before = self._directory
         if directory.revision < before.revision:
             return False
@@ -61,16 +60,16 @@
         return True
 
     def _set_gateways(self, before: Directory, directory: Directory) -> None:
-        is_own_group = directory.neighbours != before.neighbours
-        if self._neighbours is not None and is_own_group:
+        own_group_changed = directory.neighbours != before.neighbours
+        if self._neighbours is not None and own_group_changed:
             self._neighbours.set_neighbours(directory.neighbours)
         if self._detours is not None and (
-            is_own_group or directory.remote_gateways != before.remote_gateways
+            own_group_changed or directory.remote_gateways != before.remote_gateways
         ):
             self._detours.set_gateways(directory.neighbours, directory.remote_gateways)
 
     def _set_members(self, records: list[MemberRecord], services: Mapping[str, Service]) -> None:
-        """Hand their members to services where they changed, and where a primary is looked for."""
+        """Update services whose members changed, and those without a reachable primary."""
         before, self._members = self._members, {}
         for record in records:
             self._members.setdefault(record.service, []).append(record)
--- a/src/rowanrail/gateway/discovery/directory.py
+++ b/src/rowanrail/gateway/discovery/directory.py
@@ -1,7 +1,6 @@
-"""What a gateway knows from its control nodes about members and other gateways.
+"""The directory of members and gateways, as a gateway uses it.
 
-Owns the one data class, in which other gateways are those that links may be opened to. Relies on
-``model``, ``placement`` and ``relay`` for its fields.
+Contains those other gateways to which links may be opened.
 """
 
 from dataclasses import dataclass, field
@@ -15,20 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """Members and gateways as of one revision.
+    """Members and gateways at one revision.
 
     Parameters
     ----------
     revision : int
-        Place in the control nodes' log of the last change.
+        Index of the last change in the control nodes' log.
     members : list of MemberRecord
-        All members that announced themselves.
+        All announced members.
     population : Population
-        How many gateways share the members' connections.
+        Numbers of gateways and zones that share the members' connections.
     neighbours : list of Neighbour
-        Gateways of the same zone that take statements.
+        Gateways of the same group that accept statements.
     remote_gateways : dict of str to list of Neighbour
-        By zone, gateways of the other zones that hold connections for it.
+        By group, gateways of other groups that hold connections.
     """
 
     revision: int
--- a/src/rowanrail/gateway/discovery/directory_copy.py
+++ b/src/rowanrail/gateway/discovery/directory_copy.py
@@ -1,9 +1,9 @@
-"""A gateway's own copy of the directory, brought up to date by what control nodes send.
+"""A gateway's copy of the directory, kept up to date by the control nodes' replies.
 
-A difference is taken only if it leads to the directory whose digest goes with it; else the copy is
-broken, and the whole is asked for. Nothing older than the copy is ever taken.
+An incremental update is accepted only if it results in the directory whose digest it carries;
+otherwise the copy is inconsistent and a full update is requested. Older replies are ignored.
 
-Owns the records and their digest. Relies on ``directory`` for the messages; does no I/O.
+Keeps the records and their digests. Depends on ``directory`` for the messages; does no I/O.
 """
 
 from collections.abc import Iterable
@@ -23,7 +23,7 @@
 
 
 class _Records(dict[str, Record]):
-    """Records by name, with their digest."""
+    """Records by name and their digest."""
 
     def __init__(self, kind: RecordKind) -> None:
         super().__init__()
@@ -31,36 +31,36 @@
 
     @property
     def digest(self) -> int:
-        """The digest of all."""
+        """Digest of all records."""
         return self._digest.value
 
     def change(
-        self, present: Iterable[tuple[str, Record]], gone: Iterable[str]
+        self, present: Iterable[tuple[str, Record]], removed: Iterable[str]
     ) -> list[tuple[Record | None, Record | None]]:
-        """Take records that came or changed, and names of those that are gone.
+        """Apply added or changed records and the names of removed ones.
 
         Returns
         -------
         list of tuple
-            What was known before and what is known now, for each that is another.
+            The old and the new record of each that changed; None if added or removed.
         """
-        steps: list[tuple[Record | None, Record | None]] = []
-        for name in gone:
+        changes: list[tuple[Record | None, Record | None]] = []
+        for name in removed:
             before = self.pop(name, None)
             if before is not None:
-                steps.append((before, None))
+                changes.append((before, None))
         for name, record in present:
             before = self.get(name)
             if before != record:
-                steps.append((before, record))
+                changes.append((before, record))
                 self[name] = record
-        for before, after in steps:
+        for before, after in changes:
             self._digest.replace(before, after)
-        return steps
+        return changes
 
 
 class _Groups:
-    """Gateways that take statements, by group, in the form in which links know them."""
+    """Gateways that accept statements, by group, as links use them."""
 
     def __init__(self) -> None:
         self._by_group: dict[str, dict[str, Neighbour]] = {}
@@ -68,35 +68,35 @@
 
     @property
     def listed(self) -> dict[str, list[Neighbour]]:
-        """The gateways of each group; the same object until something changes."""
+        """Gateways of each group; the same object until a gateway changes."""
         return self._listed
 
-    def change(self, steps: list[tuple[GatewayRecord | None, GatewayRecord | None]]) -> None:
-        """Take gateways that came, changed or went."""
-        for before, after in steps:
+    def change(self, changes: list[tuple[GatewayRecord | None, GatewayRecord | None]]) -> None:
+        """Apply added, changed and removed gateways."""
+        for before, after in changes:
             if before is not None and before.relay_address:
                 del self._by_group[before.sharing_group][before.name]
             if after is not None and after.relay_address:
                 known = self._by_group.setdefault(after.sharing_group, {})
                 known[after.name] = Neighbour(after.name, after.relay_address)
-        if steps:
+        if changes:
             groups = self._by_group.items()
             self._listed = {group: list(known.values()) for group, known in groups if known}
 
 
 class DirectoryCopy:
-    """Members and gateways as of the newest revision that was taken.
+    """Members and gateways at the latest applied revision.
 
     Parameters
     ----------
     is_regional : bool
-        Whether the gateways of a region share connections, in place of those of a zone.
+        Whether the gateways of a region share connections, rather than those of a zone.
     """
 
     def __init__(self, is_regional: bool) -> None:
         self._is_regional = is_regional
-        self._wholes = 0
-        self._differences = 0
+        self._full_updates = 0
+        self._incremental_updates = 0
         self._mismatches = 0
         self._is_inconsistent = False
         self._revision = NO_REVISION
@@ -111,61 +111,60 @@
 
     @property
     def revision(self) -> int:
-        """Place in the control nodes' log of the last change; ``NO_REVISION`` before the first."""
+        """Log index of the last applied change; ``NO_REVISION`` before the first."""
         return self._revision
 
     @property
     def is_inconsistent(self) -> bool:
-        """Whether a difference led elsewhere, so that the whole is needed."""
+        """Whether an incremental update did not match its digest, so that a full one is needed."""
         return self._is_inconsistent
 
     @property
     def counts(self) -> dict[str, int]:
-        """How many parts were taken, by kind, and how many led elsewhere."""
+        """Numbers of updates by kind, and of digest mismatches."""
         return {
-            "whole": self._wholes,
-            "difference": self._differences,
+            "whole": self._full_updates,
+            "difference": self._incremental_updates,
             "mismatch": self._mismatches,
         }
 
     def apply(self, reply: DirectoryReply) -> Directory | None:
-        """Bring the copy up to date; return the directory if it is a newer one.
+        """Apply a reply; return the directory if the reply updated it.
 
-        What is older is left aside. A difference that leads to another directory than the
-        control node's breaks the copy: it keeps its revision until the whole of that or a later
-        one comes.
+        Older replies are ignored. An incremental update that does not match its digest makes the
+        copy inconsistent: it keeps its revision until a full update of at least that revision.
 
         Raises
         ------
         TransportError
-            If the reply's part can't be read.
+            If the reply's update can't be decoded.
         """
         if reply.revision < self._revision + (not self._is_inconsistent):
             return None
-        part = _part_of(reply)
-        is_whole = part is not None and part.base_revision == NO_REVISION
-        if part is None or (self._is_inconsistent and not is_whole):
+        update = _update_of(reply)
+        is_full = update is not None and update.base_revision == NO_REVISION
+        if update is None or (self._is_inconsistent and not is_full):
             return None
-        if is_whole:
-            self._wholes += 1
+        if is_full:
+            self._full_updates += 1
             self._clear()
         else:
-            self._differences += 1
-        self._change(part)
-        self._is_inconsistent = not is_whole and self._digest != part.digest
+            self._incremental_updates += 1
+        self._update_records(update)
+        self._is_inconsistent = not is_full and self._digest != update.digest
         if self._is_inconsistent:
             self._mismatches += 1
             return None
         self._revision = reply.revision
         return self._directory(reply)
 
-    def _change(self, part: DirectoryUpdate) -> None:
-        members = ((record.instance, record) for record in part.members)
-        self._members.change(members, part.removed_members)
-        neighbours = ((record.name, record) for record in part.neighbours)
-        self._own_group.change(self._neighbours.change(neighbours, part.removed_neighbours))
-        others = ((record.name, record) for record in part.remote_holders)
-        self._other_groups.change(self._others.change(others, part.removed_remote_holders))
+    def _update_records(self, update: DirectoryUpdate) -> None:
+        members = ((record.instance, record) for record in update.members)
+        self._members.change(members, update.removed_members)
+        neighbours = ((record.name, record) for record in update.neighbours)
+        self._own_group.change(self._neighbours.change(neighbours, update.removed_neighbours))
+        others = ((record.name, record) for record in update.remote_holders)
+        self._other_groups.change(self._others.change(others, update.removed_remote_holders))
 
     @property
     def _digest(self) -> bytes:
@@ -174,20 +173,20 @@
     def _directory(self, reply: DirectoryReply) -> Directory:
         population = Population(reply.gateways, reply.zones, self._is_regional)
         members = list(self._members.values())
-        own_group = [one for listed in self._own_group.listed.values() for one in listed]
+        own_group = [gateway for listed in self._own_group.listed.values() for gateway in listed]
         others = self._other_groups.listed
         return Directory(reply.revision, members, population, own_group, others)
 
 
-def _part_of(reply: DirectoryReply) -> DirectoryUpdate | None:
-    """Return what a reply tells of the directory, None if nothing.
+def _update_of(reply: DirectoryReply) -> DirectoryUpdate | None:
+    """Return the directory update of a reply, None if it has none.
 
-    A control node of an earlier version sends all members beside no part.
+    A control node of an earlier version sends all members and no encoded update.
 
     Raises
     ------
     TransportError
-        If the part can't be read.
+        If the update can't be decoded.
     """
     if reply.update:
         return decode_update(reply.update)
--- a/src/rowanrail/gateway/discovery/provisional.py
+++ b/src/rowanrail/gateway/discovery/provisional.py
@@ -1,15 +1,15 @@
-"""What a gateway takes from control nodes that are not sure of what is committed.
+"""Provisional directory that a gateway uses until the control nodes have elected a leader.
 
-After a loss of all power the control nodes need some round trips to elect a leader and to learn
-what is committed. Their logs hold it all the same: of any majority of the voters the longest log,
-by the term and index of its last entry, has every committed entry. That is the argument by which
-an elected leader has them (Ongaro and Ousterhout, 2014, section 5.4.3).
+After a full restart the control nodes need some round trips to elect a leader and to learn what is
+committed. Of any majority of the voters, the log that is most up to date, by the term and index of
+its last entry, contains every committed entry; this is why an elected leader has them all (leader
+completeness, Ongaro and Ousterhout, 2014, section 5.4.3).
 
-The log may end with entries that were never committed, so what is taken here is provisional: a
-leader's answer replaces it, also under the same version.
+That log may end with uncommitted entries, so its directory is provisional: a leader's reply
+replaces it, even under the same version.
 
-Owns what the control nodes' logs held and what of it was taken; asks nobody itself. Relies on
-``directory`` for the messages. :mod:`control_plane_client` acts on it.
+Keeps the logs that control nodes reported and the directory that was applied. Does no I/O: the
+calls are made by :mod:`control_plane_client`.
 """
 
 from collections.abc import Iterable
@@ -18,24 +18,24 @@
 
 __all__ = ["ProvisionalDirectory", "latest_log_of_majority", "accepts_stale_reply"]
 
-# Without a sure answer since the start. An election takes less than 1 s; after this, old
-# configurations and members are better than none.
+# Time since the start after which a stale reply is better than none. An election takes less than
+# 1 s.
 STALE_REPLY_AFTER_SECONDS = 3.0
 
 
-def accepts_stale_reply(knows_configuration: bool, waited_seconds: float) -> bool:
-    """Return whether to take the answer of a control node that is cut off from the leader.
+def accepts_stale_reply(has_configuration: bool, waited_seconds: float) -> bool:
+    """Return whether to apply the reply of a control node that is not up to date.
 
-    A gateway that knows a configuration loses nothing by it, since lower versions and revisions
-    are left aside. One that has just started waits for a node that is sure: clients that are served
-    by an old configuration may be refused wrongly.
+    This is safe for a gateway with a configuration, since lower versions and revisions are ignored.
+    A gateway that has just started waits for an up-to-date node, because an old configuration may
+    refuse clients wrongly.
 
     Parameters
     ----------
-    knows_configuration : bool
-        Whether a control node that was sure, or for want of one another, gave a configuration.
+    has_configuration : bool
+        Whether a control node's reply gave a configuration.
     waited_seconds : float
-        Since the start.
+        Time since the start.
 
     Examples
     --------
@@ -44,75 +44,75 @@
     >>> accepts_stale_reply(False, 3.1)
     True
     """
-    return knows_configuration or waited_seconds > STALE_REPLY_AFTER_SECONDS
+    return has_configuration or waited_seconds > STALE_REPLY_AFTER_SECONDS
 
 
 def latest_log_of_majority(replies: Iterable[LoggedDirectoryReply]) -> LoggedDirectoryReply | None:
-    """Return the reply that holds all that is committed, None if too few have answered.
+    """Return the reply that contains every committed entry, None without a majority.
 
     Parameters
     ----------
     replies : iterable of LoggedDirectoryReply
-        At most one of each node. Nodes that do not vote prove nothing.
+        At most one of each node. Nodes that don't vote don't count towards the majority.
     """
-    answered = {reply.node: reply for reply in replies}
-    longest = max(answered.values(), key=_end, default=None)
-    if longest is None:
+    by_node = {reply.node: reply for reply in replies}
+    latest = max(by_node.values(), key=_last_entry, default=None)
+    if latest is None:
         return None
-    voters = set(longest.voters)
-    heard = voters & answered.keys()
-    if 2 * len(heard) <= len(voters):
+    voters = set(latest.voters)
+    answered = voters & by_node.keys()
+    if 2 * len(answered) <= len(voters):
         return None
-    return longest
+    return latest
 
 
-def _end(reply: LoggedDirectoryReply) -> tuple[int, int]:
+def _last_entry(reply: LoggedDirectoryReply) -> tuple[int, int]:
     return reply.last_term, reply.last_index
 
 
 class ProvisionalDirectory:
-    """Configuration and members that a gateway goes by until a control node is sure."""
+    """Chooses a directory from the control nodes' logs until one of them is up to date."""
 
     def __init__(self) -> None:
         self._replies: dict[str, LoggedDirectoryReply] = {}
-        self._taken: DirectoryReply | None = None
+        self._applied: DirectoryReply | None = None
 
     def record(self, reply: LoggedDirectoryReply) -> LoggedDirectoryReply | None:
-        """Note what a control node's log holds.
+        """Record the directory in a control node's log.
 
         Returns
         -------
         LoggedDirectoryReply or None
-            What to go by from now on; None if too few have answered, if there is no
-            configuration yet, or if the same was taken from another node.
+            The reply to apply; None without a majority, without a configuration, or if its
+            directory is applied already.
         """
         self._replies[reply.node] = reply
-        longest = latest_log_of_majority(self._replies.values())
-        if longest is None or not longest.directory.version or self._is_taken(longest.directory):
+        latest = latest_log_of_majority(self._replies.values())
+        if latest is None or not latest.directory.version or self._is_applied(latest.directory):
             return None
-        return longest
+        return latest
 
-    def _is_taken(self, directory: DirectoryReply) -> bool:
-        taken = self._taken
-        return taken is not None and (taken.revision, taken.version, taken.document) == (
+    def _is_applied(self, directory: DirectoryReply) -> bool:
+        applied = self._applied
+        return applied is not None and (applied.revision, applied.version, applied.document) == (
             directory.revision,
             directory.version,
             directory.document,
         )
 
     def set_applied(self, directory: DirectoryReply) -> None:
-        """Note that the gateway goes by this."""
-        self._taken = directory
+        """Set the directory that the gateway applied."""
+        self._applied = directory
 
     def is_superseded_by(self, reply: DirectoryReply) -> bool:
-        """Return whether another document won the version that was taken."""
-        taken = self._taken
+        """Return whether a reply has another document under the applied version."""
+        applied = self._applied
         return (
-            taken is not None
-            and taken.version == reply.version
-            and taken.document != reply.document
+            applied is not None
+            and applied.version == reply.version
+            and applied.document != reply.document
         )
 
     def clear(self) -> None:
-        """Note that the gateway goes by a configuration that a control node gave."""
-        self._taken = None
+        """Forget the applied directory: a control node's reply has replaced it."""
+        self._applied = None
