--- a/src/rowanrail/gateway/relay/remote_admission.py
+++ b/src/rowanrail/gateway/relay/remote_admission.py
@@ -115,7 +115,7 @@
         self, request: RemoteRequest, decision: Reject, assumed: LoadEstimate
     ) -> RejectedBySender:
         interval = 1000 / (SENDER_PACE_SHARE * assumed.drain_rate) if assumed.drain_rate else 0.0
-        retry_after = self._retry_times.next(
+        retry_after = self._retry_times.next_delay(
             decision.retry_after_ms, interval, (request.peer, request.urgency)
         )
         forecast = Forecast(assumed.wait, request.round_trip)
@@ -132,4 +132,4 @@
 
     def retry_after(self, base: float) -> float:
         """Return the retry delay, in milliseconds, of a client for whom no holder is known."""
-        return self._retry_times.next(base)
+        return self._retry_times.next_delay(base)
--- a/src/rowanrail/gateway/work/refusals.py
+++ b/src/rowanrail/gateway/work/refusals.py
@@ -8,7 +8,7 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.model.trace import Rejection
 from rowanrail.scheduling.admission import Forecast, Reject, RejectionCause
-from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS, spread
+from rowanrail.scheduling.retrying import SHORTEST_RETRY_AFTER_MS, spread_evenly
 
 __all__ = [
     "DEFERRAL_FRACTION",
@@ -123,7 +123,7 @@
     [200, 324, 247]
     """
     soonest = max(MIN_QUOTA_RETRY_AFTER_MS, wait_ms)
-    return spread(number, soonest, QUOTA_RETRY_SPREAD_FACTOR * soonest)
+    return spread_evenly(number, soonest, QUOTA_RETRY_SPREAD_FACTOR * soonest)
 
 
 def remaining_seconds(whole_seconds: float, waited_seconds: float) -> float:
--- a/src/rowanrail/sql_proxy/lease.py
+++ b/src/rowanrail/sql_proxy/lease.py
@@ -1,8 +1,4 @@
-"""A leased back-end connection, ready for a session.
-
-For reads, writes and transactions, which give it back or close it. Owns when it began; relies on
-the member's pool.
-"""
+"""Leases of pooled back-end connections with the session variables of a session."""
 
 import asyncio
 
@@ -15,22 +11,22 @@
 
 
 class Lease:
-    """A connection that a session holds, with the member that it leads to."""
+    """A leased connection and its member; the holder must release or discard it."""
 
     def __init__(self, member: Member, connection: PooledConnection) -> None:
         self.member = member
         self.connection = connection
-        self._began = asyncio.get_running_loop().time()
+        self._acquired_at = asyncio.get_running_loop().time()
 
     @classmethod
     async def acquire(
         cls, member: Member, deadline: float, priority: Priority, settings: tuple[str, ...]
     ) -> "Lease":
-        """Lease a connection to ``member`` and carry the session's settings over to it.
+        """Lease a connection to ``member`` and apply the session's settings to it.
 
-        :raises NotRunError: if none is free in time.
+        :raises NotRunError: if no connection becomes free in time.
         :raises BackendConnectError: if the member can't be reached.
-        :raises BackendLostError: if the connection broke; only settings were sent.
+        :raises BackendLostError: if the connection was lost; only settings were sent.
         """
         connection = await member.pool.acquire(deadline, priority, settings)
         lease = cls(member, connection)
@@ -44,15 +40,15 @@
             connection.settings = settings
         return lease
 
-    def is_of_known_start(self) -> bool:
-        """Return whether what is known of the member holds for this connection."""
-        return self.member.known.is_of_start(self.connection.incarnation)
+    def matches_known_incarnation(self) -> bool:
+        """Return whether the known state is of the member incarnation that is connected."""
+        return self.member.state.matches_incarnation(self.connection.incarnation)
 
     def lost_error(
         self, outcomes: OutcomeClassification, error: BackendLostError, step: str
     ) -> CallerError:
-        """Return the caller's error for a statement that was sent and whose answer did not come."""
-        return outcomes.after_loss(
+        """Return the error to the caller of a statement that was sent but not answered."""
+        return outcomes.connection_lost_error(
             str(error),
             sent=True,
             retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
@@ -65,10 +61,10 @@
         return await self.connection.execute(sql, deadline)
 
     def release(self) -> None:
-        """Give the connection back to its pool."""
-        seconds = asyncio.get_running_loop().time() - self._began
+        """Return the connection to its pool."""
+        seconds = asyncio.get_running_loop().time() - self._acquired_at
         self.member.pool.release(self.connection, seconds if self.connection.answered else None)
 
     def discard(self) -> None:
-        """Close the connection: its state is in doubt."""
+        """Close the connection because its state is uncertain."""
         self.member.pool.discard(self.connection)
--- a/src/rowanrail/sql_proxy/outcomes.py
+++ b/src/rowanrail/sql_proxy/outcomes.py
@@ -1,9 +1,8 @@
-"""Rules for what became of a request: whether it is sent again, did not run, or is unknown.
+"""Rules for the outcome of failed requests: retried, not run, or unknown.
 
-For writes, transactions and the group's rounds, which ask here and do what the verdict says. Owns
-nothing: pure functions on plain values; times are seconds of the event loop. A request counts as
-not run only if it was never sent, if the member refused it, or if a tombstone keeps it out for
-good; see also the guard ``OutcomeClassification`` in :mod:`rowanrail.sql_proxy.policies`.
+Pure functions; times are seconds of the event loop. A request counts as not run only if it was
+never sent, if the member refused it, or if a tombstone prevents it from ever committing; see also
+the guard ``OutcomeClassification`` in :mod:`rowanrail.sql_proxy.policies`.
 """
 
 import enum
@@ -12,101 +11,100 @@
     "DUPLICATE_KEY_CODE",
     "GROUP_RETRY_AFTER_SECONDS",
     "NO_SUCH_TABLE_CODE",
-    "READ_ONLY_CODES",
-    "ROUND_RETRY_MAXIMUM_SECONDS",
-    "ROUND_RETRY_SECONDS",
+    "READ_ONLY_ERROR_CODES",
+    "MAXIMUM_BACKOFF_SECONDS",
+    "INITIAL_BACKOFF_SECONDS",
     "WRITE_RETRY_SECONDS",
-    "LostCommit",
-    "is_refused_by_replica",
-    "is_under_way",
-    "lost_commit",
-    "may_retry_recorded",
-    "next_round_pause",
-    "primary_wait_end",
+    "LostCommitAction",
+    "is_read_only_error",
+    "is_in_progress",
+    "lost_commit_action",
+    "may_retry_write",
+    "next_backoff",
+    "primary_wait_deadline",
 ]
 
-# MySQL's error codes that rules depend on.
+# MySQL error codes.
 DUPLICATE_KEY_CODE = 1062
 NO_SUCH_TABLE_CODE = 1146
-# The member itself says that it is no primary (any more); nothing ran.
-READ_ONLY_CODES = frozenset({1290, 1792, 1836, 3100})
+# The member is read-only because it is not the primary; the statement did not run.
+READ_ONLY_ERROR_CODES = frozenset({1290, 1792, 1836, 3100})
 
-# Seconds after which a caller is told to retry whose group has no primary, no majority, no fresh
-# member or too many open transactions. Chosen.
+# Retry-after in seconds for callers of a group that has no primary, no majority, no fresh member or
+# too many open transactions.
 GROUP_RETRY_AFTER_SECONDS = 1.0
-# Seconds between two tries of a write. Chosen.
+# Seconds between two attempts of a write.
 WRITE_RETRY_SECONDS = 0.01
-# Seconds between two rounds of questions whether a majority holds a write: the first pause, which
-# doubles, and the longest. Chosen.
-ROUND_RETRY_SECONDS = 0.005
-ROUND_RETRY_MAXIMUM_SECONDS = 0.05
+# Bounds in seconds of the exponential backoff between two queries whether a majority holds a write.
+INITIAL_BACKOFF_SECONDS = 0.005
+MAXIMUM_BACKOFF_SECONDS = 0.05
 
 
-class LostCommit(enum.Enum):
-    """What follows when a commit was sent and its answer did not come."""
+class LostCommitAction(enum.Enum):
+    """How to handle a commit that was sent but not answered."""
 
-    SETTLE = "settle"  # it has a record: the record, or a tombstone, says what became of it
-    ROLLED_BACK = "rolled-back"  # nothing was written, so that nothing can last
-    UNKNOWN = "unknown"  # it may have been committed
+    RESOLVE = "resolve"  # look up the request's record, or prevent the commit with a tombstone
+    ROLLED_BACK = "rolled-back"  # nothing was written: report the transaction as rolled back
+    UNKNOWN = "unknown"  # it may have committed: report the outcome as unknown
 
 
-def is_refused_by_replica(code: int) -> bool:
-    """Return whether a member refused a write because it is no primary: it is sent again."""
-    return code in READ_ONLY_CODES
+def is_read_only_error(code: int) -> bool:
+    """Return whether a member refused a write because it is not the primary; it may be retried."""
+    return code in READ_ONLY_ERROR_CODES
 
 
-def is_under_way(code: int, message: str) -> bool:
-    """Return whether a request with the same id runs elsewhere and has not committed yet.
+def is_in_progress(code: int, message: str) -> bool:
+    """Return whether another request with the same id is running and has not committed yet.
 
     Parameters
     ----------
     code : int
-        The member's error code for the insertion of the record, which can't be read either.
+        Error code of the insertion of the record, which is not readable either.
     message : str
-        The member's message; it names the table, so that a duplicate of the caller's own tables
-        is not taken for this.
+        Error message of the member. It names the table, which distinguishes the request table from
+        the caller's own tables.
 
     Examples
     --------
-    >>> is_under_way(DUPLICATE_KEY_CODE, "Duplicate entry for key 'rowanrail_requests.PRIMARY'")
+    >>> is_in_progress(DUPLICATE_KEY_CODE, "Duplicate entry for key 'rowanrail_requests.PRIMARY'")
     True
-    >>> is_under_way(DUPLICATE_KEY_CODE, "Duplicate entry for key 'cues.PRIMARY'")
+    >>> is_in_progress(DUPLICATE_KEY_CODE, "Duplicate entry for key 'cues.PRIMARY'")
     False
     """
     return code == DUPLICATE_KEY_CODE and "rowanrail" in message
 
 
-def lost_commit(is_recorded: bool, has_written: bool) -> LostCommit:
-    """Return what follows when a commit was sent and its answer did not come.
+def lost_commit_action(is_recorded: bool, has_written: bool) -> LostCommitAction:
+    """Return how to handle a commit that was sent but not answered.
 
     Parameters
     ----------
     is_recorded : bool
-        Whether the transaction holds the record of a request id.
+        Whether the transaction contains the record of a request id.
     has_written : bool
-        Whether the transaction ran any statement that writes.
+        Whether the transaction ran a statement that writes.
     """
     if is_recorded:
-        return LostCommit.SETTLE
-    return LostCommit.UNKNOWN if has_written else LostCommit.ROLLED_BACK
+        return LostCommitAction.RESOLVE
+    return LostCommitAction.UNKNOWN if has_written else LostCommitAction.ROLLED_BACK
 
 
-def may_retry_recorded(now: float, deadline: float) -> bool:
-    """Return whether a write with a request id has time for another try."""
+def may_retry_write(now: float, deadline: float) -> bool:
+    """Return whether there is time for another attempt of a write with a request id."""
     return now + WRITE_RETRY_SECONDS < deadline
 
 
-def primary_wait_end(now: float, deadline: float, failover_wait_seconds: float) -> float:
-    """Return until when a statement waits for a primary: no longer than the group allows."""
+def primary_wait_deadline(now: float, deadline: float, failover_wait_seconds: float) -> float:
+    """Return the deadline for a statement's wait for a primary, bounded by the group's limit."""
     return min(deadline, now + failover_wait_seconds)
 
 
-def next_round_pause(pause_seconds: float) -> float:
-    """Return the pause after one of ``pause_seconds`` between two rounds of questions.
+def next_backoff(pause_seconds: float) -> float:
+    """Return the pause that follows one of ``pause_seconds``: twice as long, up to the maximum.
 
     Examples
     --------
-    >>> next_round_pause(0.005), next_round_pause(0.04)
+    >>> next_backoff(0.005), next_backoff(0.04)
     (0.01, 0.05)
     """
-    return min(2 * pause_seconds, ROUND_RETRY_MAXIMUM_SECONDS)
+    return min(2 * pause_seconds, MAXIMUM_BACKOFF_SECONDS)
--- a/src/rowanrail/sql_proxy/transaction.py
+++ b/src/rowanrail/sql_proxy/transaction.py
@@ -1,9 +1,4 @@
-"""A caller's transaction on its pinned back-end connection.
-
-For sessions. Owns the connection from BEGIN to the end, the work that was done and the state;
-relies on the runner of writes for confirmation and records, and on ``outcomes`` for what a lost
-commit means.
-"""
+"""A caller's transaction on its back-end connection, from BEGIN to COMMIT or ROLLBACK."""
 
 import asyncio
 import enum
@@ -16,7 +11,11 @@
 )
 from rowanrail.sql_proxy.backend import StatementResult
 from rowanrail.sql_proxy.lease import Lease
-from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS, LostCommit, lost_commit
+from rowanrail.sql_proxy.outcomes import (
+    GROUP_RETRY_AFTER_SECONDS,
+    LostCommitAction,
+    lost_commit_action,
+)
 from rowanrail.sql_proxy.policies import Pinning
 from rowanrail.sql_proxy.pool import Priority
 from rowanrail.sql_proxy.requests import request_digest
@@ -32,10 +31,10 @@
 
 
 class SqlTransaction:
-    """One transaction, from BEGIN to its end. Lost connections roll it back.
+    """One transaction; losing its connection before the commit rolls it back.
 
-    :param services: what serves its group, also when the group's settings change meanwhile.
-    :param may_write: whether its commit has to be confirmed.
+    :param services: services of its group, used until its end even if the group is replaced.
+    :param may_write: whether its commit must be confirmed.
     """
 
     def __init__(
@@ -52,14 +51,14 @@
         self._writer = services.writer
         self._outcomes = services.outcomes
         self._pinning = pinning
-        self._work: list[str] = []
+        self._write_statements: list[str] = []
         self._last_write = StatementResult()
 
     async def begin(self, sql: str, before: list[str], deadline: float) -> StatementResult:
-        """Open the transaction at the back end.
+        """Begin the transaction at the back end.
 
-        :param before: statements to run just before, for example an isolation level.
-        :raises NotRunError: if the connection broke.
+        :param before: statements to run first, for example to set an isolation level.
+        :raises NotRunError: if the connection was lost.
         """
         try:
             for statement in before:
@@ -67,38 +66,38 @@
             result = await self._lease.execute(sql, deadline)
         except BackendLostError as error:
             self.fail(str(error))
-            raise self._rolled_back() from error
-        self._pause()
+            raise self._rolled_back_error() from error
+        self._finish_statement()
         return result
 
     async def execute(self, sql: str, is_write: bool, deadline: float) -> StatementResult:
-        """Run a statement within the transaction.
+        """Run a statement in the transaction.
 
-        :raises NotRunError: if the transaction was rolled back; none of it lasts.
+        :raises NotRunError: if the transaction was rolled back.
         """
         if self.state is TransactionState.FAILED:
-            raise self._rolled_back()
+            raise self._rolled_back_error()
         self.used_at = asyncio.get_running_loop().time()
         try:
-            await self._resume(deadline)
+            await self._prepare_statement(deadline)
             result = await self._lease.execute(sql, deadline)
         except BackendLostError as error:
             self.fail(str(error))
-            raise self._rolled_back() from error
+            raise self._rolled_back_error() from error
         if is_write:
-            self._work.append(sql)
+            self._write_statements.append(sql)
             self._last_write = result
         self.used_at = asyncio.get_running_loop().time()
-        self._pause()
+        self._finish_statement()
         return result
 
-    def _pause(self) -> None:
-        """End a statement: only a connection that is not pinned goes back to its pool."""
+    def _finish_statement(self) -> None:
+        """Finish a statement; a connection that is not pinned returns to its pool."""
         if not self._pinning.keeps_connection():
             self._lease.release()
 
-    async def _resume(self, deadline: float) -> None:
-        """Begin the next statement."""
+    async def _prepare_statement(self, deadline: float) -> None:
+        """Prepare for the next statement; without pinning, lease another connection."""
         if not self._pinning.keeps_connection():
             settings = self._lease.connection.settings
             self._lease = await Lease.acquire(
@@ -108,16 +107,16 @@
     async def commit(
         self, request_id: str, settings: tuple[str, ...], deadline: float
     ) -> StatementResult:
-        """Commit and confirm.
+        """Commit the transaction and confirm its writes.
 
         :raises NotRunError: if the transaction was rolled back.
-        :raises OutcomeUnknownError: if the commit was sent and its outcome can't be learned.
+        :raises OutcomeUnknownError: if the commit was sent and its outcome can't be determined.
         """
         if self.state is TransactionState.FAILED:
             self.state = TransactionState.ENDED
-            raise self._rolled_back()
-        await self._resume(deadline)
-        digest = request_digest(self._work)
+            raise self._rolled_back_error()
+        await self._prepare_statement(deadline)
+        digest = request_digest(self._write_statements)
         recorded = bool(request_id) and self.may_write
         if recorded:
             known = await self._record(request_id, digest, deadline)
@@ -128,12 +127,14 @@
             result = await self._lease.execute("COMMIT", deadline)
         except BackendLostError as error:
             self._lease.release()
-            match lost_commit(recorded, bool(self._work)):
-                case LostCommit.SETTLE:
-                    return await self._writer.settle(request_id, digest, settings, deadline)
-                case LostCommit.ROLLED_BACK:
-                    raise self._rolled_back() from error
-                case LostCommit.UNKNOWN:
+            match lost_commit_action(recorded, bool(self._write_statements)):
+                case LostCommitAction.RESOLVE:
+                    return await self._writer.resolve_lost_commit(
+                        request_id, digest, settings, deadline
+                    )
+                case LostCommitAction.ROLLED_BACK:
+                    raise self._rolled_back_error() from error
+                case LostCommitAction.UNKNOWN:
                     raise self._lease.lost_error(self._outcomes, error, "commit") from error
         except BaseException:
             self._lease.discard()
@@ -146,19 +147,19 @@
     async def _record(
         self, request_id: str, digest: str, deadline: float
     ) -> StatementResult | None:
-        """Insert the request's record; return the outcome if the request ran before."""
+        """Insert the record of the request; return the outcome if it has been recorded before."""
         lease = self._lease
         try:
             await self._writer.record(lease, request_id, digest, self._last_write, deadline)
             return None
         except BackendRefusedError as error:
-            return await self._repeat(request_id, digest, error, deadline)
+            return await self._return_recorded_outcome(request_id, digest, error, deadline)
         except BackendLostError as error:
             self.fail(str(error))
             self.state = TransactionState.ENDED
-            raise self._rolled_back() from error
+            raise self._rolled_back_error() from error
 
-    async def _repeat(
+    async def _return_recorded_outcome(
         self, request_id: str, digest: str, error: BackendRefusedError, deadline: float
     ) -> StatementResult:
         lease = self._lease
@@ -166,11 +167,11 @@
         self.failure = error.message
         try:
             await lease.execute("ROLLBACK", deadline)
-            known = await self._writer.known_outcome(lease, request_id, digest, error, deadline)
+            known = await self._writer.recorded_outcome(lease, request_id, digest, error, deadline)
             await self._writer.confirm(known, deadline, lease.member.name)
         except (BackendLostError, BackendRefusedError) as problem:
             lease.discard()
-            raise self._rolled_back() from problem
+            raise self._rolled_back_error() from problem
         except BaseException:
             lease.discard()
             raise
@@ -190,11 +191,13 @@
         except OutcomeUnknownError:
             if not request_id:
                 raise
-            settled = await self._writer.settle(request_id, digest, settings, deadline)
-            result.position = settled.position
+            resolved = await self._writer.resolve_lost_commit(
+                request_id, digest, settings, deadline
+            )
+            result.position = resolved.position
 
     async def roll_back(self, deadline: float) -> StatementResult:
-        """Roll back. A connection that does not answer is closed, which has the same effect."""
+        """Roll back; if the connection fails it is closed, which has the same effect."""
         failed = self.state is not TransactionState.OPEN
         self.state = TransactionState.ENDED
         if failed:
@@ -211,7 +214,7 @@
         return result
 
     def fail(self, reason: str) -> None:
-        """Roll back by closing the connection; the caller learns of it at its next statement."""
+        """Roll back by closing the connection; the caller's next statement reports the reason."""
         if self.state is TransactionState.OPEN:
             self.state = TransactionState.FAILED
             self.failure = reason
@@ -220,7 +223,7 @@
             else:
                 self._lease.release()
 
-    def _rolled_back(self) -> NotRunError:
+    def _rolled_back_error(self) -> NotRunError:
         return NotRunError(
             f"the transaction was rolled back ({self.failure}); none of it lasts, begin it again",
             retry_after_seconds=GROUP_RETRY_AFTER_SECONDS,
--- a/tests/unit/test_proxy_decisions.py
+++ b/tests/unit/test_proxy_decisions.py
@@ -1,4 +1,4 @@
-"""Pure decisions of the proxy: tokens, classification, guards, rules, request ids."""
+"""Pure functions of the proxy: tokens, classification, guards, routing rules, request ids."""
 
 import unittest
 
@@ -11,10 +11,10 @@
 from rowanrail.model.position import Position
 from rowanrail.sql_proxy.backend import MemberRole, MemberStatus
 from rowanrail.sql_proxy.classify import Kind, classify
-from rowanrail.sql_proxy.commands import SetKind, fill_session_functions, parse_set
+from rowanrail.sql_proxy.commands import SetKind, parse_set, substitute_session_functions
 from rowanrail.sql_proxy.policies import Freshness, TermConfirmation
 from rowanrail.sql_proxy.requests import check_request_id
-from rowanrail.sql_proxy.rules import allows_replica
+from rowanrail.sql_proxy.routing_rules import allows_replica
 from rowanrail.sql_proxy.token import decode_token, encode_token
 
 positions = st.builds(Position, st.integers(0, 2**40), st.integers(0, 2**60))
@@ -98,7 +98,7 @@
             "SET @rowanrail_token = 'abc'": SetKind.TOKEN,
             "SET @@session.autocommit = OFF": SetKind.AUTOCOMMIT,
             "SET NAMES 'utf8mb4' COLLATE 'utf8mb4_general_ci'": SetKind.CHARACTER_SET,
-            "SET SESSION sql_mode = 'ANSI'": SetKind.CARRIED,
+            "SET SESSION sql_mode = 'ANSI'": SetKind.SESSION_VARIABLE,
             "SET @a = @b + 1": SetKind.COMPUTED,
         }
         for sql, kind in cases.items():
@@ -107,10 +107,10 @@
             with self.assertRaises(InvalidRequestError):
                 parse_set(sql)
 
-    def test_session_functions_are_filled_outside_of_strings(self):
+    def test_session_functions_are_substituted_outside_of_strings(self):
         sql = "INSERT INTO t VALUES (LAST_INSERT_ID(), 'last_insert_id()')"
         self.assertEqual(
-            fill_session_functions(sql, 7, 0), "INSERT INTO t VALUES (7, 'last_insert_id()')"
+            substitute_session_functions(sql, 7, 0), "INSERT INTO t VALUES (7, 'last_insert_id()')"
         )
 
 
@@ -122,7 +122,7 @@
         self.assertEqual(freshness.acknowledged_floor(answers[:2], 3), Position(1, 9))
         self.assertIsNone(freshness.acknowledged_floor(answers[:1], 3))
 
-    def test_learner_is_no_holder(self):
+    def test_learners_do_not_count_towards_a_majority(self):
         answers = [status(1, (1, 9)), status(1, (1, 8)), status(1, (1, 0), role=MemberRole.LEARNER)]
         self.assertEqual(Freshness().acknowledged_floor(answers, 3), Position(1, 9))
         learner = status(1, (1, 9), role=MemberRole.LEARNER)
@@ -136,7 +136,7 @@
         self.assertTrue(confirmation.is_confirmed(position, [held, held], 3))
         self.assertFalse(confirmation.is_confirmed(position, [held, status(2, (2, 6))], 3))
         self.assertTrue(
-            confirmation.is_replaced(position, [status(2, (2, 6)), status(2, (1, 4))], 3)
+            confirmation.is_superseded(position, [status(2, (2, 6)), status(2, (1, 4))], 3)
         )
 
 
