--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -15,7 +15,7 @@
 from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
 from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayReport
-from rowanrail.gateway.discovery.control_follower import ControlFollower
+from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
 from rowanrail.gateway.events import (
     GATEWAY_RELOADED,
     GATEWAY_STARTED,
@@ -24,7 +24,7 @@
 )
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.gauges import directory_gauges, gauges, relay_gauges, tenant_gauges
-from rowanrail.gateway.planned_stop import plan_stop
+from rowanrail.gateway.planned_stop import stop_gracefully
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.load_meter import LoadMeter
 from rowanrail.gateway.relay.metering import Metering
@@ -42,7 +42,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.rpc.network import Network
-from rowanrail.tenants.terms import QuotaTerms
+from rowanrail.tenants.quota_parameters import QuotaParameters
 
 READY_PATH = "/ready"
 ReloadSettings = Callable[[], GatewaySettings | None]
@@ -85,7 +85,7 @@
         What is reported for the plan of holders; started only if there is one.
     frontend : Frontend
         Where clients connect.
-    follower : ControlFollower
+    follower : ControlPlaneClient
         Follows the control nodes.
     """
 
@@ -100,7 +100,7 @@
     holder_server: TcpHolderServer
     meter: LoadMeter
     frontend: Frontend
-    follower: ControlFollower
+    follower: ControlPlaneClient
 
     @property
     def is_planned(self) -> bool:
@@ -138,7 +138,7 @@
     peers = _make_peers(settings, clock)
     locality = Locality(settings.zone, settings.regions)
     driver = registry.create("member-driver", settings.protocol)
-    terms = QuotaTerms(
+    terms = QuotaParameters(
         settings.quota_window_seconds * 1000, settings.quota_excess, settings.quota_slack
     )
     gateway = Gateway(locality, driver, loop, decisions, registry, peers, terms)
@@ -158,7 +158,7 @@
         holder_server,
         meter,
         registry.create("frontend", settings.protocol, gateway),
-        ControlFollower(
+        ControlPlaneClient(
             gateway,
             network,
             rpc_addresses(settings.control_nodes, settings.rpc_port),
@@ -204,7 +204,7 @@
     if parts.is_planned:
         parts.gateway.holdings.load_meter = parts.meter
         parts.holder.on_statement = parts.gateway.holdings.note_held
-    parts.gateway.on_alarm = parts.follower.report_now
+    parts.gateway.on_primary_change = parts.follower.report_now
 
 
 def _relay_address(settings: GatewaySettings) -> str:
@@ -276,7 +276,7 @@
     """Stop as planned; the answer to the probe and the link to the control nodes end last."""
     name, decisions = parts.settings.name, parts.decisions
     decisions.note(GATEWAY_STOPPING, name=name, sessions=len(parts.gateway.sessions))
-    await plan_stop(parts.gateway, parts.frontend, parts.holder, parts.settings.stop_seconds)
+    await stop_gracefully(parts.gateway, parts.frontend, parts.holder, parts.settings.stop_seconds)
     parts.holder_server.close()
     parts.follower.stop()
     ready_server.close()
--- a/src/rowanrail/gateway/work/operation.py
+++ b/src/rowanrail/gateway/work/operation.py
@@ -9,7 +9,7 @@
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.member_estimates import ReadRequirements
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import PreparedNames, SessionValues
+from rowanrail.gateway.session_context import PreparedStatementNames, SessionContext
 from rowanrail.gateway.work.attempts import can_meet_objective
 from rowanrail.gateway.work.connected import ConnectedStatement, Stage
 from rowanrail.gateway.work.ports import (
@@ -42,7 +42,7 @@
     ----------
     service, route, session, clock
         As for :class:`Statement`.
-    names : PreparedNames
+    names : PreparedStatementNames
         The gateway's names of prepared statements.
     others : OtherGateways
         Executors at other gateways, used if a member can't be reached from here.
@@ -52,8 +52,8 @@
         self,
         service: Service,
         route: Route,
-        session: SessionValues,
-        names: PreparedNames,
+        session: SessionContext,
+        names: PreparedStatementNames,
         clock: Scheduler,
         others: OtherGateways = NO_OTHER_GATEWAYS,
     ) -> None:
