--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -19,11 +19,11 @@
 from rowanrail.cluster.messages import JoinRequest, NodesRequest, ReportsReply, ReportsRequest
 from rowanrail.config.settings import NodeAddress
 from rowanrail.consensus.errors import NotLeaderError
-from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.consensus.node import CONSENSUS_MESSAGES, ConsensusNode, NodeOptions
 from rowanrail.consensus.policies import LearnerFirst
 from rowanrail.consensus.raft_types import RaftConfig
+from rowanrail.consensus.state_machine import StateMachine
 from rowanrail.consensus.storage import Identity, Storage
 from rowanrail.kernel.disk import Disk
 from rowanrail.kernel.errors import BackendRefusedError, TransportError
@@ -261,7 +261,7 @@
         if isinstance(request, NodesRequest):
             return self.members.view()
         if isinstance(request, ReportsRequest):
-            return ReportsReply(self.node.identity.node, max(0, self.node.applied - 2), [])
+            return ReportsReply(self.node.identity.node, max(0, self.node.applied_index - 2), [])
         if isinstance(request, FaultRequest):
             self.set_faults(request)
             return request
@@ -301,7 +301,7 @@
         self.generation += 1
         self.engine.roll_back()
         if self.machine.local:
-            self.machine.rebuild(self.node.raft.log.between(1, self.node.applied))
+            self.machine.rebuild(self.node.raft.log.between(1, self.node.applied_index))
 
     def count_new_work(self) -> None:
         """Count work that begins well after the member said that it is leaving."""
--- a/src/rowanrail/cluster/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -13,7 +13,7 @@
 from rowanrail.consensus.errors import NotLeaderError
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.consensus.raft_types import MembershipBusy
+from rowanrail.consensus.raft_types import MembershipChangeInProgress
 from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
 
 LEARNER_BEHIND_ENTRIES = 10  # a learner this close to the log's end gets a vote; chosen
@@ -157,7 +157,7 @@
     async def _change(self, membership: Membership) -> None:
         try:
             await self._node.change_membership(membership)
-        except MembershipBusy as error:
+        except MembershipChangeInProgress as error:
             raise RowanrailError("another membership change is under way", step="join") from error
 
     def view(self) -> NodesReply:
@@ -187,7 +187,7 @@
             if self._node.raft.is_established_leader:
                 try:
                     await self._promote_one()
-                except (RowanrailError, MembershipBusy, NotLeaderError):
+                except (RowanrailError, MembershipChangeInProgress, NotLeaderError):
                     continue  # tried again at the next step, by whoever leads then
 
     async def _promote_one(self) -> None:
--- a/src/rowanrail/consensus/node.py
+++ b/src/rowanrail/consensus/node.py
@@ -13,7 +13,6 @@
 
 from rowanrail.consensus.errors import LeadershipLostError, NotLeaderError
 from rowanrail.consensus.log import Log
-from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import (
     AppendReply,
     AppendRequest,
@@ -30,6 +29,7 @@
 from rowanrail.consensus.pending import PendingRequests
 from rowanrail.consensus.raft import Raft
 from rowanrail.consensus.raft_types import Effects, NotLeader, RaftConfig, Role
+from rowanrail.consensus.state_machine import StateMachine
 from rowanrail.consensus.storage import Identity, Storage
 from rowanrail.kernel.errors import StorageError
 from rowanrail.kernel.registry import Registry
@@ -84,7 +84,7 @@
         hard_state, log = storage.load()
         if log.snapshot is not None and log.snapshot.data:
             machine.restore(log.snapshot.data)
-        self.applied = log.snapshot_index
+        self.applied_index = log.snapshot_index
         self._random = randomness
         self._quorum_check = registry.create("consensus-guard", "check-quorum")
         self.raft = self._create_raft(hard_state, log)
@@ -149,7 +149,7 @@
         """Commit a new membership.
 
         :raises NotLeaderError: if the node does not lead.
-        :raises MembershipBusy: if another change is under way.
+        :raises MembershipChangeInProgress: if another change is under way.
         """
         try:
             entry = self.raft.change_membership(membership, self._now())
@@ -178,7 +178,7 @@
 
     async def wait_applied(self, index: int) -> None:
         """Return once the entry at ``index`` has been applied here."""
-        if self.applied >= index:
+        if self.applied_index >= index:
             return
         await self._pending.wait_applied(index)
 
@@ -242,20 +242,20 @@
         except StorageError as error:
             self.failure = error
             return
-        if log.last_index < self.applied:
+        if log.last_index < self.applied_index:
             self._may_reopen = False
             self.failure = StorageError(
-                f"entries {log.last_index + 1} to {self.applied} were applied and are gone; "
+                f"entries {log.last_index + 1} to {self.applied_index} were applied and are gone; "
                 "move the folder away and let the node join as a new one",
                 step="reopen",
                 peer=self.identity.node,
             )
             return
         self.raft = self._create_raft(hard_state, log)
-        if log.snapshot is not None and log.snapshot_index > self.applied:
+        if log.snapshot is not None and log.snapshot_index > self.applied_index:
             self.machine.restore(log.snapshot.data)
-            self.applied = log.snapshot_index
-        self.raft.resume(self.applied)
+            self.applied_index = log.snapshot_index
+        self.raft.resume(self.applied_index)
         self.failure = None
 
     async def _wait_for_input(self) -> None:
@@ -295,13 +295,13 @@
     def _apply(self, effects: Effects) -> None:
         if effects.install is not None:
             self.machine.restore(effects.install.data)
-            self.applied = effects.install.index
+            self.applied_index = effects.install.index
         for entry in effects.committed:
             result = self.machine.apply(entry)
-            self.applied = entry.index
+            self.applied_index = entry.index
             self._pending.settle_entry(entry, result)
         if effects.committed or effects.install:
-            self._pending.settle_applied(self.applied)
+            self._pending.settle_applied(self.applied_index)
 
     def _answer_reads(self, effects: Effects) -> None:
         for token, index in effects.ready_reads:
@@ -312,9 +312,9 @@
             self._pending.fail_proposals(LeadershipLostError("the leader changed", step="propose"))
 
     def _compact(self) -> None:
-        if self.raft.log.size < self._options.snapshot_entries or self.applied <= 0:
+        if self.raft.log.size < self._options.snapshot_entries or self.applied_index <= 0:
             return
-        if self.applied - self.raft.log.snapshot_index < self._options.snapshot_entries:
+        if self.applied_index - self.raft.log.snapshot_index < self._options.snapshot_entries:
             return
         snapshot = self.make_snapshot()
         self._storage.save_snapshot(snapshot)
@@ -323,8 +323,8 @@
     def make_snapshot(self) -> Snapshot:
         """Return a snapshot of what has been applied."""
         return Snapshot(
-            index=self.applied,
-            term=self.raft.log.term_of(self.applied),
-            membership=self.raft.log.membership_at(self.applied),
+            index=self.applied_index,
+            term=self.raft.log.term_of(self.applied_index),
+            membership=self.raft.log.membership_at(self.applied_index),
             data=self.machine.snapshot(),
         )
--- a/src/rowanrail/consensus/raft.py
+++ b/src/rowanrail/consensus/raft.py
@@ -24,7 +24,7 @@
 )
 from rowanrail.consensus.progress import BEFORE_START_SECONDS, Progress
 from rowanrail.consensus.raft_state import RaftState
-from rowanrail.consensus.raft_types import Effects, MembershipBusy, NotLeader, Role
+from rowanrail.consensus.raft_types import Effects, MembershipChangeInProgress, NotLeader, Role
 
 # Of entries in a message, so that heartbeats behind it are not late.
 MAXIMUM_APPEND_BYTES = 256 * 1024
@@ -64,13 +64,13 @@
         """Propose a membership that differs by at most one voter.
 
         :raises NotLeader: if the node does not lead or has not committed in its term.
-        :raises MembershipBusy: if an earlier change is not committed.
+        :raises MembershipChangeInProgress: if an earlier change is not committed.
         """
         if not self.is_established_leader:
             raise NotLeader
         changed = set(self.membership.voters) ^ set(membership.voters)
-        if self.log.membership_index > self.commit or len(changed) > 1:
-            raise MembershipBusy
+        if self.log.membership_index > self.commit_index or len(changed) > 1:
+            raise MembershipChangeInProgress
         return self.propose(EntryKind.MEMBERSHIP, msgspec.msgpack.encode(membership), now)
 
     def read(self, token: int, now: float) -> None:
@@ -80,7 +80,7 @@
         """
         if not self.is_established_leader:
             raise NotLeader
-        self._reads.add(token, self.commit)
+        self._reads.add(token, self.commit_index)
         self._broadcast(now, heartbeat=True)
         self._confirm_reads()
 
@@ -249,7 +249,7 @@
             previous_index=previous,
             previous_term=self.log.term_of(previous),
             entries=entries,
-            commit=self.commit,
+            commit=self.commit_index,
             round=self._reads.round,
         )
         if entries:
@@ -292,11 +292,11 @@
         matches.sort(reverse=True)
         index = matches[len(voters) // 2] if matches else 0
         # Only an entry of the leader's own term commits by counting (Raft, section 5.4.2).
-        if index > self.commit and self.log.term_of(index) == self.term:
+        if index > self.commit_index and self.log.term_of(index) == self.term:
             if not self.is_established_leader:
                 self._heartbeat_due = self._became_leader_at  # followers wait to learn of it
-            self.commit = index
-            if self.node not in voters and self.log.membership_index <= self.commit:
+            self.commit_index = index
+            if self.node not in voters and self.log.membership_index <= self.commit_index:
                 self.role = Role.FOLLOWER
 
     def _confirm_reads(self) -> None:
@@ -327,11 +327,14 @@
             success, match = True, max(previous, self._merge(request.entries))
         else:
             success, match = False, min(previous - 1, self.log.last_index)
-            while match > self.commit and self.log.term_of(match) > request.previous_term:
+            while match > self.commit_index and self.log.term_of(match) > request.previous_term:
                 match -= 1
         if success:
-            self.commit = max(self.commit, min(request.commit, match))
-            if self.commit >= request.commit and self.log.term_of(self.commit) == self.term:
+            self.commit_index = max(self.commit_index, min(request.commit, match))
+            if (
+                self.commit_index >= request.commit
+                and self.log.term_of(self.commit_index) == self.term
+            ):
                 self._current_at = now
         self._send(request.sender, AppendReply(self.node, self.term, success, match, request.round))
 
@@ -344,7 +347,7 @@
             if entry.index <= self.log.last_index:
                 if self.log.term_of(entry.index) == entry.term:
                     continue
-                assert entry.index > self.commit, "a committed entry would be overwritten"
+                assert entry.index > self.commit_index, "a committed entry would be overwritten"
                 self.log.truncate_from(entry.index)
                 self._effects.append = [
                     kept for kept in self._effects.append if kept.index < entry.index
@@ -358,9 +361,9 @@
     def _on_snapshot(self, request: SnapshotRequest, now: float) -> None:
         self._follow(request.sender, now)
         snapshot = request.snapshot
-        if snapshot.index > self.commit:
+        if snapshot.index > self.commit_index:
             self.log.reset(snapshot)
-            self.commit = snapshot.index
+            self.commit_index = snapshot.index
             self._applied = snapshot.index
             self._effects.append = []
             self._effects.committed = []
--- a/src/rowanrail/consensus/raft_state.py
+++ b/src/rowanrail/consensus/raft_state.py
@@ -34,7 +34,7 @@
         self.vote = hard_state.vote
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit = log.snapshot_index
+        self.commit_index = log.snapshot_index
         self.may_campaign = True
         self._config = config
         self._random = randomness
@@ -69,7 +69,7 @@
     @property
     def is_established_leader(self) -> bool:
         """Whether the node leads and has committed an entry of its own term."""
-        return self.is_leader and self.log.term_of(self.commit) == self.term
+        return self.is_leader and self.log.term_of(self.commit_index) == self.term
 
     def match_of(self, node: str) -> int:
         """Return the last index that ``node`` is known to hold, as the leader sees it."""
@@ -97,7 +97,7 @@
 
     def resume(self, index: int) -> None:
         """Begin with the entries up to ``index`` committed and applied already."""
-        self.commit = index
+        self.commit_index = index
         self._applied = index
 
     def take_effects(self) -> Effects:
@@ -139,10 +139,10 @@
         self._effects.append.extend(entries)
 
     def _collect_committed(self) -> None:
-        if self.commit > self._applied:
-            entries = self.log.between(self._applied + 1, self.commit)
+        if self.commit_index > self._applied:
+            entries = self.log.between(self._applied + 1, self.commit_index)
             self._effects.committed.extend(entries)
-            self._applied = self.commit
+            self._applied = self.commit_index
 
     def _send(self, peer: str, outgoing: ConsensusMessage) -> None:
         self._effects.messages.append((peer, outgoing))
--- a/src/rowanrail/consensus/raft_types.py
+++ b/src/rowanrail/consensus/raft_types.py
@@ -51,5 +51,5 @@
     """The node is not the leader, or not yet able to act as one."""
 
 
-class MembershipBusy(Exception):
+class MembershipChangeInProgress(Exception):
     """Another membership change is under way."""
--- a/src/rowanrail/coordination/change_notes.py
+++ b/src/rowanrail/coordination/change_notes.py
@@ -97,7 +97,9 @@
         if version == self._version:
             return
         self._version = version
-        self._decisions.note(VERSION_COMMITTED, version=version, index=self._consensus.applied)
+        self._decisions.note(
+            VERSION_COMMITTED, version=version, index=self._consensus.applied_index
+        )
 
     def _compare_directory(self) -> None:
         state = self._state
--- a/src/rowanrail/coordination/gauges.py
+++ b/src/rowanrail/coordination/gauges.py
@@ -12,7 +12,7 @@
         ("term", {}, raft.term),
         ("leader", {}, float(raft.is_leader)),
         ("current", {}, float(node.service.is_current)),
-        ("applied_index", {}, node.consensus.applied),
+        ("applied_index", {}, node.consensus.applied_index),
         ("log_entries", {}, raft.log.size),
         ("configuration_version", {}, state.version),
         ("directory_revision", {}, state.revision),
--- a/src/rowanrail/coordination/service.py
+++ b/src/rowanrail/coordination/service.py
@@ -190,7 +190,7 @@
 
     async def _barrier(self, request: msgspec.Struct) -> msgspec.Struct:
         await self.node.read_barrier()
-        return BarrierReply(self.node.applied)
+        return BarrierReply(self.node.applied_index)
 
     async def _join(self, request: msgspec.Struct) -> msgspec.Struct:
         assert isinstance(request, JoinRequest)
--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from rowanrail.cluster.policies import VersionMonotonic
-from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind, Snapshot
+from rowanrail.consensus.state_machine import StateMachine
 from rowanrail.coordination.changes import DirectoryChange, GatewayStep, MemberStep
 from rowanrail.coordination.commands import (
     Announce,
--- a/src/rowanrail/sql_control/http_api.py
+++ b/src/rowanrail/sql_control/http_api.py
@@ -138,7 +138,7 @@
         values = {
             "term": raft.term,
             "leader": int(raft.is_leader),
-            "applied_index": self._service.node.applied,
+            "applied_index": self._service.node.applied_index,
             "log_entries": raft.log.size,
             "configuration_version": self._service.state.current.version,
             "proxies": len(self._service.watches.reports()),
--- a/src/rowanrail/sql_control/service.py
+++ b/src/rowanrail/sql_control/service.py
@@ -112,7 +112,7 @@
             return await self._read()
         if isinstance(request, BarrierRequest):
             await self.node.read_barrier()
-            return BarrierReply(self.node.applied)
+            return BarrierReply(self.node.applied_index)
         if isinstance(request, JoinRequest):
             return await self.members.join(request)
         if isinstance(request, NodesRequest):
--- a/src/rowanrail/sql_control/state.py
+++ b/src/rowanrail/sql_control/state.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from rowanrail.config.model import Configuration, VersionedConfiguration
-from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind
+from rowanrail.consensus.state_machine import StateMachine
 from rowanrail.sql_control.changes import change_verdict, resent_outcome
 from rowanrail.sql_control.delta import apply_delta, is_empty
 from rowanrail.sql_control.messages import ChangeCommand, Outcome, Revision, Verdict
--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -25,10 +25,10 @@
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.config.settings import NodeAddress
 from rowanrail.consensus import policies
-from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import HardState, Membership, Snapshot
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
+from rowanrail.consensus.state_machine import StateMachine
 from rowanrail.consensus.storage import Identity, Record, Storage, seal
 from rowanrail.coordination import state as gateways_state
 from rowanrail.coordination.commands import Command
@@ -120,7 +120,7 @@
 
     @staticmethod
     def _has_all(node: ConsensusNode) -> bool:
-        return node.raft.is_established_leader and node.applied == node.raft.log.last_index
+        return node.raft.is_established_leader and node.applied_index == node.raft.log.last_index
 
 
 class FolderCases(GoldenCase):
--- a/tests/unit/test_raft_current.py
+++ b/tests/unit/test_raft_current.py
@@ -94,7 +94,7 @@
         node = follower([])
         snapshot = Snapshot(7, 4, VOTERS, b"")
         node.log.reset(snapshot)
-        node.commit = 7
+        node.commit_index = 7
         self.assertEqual(self.append(node, [], commit=7, previous=(7, 4)), 0.0)
 
     def test_a_leader_tells_at_once_that_its_first_entry_is_committed(self):
