--- a/src/rowanlab/simulator/control_world.py
+++ b/src/rowanlab/simulator/control_world.py
@@ -207,7 +207,7 @@
                 continue
             raft = control.node.consensus.raft
             first = raft.log.snapshot_index + 1
-            for entry in raft.log.between(first, raft.commit_index):
+            for entry in raft.log.entries_between(first, raft.commit_index):
                 text = f"{entry.term}/{entry.kind}/{hashlib.sha256(entry.data).hexdigest()}"
                 self.oracle.note_committed(entry.index, text, control.name)
 
--- a/src/rowanlab/simulator/permissive.py
+++ b/src/rowanlab/simulator/permissive.py
@@ -119,7 +119,7 @@
 class OldIdentityKept(LearnerFirst):
     """A node with an empty folder goes on under its old identity, with its vote."""
 
-    def identity(self, name: str, fresh_identity: str) -> str:
+    def new_node_id(self, name: str, random_id: str) -> str:
         """See the guard."""
         return f"{name}@1"
 
--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -214,7 +214,9 @@
         )
         self.node = self._create_node(identity)
         self.members = MembershipManager(self.node, settings.group)
-        self.machine.committed_before = lambda index: self.node.raft.log.between(1, index - 1)
+        self.machine.committed_before = lambda index: self.node.raft.log.entries_between(
+            1, index - 1
+        )
         self.node.on_change = self._on_change
         self._listener = await self._network.serve(settings.rpc_listen, self.handle)
         self.node.start()
@@ -301,7 +303,7 @@
         self.generation += 1
         self.engine.roll_back()
         if self.machine.local:
-            self.machine.rebuild(self.node.raft.log.between(1, self.node.applied_index))
+            self.machine.rebuild(self.node.raft.log.entries_between(1, self.node.applied_index))
 
     def count_new_work(self) -> None:
         """Count work that begins well after the member said that it is leaving."""
--- a/src/rowanrail/cli/inspect.py
+++ b/src/rowanrail/cli/inspect.py
@@ -39,7 +39,7 @@
     :raises StorageError: if it is empty or damaged.
     """
     storage = Storage(ReadOnlyDisk(folder))
-    identity = storage.identity()
+    identity = storage.load_identity()
     if identity is None:
         raise StorageError("the folder is empty", step="inspect", peer=str(folder))
     hard_state, log = storage.load()
@@ -56,7 +56,7 @@
         snapshot_version=state.current.version,
         voters=sorted(log.membership.voters),
         learners=sorted(log.membership.learners),
-        unsynced_tail_bytes=storage.cut_bytes,
+        unsynced_tail_bytes=storage.truncated_bytes,
     )
 
 
--- a/src/rowanrail/cluster/data_folder.py
+++ b/src/rowanrail/cluster/data_folder.py
@@ -70,7 +70,7 @@
     :param bootstrap: set up a new system, unless another node already knows one.
     :raises StorageError: if the folder is damaged or belongs to another system or node.
     """
-    identity = storage.identity()
+    identity = storage.load_identity()
     may_bootstrap = identity is None and bootstrap and not await _system_exists(owner, network)
     match startup_mode(identity is not None, may_bootstrap):
         case StartupMode.RESTART:
@@ -81,7 +81,7 @@
             storage.create(identity, Snapshot(1, 1, first_membership(owner), b""))
         case StartupMode.JOIN:
             fresh = f"{randomness.getrandbits(48):012x}"
-            identity = Identity(owner.cluster, learner_first.identity(owner.name, fresh))
+            identity = Identity(owner.cluster, learner_first.new_node_id(owner.name, fresh))
             emit(NODE_JOINING, node=identity.node)
             storage.create(identity, None)
     return identity
--- a/src/rowanrail/cluster/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -167,7 +167,7 @@
         views = []
         for node, address in sorted(raft.membership.addresses().items()):
             is_self = node == self._node.identity.node
-            match = raft.log.last_index if is_self else raft.match_of(node)
+            match = raft.log.last_index if is_self else raft.match_index(node)
             views.append(
                 NodeView(
                     name=node_name(node),
@@ -176,7 +176,7 @@
                     voter=node in raft.membership.voters,
                     leader=node == raft.leader,
                     behind=raft.log.last_index - match,
-                    answered_seconds_ago=0.0 if is_self else raft.answered_seconds_ago(node, now),
+                    answered_seconds_ago=0.0 if is_self else raft.seconds_since_reply(node, now),
                 )
             )
         return NodesReply(raft.term, views)
@@ -192,6 +192,6 @@
 
     async def _promote_one(self) -> None:
         raft = self._node.raft
-        changed = admit_one(raft.membership, raft.match_of, raft.log.last_index)
+        changed = admit_one(raft.membership, raft.match_index, raft.log.last_index)
         if changed is not None:
             await self._change(changed)
--- a/src/rowanrail/consensus/log.py
+++ b/src/rowanrail/consensus/log.py
@@ -30,14 +30,14 @@
     @property
     def last_term(self) -> int:
         """Term of the last entry."""
-        return self.term_of(self.last_index)
+        return self.term_at(self.last_index)
 
     @property
     def size(self) -> int:
         """Number of entries after the snapshot."""
         return len(self._entries)
 
-    def term_of(self, index: int) -> int:
+    def term_at(self, index: int) -> int:
         """Return the term of the entry at ``index``; 0 if it is not held."""
         if index == self.snapshot_index:
             return self.snapshot.term if self.snapshot else 0
@@ -46,12 +46,12 @@
             return self._entries[position].term
         return 0
 
-    def between(self, first: int, last: int) -> list[Entry]:
+    def entries_between(self, first: int, last: int) -> list[Entry]:
         """Return the entries from ``first`` to ``last``, both included."""
         start = first - self.snapshot_index - 1
         return self._entries[max(start, 0) : last - self.snapshot_index]
 
-    def slice(self, first: int, maximum_bytes: int) -> list[Entry]:
+    def entries_from(self, first: int, maximum_bytes: int) -> list[Entry]:
         """Return entries from ``first`` on, at least one, up to about ``maximum_bytes``."""
         chosen: list[Entry] = []
         size = 0
@@ -78,7 +78,7 @@
 
     def compact(self, snapshot: Snapshot) -> None:
         """Drop the entries that ``snapshot`` covers."""
-        self._entries = self.between(snapshot.index + 1, self.last_index)
+        self._entries = self.entries_between(snapshot.index + 1, self.last_index)
         self.snapshot = snapshot
         self._update_membership()
 
@@ -90,7 +90,7 @@
 
     def membership_at(self, index: int) -> Membership:
         """Return the membership in force after the entry at ``index``."""
-        for entry in reversed(self.between(self.snapshot_index + 1, index)):
+        for entry in reversed(self.entries_between(self.snapshot_index + 1, index)):
             if entry.kind is EntryKind.MEMBERSHIP:
                 return msgspec.msgpack.decode(entry.data, type=Membership)
         return self.snapshot.membership if self.snapshot else Membership()
--- a/src/rowanrail/consensus/node.py
+++ b/src/rowanrail/consensus/node.py
@@ -127,7 +127,7 @@
 
         :raises NotLeaderError: if the node does not lead.
         """
-        self.check_failure("propose")
+        self.raise_if_failed("propose")
         try:
             entry = self.raft.propose(EntryKind.COMMAND, data, self._now())
         except NotLeader as error:
@@ -163,7 +163,7 @@
 
         :raises NotLeaderError: if the node does not lead, or can't confirm that it does.
         """
-        self.check_failure("read")
+        self.raise_if_failed("read")
         token, future = self._pending.wait_read()
         try:
             self.raft.read(token, self._now())
@@ -185,12 +185,12 @@
     def receive(self, incoming: ConsensusMessage) -> None:
         """Handle a message from another node."""
         if self.failure is not None:
-            self.raft.observe(incoming, self._now())
+            self.raft.track_leader(incoming, self._now())
             return
         self.raft.receive(incoming, self._now())
         self._wake.set()
 
-    def check_failure(self, step: str) -> None:
+    def raise_if_failed(self, step: str) -> None:
         """Refuse to go on while the storage has failed.
 
         :raises StorageError: with the reason of the failure.
@@ -232,7 +232,7 @@
         """
         self.failure = error
         self.role_at_failure = self.raft.role
-        self.raft.withdraw()
+        self.raft.deactivate()
         self._pending.fail_all(error)
 
     def _reopen(self) -> None:
@@ -255,7 +255,7 @@
         if log.snapshot is not None and log.snapshot_index > self.applied_index:
             self.machine.restore(log.snapshot.data)
             self.applied_index = log.snapshot_index
-        self.raft.resume(self.applied_index)
+        self.raft.mark_applied(self.applied_index)
         self.failure = None
 
     async def _wait_for_input(self) -> None:
@@ -324,7 +324,7 @@
         """Return a snapshot of what has been applied."""
         return Snapshot(
             index=self.applied_index,
-            term=self.raft.log.term_of(self.applied_index),
+            term=self.raft.log.term_at(self.applied_index),
             membership=self.raft.log.membership_at(self.applied_index),
             data=self.machine.snapshot(),
         )
--- a/src/rowanrail/consensus/policies.py
+++ b/src/rowanrail/consensus/policies.py
@@ -20,6 +20,6 @@
 class LearnerFirst:
     """A node with an empty data folder is a new node: it has no vote until admitted."""
 
-    def identity(self, name: str, fresh_identity: str) -> str:
+    def new_node_id(self, name: str, random_id: str) -> str:
         """Return the node id of a node whose data folder is empty."""
-        return f"{name}@{fresh_identity}"
+        return f"{name}@{random_id}"
--- a/src/rowanrail/consensus/progress.py
+++ b/src/rowanrail/consensus/progress.py
@@ -53,7 +53,7 @@
         """Return all nodes with their progress."""
         return self._progress.items()
 
-    def match_of(self, peer: str) -> int:
+    def match_index(self, peer: str) -> int:
         """Return the last index that a node is known to hold."""
         progress = self._progress.get(peer)
         return progress.match if progress else 0
@@ -63,7 +63,7 @@
         progress = self._progress.get(peer)
         return progress.round if progress else 0
 
-    def answered_seconds_ago(self, peer: str, now: float) -> float:
+    def seconds_since_reply(self, peer: str, now: float) -> float:
         """Return how long ago a node last answered."""
         progress = self._progress.get(peer)
         return now - progress.answered_at if progress else float("inf")
--- a/src/rowanrail/consensus/raft.py
+++ b/src/rowanrail/consensus/raft.py
@@ -109,15 +109,15 @@
         if self.is_leader:
             self._become_follower(self.term, "", now)
 
-    def withdraw(self) -> None:
+    def deactivate(self) -> None:
         """Give up every role, and the claim to hold what is committed."""
         self.role = Role.FOLLOWER
         self.leader = ""
         self._current_at = BEFORE_START_SECONDS
         self._effects = Effects()
 
-    def observe(self, incoming: ConsensusMessage, now: float) -> None:
-        """Learn who leads, and nothing else, after :meth:`withdraw`.
+    def track_leader(self, incoming: ConsensusMessage, now: float) -> None:
+        """Learn who leads, and nothing else, after :meth:`deactivate`.
 
         Such a node may neither vote nor confirm, but it can tell others whom to ask.
         """
@@ -241,13 +241,13 @@
             return
         entries: list[Entry] = []
         if progress.in_flight < MAXIMUM_IN_FLIGHT:
-            entries = self.log.slice(progress.next_index, MAXIMUM_APPEND_BYTES)
+            entries = self.log.entries_from(progress.next_index, MAXIMUM_APPEND_BYTES)
         previous = progress.next_index - 1
         request = AppendRequest(
             sender=self.node,
             term=self.term,
             previous_index=previous,
-            previous_term=self.log.term_of(previous),
+            previous_term=self.log.term_at(previous),
             entries=entries,
             commit=self.commit_index,
             round=self._reads.round,
@@ -287,12 +287,12 @@
     def _advance_commit(self) -> None:
         voters = self.membership.voters
         matches = [
-            self.log.last_index if peer == self.node else self.match_of(peer) for peer in voters
+            self.log.last_index if peer == self.node else self.match_index(peer) for peer in voters
         ]
         matches.sort(reverse=True)
         index = matches[len(voters) // 2] if matches else 0
         # Only an entry of the leader's own term commits by counting (Raft, section 5.4.2).
-        if index > self.commit_index and self.log.term_of(index) == self.term:
+        if index > self.commit_index and self.log.term_at(index) == self.term:
             if not self.is_established_leader:
                 self._heartbeat_due = self._became_leader_at  # followers wait to learn of it
             self.commit_index = index
@@ -321,19 +321,19 @@
             entries = [entry for entry in request.entries if entry.index > match]
             if entries and entries[0].index == match + 1:
                 match = self._merge(entries)
-        elif self.log.term_of(previous) == request.previous_term and (
+        elif self.log.term_at(previous) == request.previous_term and (
             previous <= self.log.last_index
         ):
             success, match = True, max(previous, self._merge(request.entries))
         else:
             success, match = False, min(previous - 1, self.log.last_index)
-            while match > self.commit_index and self.log.term_of(match) > request.previous_term:
+            while match > self.commit_index and self.log.term_at(match) > request.previous_term:
                 match -= 1
         if success:
             self.commit_index = max(self.commit_index, min(request.commit, match))
             if (
                 self.commit_index >= request.commit
-                and self.log.term_of(self.commit_index) == self.term
+                and self.log.term_at(self.commit_index) == self.term
             ):
                 self._current_at = now
         self._send(request.sender, AppendReply(self.node, self.term, success, match, request.round))
@@ -345,7 +345,7 @@
     def _merge(self, entries: list[Entry]) -> int:
         for position, entry in enumerate(entries):
             if entry.index <= self.log.last_index:
-                if self.log.term_of(entry.index) == entry.term:
+                if self.log.term_at(entry.index) == entry.term:
                     continue
                 assert entry.index > self.commit_index, "a committed entry would be overwritten"
                 self.log.truncate_from(entry.index)
--- a/src/rowanrail/consensus/raft_state.py
+++ b/src/rowanrail/consensus/raft_state.py
@@ -69,21 +69,21 @@
     @property
     def is_established_leader(self) -> bool:
         """Whether the node leads and has committed an entry of its own term."""
-        return self.is_leader and self.log.term_of(self.commit_index) == self.term
+        return self.is_leader and self.log.term_at(self.commit_index) == self.term
 
-    def match_of(self, node: str) -> int:
+    def match_index(self, node: str) -> int:
         """Return the last index that ``node`` is known to hold, as the leader sees it."""
-        return self._progress.match_of(node)
+        return self._progress.match_index(node)
 
-    def answered_seconds_ago(self, node: str, now: float) -> float:
+    def seconds_since_reply(self, node: str, now: float) -> float:
         """Return how long ago ``node`` last answered the leader."""
-        return self._progress.answered_seconds_ago(node, now)
+        return self._progress.seconds_since_reply(node, now)
 
-    def heard_seconds_ago(self, now: float) -> float:
+    def seconds_since_leader_contact(self, now: float) -> float:
         """Return how long ago this node last heard from a leader."""
         return now - self._heard_from_leader_at
 
-    def current_seconds_ago(self, now: float) -> float:
+    def seconds_since_up_to_date(self, now: float) -> float:
         """Return how long ago this node held all that the leader had committed.
 
         A follower that hears the leader may still lack most of the log. A leader that has not
@@ -95,7 +95,7 @@
             return now - self._progress.quorum_answered_at(self.membership.voters, now)
         return now - self._current_at
 
-    def resume(self, index: int) -> None:
+    def mark_applied(self, index: int) -> None:
         """Begin with the entries up to ``index`` committed and applied already."""
         self.commit_index = index
         self._applied = index
@@ -140,7 +140,7 @@
 
     def _collect_committed(self) -> None:
         if self.commit_index > self._applied:
-            entries = self.log.between(self._applied + 1, self.commit_index)
+            entries = self.log.entries_between(self._applied + 1, self.commit_index)
             self._effects.committed.extend(entries)
             self._applied = self.commit_index
 
--- a/src/rowanrail/consensus/storage.py
+++ b/src/rowanrail/consensus/storage.py
@@ -34,7 +34,7 @@
     format: int = 1
 
 
-class Record(msgspec.Struct, array_like=True, frozen=True):
+class LogRecord(msgspec.Struct, array_like=True, frozen=True):
     """One log record."""
 
     durable_index: int
@@ -48,12 +48,12 @@
     offset: int
 
 
-def seal(payload: bytes) -> bytes:
+def encode_frame(payload: bytes) -> bytes:
     """Return ``payload`` behind a header with its length and checksum."""
     return _HEADER.pack(len(payload), google_crc32c.value(payload)) + payload
 
 
-def unseal(data: bytes, offset: int) -> bytes | None:
+def decode_frame(data: bytes, offset: int) -> bytes | None:
     """Return the payload sealed at ``offset``, or None if it is torn or damaged."""
     if offset + _HEADER.size > len(data):
         return None
@@ -69,7 +69,7 @@
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
-        self.cut_bytes = 0
+        self.truncated_bytes = 0
         self._places: dict[int, Place] = {}
         self._lengths: dict[str, int] = {}
         self._durable_index = 0
@@ -78,7 +78,7 @@
 
     # Identity
 
-    def identity(self) -> Identity | None:
+    def load_identity(self) -> Identity | None:
         """Return who owns the folder, or None if it is empty.
 
         :raises StorageError: if the identity is damaged, or missing beside other files.
@@ -161,7 +161,7 @@
                 self._check_torn_tail(segment, data, offset, entries)
                 if position < len(segments) - 1:
                     raise self._damaged(segment, f"record at byte {offset} is damaged")
-                self.cut_bytes = len(data) - offset
+                self.truncated_bytes = len(data) - offset
                 self.disk.truncate(segment, offset)
                 self.disk.sync_file(segment)
             self._lengths[segment] = offset
@@ -169,7 +169,7 @@
 
     def _load_segment(self, segment: str, data: bytes, entries: list[Entry]) -> int:
         offset = 0
-        while (payload := unseal(data, offset)) is not None:
+        while (payload := decode_frame(data, offset)) is not None:
             entry = self._decode(segment, payload).entry
             if entries and entry.index != entries[-1].index + 1:
                 raise self._damaged(
@@ -185,7 +185,7 @@
     ) -> None:
         last_index = entries[-1].index if entries else 0
         for later in range(offset + 1, len(data) - _HEADER.size):
-            payload = unseal(data, later)
+            payload = decode_frame(data, later)
             if payload is None:
                 continue
             if self._decode(segment, payload).durable_index > last_index:
@@ -200,9 +200,9 @@
             peer=name,
         )
 
-    def _decode(self, segment: str, payload: bytes) -> Record:
+    def _decode(self, segment: str, payload: bytes) -> LogRecord:
         try:
-            return msgspec.msgpack.decode(payload, type=Record)
+            return msgspec.msgpack.decode(payload, type=LogRecord)
         except msgspec.MsgspecError as error:
             raise self._damaged(segment, f"a record can't be decoded ({error})") from error
 
@@ -216,7 +216,8 @@
         """Append entries and make them durable, with one sync for all of them."""
         touched: list[str] = []
         records = [
-            seal(msgspec.msgpack.encode(Record(self._durable_index, entry))) for entry in entries
+            encode_frame(msgspec.msgpack.encode(LogRecord(self._durable_index, entry)))
+            for entry in entries
         ]
         self._unwritten_bytes = sum(map(len, records))
         for entry, record in zip(entries, records, strict=True):
@@ -283,13 +284,13 @@
         return segment
 
     def _save(self, name: str, value: msgspec.Struct) -> None:
-        data = seal(msgspec.msgpack.encode(value))
+        data = encode_frame(msgspec.msgpack.encode(value))
         self._unwritten_bytes = len(data)
         self.disk.replace(name, data)
         self._unwritten_bytes = 0
 
     def _load(self, name: str, kind: type[LoadedType]) -> LoadedType:
-        payload = unseal(self.disk.read(name), 0)
+        payload = decode_frame(self.disk.read(name), 0)
         if payload is None:
             raise self._damaged(name, "the file's checksum does not match")
         try:
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -182,7 +182,7 @@
             await asyncio.sleep(ADMISSION_CHECK_SECONDS)
             raft = self.consensus.raft
             is_new = identity.node not in raft.membership.addresses()
-            unheard = raft.heard_seconds_ago(loop.time()) > UNHEARD_SECONDS
+            unheard = raft.seconds_since_leader_contact(loop.time()) > UNHEARD_SECONDS
             if raft.is_leader or not (is_new or unheard):
                 continue
             addresses = {*self._settings.peers, *raft.membership.addresses().values()} - {name}
--- a/src/rowanrail/coordination/replay.py
+++ b/src/rowanrail/coordination/replay.py
@@ -34,14 +34,14 @@
         """
         replayed = self._replayed
         if replayed is None or self._is_replaced(log):
-            entries = log.between(log.snapshot_index + 1, log.last_index)
+            entries = log.entries_between(log.snapshot_index + 1, log.last_index)
             replayed = self._replayed = self._state.replayed(log.snapshot, entries)
         else:
-            for entry in log.between(self._index + 1, log.last_index):
+            for entry in log.entries_between(self._index + 1, log.last_index):
                 replayed.apply(entry)
         self._index, self._term = log.last_index, log.last_term
         return replayed
 
     def _is_replaced(self, log: Log) -> bool:
         is_held = log.snapshot_index <= self._index <= log.last_index
-        return not is_held or log.term_of(self._index) != self._term
+        return not is_held or log.term_at(self._index) != self._term
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -65,9 +65,9 @@
         raft = self._node.raft
         if node == self._node.identity.node:
             return NodeState(raft.log.last_index, 0, 0.0)
-        held = raft.match_of(node)
+        held = raft.match_index(node)
         behind = raft.log.last_index - held
-        return NodeState(held, behind, raft.answered_seconds_ago(node, self._clock()))
+        return NodeState(held, behind, raft.seconds_since_reply(node, self._clock()))
 
     async def _promote_one(self) -> None:
         changed = next_membership(self._node.raft.membership, self._target, self._state)
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -87,7 +87,7 @@
     @property
     def is_current(self) -> bool:
         """Whether this node held all that is committed a short while ago."""
-        return self._node.raft.current_seconds_ago(self._now()) < CURRENT_SECONDS
+        return self._node.raft.seconds_since_up_to_date(self._now()) < CURRENT_SECONDS
 
     def notice_change(self) -> None:
         """Wake the waiting polls if something changed that gateways need to know."""
@@ -114,7 +114,7 @@
     async def answer_logged_directory(self, request: msgspec.Struct) -> msgspec.Struct:
         """Tell what the log holds; see :mod:`rowanrail.gateway.discovery.provisional`."""
         assert isinstance(request, LoggedDirectoryRequest)
-        self._node.check_failure("tell what is held")  # the log in memory is not what is on disk
+        self._node.raise_if_failed("tell what is held")  # the log in memory is not what is on disk
         log = self._node.raft.log
         state = self._replay.state_of(log)
         if self._held_parts.state is not state:
--- a/src/rowanrail/sql_control/backup.py
+++ b/src/rowanrail/sql_control/backup.py
@@ -11,7 +11,7 @@
 
 from rowanrail.config.model import VersionedConfiguration
 from rowanrail.consensus.messages import EntryKind, HardState, Membership, Snapshot
-from rowanrail.consensus.storage import Identity, Storage, seal, unseal
+from rowanrail.consensus.storage import Identity, Storage, decode_frame, encode_frame
 from rowanrail.kernel.errors import StorageError
 from rowanrail.sql_control.policies import ExpectedVersion
 from rowanrail.sql_control.state import ConfigurationState
@@ -43,14 +43,14 @@
 
     :raises StorageError: if the folder is empty or damaged.
     """
-    identity = storage.identity()
+    identity = storage.load_identity()
     if identity is None:
         raise StorageError("the folder is empty", step="backup")
     hard_state, log = storage.load()
     state = ConfigurationState(ExpectedVersion())
     if log.snapshot is not None:
         state.restore(log.snapshot.data)
-    for entry in log.between(log.snapshot_index + 1, log.last_index):
+    for entry in log.entries_between(log.snapshot_index + 1, log.last_index):
         if entry.kind is EntryKind.COMMAND:
             state.apply(entry)
     return Backup(
@@ -65,7 +65,7 @@
 
 def encode_backup(backup: Backup) -> bytes:
     """Return the bytes of a backup file."""
-    return seal(msgspec.msgpack.encode(backup))
+    return encode_frame(msgspec.msgpack.encode(backup))
 
 
 def decode_backup(data: bytes) -> Backup:
@@ -73,7 +73,7 @@
 
     :raises StorageError: if it is damaged or of another format.
     """
-    payload = unseal(data, 0)
+    payload = decode_frame(data, 0)
     if payload is None:
         raise StorageError("the backup's checksum does not match; use another one", step="restore")
     try:
--- a/src/rowanrail/sql_control/node.py
+++ b/src/rowanrail/sql_control/node.py
@@ -80,8 +80,8 @@
             self._registry.create("control-guard", "version-monotonic"),
         )
         self.consensus.on_change = self._on_change
-        if self._storage.cut_bytes:
-            emit(TAIL_CUT, bytes=self._storage.cut_bytes)
+        if self._storage.truncated_bytes:
+            emit(TAIL_CUT, bytes=self._storage.truncated_bytes)
         self._listener = await self._network.serve(settings.rpc_listen, self.service.handle)
         self.consensus.start()
         self.service.members.start()
--- a/src/rowanrail/sql_control/state.py
+++ b/src/rowanrail/sql_control/state.py
@@ -33,7 +33,7 @@
     outcome: Outcome
 
 
-class SavedConfigurations(msgspec.Struct, frozen=True):
+class ConfigurationSnapshot(msgspec.Struct, frozen=True):
     """The whole state, as it stands in a snapshot."""
 
     current: VersionedConfiguration
@@ -113,7 +113,7 @@
 
     def snapshot(self) -> bytes:
         """See :meth:`StateMachine.snapshot`."""
-        state = SavedConfigurations(
+        state = ConfigurationSnapshot(
             self.current, list(self.earlier), list(self.history), dict(self._outcomes)
         )
         return msgspec.msgpack.encode(state)
@@ -122,7 +122,7 @@
         """See :meth:`StateMachine.restore`."""
         if not data:
             return
-        state = msgspec.msgpack.decode(data, type=SavedConfigurations)
+        state = msgspec.msgpack.decode(data, type=ConfigurationSnapshot)
         self.current = state.current
         self.earlier = deque(state.earlier, maxlen=REMEMBERED_CONFIGURATIONS)
         self.history = deque(state.history, maxlen=REMEMBERED_REVISIONS)
--- a/tests/coordination/test_directory.py
+++ b/tests/coordination/test_directory.py
@@ -37,7 +37,7 @@
     def __init__(self, log, leads):
         self.log, self.is_leader = log, leads
 
-    def current_seconds_ago(self, now):
+    def seconds_since_up_to_date(self, now):
         return 0.0 if self.is_leader else 1e9
 
 
@@ -52,7 +52,7 @@
     def leader_address(self):
         return ""
 
-    def check_failure(self, step):
+    def raise_if_failed(self, step):
         pass
 
 
--- a/tests/coordination/test_holders.py
+++ b/tests/coordination/test_holders.py
@@ -114,7 +114,7 @@
         return replay.state_of(log).snapshot()
 
     def expected(self, log):
-        return new_state().replayed(log.snapshot, log.between(1, log.last_index)).snapshot()
+        return new_state().replayed(log.snapshot, log.entries_between(1, log.last_index)).snapshot()
 
     def test_entries_that_another_leader_replaced_are_told_no_more(self):
         member = MemberRecord("m1", "db", "m1:1", "a", False, False, 3, 1)
--- a/tests/coordination/test_planner.py
+++ b/tests/coordination/test_planner.py
@@ -58,7 +58,7 @@
     def addresses(self):
         return {}
 
-    def current_seconds_ago(self, now):
+    def seconds_since_up_to_date(self, now):
         return 0.0
 
 
--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -29,7 +29,7 @@
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.state_machine import StateMachine
-from rowanrail.consensus.storage import Identity, Record, Storage, seal
+from rowanrail.consensus.storage import Identity, LogRecord, Storage, encode_frame
 from rowanrail.coordination import state as gateways_state
 from rowanrail.coordination.commands import Command
 from rowanrail.coordination.node import CLUSTER
@@ -63,10 +63,10 @@
             "identity": Identity,
             "hard-state": HardState,
             "snapshot": Snapshot,
-            "record": Record,
+            "record": LogRecord,
             "membership": Membership,
             "state of the gateways' control nodes": gateways_state.StateSnapshot,
-            "state of the SQL control nodes": sql_state.SavedConfigurations,
+            "state of the SQL control nodes": sql_state.ConfigurationSnapshot,
             "backup": sql_backup.Backup,
         }
         self.assertEqual(sorted(kinds), sorted(GOLDEN["files"]))
@@ -171,7 +171,9 @@
             for folder in ("before", "after"):
                 data = (self.data / folder / name).read_bytes()
                 value = decoder(kind)(data[8:])
-                self.assertEqual(seal(msgspec.msgpack.encode(value)), data, f"{folder}/{name}")
+                self.assertEqual(
+                    encode_frame(msgspec.msgpack.encode(value)), data, f"{folder}/{name}"
+                )
 
 
 class GatewaysFolderTest(FolderCases):
@@ -181,7 +183,7 @@
         return CoordinationState(VersionMonotonic(), IncarnationCheck(), FencingToken())
 
     def test_the_folder_belongs_to_the_cluster_of_that_kind(self):
-        identity = Storage(FileDisk(self.folder)).identity()
+        identity = Storage(FileDisk(self.folder)).load_identity()
         self.assertEqual(identity, Identity(CLUSTER, f"{self.story['node']}@1"))
 
 
--- a/tests/unit/test_raft_current.py
+++ b/tests/unit/test_raft_current.py
@@ -35,7 +35,7 @@
 class CurrentTest(unittest.TestCase):
     def append(self, node, entries, commit, term=4, previous=(0, 0)):
         node.receive(AppendRequest("a", term, *previous, entries, commit, 0), 100.0)
-        return node.current_seconds_ago(100.0)
+        return node.seconds_since_up_to_date(100.0)
 
     def test_a_leader_that_does_not_know_what_is_committed_makes_nobody_current(self):
         # Found in an incident: after a loss of all power a node with an empty disk followed a new
@@ -70,23 +70,23 @@
     def test_a_leader_is_current_while_a_majority_answers(self):
         node = self.lead()
         node.receive(AppendReply("c", node.term, True, 2, 0), 110.4)
-        self.assertAlmostEqual(node.current_seconds_ago(110.5), 0.1)
+        self.assertAlmostEqual(node.seconds_since_up_to_date(110.5), 0.1)
 
     def test_a_leader_that_nobody_answers_is_not_current_for_long(self):
         # Whatever keeps it from stepping down in time: a pause, or a loop that has ended.
-        self.assertGreater(self.lead().current_seconds_ago(115.0), 1.5)
+        self.assertGreater(self.lead().seconds_since_up_to_date(115.0), 1.5)
 
     def test_a_leader_that_withdraws_is_not_current_at_once(self):
         node = self.lead()
-        node.withdraw()
+        node.deactivate()
         self.assertFalse(node.is_leader)
-        self.assertGreater(node.current_seconds_ago(110.0), 1.5)
+        self.assertGreater(node.seconds_since_up_to_date(110.0), 1.5)
 
     def test_a_node_that_withdrew_learns_who_leads_and_votes_for_nobody(self):
         node = self.lead()
-        node.withdraw()
+        node.deactivate()
         node.take_effects()
-        node.observe(AppendRequest("c", node.term + 1, 2, 4, [entry(9, 3)], 3, 0), 120.0)
+        node.track_leader(AppendRequest("c", node.term + 1, 2, 4, [entry(9, 3)], 3, 0), 120.0)
         self.assertEqual((node.leader, node.log.last_index), ("c", 2))
         self.assertEqual(node.take_effects().messages, [])
 
--- a/tests/unit/test_storage.py
+++ b/tests/unit/test_storage.py
@@ -145,7 +145,7 @@
         storage.disk._current[name] = bytes(data)
         damaged = Storage(storage.disk)
         with self.assertRaises(StorageError):
-            damaged.identity()
+            damaged.load_identity()
             damaged.load()
 
 
@@ -194,13 +194,13 @@
         self.assertEqual(found, hard_state)
         self.assertEqual((log.snapshot_index, log.last_index), (base, last))
         for index in range(base + 1, last + 1):
-            self.assertEqual(log.between(index, index), [entry(index)])
+            self.assertEqual(log.entries_between(index, index), [entry(index)])
 
     def test_without_syncs_promises_are_lost(self):
         storage = new_storage(honours_sync=False)
         storage.append([entry(2)])
         storage.disk.crash()
-        self.assertIsNone(Storage(storage.disk).identity())
+        self.assertIsNone(Storage(storage.disk).load_identity())
 
     def test_a_lost_rename_leaves_the_earlier_file(self):
         storage = new_storage()
