--- a/src/rowanrail/consensus/storage.py
+++ b/src/rowanrail/consensus/storage.py
@@ -48,12 +48,12 @@
     offset: int
 
 
-def encode_frame(payload: bytes) -> bytes:
+def encode_checksummed(payload: bytes) -> bytes:
     """Return ``payload`` behind a header with its length and checksum."""
     return _HEADER.pack(len(payload), google_crc32c.value(payload)) + payload
 
 
-def decode_frame(data: bytes, offset: int) -> bytes | None:
+def decode_checksummed(data: bytes, offset: int) -> bytes | None:
     """Return the payload sealed at ``offset``, or None if it is torn or damaged."""
     if offset + _HEADER.size > len(data):
         return None
@@ -169,7 +169,7 @@
 
     def _load_segment(self, segment: str, data: bytes, entries: list[Entry]) -> int:
         offset = 0
-        while (payload := decode_frame(data, offset)) is not None:
+        while (payload := decode_checksummed(data, offset)) is not None:
             entry = self._decode(segment, payload).entry
             if entries and entry.index != entries[-1].index + 1:
                 raise self._damaged(
@@ -185,7 +185,7 @@
     ) -> None:
         last_index = entries[-1].index if entries else 0
         for later in range(offset + 1, len(data) - _HEADER.size):
-            payload = decode_frame(data, later)
+            payload = decode_checksummed(data, later)
             if payload is None:
                 continue
             if self._decode(segment, payload).durable_index > last_index:
@@ -216,7 +216,7 @@
         """Append entries and make them durable, with one sync for all of them."""
         touched: list[str] = []
         records = [
-            encode_frame(msgspec.msgpack.encode(LogRecord(self._durable_index, entry)))
+            encode_checksummed(msgspec.msgpack.encode(LogRecord(self._durable_index, entry)))
             for entry in entries
         ]
         self._unwritten_bytes = sum(map(len, records))
@@ -284,13 +284,13 @@
         return segment
 
     def _save(self, name: str, value: msgspec.Struct) -> None:
-        data = encode_frame(msgspec.msgpack.encode(value))
+        data = encode_checksummed(msgspec.msgpack.encode(value))
         self._unwritten_bytes = len(data)
         self.disk.replace(name, data)
         self._unwritten_bytes = 0
 
     def _load(self, name: str, kind: type[LoadedType]) -> LoadedType:
-        payload = decode_frame(self.disk.read(name), 0)
+        payload = decode_checksummed(self.disk.read(name), 0)
         if payload is None:
             raise self._damaged(name, "the file's checksum does not match")
         try:
--- a/src/rowanrail/sql_control/backup.py
+++ b/src/rowanrail/sql_control/backup.py
@@ -11,7 +11,7 @@
 
 from rowanrail.config.model import VersionedConfiguration
 from rowanrail.consensus.messages import EntryKind, HardState, Membership, Snapshot
-from rowanrail.consensus.storage import Identity, Storage, decode_frame, encode_frame
+from rowanrail.consensus.storage import Identity, Storage, decode_checksummed, encode_checksummed
 from rowanrail.kernel.errors import StorageError
 from rowanrail.sql_control.policies import ExpectedVersion
 from rowanrail.sql_control.state import ConfigurationState
@@ -65,7 +65,7 @@
 
 def encode_backup(backup: Backup) -> bytes:
     """Return the bytes of a backup file."""
-    return encode_frame(msgspec.msgpack.encode(backup))
+    return encode_checksummed(msgspec.msgpack.encode(backup))
 
 
 def decode_backup(data: bytes) -> Backup:
@@ -73,7 +73,7 @@
 
     :raises StorageError: if it is damaged or of another format.
     """
-    payload = decode_frame(data, 0)
+    payload = decode_checksummed(data, 0)
     if payload is None:
         raise StorageError("the backup's checksum does not match; use another one", step="restore")
     try:
--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -29,7 +29,7 @@
 from rowanrail.consensus.node import ConsensusNode, NodeOptions
 from rowanrail.consensus.raft_types import RaftConfig
 from rowanrail.consensus.state_machine import StateMachine
-from rowanrail.consensus.storage import Identity, LogRecord, Storage, encode_frame
+from rowanrail.consensus.storage import Identity, LogRecord, Storage, encode_checksummed
 from rowanrail.coordination import state as gateways_state
 from rowanrail.coordination.commands import Command
 from rowanrail.coordination.node import CLUSTER
@@ -172,7 +172,7 @@
                 data = (self.data / folder / name).read_bytes()
                 value = decoder(kind)(data[8:])
                 self.assertEqual(
-                    encode_frame(msgspec.msgpack.encode(value)), data, f"{folder}/{name}"
+                    encode_checksummed(msgspec.msgpack.encode(value)), data, f"{folder}/{name}"
                 )
 
 
