--- a/src/rowanlab/simulator/control_world.py
+++ b/src/rowanlab/simulator/control_world.py
@@ -113,7 +113,7 @@
         request = ApplyRequest(FIRST_CHANGE, "setup", 0, first)
         service = leader.node.service
         process = self.world.process(leader.name)
-        reply = await self.world.run_in(process, service.request(request))
+        reply = await self.world.run_in(process, service.call_leader_with_retry(request))
         assert isinstance(reply, ChangeReply)
 
     def leader(self) -> SimulatedControl | None:
--- a/src/rowanlab/simulator/controls.py
+++ b/src/rowanlab/simulator/controls.py
@@ -52,7 +52,7 @@
         node = self._control.node
         assert node is not None
         try:
-            return await node.service.request(payload)
+            return await node.service.call_leader_with_retry(payload)
         except RowanrailError as error:
             return Refused(str(error), isinstance(error, InvalidRequestError))
 
--- a/src/rowanrail/consensus/node.py
+++ b/src/rowanrail/consensus/node.py
@@ -36,7 +36,7 @@
 from rowanrail.rpc.network import Network
 
 # Between tries of a disk that has failed: as long as an election, and a try costs a few syncs.
-REOPEN_SECONDS = 0.5
+REOPEN_INTERVAL_SECONDS = 0.5
 CONSENSUS_MESSAGES = (VoteRequest, VoteReply, AppendRequest, AppendReply, SnapshotRequest)
 
 
@@ -58,7 +58,7 @@
         identity: Identity,
         storage: Storage,
         network: Network,
-        machine: StateMachine,
+        state_machine: StateMachine,
         options: NodeOptions,
         randomness: random.Random,
         registry: Registry,
@@ -69,7 +69,7 @@
         :param fallback_address: address of a node that is in no membership known here yet.
         """
         self.identity = identity
-        self.machine = machine
+        self.state_machine = state_machine
         self.failure: StorageError | None = None
         self.role_at_failure = Role.FOLLOWER
         self._may_reopen = True
@@ -83,7 +83,7 @@
         self._task: asyncio.Task[None] | None = None
         hard_state, log = storage.load()
         if log.snapshot is not None and log.snapshot.data:
-            machine.restore(log.snapshot.data)
+            state_machine.restore(log.snapshot.data)
         self.applied_index = log.snapshot_index
         self._random = randomness
         self._quorum_check = registry.create("consensus-guard", "check-quorum")
@@ -168,13 +168,13 @@
         try:
             self.raft.read(token, self._now())
         except NotLeader as error:
-            self._pending.forget_read(token)
+            self._pending.discard_read(token)
             raise NotLeaderError(self.leader_address(), "read") from error
         self._wake.set()
         try:
             await self.wait_applied(await future)
         finally:
-            self._pending.forget_read(token)
+            self._pending.discard_read(token)
 
     async def wait_applied(self, index: int) -> None:
         """Return once the entry at ``index`` has been applied here."""
@@ -206,7 +206,7 @@
                 await self._wait_for_input()
                 self._step()
             elif self._may_reopen:
-                await asyncio.sleep(REOPEN_SECONDS)
+                await asyncio.sleep(REOPEN_INTERVAL_SECONDS)
                 self._reopen()
             else:
                 return
@@ -215,7 +215,7 @@
     def _step(self) -> None:
         self.raft.tick(self._now())
         try:
-            self._carry_out(self.raft.take_effects())
+            self._process_effects(self.raft.take_effects())
         except StorageError as error:
             self._fail(error)
         except Exception as error:
@@ -253,7 +253,7 @@
             return
         self.raft = self._create_raft(hard_state, log)
         if log.snapshot is not None and log.snapshot_index > self.applied_index:
-            self.machine.restore(log.snapshot.data)
+            self.state_machine.restore(log.snapshot.data)
             self.applied_index = log.snapshot_index
         self.raft.mark_applied(self.applied_index)
         self.failure = None
@@ -268,18 +268,18 @@
                 pass  # no input came: a timer of the state machine is due
         self._wake.clear()
 
-    def _carry_out(self, effects: Effects) -> None:
+    def _process_effects(self, effects: Effects) -> None:
         self._persist(effects)
         self._send(effects)
         self._apply(effects)
-        self._answer_reads(effects)
+        self._resolve_reads(effects)
         self._compact()
 
     def _persist(self, effects: Effects) -> None:
         if effects.hard_state is not None:
             self._storage.save_hard_state(effects.hard_state)
         if effects.install is not None:
-            self._storage.save_snapshot(effects.install, whole=True)
+            self._storage.save_snapshot(effects.install, discard_log=True)
         if effects.truncate_from is not None:
             self._storage.truncate_from(effects.truncate_from)
         if effects.append:
@@ -294,18 +294,18 @@
 
     def _apply(self, effects: Effects) -> None:
         if effects.install is not None:
-            self.machine.restore(effects.install.data)
+            self.state_machine.restore(effects.install.data)
             self.applied_index = effects.install.index
         for entry in effects.committed:
-            result = self.machine.apply(entry)
+            result = self.state_machine.apply(entry)
             self.applied_index = entry.index
-            self._pending.settle_entry(entry, result)
+            self._pending.resolve_entry(entry, result)
         if effects.committed or effects.install:
-            self._pending.settle_applied(self.applied_index)
+            self._pending.resolve_applied(self.applied_index)
 
-    def _answer_reads(self, effects: Effects) -> None:
+    def _resolve_reads(self, effects: Effects) -> None:
         for token, index in effects.ready_reads:
-            self._pending.settle_read(token, index)
+            self._pending.resolve_read(token, index)
         for token in effects.failed_reads:
             self._pending.fail_read(token, NotLeaderError(self.leader_address(), "read"))
         if not self.raft.is_leader and self._pending.has_proposals:
@@ -326,5 +326,5 @@
             index=self.applied_index,
             term=self.raft.log.term_at(self.applied_index),
             membership=self.raft.log.membership_at(self.applied_index),
-            data=self.machine.snapshot(),
+            data=self.state_machine.snapshot(),
         )
--- a/src/rowanrail/consensus/pending.py
+++ b/src/rowanrail/consensus/pending.py
@@ -19,8 +19,8 @@
     def __init__(self) -> None:
         self._proposals: dict[int, tuple[int, asyncio.Future[object]]] = {}
         self._reads: dict[int, asyncio.Future[int]] = {}
-        self._next_read = 0
-        self._applied: list[tuple[int, asyncio.Future[None]]] = []
+        self._last_read_token = 0
+        self._applied_waiters: list[tuple[int, asyncio.Future[None]]] = []
 
     @property
     def has_proposals(self) -> bool:
@@ -35,22 +35,22 @@
 
     def wait_read(self) -> "tuple[int, asyncio.Future[int]]":
         """Return a token for a read, and a future of the index that it must see."""
-        self._next_read += 1
+        self._last_read_token += 1
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self._reads[self._next_read] = future
-        return self._next_read, future
+        self._reads[self._last_read_token] = future
+        return self._last_read_token, future
 
     def wait_applied(self, index: int) -> "asyncio.Future[None]":
         """Return a future that is done once the entry at ``index`` has been applied."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._applied.append((index, future))
+        self._applied_waiters.append((index, future))
         return future
 
-    def forget_read(self, token: int) -> None:
+    def discard_read(self, token: int) -> None:
         """Forget a read that nobody waits for any more."""
         self._reads.pop(token, None)
 
-    def settle_entry(self, entry: Entry, result: object) -> None:
+    def resolve_entry(self, entry: Entry, result: object) -> None:
         """Answer whoever proposed the entry that was applied at its index.
 
         Who proposed another entry there learns that it was lost for good.
@@ -64,7 +64,7 @@
         else:
             future.set_exception(SupersededError("another leader's entry won", step="propose"))
 
-    def settle_read(self, token: int, index: int) -> None:
+    def resolve_read(self, token: int, index: int) -> None:
         """Answer a read with the index that it must see."""
         future = self._reads.get(token)
         if future is not None and not future.done():
@@ -76,15 +76,15 @@
         if future is not None and not future.done():
             future.set_exception(error)
 
-    def settle_applied(self, applied: int) -> None:
+    def resolve_applied(self, applied: int) -> None:
         """Answer those who wait for an index up to ``applied``."""
         waiting = []
-        for index, future in self._applied:
+        for index, future in self._applied_waiters:
             if applied < index:
                 waiting.append((index, future))
             elif not future.done():
                 future.set_result(None)
-        self._applied = waiting
+        self._applied_waiters = waiting
 
     def fail_proposals(self, error: RowanrailError) -> None:
         """Answer all proposals with an error: their outcome is unknown."""
@@ -99,7 +99,7 @@
         for read in self._reads.values():
             if not read.done():
                 read.set_exception(error)
-        for _, waiter in self._applied:
+        for _, waiter in self._applied_waiters:
             if not waiter.done():
                 waiter.set_exception(error)
-        self._applied = []
+        self._applied_waiters = []
--- a/src/rowanrail/consensus/progress.py
+++ b/src/rowanrail/consensus/progress.py
@@ -10,7 +10,7 @@
 from rowanrail.consensus.messages import Membership
 
 # Seconds on the steady clock, before any process started: the time of what has not happened yet.
-BEFORE_START_SECONDS = -1e9
+NEVER_SECONDS = -1e9
 
 
 class Progress(msgspec.Struct):
@@ -35,7 +35,7 @@
         """Forget everything, at the beginning of a term."""
         self._progress = {}
 
-    def follow(self, membership: Membership, last_index: int, now: float) -> None:
+    def set_members(self, membership: Membership, last_index: int, now: float) -> None:
         """Know exactly the other nodes of a membership."""
         members = membership.addresses()
         for peer in members:
@@ -58,7 +58,7 @@
         progress = self._progress.get(peer)
         return progress.match if progress else 0
 
-    def round_of(self, peer: str) -> int:
+    def last_round(self, peer: str) -> int:
         """Return the last round that a node has answered."""
         progress = self._progress.get(peer)
         return progress.round if progress else 0
@@ -68,7 +68,7 @@
         progress = self._progress.get(peer)
         return now - progress.answered_at if progress else float("inf")
 
-    def quorum_answered_at(self, voters: Iterable[str], now: float) -> float:
+    def quorum_reply_time(self, voters: Iterable[str], now: float) -> float:
         """Return since when a majority of the voters has answered, the node itself included.
 
         Parameters
@@ -83,15 +83,15 @@
         float
             Moment of the oldest of the newest answers that make up a majority.
         """
-        answers = [now if peer == self._node else self._answered_at(peer) for peer in voters]
+        answers = [now if peer == self._node else self._reply_time(peer) for peer in voters]
         answers.sort(reverse=True)
-        return answers[len(answers) // 2] if answers else BEFORE_START_SECONDS
+        return answers[len(answers) // 2] if answers else NEVER_SECONDS
 
-    def _answered_at(self, peer: str) -> float:
+    def _reply_time(self, peer: str) -> float:
         progress = self._progress.get(peer)
-        return progress.answered_at if progress else BEFORE_START_SECONDS
+        return progress.answered_at if progress else NEVER_SECONDS
 
-    def answered_since(self, voters: Iterable[str], since: float) -> int:
+    def count_replied_since(self, voters: Iterable[str], since: float) -> int:
         """Return how many voters have answered since a moment, the node itself included."""
         answered = sum(
             1 for peer in voters if peer != self._node and self._progress[peer].answered_at >= since
@@ -119,13 +119,13 @@
         self.round += 1
         self._reads.append(PendingRead(token, index, self.round))
 
-    def take_confirmed(self, is_confirmed: Callable[[int], bool]) -> list[tuple[int, int]]:
+    def pop_confirmed(self, is_confirmed: Callable[[int], bool]) -> list[tuple[int, int]]:
         """Return and forget the reads whose round is confirmed, with their index."""
         confirmed = [read for read in self._reads if is_confirmed(read.round)]
         self._reads = [read for read in self._reads if read not in confirmed]
         return [(read.token, read.index) for read in confirmed]
 
-    def take_all(self) -> list[int]:
+    def pop_all(self) -> list[int]:
         """Return and forget all reads."""
         tokens = [read.token for read in self._reads]
         self._reads = []
--- a/src/rowanrail/consensus/raft.py
+++ b/src/rowanrail/consensus/raft.py
@@ -22,13 +22,13 @@
     VoteReply,
     VoteRequest,
 )
-from rowanrail.consensus.progress import BEFORE_START_SECONDS, Progress
+from rowanrail.consensus.progress import NEVER_SECONDS, Progress
 from rowanrail.consensus.raft_state import RaftState
 from rowanrail.consensus.raft_types import Effects, MembershipChangeInProgress, NotLeader, Role
 
-# Of entries in a message, so that heartbeats behind it are not late.
+# Of entries in a message, so that heartbeats has_unsent_entries it are not late.
 MAXIMUM_APPEND_BYTES = 256 * 1024
-MAXIMUM_IN_FLIGHT = 32  # messages to a follower that are not answered yet; chosen
+MAXIMUM_IN_FLIGHT_MESSAGES = 32  # messages to a follower that are not answered yet; chosen
 # Seconds after which a snapshot that was not answered is sent again. Chosen.
 SNAPSHOT_RETRY_SECONDS = 1.0
 
@@ -43,7 +43,7 @@
         if self.is_leader:
             self._tick_leader(now)
         elif now >= self._election_due:
-            self._election_due = self._next_election(now)
+            self._election_due = self._next_election_time(now)
             if self.may_campaign and self.node in self.membership.voters:
                 self._campaign(now, preliminary=True)
 
@@ -113,7 +113,7 @@
         """Give up every role, and the claim to hold what is committed."""
         self.role = Role.FOLLOWER
         self.leader = ""
-        self._current_at = BEFORE_START_SECONDS
+        self._up_to_date_at = NEVER_SECONDS
         self._effects = Effects()
 
     def track_leader(self, incoming: ConsensusMessage, now: float) -> None:
@@ -124,7 +124,7 @@
         if isinstance(incoming, AppendRequest | SnapshotRequest) and incoming.term >= self.term:
             self.term = incoming.term
             self.leader = incoming.sender
-            self._heard_from_leader_at = now
+            self._leader_contact_at = now
 
     def compact(self, snapshot: Snapshot) -> None:
         """Forget the log up to a snapshot that the caller has made durable."""
@@ -141,7 +141,7 @@
         self.leader = ""
         self._votes = {self.node}
         if self._config.repeated_election_seconds is not None:
-            self._election_due = self._next_election(now)
+            self._election_due = self._next_election_time(now)
         request = VoteRequest(
             sender=self.node,
             term=self.term + 1 if preliminary else self.term,
@@ -156,24 +156,26 @@
 
     def _on_vote_request(self, request: VoteRequest, now: float) -> None:
         # Stickiness: while a leader is heard, nobody may disturb it by a higher term.
-        quiet_seconds = now - self._heard_from_leader_at
-        if self.is_leader or quiet_seconds < self._config.election_timeout_seconds:
+        silence_seconds = now - self._leader_contact_at
+        if self.is_leader or silence_seconds < self._config.election_timeout_seconds:
             if request.term < self.term or not self.is_leader:
                 self._refuse_vote(request)
             return
         if not request.preliminary and request.term > self.term:
             self._become_follower(request.term, "", now)
-        newer = (request.last_term, request.last_index) >= (
+        is_up_to_date = (request.last_term, request.last_index) >= (
             self.log.last_term,
             self.log.last_index,
         )
         if request.preliminary:
-            granted = newer and request.term > self.term
+            granted = is_up_to_date and request.term > self.term
         else:
-            granted = newer and request.term == self.term and self.vote in ("", request.sender)
+            granted = (
+                is_up_to_date and request.term == self.term and self.vote in ("", request.sender)
+            )
             if granted:
                 self._set_term(self.term, request.sender)
-                self._election_due = self._next_election(now)
+                self._election_due = self._next_election_time(now)
         term = request.term if request.preliminary and granted else self.term
         self._send(request.sender, VoteReply(self.node, term, granted, request.preliminary))
 
@@ -203,7 +205,7 @@
         self._progress.clear()
         self._became_leader_at = now
         self._quorum_due = now + self._config.election_timeout_seconds
-        self._progress.follow(self.membership, self.log.last_index, now)
+        self._progress.set_members(self.membership, self.log.last_index, now)
         self.propose(EntryKind.NOOP, b"", now)
 
     # Replication, leader's side
@@ -213,7 +215,7 @@
             self._quorum_due = now + self._config.election_timeout_seconds
             voters = self.membership.voters
             since = now - self._config.election_timeout_seconds
-            answered = self._progress.answered_since(voters, since)
+            answered = self._progress.count_replied_since(voters, since)
             if not self._quorum_check.has_quorum(answered, len(voters)):
                 self._become_follower(self.term, "", now)
                 return
@@ -221,7 +223,7 @@
             self._broadcast(now, heartbeat=True)
 
     def _broadcast(self, now: float, heartbeat: bool = False) -> None:
-        self._progress.follow(self.membership, self.log.last_index, now)
+        self._progress.set_members(self.membership, self.log.last_index, now)
         if heartbeat:
             self._heartbeat_due = now + self._config.heartbeat_seconds
         for peer, progress in self._progress.items():
@@ -232,15 +234,17 @@
             self._replicate(peer, progress, now, heartbeat)
 
     def _replicate(self, peer: str, progress: Progress, now: float, heartbeat: bool) -> None:
-        behind = progress.next_index <= self.log.last_index
+        has_unsent_entries = progress.next_index <= self.log.last_index
         if progress.next_index <= self.log.snapshot_index:
             if progress.in_flight == 0 or now - progress.sent_at > SNAPSHOT_RETRY_SECONDS:
                 self._send_snapshot(peer, progress, now)
             return
-        if not heartbeat and (not behind or progress.in_flight >= MAXIMUM_IN_FLIGHT):
+        if not heartbeat and (
+            not has_unsent_entries or progress.in_flight >= MAXIMUM_IN_FLIGHT_MESSAGES
+        ):
             return
         entries: list[Entry] = []
-        if progress.in_flight < MAXIMUM_IN_FLIGHT:
+        if progress.in_flight < MAXIMUM_IN_FLIGHT_MESSAGES:
             entries = self.log.entries_from(progress.next_index, MAXIMUM_APPEND_BYTES)
         previous = progress.next_index - 1
         request = AppendRequest(
@@ -304,27 +308,27 @@
 
         def is_confirmed(round_number: int) -> bool:
             answered = sum(
-                peer == self.node or self._progress.round_of(peer) >= round_number
+                peer == self.node or self._progress.last_round(peer) >= round_number
                 for peer in voters
             )
             return self._quorum_check.has_quorum(answered, len(voters))
 
-        self._effects.ready_reads.extend(self._reads.take_confirmed(is_confirmed))
+        self._effects.ready_reads.extend(self._reads.pop_confirmed(is_confirmed))
 
     # Replication, follower's side
 
     def _on_append(self, request: AppendRequest, now: float) -> None:
-        self._follow(request.sender, now)
+        self._accept_leader(request.sender, now)
         previous = request.previous_index
         if previous < self.log.snapshot_index:
             success, match = True, self.log.snapshot_index
             entries = [entry for entry in request.entries if entry.index > match]
             if entries and entries[0].index == match + 1:
-                match = self._merge(entries)
+                match = self._append_missing(entries)
         elif self.log.term_at(previous) == request.previous_term and (
             previous <= self.log.last_index
         ):
-            success, match = True, max(previous, self._merge(request.entries))
+            success, match = True, max(previous, self._append_missing(request.entries))
         else:
             success, match = False, min(previous - 1, self.log.last_index)
             while match > self.commit_index and self.log.term_at(match) > request.previous_term:
@@ -335,14 +339,14 @@
                 self.commit_index >= request.commit
                 and self.log.term_at(self.commit_index) == self.term
             ):
-                self._current_at = now
+                self._up_to_date_at = now
         self._send(request.sender, AppendReply(self.node, self.term, success, match, request.round))
 
-    def _follow(self, leader: str, now: float) -> None:
+    def _accept_leader(self, leader: str, now: float) -> None:
         self._become_follower(self.term, leader, now)
-        self._heard_from_leader_at = now
+        self._leader_contact_at = now
 
-    def _merge(self, entries: list[Entry]) -> int:
+    def _append_missing(self, entries: list[Entry]) -> int:
         for position, entry in enumerate(entries):
             if entry.index <= self.log.last_index:
                 if self.log.term_at(entry.index) == entry.term:
@@ -352,14 +356,16 @@
                 self._effects.append = [
                     kept for kept in self._effects.append if kept.index < entry.index
                 ]
-                cut = self._effects.truncate_from
-                self._effects.truncate_from = entry.index if cut is None else min(cut, entry.index)
+                truncated_from = self._effects.truncate_from
+                self._effects.truncate_from = (
+                    entry.index if truncated_from is None else min(truncated_from, entry.index)
+                )
             self._append(entries[position:])
             break
         return entries[-1].index if entries else 0
 
     def _on_snapshot(self, request: SnapshotRequest, now: float) -> None:
-        self._follow(request.sender, now)
+        self._accept_leader(request.sender, now)
         snapshot = request.snapshot
         if snapshot.index > self.commit_index:
             self.log.reset(snapshot)
--- a/src/rowanrail/consensus/raft_state.py
+++ b/src/rowanrail/consensus/raft_state.py
@@ -9,10 +9,10 @@
 from rowanrail.consensus.log import Log
 from rowanrail.consensus.messages import ConsensusMessage, Entry, HardState, Membership
 from rowanrail.consensus.policies import QuorumCheck
-from rowanrail.consensus.progress import BEFORE_START_SECONDS, PendingReads, ProgressTable
+from rowanrail.consensus.progress import NEVER_SECONDS, PendingReads, ProgressTable
 from rowanrail.consensus.raft_types import Effects, RaftConfig, Role
 
-FIRST_ELECTION_LEAST = 0.1  # share of the longest first wait that a node waits in any case
+MINIMUM_FIRST_ELECTION_SHARE = 0.1  # share of the longest first wait that a node waits in any case
 
 
 class RaftState:
@@ -44,14 +44,14 @@
         self._votes: set[str] = set()
         self._progress = ProgressTable(node)
         self._reads = PendingReads()
-        self._heard_from_leader_at = BEFORE_START_SECONDS
-        self._current_at = BEFORE_START_SECONDS
+        self._leader_contact_at = NEVER_SECONDS
+        self._up_to_date_at = NEVER_SECONDS
         self._heartbeat_due = now
         self._quorum_due = now
         self._became_leader_at = now
-        self._election_due = self._next_election(now)
+        self._election_due = self._next_election_time(now)
         if config.first_election_seconds is not None:
-            share = randomness.uniform(FIRST_ELECTION_LEAST, 1.0)
+            share = randomness.uniform(MINIMUM_FIRST_ELECTION_SHARE, 1.0)
             self._election_due = now + config.first_election_seconds * share
 
     # Views
@@ -81,7 +81,7 @@
 
     def seconds_since_leader_contact(self, now: float) -> float:
         """Return how long ago this node last heard from a leader."""
-        return now - self._heard_from_leader_at
+        return now - self._leader_contact_at
 
     def seconds_since_up_to_date(self, now: float) -> float:
         """Return how long ago this node held all that the leader had committed.
@@ -92,8 +92,8 @@
         leader's word: without them another may lead already.
         """
         if self.is_established_leader:
-            return now - self._progress.quorum_answered_at(self.membership.voters, now)
-        return now - self._current_at
+            return now - self._progress.quorum_reply_time(self.membership.voters, now)
+        return now - self._up_to_date_at
 
     def mark_applied(self, index: int) -> None:
         """Begin with the entries up to ``index`` committed and applied already."""
@@ -113,7 +113,7 @@
 
     # Transitions
 
-    def _next_election(self, now: float) -> float:
+    def _next_election_time(self, now: float) -> float:
         repeated = self._config.repeated_election_seconds
         if repeated is not None and self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE):
             return now + repeated * self._random.uniform(0.3, 1.0)
@@ -126,8 +126,8 @@
         if term > self.term:
             self._set_term(term, "")
         if was_leader:
-            self._effects.failed_reads.extend(self._reads.take_all())
-        self._election_due = self._next_election(now)
+            self._effects.failed_reads.extend(self._reads.pop_all())
+        self._election_due = self._next_election_time(now)
 
     def _set_term(self, term: int, vote: str) -> None:
         self.term = term
--- a/src/rowanrail/consensus/storage.py
+++ b/src/rowanrail/consensus/storage.py
@@ -41,7 +41,7 @@
     entry: Entry
 
 
-class Place(msgspec.Struct, frozen=True):
+class RecordLocation(msgspec.Struct, frozen=True):
     """Where a record begins."""
 
     segment: str
@@ -70,7 +70,7 @@
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
         self.truncated_bytes = 0
-        self._places: dict[int, Place] = {}
+        self._locations: dict[int, RecordLocation] = {}
         self._lengths: dict[str, int] = {}
         self._durable_index = 0
         self._last_index = 0
@@ -129,19 +129,19 @@
 
         :raises StorageError: if the disk still refuses what it refused, or data are damaged.
         """
-        promised_index = self._durable_index
+        durable_index = self._durable_index
         try:
             self.load()
-            self.truncate_from(promised_index + 1)
-            self._try_space()
+            self.truncate_from(durable_index + 1)
+            self._probe_free_space()
             hard_state, log = self.load()
             self.save_hard_state(hard_state)  # the file that is seen may not be durable either
         except StorageError:
-            self._durable_index = promised_index
+            self._durable_index = durable_index
             raise
         return hard_state, log
 
-    def _try_space(self) -> None:
+    def _probe_free_space(self) -> None:
         """Write as much as the write that failed, and take it back."""
         segment = self._segment_for(self._last_index + 1)
         self.disk.append(segment, bytes(self._unwritten_bytes))
@@ -150,7 +150,7 @@
         self.disk.sync_file(segment)
 
     def _load_entries(self) -> list[Entry]:
-        self._places = {}
+        self._locations = {}
         self._lengths = {}
         entries: list[Entry] = []
         segments = self._segments()
@@ -176,7 +176,7 @@
                     segment, f"entry {entry.index} follows entry {entries[-1].index}"
                 )
             entries.append(entry)
-            self._places[entry.index] = Place(segment, offset)
+            self._locations[entry.index] = RecordLocation(segment, offset)
             offset += _HEADER.size + len(payload)
         return offset
 
@@ -214,7 +214,7 @@
 
     def append(self, entries: list[Entry]) -> None:
         """Append entries and make them durable, with one sync for all of them."""
-        touched: list[str] = []
+        written_segments: list[str] = []
         records = [
             encode_checksummed(msgspec.msgpack.encode(LogRecord(self._durable_index, entry)))
             for entry in entries
@@ -222,12 +222,12 @@
         self._unwritten_bytes = sum(map(len, records))
         for entry, record in zip(entries, records, strict=True):
             segment = self._segment_for(entry.index)
-            self._places[entry.index] = Place(segment, self._lengths[segment])
+            self._locations[entry.index] = RecordLocation(segment, self._lengths[segment])
             self.disk.append(segment, record)
             self._lengths[segment] += len(record)
-            if segment not in touched:
-                touched.append(segment)
-        for segment in touched:
+            if segment not in written_segments:
+                written_segments.append(segment)
+        for segment in written_segments:
             self.disk.sync_file(segment)
         if entries:
             self._last_index = entries[-1].index
@@ -236,36 +236,38 @@
 
     def truncate_from(self, index: int) -> None:
         """Remove the entries from ``index`` on."""
-        place = self._places.get(index)
-        if place is None:
+        location = self._locations.get(index)
+        if location is None:
             return
         for segment in self._segments():
-            if segment > place.segment:
+            if segment > location.segment:
                 self.disk.delete(segment)
                 self._lengths.pop(segment, None)
-        self.disk.truncate(place.segment, place.offset)
-        self.disk.sync_file(place.segment)
+        self.disk.truncate(location.segment, location.offset)
+        self.disk.sync_file(location.segment)
         self.disk.sync_folder()
-        self._lengths[place.segment] = place.offset
-        self._places = {key: value for key, value in self._places.items() if key < index}
+        self._lengths[location.segment] = location.offset
+        self._locations = {key: value for key, value in self._locations.items() if key < index}
         self._last_index = index - 1
         self._durable_index = index - 1
 
-    def save_snapshot(self, snapshot: Snapshot, whole: bool = False) -> None:
+    def save_snapshot(self, snapshot: Snapshot, discard_log: bool = False) -> None:
         """Make a snapshot durable and drop the segments that it covers.
 
-        :param whole: also drop the entries after the snapshot.
+        :param discard_log: also drop the entries after the snapshot.
         """
         self._save(SNAPSHOT_FILE, snapshot)
         for segment in self._segments():
-            indexes = [index for index, place in self._places.items() if place.segment == segment]
-            if whole or not indexes or max(indexes) <= snapshot.index:
+            indexes = [
+                index for index, location in self._locations.items() if location.segment == segment
+            ]
+            if discard_log or not indexes or max(indexes) <= snapshot.index:
                 self.disk.delete(segment)
                 self._lengths.pop(segment, None)
                 for index in indexes:
-                    del self._places[index]
+                    del self._locations[index]
         self.disk.sync_folder()
-        if whole:
+        if discard_log:
             self._last_index = snapshot.index
             self._durable_index = snapshot.index
 
--- a/src/rowanrail/sql_control/backup.py
+++ b/src/rowanrail/sql_control/backup.py
@@ -17,7 +17,7 @@
 from rowanrail.sql_control.state import ConfigurationState
 
 BACKUP_FORMAT = 1  # of the file; another one is refused
-IDENTITY_BYTES = 6  # random ones in the id of a restored node; chosen
+NODE_ID_RANDOM_BYTES = 6  # random ones in the id of a restored node; chosen
 
 
 class Backup(msgspec.Struct, frozen=True):
@@ -117,7 +117,7 @@
         state.current = VersionedConfiguration(
             options.least_version + 1, current.configuration, current.drained
         )
-    node = f"{options.name}@{secrets.token_hex(IDENTITY_BYTES)}"
+    node = f"{options.name}@{secrets.token_hex(NODE_ID_RANDOM_BYTES)}"
     membership = Membership(voters={node: options.address})
     snapshot = Snapshot(backup.index, backup.term, membership, state.snapshot())
     storage.create(Identity(options.cluster, node), snapshot)
--- a/src/rowanrail/sql_control/census.py
+++ b/src/rowanrail/sql_control/census.py
@@ -17,9 +17,9 @@
 from rowanrail.sql_control.watch import WatchHub
 
 # Seconds between rounds of questions to the other nodes. Chosen.
-PROXY_CENSUS_SECONDS = 2.0
+CENSUS_INTERVAL_SECONDS = 2.0
 # Seconds for a node's answer. Chosen.
-CENSUS_CALL_SECONDS = 1.0
+CENSUS_TIMEOUT_SECONDS = 1.0
 
 
 class ProxyCensus:
@@ -29,7 +29,7 @@
         self._node = node
         self._hub = hub
         self._network = network
-        self._others: dict[str, dict[str, int]] = {}
+        self._remote_counts: dict[str, dict[str, int]] = {}
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -41,20 +41,20 @@
         if self._task is not None:
             self._task.cancel()
 
-    def answer(self) -> CensusReply:
+    def reply(self) -> CensusReply:
         """Return this node's own counts."""
-        return CensusReply(self._hub.users())
+        return CensusReply(self._hub.proxy_counts())
 
-    def users(self, groups: list[str]) -> dict[str, int]:
+    def proxy_counts(self, groups: list[str]) -> dict[str, int]:
         """Return the number of proxies that use each of the groups.
 
         :returns: nothing as long as a node has not been heard since this one started.
         """
-        if any(node not in self._others for node in self._peers()):
+        if any(node not in self._remote_counts for node in self._peers()):
             return {}
-        total = Counter(self._hub.users())
+        total = Counter(self._hub.proxy_counts())
         for node in self._peers():
-            total.update(self._others[node])
+            total.update(self._remote_counts[node])
         return {group: total[group] for group in groups if total[group]}
 
     def _peers(self) -> dict[str, str]:
@@ -65,14 +65,16 @@
     async def _run(self) -> None:
         while True:
             peers = self._peers()
-            await asyncio.gather(*(self._ask(node, peers[node]) for node in peers))
-            self._others = {node: self._others[node] for node in peers if node in self._others}
-            await asyncio.sleep(PROXY_CENSUS_SECONDS)
+            await asyncio.gather(*(self._query(node, peers[node]) for node in peers))
+            self._remote_counts = {
+                node: self._remote_counts[node] for node in peers if node in self._remote_counts
+            }
+            await asyncio.sleep(CENSUS_INTERVAL_SECONDS)
 
-    async def _ask(self, node: str, address: str) -> None:
+    async def _query(self, node: str, address: str) -> None:
         try:
-            reply = await self._network.call(address, CensusRequest(), CENSUS_CALL_SECONDS)
+            reply = await self._network.call(address, CensusRequest(), CENSUS_TIMEOUT_SECONDS)
         except RowanrailError:
             return  # its last count stays
         if isinstance(reply, CensusReply):
-            self._others[node] = reply.users
+            self._remote_counts[node] = reply.users
--- a/src/rowanrail/sql_control/changes.py
+++ b/src/rowanrail/sql_control/changes.py
@@ -8,29 +8,29 @@
 from rowanrail.sql_control.messages import Outcome, Verdict
 
 __all__ = [
-    "LEADER_REPLY_SECONDS",
-    "LEADER_RETRY_SECONDS",
-    "LEADER_WAIT_SECONDS",
+    "LEADER_REPLY_TIMEOUT_SECONDS",
+    "LEADER_RETRY_INTERVAL_SECONDS",
+    "LEADER_WAIT_TIMEOUT_SECONDS",
     "change_verdict",
-    "may_ask_again",
-    "resent_outcome",
+    "may_retry",
+    "outcome_of_resend",
 ]
 
 # Seconds for the leader's reply to a request that another node passes on. Chosen.
-LEADER_REPLY_SECONDS = 3.0
+LEADER_REPLY_TIMEOUT_SECONDS = 3.0
 # Seconds for which an operator's request waits for a leader, tries included: within the 12 s that
 # the command line gives a control node. Chosen.
-LEADER_WAIT_SECONDS = 8.0
+LEADER_WAIT_TIMEOUT_SECONDS = 8.0
 # Seconds between two tries. Chosen.
-LEADER_RETRY_SECONDS = 0.1
+LEADER_RETRY_INTERVAL_SECONDS = 0.1
 
 
-def change_verdict(is_of_current_version: bool, is_explicit: bool, is_empty: bool) -> Verdict:
+def change_verdict(is_current_version: bool, is_explicit: bool, is_empty: bool) -> Verdict:
     """Return what becomes of a change that was not applied before.
 
     Parameters
     ----------
-    is_of_current_version : bool
+    is_current_version : bool
         Whether it was made against the version in force, by the guard ``ExpectedVersion``.
     is_explicit : bool
         Whether the operator named that version. If not, the service makes the change again
@@ -40,15 +40,15 @@
 
     Examples
     --------
-    >>> change_verdict(is_of_current_version=False, is_explicit=True, is_empty=False).value
+    >>> change_verdict(is_current_version=False, is_explicit=True, is_empty=False).value
     'conflict'
     """
-    if not is_of_current_version:
+    if not is_current_version:
         return Verdict.CONFLICT if is_explicit else Verdict.REBASE
     return Verdict.UNCHANGED if is_empty else Verdict.ACCEPTED
 
 
-def resent_outcome(recorded_digest: str, recorded: Outcome, digest: str) -> Outcome:
+def outcome_of_resend(recorded_digest: str, recorded: Outcome, digest: str) -> Outcome:
     """Return the outcome of a change whose id was used before.
 
     Parameters
@@ -65,6 +65,6 @@
     return recorded
 
 
-def may_ask_again(now: float, deadline: float) -> bool:
+def may_retry(now: float, deadline: float) -> bool:
     """Return whether a request that no leader served has time for another try."""
-    return now + LEADER_RETRY_SECONDS < deadline
+    return now + LEADER_RETRY_INTERVAL_SECONDS < deadline
--- a/src/rowanrail/sql_control/delta.py
+++ b/src/rowanrail/sql_control/delta.py
@@ -46,23 +46,23 @@
         groups=_merge(old.groups, delta.groups, delta.removed_groups),
         users=_merge(old.users, delta.users, delta.removed_users),
     )
-    known = {
+    member_names = {
         f"{group.name}/{member.name}" for group in configuration.groups for member in group.members
     }
     drained = (set(base.drained) | set(delta.drained)) - set(delta.undrained)
-    return VersionedConfiguration(base.version + 1, configuration, sorted(drained & known))
+    return VersionedConfiguration(base.version + 1, configuration, sorted(drained & member_names))
 
 
-def view_for_zone(whole: VersionedConfiguration, zone: str) -> VersionedConfiguration:
+def view_for_zone(full: VersionedConfiguration, zone: str) -> VersionedConfiguration:
     """Return the part of a configuration that the proxies of ``zone`` need."""
-    site = next((site.name for site in whole.configuration.sites if zone in site.zones), "")
+    site = next((site.name for site in full.configuration.sites if zone in site.zones), "")
     groups = [
-        group for group in whole.configuration.groups if not group.sites or site in group.sites
+        group for group in full.configuration.groups if not group.sites or site in group.sites
     ]
     names = {group.name for group in groups}
-    drained = [member for member in whole.drained if member.split("/")[0] in names]
-    configuration = msgspec.structs.replace(whole.configuration, groups=groups)
-    return VersionedConfiguration(whole.version, configuration, drained)
+    drained = [member for member in full.drained if member.split("/")[0] in names]
+    configuration = msgspec.structs.replace(full.configuration, groups=groups)
+    return VersionedConfiguration(full.version, configuration, drained)
 
 
 def view_delta(
--- a/src/rowanrail/sql_control/events.py
+++ b/src/rowanrail/sql_control/events.py
@@ -21,7 +21,7 @@
 VERSION_ACCEPTED = define(
     111, Level.INFO, "version {version} is committed", "A configuration change was accepted."
 )
-TAIL_CUT = define(
+TAIL_TRUNCATED = define(
     121,
     Level.WARNING,
     "{bytes} bytes of an unsynced log tail were cut",
@@ -34,7 +34,7 @@
     "Do what the error says; the other nodes go on while a majority is left. The node tries its "
     "folder again twice a second.",
 )
-FOLDER_REGAINED = define(
+FOLDER_RECOVERED = define(
     124,
     Level.INFO,
     "the data folder takes writes again, the node takes part in term {term}",
--- a/src/rowanrail/sql_control/http_api.py
+++ b/src/rowanrail/sql_control/http_api.py
@@ -35,7 +35,7 @@
 # Seconds after which an operator is told to retry whom no leader served. Chosen.
 OPERATOR_RETRY_AFTER_SECONDS = 2
 # Seconds since a proxy's report within which it is shown as live. Chosen.
-LIVE_REPORT_SECONDS = 6.0
+MAXIMUM_LIVE_REPORT_AGE_SECONDS = 6.0
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -51,7 +51,9 @@
     version: int = 0
 
 
-def _json(value: Any, status: int = 200, headers: dict[str, str] | None = None) -> web.Response:
+def _json_response(
+    value: Any, status: int = 200, headers: dict[str, str] | None = None
+) -> web.Response:
     body = msgspec.json.encode(value)
     return web.Response(body=body, status=status, content_type="application/json", headers=headers)
 
@@ -78,13 +80,13 @@
     def application(self) -> web.Application:
         """Return the web application."""
         application = web.Application(
-            client_max_size=MAXIMUM_REQUEST_BYTES, middlewares=[self._guarded]
+            client_max_size=MAXIMUM_REQUEST_BYTES, middlewares=[self._authenticate_and_handle]
         )
         routes = application.router
         routes.add_get("/health", self._health)
         routes.add_get("/ready", self._ready)
-        routes.add_get("/metrics", self._show_metrics)
-        routes.add_get("/v1/configuration", self._get)
+        routes.add_get("/metrics", self._render_metrics)
+        routes.add_get("/v1/configuration", self._get_configuration)
         routes.add_post("/v1/configuration", self._apply)
         routes.add_post("/v1/diff", self._diff)
         routes.add_post("/v1/drain", self._drain)
@@ -95,25 +97,27 @@
         return application
 
     @web.middleware
-    async def _guarded(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def _authenticate_and_handle(
+        self, request: web.Request, handler: Handler
+    ) -> web.StreamResponse:
         if request.path.startswith("/v1/"):
-            operator = self._operator(request)
+            operator = self._operator_name(request)
             if operator is None:
-                return _json({"error": "unknown operator token; set ROWANRAIL_TOKEN"}, 401)
+                return _json_response({"error": "unknown operator token; set ROWANRAIL_TOKEN"}, 401)
             request["operator"] = operator
         try:
             return await handler(request)
         except web.HTTPException:
             raise
         except InvalidRequestError as error:
-            return _json({"error": str(error)}, 400)
+            return _json_response({"error": str(error)}, 400)
         except msgspec.MsgspecError as error:
-            return _json({"error": f"the request body is not valid: {error}"}, 400)
+            return _json_response({"error": f"the request body is not valid: {error}"}, 400)
         except RowanrailError as error:
             headers = {"Retry-After": str(OPERATOR_RETRY_AFTER_SECONDS)}
-            return _json({"error": str(error)}, 503, headers)
+            return _json_response({"error": str(error)}, 503, headers)
 
-    def _operator(self, request: web.Request) -> str | None:
+    def _operator_name(self, request: web.Request) -> str | None:
         token = request.headers.get("Authorization", "").removeprefix("Bearer ")
         digest = hashlib.sha256(token.encode()).hexdigest()
         for known, name in self._operators.items():
@@ -126,14 +130,14 @@
     async def _health(self, request: web.Request) -> web.Response:
         failure = self._service.node.failure
         if failure is not None:
-            return _json({"status": "failed", "error": str(failure)}, 503)
-        return _json({"status": "ok"})
+            return _json_response({"status": "failed", "error": str(failure)}, 503)
+        return _json_response({"status": "ok"})
 
     async def _ready(self, request: web.Request) -> web.Response:
         leader = self._service.node.raft.leader
-        return _json({"ready": bool(leader), "leader": leader}, 200 if leader else 503)
+        return _json_response({"ready": bool(leader), "leader": leader}, 200 if leader else 503)
 
-    async def _show_metrics(self, request: web.Request) -> web.Response:
+    async def _render_metrics(self, request: web.Request) -> web.Response:
         raft = self._service.node.raft
         values = {
             "term": raft.term,
@@ -149,14 +153,14 @@
 
     # Configuration
 
-    async def _read(self) -> ReadReply:
-        reply = await self._service.request(ReadRequest())
+    async def _read_configuration(self) -> ReadReply:
+        reply = await self._service.call_leader_with_retry(ReadRequest())
         assert isinstance(reply, ReadReply)
         return reply
 
-    async def _get(self, request: web.Request) -> web.Response:
-        reply = await self._read()
-        return _json(
+    async def _get_configuration(self, request: web.Request) -> web.Response:
+        reply = await self._read_configuration()
+        return _json_response(
             {
                 "version": reply.version,
                 "configuration": plain(reply.configuration),
@@ -165,56 +169,60 @@
             }
         )
 
-    async def _body(self, request: web.Request) -> ChangeBody:
+    async def _decode_body(self, request: web.Request) -> ChangeBody:
         return msgspec.json.decode(await request.read(), type=ChangeBody)
 
     async def _apply(self, request: web.Request) -> web.Response:
-        body = await self._body(request)
+        body = await self._decode_body(request)
         parsed = parse_configuration(body.configuration, "configuration")
         if isinstance(parsed, Failure):
-            return _json({"error": "rejected as a whole", "problems": parsed.failure()}, 400)
+            return _json_response(
+                {"error": "rejected as a whole", "problems": parsed.failure()}, 400
+            )
         change = ApplyRequest(
             body.change_id, request["operator"], body.expected_version, parsed.unwrap()
         )
         return await self._submit(change)
 
     async def _diff(self, request: web.Request) -> web.Response:
-        body = await self._body(request)
+        body = await self._decode_body(request)
         parsed = parse_configuration(body.configuration, "configuration")
         if isinstance(parsed, Failure):
-            return _json({"error": "rejected as a whole", "problems": parsed.failure()}, 400)
-        reply = await self._read()
+            return _json_response(
+                {"error": "rejected as a whole", "problems": parsed.failure()}, 400
+            )
+        reply = await self._read_configuration()
         changes = difference(reply.configuration, parsed.unwrap())
-        return _json({"version": reply.version, "changes": changes})
+        return _json_response({"version": reply.version, "changes": changes})
 
     async def _drain(self, request: web.Request) -> web.Response:
-        body = await self._body(request)
+        body = await self._decode_body(request)
         change = DrainRequest(body.change_id, request["operator"], body.members, body.drain)
         return await self._submit(change)
 
     async def _rollback(self, request: web.Request) -> web.Response:
-        body = await self._body(request)
+        body = await self._decode_body(request)
         return await self._submit(
             RollbackRequest(body.change_id, request["operator"], body.version)
         )
 
     async def _submit(self, change: msgspec.Struct) -> web.Response:
-        reply = await self._service.request(change)
+        reply = await self._service.call_leader_with_retry(change)
         assert isinstance(reply, ChangeReply)
         outcome = reply.outcome
         accepted = outcome.verdict in (Verdict.ACCEPTED, Verdict.UNCHANGED)
-        return _json(outcome, 200 if accepted else 409)
+        return _json_response(outcome, 200 if accepted else 409)
 
     # Status and nodes
 
     async def _status(self, request: web.Request) -> web.Response:
-        reports, silent = await self._service.all_reports()
+        reports, silent = await self._service.collect_reports()
         zones: dict[str, int] = {}
         for report in reports:
-            if report.seconds_ago < LIVE_REPORT_SECONDS:
+            if report.seconds_ago < MAXIMUM_LIVE_REPORT_AGE_SECONDS:
                 known = zones.get(report.zone, report.version)
                 zones[report.zone] = min(known, report.version)
-        return _json(
+        return _json_response(
             {
                 "version": self._service.state.current.version,
                 "leader": self._service.node.raft.leader,
@@ -226,11 +234,13 @@
         )
 
     async def _nodes(self, request: web.Request) -> web.Response:
-        reply = await self._service.request(NodesRequest())
+        reply = await self._service.call_leader_with_retry(NodesRequest())
         assert isinstance(reply, NodesReply)
-        return _json(reply)
+        return _json_response(reply)
 
     async def _remove_node(self, request: web.Request) -> web.Response:
-        reply = await self._service.request(NodesRequest(remove=request.match_info["name"]))
+        reply = await self._service.call_leader_with_retry(
+            NodesRequest(remove=request.match_info["name"])
+        )
         assert isinstance(reply, NodesReply)
-        return _json(reply)
+        return _json_response(reply)
--- a/src/rowanrail/sql_control/node.py
+++ b/src/rowanrail/sql_control/node.py
@@ -20,9 +20,9 @@
 from rowanrail.rpc.network import Listener, Network
 from rowanrail.sql_control.events import (
     FOLDER_FAILED,
-    FOLDER_REGAINED,
+    FOLDER_RECOVERED,
     LEADER_CHANGED,
-    TAIL_CUT,
+    TAIL_TRUNCATED,
     VERSION_ACCEPTED,
 )
 from rowanrail.sql_control.service import ControlService
@@ -48,10 +48,10 @@
         self._random = randomness
         self._registry = registry
         self._listener: Listener | None = None
-        self._joining: asyncio.Task[None] | None = None
+        self._join_task: asyncio.Task[None] | None = None
         self._admitted = asyncio.Event()
-        self._seen_leader = ("", 0)
-        self._seen_version = 0
+        self._reported_leader = ("", 0)
+        self._reported_version = 0
         self._reported_failure = False
 
     async def start(self, bootstrap: bool) -> None:
@@ -60,9 +60,11 @@
         :raises StorageError: if the folder can't be used.
         """
         settings = self._settings
-        owner = NodeConfig(settings.cluster, settings.name, settings.nodes, settings.data_folder)
+        node_config = NodeConfig(
+            settings.cluster, settings.name, settings.nodes, settings.data_folder
+        )
         identity = await open_data_folder(
-            owner,
+            node_config,
             self._storage,
             self._network,
             self._random,
@@ -81,14 +83,14 @@
         )
         self.consensus.on_change = self._on_change
         if self._storage.truncated_bytes:
-            emit(TAIL_CUT, bytes=self._storage.truncated_bytes)
+            emit(TAIL_TRUNCATED, bytes=self._storage.truncated_bytes)
         self._listener = await self._network.serve(settings.rpc_listen, self.service.handle)
         self.consensus.start()
         self.service.members.start()
         self.service.census.start()
         if identity.node not in self.consensus.raft.membership.addresses():
-            self._joining = asyncio.ensure_future(
-                join_until_admitted(owner, identity, self._network, self._admitted)
+            self._join_task = asyncio.ensure_future(
+                join_until_admitted(node_config, identity, self._network, self._admitted)
             )
 
     def _create_consensus(self, identity: Identity) -> ConsensusNode:
@@ -110,20 +112,20 @@
         )
 
     def _on_change(self) -> None:
-        self.service.watches.notice_change()
+        self.service.watches.notify_change()
         raft = self.consensus.raft
         if self.consensus.identity.node in raft.membership.addresses():
             self._admitted.set()
-        self._emit_storage()
+        self._emit_storage_state()
         leader = (raft.leader, raft.term)
-        if raft.leader and leader != self._seen_leader:
-            self._seen_leader = leader
+        if raft.leader and leader != self._reported_leader:
+            self._reported_leader = leader
             emit(LEADER_CHANGED, leader=raft.leader, term=raft.term)
-        if self.state.current.version != self._seen_version:
-            self._seen_version = self.state.current.version
-            emit(VERSION_ACCEPTED, version=self._seen_version)
+        if self.state.current.version != self._reported_version:
+            self._reported_version = self.state.current.version
+            emit(VERSION_ACCEPTED, version=self._reported_version)
 
-    def _emit_storage(self) -> None:
+    def _emit_storage_state(self) -> None:
         failure = self.consensus.failure
         if (failure is not None) == self._reported_failure:
             return
@@ -131,12 +133,12 @@
         if failure is not None:
             emit(FOLDER_FAILED, error=failure)
         else:
-            emit(FOLDER_REGAINED, term=self.consensus.raft.term)
+            emit(FOLDER_RECOVERED, term=self.consensus.raft.term)
 
     async def stop(self) -> None:
         """Stop serving."""
-        if self._joining is not None:
-            self._joining.cancel()
+        if self._join_task is not None:
+            self._join_task.cancel()
         if self._listener is not None:
             await self._listener.close()
         self.service.census.stop()
--- a/src/rowanrail/sql_control/service.py
+++ b/src/rowanrail/sql_control/service.py
@@ -33,10 +33,10 @@
 from rowanrail.rpc.network import Network
 from rowanrail.sql_control.census import ProxyCensus
 from rowanrail.sql_control.changes import (
-    LEADER_REPLY_SECONDS,
-    LEADER_RETRY_SECONDS,
-    LEADER_WAIT_SECONDS,
-    may_ask_again,
+    LEADER_REPLY_TIMEOUT_SECONDS,
+    LEADER_RETRY_INTERVAL_SECONDS,
+    LEADER_WAIT_TIMEOUT_SECONDS,
+    may_retry,
 )
 from rowanrail.sql_control.delta import make_delta
 from rowanrail.sql_control.messages import (
@@ -58,11 +58,11 @@
 
 # Seconds for a new proxy's question to be confirmed by the leader; after it the answer says that it
 # is not. Chosen.
-BARRIER_SECONDS = 1.0
+BARRIER_TIMEOUT_SECONDS = 1.0
 # Newest entries of the history in an answer to operators. Chosen.
-READ_HISTORY = 200
+MAXIMUM_READ_HISTORY = 200
 # Seconds for another node's reply with the proxies that it knows. Chosen.
-REPORTS_CALL_SECONDS = 1.0
+REPORTS_TIMEOUT_SECONDS = 1.0
 
 ChangeRequest = ApplyRequest | DrainRequest | RollbackRequest
 
@@ -86,7 +86,7 @@
         self.census = ProxyCensus(node, self.watches, network)
         self._network = network
         self._wall_clock = wall_clock
-        node.on_change = self.watches.notice_change
+        node.on_change = self.watches.notify_change
 
     # Messages from other processes
 
@@ -99,7 +99,7 @@
         if isinstance(request, WatchRequest):
             return await self._watch(request)
         if isinstance(request, CensusRequest):
-            return self.census.answer()
+            return self.census.reply()
         if isinstance(request, ReportsRequest):
             version = self.state.current.version
             return ReportsReply(self.node.identity.node, version, self.watches.reports())
@@ -107,7 +107,7 @@
 
     async def _serve_as_leader(self, request: msgspec.Struct) -> msgspec.Struct:
         if isinstance(request, ApplyRequest | DrainRequest | RollbackRequest):
-            return ChangeReply(await self._change(request))
+            return ChangeReply(await self._propose_change(request))
         if isinstance(request, ReadRequest):
             return await self._read()
         if isinstance(request, BarrierRequest):
@@ -124,14 +124,14 @@
         if request.known_version == 0:
             confirmed = await self._catch_up()
         reply = await self.watches.watch(request, confirmed)
-        users = self.census.users(request.report.used)
+        users = self.census.proxy_counts(request.report.used)
         return msgspec.structs.replace(reply, users=users)
 
     async def _catch_up(self) -> bool:
         """Bring this node up to all that was accepted; return whether that was possible."""
         try:
-            async with asyncio.timeout(BARRIER_SECONDS):
-                reply = await self.on_leader(BarrierRequest())
+            async with asyncio.timeout(BARRIER_TIMEOUT_SECONDS):
+                reply = await self.call_leader(BarrierRequest())
                 assert isinstance(reply, BarrierReply)
                 await self.node.wait_applied(reply.index)
         except (RowanrailError, TimeoutError):
@@ -140,7 +140,7 @@
 
     # Requests that only the leader can serve
 
-    async def on_leader(self, request: msgspec.Struct) -> msgspec.Struct:
+    async def call_leader(self, request: msgspec.Struct) -> msgspec.Struct:
         """Serve a request here if this node leads, else at the leader.
 
         :raises RowanrailError: if no leader served it; a change may or may not have run.
@@ -148,29 +148,29 @@
         leader = self.node.leader_address()
         if self.node.raft.is_leader or not leader:
             return await self._serve_as_leader(request)
-        return await self._network.call(leader, request, LEADER_REPLY_SECONDS)
+        return await self._network.call(leader, request, LEADER_REPLY_TIMEOUT_SECONDS)
 
-    async def request(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Like :meth:`on_leader`, and wait for a leader for a while if there is none.
+    async def call_leader_with_retry(self, request: msgspec.Struct) -> msgspec.Struct:
+        """Like :meth:`call_leader`, and wait for a leader for a while if there is none.
 
         Repeating is safe: a change carries an id, and its first outcome is remembered.
 
         :raises RowanrailError: if no leader served it in time.
         """
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + LEADER_WAIT_SECONDS
+        deadline = loop.time() + LEADER_WAIT_TIMEOUT_SECONDS
         while True:
             try:
                 async with asyncio.timeout_at(deadline):
-                    return await self.on_leader(request)
+                    return await self.call_leader(request)
             except InvalidRequestError:
                 raise
             except (RowanrailError, TimeoutError) as error:
-                if not may_ask_again(loop.time(), deadline):
-                    raise self._no_leader(error) from error
-            await asyncio.sleep(LEADER_RETRY_SECONDS)
+                if not may_retry(loop.time(), deadline):
+                    raise self._no_leader_error(error) from error
+            await asyncio.sleep(LEADER_RETRY_INTERVAL_SECONDS)
 
-    def _no_leader(self, error: Exception) -> RowanrailError:
+    def _no_leader_error(self, error: Exception) -> RowanrailError:
         voters = sorted(self.node.raft.membership.voters)
         return TransportError(
             f"no majority of the control nodes {', '.join(voters)} answers ({error}); "
@@ -182,17 +182,17 @@
     async def _read(self) -> ReadReply:
         await self.node.read_barrier()
         current = self.state.current
-        history = list(self.state.history)[-READ_HISTORY:]
+        history = list(self.state.history)[-MAXIMUM_READ_HISTORY:]
         return ReadReply(current.version, current.configuration, current.drained, history)
 
-    async def _change(self, request: ChangeRequest) -> Outcome:
+    async def _propose_change(self, request: ChangeRequest) -> Outcome:
         digest = hashlib.sha256(msgspec.msgpack.encode(request)).hexdigest()
         while True:
             await self.node.read_barrier()
-            known = self.state.recorded(request.change_id, digest)
+            known = self.state.recorded_outcome(request.change_id, digest)
             if known is not None:
                 return known
-            command = self._command(request, digest)
+            command = self._make_command(request, digest)
             try:
                 outcome = await self.node.propose(msgspec.msgpack.encode(command))
             except SupersededError as error:
@@ -201,10 +201,10 @@
             if outcome.verdict is not Verdict.REBASE:
                 return outcome
 
-    def _command(self, request: ChangeRequest, digest: str) -> ChangeCommand:
+    def _make_command(self, request: ChangeRequest, digest: str) -> ChangeCommand:
         current = self.state.current
         expected = request.expected_version if isinstance(request, ApplyRequest) else None
-        delta, changes = self._delta(request)
+        delta, changes = self._make_delta(request)
         return ChangeCommand(
             change_id=request.change_id,
             author=request.author,
@@ -220,12 +220,12 @@
         moment = datetime.datetime.fromtimestamp(self._wall_clock(), datetime.UTC)
         return moment.isoformat(timespec="milliseconds")
 
-    def _delta(self, request: ChangeRequest) -> tuple[ConfigurationDelta, list[Change]]:
+    def _make_delta(self, request: ChangeRequest) -> tuple[ConfigurationDelta, list[Change]]:
         current = self.state.current.configuration
         if isinstance(request, DrainRequest):
-            return self._drain_delta(request)
+            return self._make_drain_delta(request)
         if isinstance(request, RollbackRequest):
-            target = self.state.at_version(request.version)
+            target = self.state.configuration_at(request.version)
             if target is None:
                 raise InvalidRequestError(
                     f"version {request.version} is not remembered; apply its files instead",
@@ -238,7 +238,7 @@
                 raise InvalidRequestError("; ".join(problems), step="apply")
         return make_delta(current, target), difference(current, target)
 
-    def _drain_delta(self, request: DrainRequest) -> tuple[ConfigurationDelta, list[Change]]:
+    def _make_drain_delta(self, request: DrainRequest) -> tuple[ConfigurationDelta, list[Change]]:
         current = self.state.current
         known = _member_names(current.configuration)
         unknown = [member for member in request.members if member not in known]
@@ -254,7 +254,7 @@
             return ConfigurationDelta(drained=members), changes
         return ConfigurationDelta(undrained=members), changes
 
-    async def all_reports(self) -> tuple[list[ProxyReport], list[str]]:
+    async def collect_reports(self) -> tuple[list[ProxyReport], list[str]]:
         """Return the proxies that any control node knows, and the nodes that are silent."""
         silent: list[str] = []
         newest: dict[str, ProxyReport] = {}
@@ -267,7 +267,7 @@
         ]
         results = await asyncio.gather(
             *(
-                self._network.call(address, ReportsRequest(), REPORTS_CALL_SECONDS)
+                self._network.call(address, ReportsRequest(), REPORTS_TIMEOUT_SECONDS)
                 for _, address in peers
             ),
             return_exceptions=True,
--- a/src/rowanrail/sql_control/state.py
+++ b/src/rowanrail/sql_control/state.py
@@ -12,18 +12,18 @@
 from rowanrail.config.model import Configuration, VersionedConfiguration
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.consensus.state_machine import StateMachine
-from rowanrail.sql_control.changes import change_verdict, resent_outcome
+from rowanrail.sql_control.changes import change_verdict, outcome_of_resend
 from rowanrail.sql_control.delta import apply_delta, is_empty
 from rowanrail.sql_control.messages import ChangeCommand, Outcome, Revision, Verdict
 from rowanrail.sql_control.policies import ExpectedVersion
 
 # Changes whose outcome a resend still gets. Chosen.
-REMEMBERED_OUTCOMES = 10_000
+MAXIMUM_RECORDED_OUTCOMES = 10_000
 # Entries of the history. Chosen.
-REMEMBERED_REVISIONS = 1_000
+MAXIMUM_REVISIONS = 1_000
 # Earlier configurations, to which an operator can go back and from which proxies get a delta.
 # Chosen.
-REMEMBERED_CONFIGURATIONS = 50
+MAXIMUM_EARLIER_CONFIGURATIONS = 50
 
 
 class RecordedOutcome(msgspec.Struct, frozen=True):
@@ -48,18 +48,18 @@
     def __init__(self, expected_version: ExpectedVersion) -> None:
         self._expected_version = expected_version
         self.current = VersionedConfiguration()
-        self.history: deque[Revision] = deque(maxlen=REMEMBERED_REVISIONS)
-        self.earlier: deque[VersionedConfiguration] = deque(maxlen=REMEMBERED_CONFIGURATIONS)
+        self.history: deque[Revision] = deque(maxlen=MAXIMUM_REVISIONS)
+        self.earlier: deque[VersionedConfiguration] = deque(maxlen=MAXIMUM_EARLIER_CONFIGURATIONS)
         self._outcomes: dict[str, RecordedOutcome] = {}
 
-    def recorded(self, change_id: str, digest: str) -> Outcome | None:
+    def recorded_outcome(self, change_id: str, digest: str) -> Outcome | None:
         """Return the outcome of an earlier change with this id, if there was one."""
         known = self._outcomes.get(change_id)
         if known is None:
             return None
-        return resent_outcome(known.digest, known.outcome, digest)
+        return outcome_of_resend(known.digest, known.outcome, digest)
 
-    def at_version(self, version: int) -> Configuration | None:
+    def configuration_at(self, version: int) -> Configuration | None:
         """Return the configuration at a version, if it is still remembered."""
         for candidate in (self.current, *self.earlier):
             if candidate.version == version:
@@ -70,16 +70,16 @@
         """See :meth:`StateMachine.apply`."""
         if entry.kind is not EntryKind.COMMAND:
             return None
-        return self._change(msgspec.msgpack.decode(entry.data, type=ChangeCommand))
+        return self._apply_change(msgspec.msgpack.decode(entry.data, type=ChangeCommand))
 
-    def _change(self, command: ChangeCommand) -> Outcome:
-        known = self.recorded(command.change_id, command.digest)
+    def _apply_change(self, command: ChangeCommand) -> Outcome:
+        known = self.recorded_outcome(command.change_id, command.digest)
         if known is not None:
             return known
         outcome = self._decide(command)
         if outcome.verdict is not Verdict.REBASE:
             self._outcomes[command.change_id] = RecordedOutcome(command.digest, outcome)
-            if len(self._outcomes) > REMEMBERED_OUTCOMES:
+            if len(self._outcomes) > MAXIMUM_RECORDED_OUTCOMES:
                 del self._outcomes[next(iter(self._outcomes))]
         return outcome
 
@@ -87,12 +87,12 @@
         is_current = self._expected_version.matches(command.base_version, self.current.version)
         verdict = change_verdict(is_current, command.explicit, is_empty(command.delta))
         if verdict is Verdict.ACCEPTED:
-            self._accept(command)
+            self._accept_change(command)
         is_conflict = verdict is Verdict.CONFLICT
-        winner = self._winner_after(command.base_version) if is_conflict else ""
+        winner = self._conflicting_change(command.base_version) if is_conflict else ""
         return Outcome(verdict, self.current.version, winner)
 
-    def _accept(self, command: ChangeCommand) -> None:
+    def _accept_change(self, command: ChangeCommand) -> None:
         self.earlier.append(self.current)
         self.current = apply_delta(self.current, command.delta)
         self.history.append(
@@ -105,7 +105,7 @@
             )
         )
 
-    def _winner_after(self, base_version: int) -> str:
+    def _conflicting_change(self, base_version: int) -> str:
         for revision in self.history:
             if revision.version == base_version + 1:
                 return f"{revision.author} (change {revision.change_id})"
@@ -124,6 +124,6 @@
             return
         state = msgspec.msgpack.decode(data, type=ConfigurationSnapshot)
         self.current = state.current
-        self.earlier = deque(state.earlier, maxlen=REMEMBERED_CONFIGURATIONS)
-        self.history = deque(state.history, maxlen=REMEMBERED_REVISIONS)
+        self.earlier = deque(state.earlier, maxlen=MAXIMUM_EARLIER_CONFIGURATIONS)
+        self.history = deque(state.history, maxlen=MAXIMUM_REVISIONS)
         self._outcomes = dict(state.outcomes)
--- a/src/rowanrail/sql_control/watch.py
+++ b/src/rowanrail/sql_control/watch.py
@@ -1,6 +1,6 @@
 """Long polls of proxies for a newer configuration, and what the proxies report.
 
-For the configuration service. Owns the newest report of each proxy that was heard lately, and the
+For the configuration service. Owns the newest report of each live proxy, and the
 views and deltas that it has made; relies on the replicated state for versions.
 """
 
@@ -18,19 +18,19 @@
 from rowanrail.sql_control.state import ConfigurationState
 
 # Seconds that a long poll waits at most for a change, whatever the proxy asks for. Chosen.
-LONGEST_POLL_SECONDS = 5.0
+MAXIMUM_POLL_SECONDS = 5.0
 # Seconds after which the report of a silent proxy is forgotten. Chosen.
-FORGET_REPORT_SECONDS = 60.0
+REPORT_EXPIRY_SECONDS = 60.0
 # Seconds for which a silent proxy counts as a user of its groups. Chosen.
-LIVE_SECONDS = 15.0
+PROXY_LIVENESS_SECONDS = 15.0
 # Views of zones, and as many deltas, that are kept. Chosen.
-REMEMBERED_VIEWS = 100
+MAXIMUM_CACHED_VIEWS = 100
 
 Key = TypeVar("Key")
 Value = TypeVar("Value")
 
 
-class _Heard(msgspec.Struct):
+class _ReceivedReport(msgspec.Struct):
     report: ProxyReport
     at: float
 
@@ -42,26 +42,26 @@
         self._state = state
         self._monotonic = monotonic
         self._changed = asyncio.Event()
-        self._seen_version = -1
-        self._reports: dict[str, _Heard] = {}
+        self._notified_version = -1
+        self._reports: dict[str, _ReceivedReport] = {}
         self._deltas: dict[tuple[str, int, str, int], ConfigurationDelta] = {}
         self._views: dict[tuple[str, int], tuple[VersionedConfiguration, str]] = {}
 
-    def notice_change(self) -> None:
+    def notify_change(self) -> None:
         """Wake the polls that wait if the configuration changed."""
-        if self._state.current.version != self._seen_version:
-            self._seen_version = self._state.current.version
+        if self._state.current.version != self._notified_version:
+            self._notified_version = self._state.current.version
             self._changed.set()
             self._changed = asyncio.Event()
 
     async def watch(self, request: WatchRequest, confirmed: bool) -> WatchReply:
         """Return what is newer than the proxy knows, or nothing at the end of the wait."""
         loop = asyncio.get_running_loop()
-        self._reports[request.report.proxy] = _Heard(request.report, loop.time())
+        self._reports[request.report.proxy] = _ReceivedReport(request.report, loop.time())
         if not self._is_newer(request):
             changed = self._changed
             try:
-                async with asyncio.timeout(min(request.hold_seconds, LONGEST_POLL_SECONDS)):
+                async with asyncio.timeout(min(request.hold_seconds, MAXIMUM_POLL_SECONDS)):
                     await changed.wait()
             except TimeoutError:
                 pass  # nothing changed meanwhile, which the reply says
@@ -78,13 +78,13 @@
         delta = self._delta(zone, request)
         if delta is not None:
             return WatchReply(current.version, digest, confirmed, False, delta)
-        whole = ConfigurationDelta(
+        full = ConfigurationDelta(
             sites=current.configuration.sites,
             groups=current.configuration.groups,
             users=current.configuration.users,
             drained=current.drained,
         )
-        return WatchReply(current.version, digest, confirmed, True, whole)
+        return WatchReply(current.version, digest, confirmed, True, full)
 
     def _delta(self, zone: str, request: WatchRequest) -> ConfigurationDelta | None:
         """Return what leads to the newest version; None if it is not known any more.
@@ -98,7 +98,7 @@
             delta = self._make_delta(zone, request)
             if delta is not None:
                 self._deltas[key] = delta
-                _keep_newest(self._deltas)
+                _evict_oldest(self._deltas)
         return delta
 
     def _make_delta(self, zone: str, request: WatchRequest) -> ConfigurationDelta | None:
@@ -109,39 +109,39 @@
                     return view_delta(known, self._view(zone, self._state.current)[0])
         return None
 
-    def _view(self, zone: str, whole: VersionedConfiguration) -> tuple[VersionedConfiguration, str]:
-        key = (zone, whole.version)
+    def _view(self, zone: str, full: VersionedConfiguration) -> tuple[VersionedConfiguration, str]:
+        key = (zone, full.version)
         view = self._views.get(key)
         if view is None:
-            part = view_for_zone(whole, zone)
+            part = view_for_zone(full, zone)
             view = (part, part.digest())
             self._views[key] = view
-            _keep_newest(self._views)
+            _evict_oldest(self._views)
         return view
 
-    def users(self) -> dict[str, int]:
-        """Return how many of the proxies that were heard lately use each group."""
+    def proxy_counts(self) -> dict[str, int]:
+        """Return how many of the proxies that reported recently use each group."""
         now = asyncio.get_running_loop().time()
         users: Counter[str] = Counter()
-        for heard in self._reports.values():
-            if now - heard.at < LIVE_SECONDS:
-                users.update(heard.report.used)
+        for received in self._reports.values():
+            if now - received.at < PROXY_LIVENESS_SECONDS:
+                users.update(received.report.used)
         return dict(users)
 
     def reports(self) -> list[ProxyReport]:
-        """Return the newest report of each proxy that was heard lately."""
+        """Return the newest report of each proxy that reported recently."""
         now = asyncio.get_running_loop().time()
         self._reports = {
-            proxy: heard
-            for proxy, heard in self._reports.items()
-            if now - heard.at < FORGET_REPORT_SECONDS
+            proxy: received
+            for proxy, received in self._reports.items()
+            if now - received.at < REPORT_EXPIRY_SECONDS
         }
         return [
-            msgspec.structs.replace(heard.report, seconds_ago=now - heard.at)
-            for heard in self._reports.values()
+            msgspec.structs.replace(received.report, seconds_ago=now - received.at)
+            for received in self._reports.values()
         ]
 
 
-def _keep_newest(remembered: dict[Key, Value]) -> None:
-    while len(remembered) > REMEMBERED_VIEWS:
+def _evict_oldest(remembered: dict[Key, Value]) -> None:
+    while len(remembered) > MAXIMUM_CACHED_VIEWS:
         del remembered[next(iter(remembered))]
--- a/tests/unit/test_pending.py
+++ b/tests/unit/test_pending.py
@@ -19,22 +19,22 @@
     async def test_a_proposal_gets_the_result_of_its_entry(self):
         future = self.pending.wait_entry(entry(7, 2))
         self.assertTrue(self.pending.has_proposals)
-        self.pending.settle_entry(entry(6, 2), "another")
+        self.pending.resolve_entry(entry(6, 2), "another")
         self.assertFalse(future.done())
-        self.pending.settle_entry(entry(7, 2), "result")
+        self.pending.resolve_entry(entry(7, 2), "result")
         self.assertEqual(await future, "result")
         self.assertFalse(self.pending.has_proposals)
 
     async def test_a_proposal_whose_index_another_leaders_entry_took_is_lost(self):
         future = self.pending.wait_entry(entry(7, 2))
-        self.pending.settle_entry(entry(7, 3), "result")
+        self.pending.resolve_entry(entry(7, 3), "result")
         with self.assertRaises(SupersededError):
             await future
 
     async def test_reads_are_settled_one_by_one(self):
         first, wanted = self.pending.wait_read()
         second, failed = self.pending.wait_read()
-        self.pending.settle_read(first, 9)
+        self.pending.resolve_read(first, 9)
         self.pending.fail_read(second, NotLeaderError("", "read"))
         self.assertEqual(await wanted, 9)
         with self.assertRaises(NotLeaderError):
@@ -42,13 +42,13 @@
 
     async def test_a_forgotten_read_is_not_settled(self):
         token, future = self.pending.wait_read()
-        self.pending.forget_read(token)
-        self.pending.settle_read(token, 9)
+        self.pending.discard_read(token)
+        self.pending.resolve_read(token, 9)
         self.assertFalse(future.done())
 
     async def test_waits_for_an_index_end_as_it_is_reached(self):
         near, far = self.pending.wait_applied(3), self.pending.wait_applied(5)
-        self.pending.settle_applied(4)
+        self.pending.resolve_applied(4)
         self.assertEqual((near.done(), far.done()), (True, False))
 
     async def test_everything_can_fail_at_once(self):
@@ -61,6 +61,6 @@
     async def test_a_given_up_request_is_left_alone(self):
         future = self.pending.wait_entry(entry(7, 2))
         future.cancel()
-        self.pending.settle_entry(entry(7, 2), "result")
+        self.pending.resolve_entry(entry(7, 2), "result")
         self.pending.fail_all(LeadershipLostError("the node stops", step="propose"))
         self.assertTrue(future.cancelled())
--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -193,15 +193,15 @@
 
     def test_a_resend_gets_the_first_outcome(self):
         first = Outcome(Verdict.ACCEPTED, 7)
-        self.assertIs(changes.resent_outcome("digest", first, "digest"), first)
+        self.assertIs(changes.outcome_of_resend("digest", first, "digest"), first)
 
     def test_other_work_under_a_used_id_is_refused(self):
-        outcome = changes.resent_outcome("digest", Outcome(Verdict.ACCEPTED, 7), "other")
+        outcome = changes.outcome_of_resend("digest", Outcome(Verdict.ACCEPTED, 7), "other")
         self.assertEqual(outcome, Outcome(Verdict.REUSED_ID, 7))
 
     def test_a_request_waits_for_a_leader_until_its_deadline(self):
-        self.assertTrue(changes.may_ask_again(7.8, 8.0))
-        self.assertFalse(changes.may_ask_again(7.95, 8.0))
+        self.assertTrue(changes.may_retry(7.8, 8.0))
+        self.assertFalse(changes.may_retry(7.95, 8.0))
 
 
 class AdmissionTest(unittest.TestCase):
