--- a/src/rowanrail/consensus/__init__.py
+++ b/src/rowanrail/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated log: pure state machine, storage and the shell around them."""
+"""Raft: the consensus state machine, its durable storage and the node that runs them."""
--- a/src/rowanrail/consensus/errors.py
+++ b/src/rowanrail/consensus/errors.py
@@ -1,7 +1,4 @@
-"""Why a request to the replicated log has no clear outcome.
-
-For the node that raises these, and the services that answer callers by them.
-"""
+"""Errors of requests to the replicated log."""
 
 from rowanrail.kernel.errors import RowanrailError
 
@@ -9,7 +6,10 @@
 
 
 class NotLeaderError(RowanrailError):
-    """The node can't serve the request; ``leader`` is the address to ask, if known."""
+    """The node does not lead, or can't confirm that it does.
+
+    ``leader`` is the leader's address, empty if unknown.
+    """
 
     def __init__(self, leader: str, step: str) -> None:
         super().__init__(f"not the leader (leader: {leader or 'none known'})", step=step)
@@ -17,8 +17,8 @@
 
 
 class SupersededError(RowanrailError):
-    """The proposed entry was replaced by another leader's; it will never be applied."""
+    """Another leader's entry took the proposed entry's index; it will never be applied."""
 
 
 class LeadershipLostError(RowanrailError):
-    """The leader changed while the entry was under way; it may still be applied."""
+    """The leader changed before the entry committed; it may still be applied."""
--- a/src/rowanrail/consensus/messages.py
+++ b/src/rowanrail/consensus/messages.py
@@ -1,6 +1,6 @@
-"""Messages and records of the replicated log (Raft: Ongaro and Ousterhout, 2014).
+"""Messages and stored records of Raft (Ongaro and Ousterhout, 2014).
 
-What is sent ten times a second goes as an array: names of fields are most of a heartbeat.
+Frequent messages are encoded as arrays, since field names would be most of a heartbeat's bytes.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What a log entry holds."""
+    """Type of a log entry."""
 
     NOOP = 0
     COMMAND = 1
@@ -19,7 +19,7 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of the log."""
+    """Log entry: an encoded command or membership, with its term and index."""
 
     term: int
     index: int
@@ -28,14 +28,14 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a node must never forget: its term and its vote in that term."""
+    """Term and vote of a node, which must be durable before it answers."""
 
     term: int = 0
     vote: str = ""
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """Voters and learners by node id, with their addresses."""
+    """Addresses of voters and learners by node id."""
 
     voters: dict[str, str] = {}
     learners: dict[str, str] = {}
@@ -46,7 +46,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """State of the replicated state machine after ``index``."""
+    """Serialized state after the entry at ``index``, with the membership at that entry."""
 
     index: int
     term: int
@@ -56,7 +56,7 @@
 
 @message("VoteRequest")
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A candidate asks for a vote; ``preliminary`` asks without raising any term."""
+    """A candidate's request for a vote; ``preliminary`` marks a pre-vote, which changes no term."""
 
     sender: str
     term: int
@@ -77,7 +77,7 @@
 
 @message("AppendRequest")
 class AppendRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Entries, or a heartbeat, from the leader. ``round`` confirms reads."""
+    """Entries or a heartbeat from the leader; replies to ``round`` confirm pending reads."""
 
     sender: str
     term: int
@@ -90,7 +90,11 @@
 
 @message("AppendReply")
 class AppendReply(msgspec.Struct, frozen=True, array_like=True):
-    """Answer to :class:`AppendRequest`; ``match`` is a hint for retry when refused."""
+    """Answer to :class:`AppendRequest` or :class:`SnapshotRequest`.
+
+    :param match: last index that matches the leader's log; on failure, the index after which the
+        leader should retry.
+    """
 
     sender: str
     term: int
@@ -101,7 +105,7 @@
 
 @message("SnapshotRequest")
 class SnapshotRequest(msgspec.Struct, frozen=True):
-    """The leader's snapshot for a node that is too far behind its log."""
+    """The leader's snapshot, for a node that needs entries that the leader has compacted."""
 
     sender: str
     term: int
--- a/src/rowanrail/consensus/node.py
+++ b/src/rowanrail/consensus/node.py
@@ -1,8 +1,8 @@
-"""A Raft node at work: its timers, its storage, its messages and its requests.
+"""A Raft node with its timers, storage, network and requests.
 
-Takes inputs to :class:`Raft` and carries out the effects in their order: what is promised is
-durable before it is sent. Owns the failure of the storage; relies on ``pending`` for who waits, and
-on the state machine for what entries mean.
+The node passes inputs to :class:`rowanrail.consensus.raft.Raft` and performs the returned effects:
+state is made durable before the messages that depend on it are sent. A node whose storage fails
+takes no part until the storage can be reopened.
 """
 
 import asyncio
@@ -35,13 +35,13 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.rpc.network import Network
 
-# Between tries of a disk that has failed: as long as an election, and a try costs a few syncs.
+# Between attempts to reopen a failed storage, each of which costs a few syncs.
 REOPEN_INTERVAL_SECONDS = 0.5
 CONSENSUS_MESSAGES = (VoteRequest, VoteReply, AppendRequest, AppendReply, SnapshotRequest)
 
 
 class NodeOptions(msgspec.Struct, frozen=True):
-    """How a node runs.
+    """Options of a node.
 
     :param snapshot_entries: number of log entries after which a snapshot is taken.
     """
@@ -51,7 +51,7 @@
 
 
 class ConsensusNode:
-    """One node of the replicated log with its state machine."""
+    """Node of the replicated log, with its storage and state machine."""
 
     def __init__(
         self,
@@ -64,9 +64,11 @@
         registry: Registry,
         fallback_address: Callable[[str], str] = lambda node: "",
     ) -> None:
-        """Load the folder.
+        """Load the log and the snapshot from ``storage``.
 
-        :param fallback_address: address of a node that is in no membership known here yet.
+        :param fallback_address: returns the address of a node that no known membership contains,
+            or an empty string.
+        :raises StorageError: if stored data are damaged.
         """
         self.identity = identity
         self.state_machine = state_machine
@@ -107,11 +109,11 @@
     # Lifecycle
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the node's task."""
         self._task = asyncio.ensure_future(self._run())
 
     async def stop(self) -> None:
-        """Stop taking part; pending requests fail."""
+        """Stop the node's task and fail pending requests."""
         if self._task is not None:
             self._task.cancel()
         self._pending.fail_all(LeadershipLostError("the node stops", step="propose"))
@@ -119,13 +121,14 @@
     # Requests
 
     def leader_address(self) -> str:
-        """Return the leader's address as this node knows it, or an empty string."""
+        """Return the leader's address, or an empty string if it is unknown."""
         return self.raft.membership.addresses().get(self.raft.leader, "")
 
     def append(self, data: bytes) -> Entry:
-        """Append a command without waiting for it to commit.
+        """Append a command without waiting for its commit.
 
         :raises NotLeaderError: if the node does not lead.
+        :raises StorageError: if the storage has failed.
         """
         self.raise_if_failed("propose")
         try:
@@ -136,20 +139,21 @@
         return entry
 
     async def propose(self, data: bytes) -> object:
-        """Append a command and return its result once applied.
+        """Append a command and return the state machine's result.
 
         :raises NotLeaderError: if the node does not lead; nothing was appended.
-        :raises SupersededError: if the entry was lost for good.
+        :raises SupersededError: if another leader's entry took its index.
         :raises LeadershipLostError: if the outcome is unknown.
         """
         entry = self.append(data)
         return await self._pending.wait_entry(entry)
 
     async def change_membership(self, membership: Membership) -> None:
-        """Commit a new membership.
+        """Append a new membership and wait for its commit.
 
         :raises NotLeaderError: if the node does not lead.
-        :raises MembershipChangeInProgress: if another change is under way.
+        :raises MembershipChangeInProgress: if another change is not committed, or several
+            voters would change.
         """
         try:
             entry = self.raft.change_membership(membership, self._now())
@@ -159,7 +163,7 @@
         await self._pending.wait_entry(entry)
 
     async def read_barrier(self) -> None:
-        """Return once the state machine holds all that was committed before the call.
+        """Wait until the state machine has applied all entries committed before the call.
 
         :raises NotLeaderError: if the node does not lead, or can't confirm that it does.
         """
@@ -177,7 +181,7 @@
             self._pending.discard_read(token)
 
     async def wait_applied(self, index: int) -> None:
-        """Return once the entry at ``index`` has been applied here."""
+        """Wait until the entry at ``index`` is applied on this node."""
         if self.applied_index >= index:
             return
         await self._pending.wait_applied(index)
@@ -191,14 +195,15 @@
         self._wake.set()
 
     def raise_if_failed(self, step: str) -> None:
-        """Refuse to go on while the storage has failed.
+        """Raise an error if the storage has failed.
 
+        :param step: step that the error names.
         :raises StorageError: with the reason of the failure.
         """
         if self.failure is not None:
             raise StorageError(self.failure.message, step=step, peer=self.failure.peer)
 
-    # The loop
+    # Event loop
 
     async def _run(self) -> None:
         while True:
@@ -219,16 +224,16 @@
         except StorageError as error:
             self._fail(error)
         except Exception as error:
-            # A state machine that could not follow the log may not answer from it either.
+            # The state machine may have missed an entry, so it must not serve requests.
             self._may_reopen = False
             reason = f"{type(error).__name__}: {error}; report this, and start the node again"
             self._fail(StorageError(reason, step="apply", peer=self.identity.node))
 
     def _fail(self, error: StorageError) -> None:
-        """Take no further part: what was not made durable may not be promised.
+        """Stop participating, since nothing can be made durable, and fail pending requests.
 
-        The role ends here. Nothing would end it later, since the node hears no vote and no
-        heartbeat any more, and it would call itself leader and up to date for as long as it runs.
+        The role is reset because a deactivated node handles no message or timeout that would end
+        its leadership.
         """
         self.failure = error
         self.role_at_failure = self.raft.role
@@ -236,7 +241,7 @@
         self._pending.fail_all(error)
 
     def _reopen(self) -> None:
-        """Take part again with what is durable, as after a restart, if the disk allows it."""
+        """Resume with the durable log, as after a restart, if the storage can be reopened."""
         try:
             hard_state, log = self._storage.reopen()
         except StorageError as error:
@@ -265,7 +270,7 @@
                 async with asyncio.timeout(remaining_seconds):
                     await self._wake.wait()
             except TimeoutError:
-                pass  # no input came: a timer of the state machine is due
+                pass  # no input arrived before the next timeout
         self._wake.clear()
 
     def _process_effects(self, effects: Effects) -> None:
@@ -321,7 +326,7 @@
         self.raft.compact(snapshot)
 
     def make_snapshot(self) -> Snapshot:
-        """Return a snapshot of what has been applied."""
+        """Return a snapshot of the state after the last applied entry."""
         return Snapshot(
             index=self.applied_index,
             term=self.raft.log.term_at(self.applied_index),
--- a/src/rowanrail/consensus/pending.py
+++ b/src/rowanrail/consensus/pending.py
@@ -1,7 +1,6 @@
-"""Requests to a node of the replicated log that wait: for an entry, a read, or an index.
+"""Futures of requests that wait for a proposed entry, a read index or an applied index.
 
-For :class:`rowanrail.consensus.node.ConsensusNode`, which settles them as effects are carried out.
-Owns the futures; relies on the event loop. No I/O and no knowledge of Raft.
+:class:`rowanrail.consensus.node.ConsensusNode` resolves them as it processes Raft's effects.
 """
 
 import asyncio
@@ -14,7 +13,7 @@
 
 
 class PendingRequests:
-    """Futures of a node's callers."""
+    """Pending requests of a node, by entry index, read token and applied index."""
 
     def __init__(self) -> None:
         self._proposals: dict[int, tuple[int, asyncio.Future[object]]] = {}
@@ -24,36 +23,36 @@
 
     @property
     def has_proposals(self) -> bool:
-        """Whether anybody waits for an entry."""
+        """Whether any proposal is pending."""
         return bool(self._proposals)
 
     def wait_entry(self, entry: Entry) -> "asyncio.Future[object]":
-        """Return a future of what the state machine returns for an entry."""
+        """Return a future of the state machine's result for ``entry``."""
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self._proposals[entry.index] = (entry.term, future)
         return future
 
     def wait_read(self) -> "tuple[int, asyncio.Future[int]]":
-        """Return a token for a read, and a future of the index that it must see."""
+        """Return a new read token and a future of its read index."""
         self._last_read_token += 1
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._reads[self._last_read_token] = future
         return self._last_read_token, future
 
     def wait_applied(self, index: int) -> "asyncio.Future[None]":
-        """Return a future that is done once the entry at ``index`` has been applied."""
+        """Return a future that completes once the entry at ``index`` is applied."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._applied_waiters.append((index, future))
         return future
 
     def discard_read(self, token: int) -> None:
-        """Forget a read that nobody waits for any more."""
+        """Remove a read whose caller no longer waits."""
         self._reads.pop(token, None)
 
     def resolve_entry(self, entry: Entry, result: object) -> None:
-        """Answer whoever proposed the entry that was applied at its index.
+        """Resolve the proposal at the applied entry's index.
 
-        Who proposed another entry there learns that it was lost for good.
+        A proposal of another term gets :class:`SupersededError`: its entry was overwritten.
         """
         pending = self._proposals.pop(entry.index, None)
         if pending is None or pending[1].done():
@@ -65,19 +64,19 @@
             future.set_exception(SupersededError("another leader's entry won", step="propose"))
 
     def resolve_read(self, token: int, index: int) -> None:
-        """Answer a read with the index that it must see."""
+        """Resolve a read with its read index."""
         future = self._reads.get(token)
         if future is not None and not future.done():
             future.set_result(index)
 
     def fail_read(self, token: int, error: RowanrailError) -> None:
-        """Answer a read with an error."""
+        """Fail a read."""
         future = self._reads.get(token)
         if future is not None and not future.done():
             future.set_exception(error)
 
     def resolve_applied(self, applied: int) -> None:
-        """Answer those who wait for an index up to ``applied``."""
+        """Resolve the waits for indexes up to ``applied``."""
         waiting = []
         for index, future in self._applied_waiters:
             if applied < index:
@@ -87,14 +86,14 @@
         self._applied_waiters = waiting
 
     def fail_proposals(self, error: RowanrailError) -> None:
-        """Answer all proposals with an error: their outcome is unknown."""
+        """Fail all proposals; their entries may still be applied."""
         for _, future in self._proposals.values():
             if not future.done():
                 future.set_exception(error)
         self._proposals = {}
 
     def fail_all(self, error: RowanrailError) -> None:
-        """Answer everything with an error."""
+        """Fail all pending requests."""
         self.fail_proposals(error)
         for read in self._reads.values():
             if not read.done():
--- a/src/rowanrail/consensus/raft.py
+++ b/src/rowanrail/consensus/raft.py
@@ -1,11 +1,11 @@
-"""The replicated log as a pure state machine: inputs and time in, effects out, no I/O.
+"""Raft as a pure state machine: inputs and time in, effects out, no I/O.
 
-Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014)
+Implements Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014)
 with pre-vote, check-quorum, leader stickiness, learners, read index and one membership
 change at a time (Ongaro's thesis, 2014, chapters 4, 6 and 9).
 
-The caller gives inputs to :class:`Raft` and then carries out :meth:`Raft.take_effects`
-in this order: persist, send, apply, answer.
+After each input the caller performs the effects that :meth:`Raft.take_effects` returns, in this
+order: persist, send, apply, answer reads.
 """
 
 import msgspec
@@ -26,20 +26,19 @@
 from rowanrail.consensus.raft_state import RaftState
 from rowanrail.consensus.raft_types import Effects, MembershipChangeInProgress, NotLeader, Role
 
-# Of entries in a message, so that heartbeats has_unsent_entries it are not late.
+# Entry data in one message, so that heartbeats queued behind it are not delayed.
 MAXIMUM_APPEND_BYTES = 256 * 1024
-MAXIMUM_IN_FLIGHT_MESSAGES = 32  # messages to a follower that are not answered yet; chosen
-# Seconds after which a snapshot that was not answered is sent again. Chosen.
-SNAPSHOT_RETRY_SECONDS = 1.0
+MAXIMUM_IN_FLIGHT_MESSAGES = 32  # unanswered messages with entries per follower
+SNAPSHOT_RETRY_SECONDS = 1.0  # after which an unanswered snapshot is sent again
 
 
 class Raft(RaftState):
-    """One node of the replicated log."""
+    """Raft node: handlers of timeouts, requests and messages."""
 
     # Inputs
 
     def tick(self, now: float) -> None:
-        """Let time pass."""
+        """Start an election or send heartbeats if they are due."""
         if self.is_leader:
             self._tick_leader(now)
         elif now >= self._election_due:
@@ -61,10 +60,11 @@
         return entry
 
     def change_membership(self, membership: Membership, now: float) -> Entry:
-        """Propose a membership that differs by at most one voter.
+        """Append a membership that differs from the current one by at most one voter.
 
         :raises NotLeader: if the node does not lead or has not committed in its term.
-        :raises MembershipChangeInProgress: if an earlier change is not committed.
+        :raises MembershipChangeInProgress: if an earlier change is not committed, or several voters
+            would change.
         """
         if not self.is_established_leader:
             raise NotLeader
@@ -74,7 +74,7 @@
         return self.propose(EntryKind.MEMBERSHIP, msgspec.msgpack.encode(membership), now)
 
     def read(self, token: int, now: float) -> None:
-        """Ask for a read index; it comes in ``ready_reads`` once a majority confirms.
+        """Request a read index; ``ready_reads`` reports it once a majority confirms the leader.
 
         :raises NotLeader: if the node does not lead or has not committed in its term.
         """
@@ -105,21 +105,24 @@
             self._on_snapshot(incoming, now)
 
     def step_down(self, now: float) -> None:
-        """Give up leadership of one's own accord."""
+        """Become a follower if the node leads."""
         if self.is_leader:
             self._become_follower(self.term, "", now)
 
     def deactivate(self) -> None:
-        """Give up every role, and the claim to hold what is committed."""
+        """Become a follower that is not up to date, and discard pending effects.
+
+        Until the node is replaced, its only input is :meth:`track_leader`.
+        """
         self.role = Role.FOLLOWER
         self.leader = ""
         self._up_to_date_at = NEVER_SECONDS
         self._effects = Effects()
 
     def track_leader(self, incoming: ConsensusMessage, now: float) -> None:
-        """Learn who leads, and nothing else, after :meth:`deactivate`.
+        """Update only term and leader from a message, after :meth:`deactivate`.
 
-        Such a node may neither vote nor confirm, but it can tell others whom to ask.
+        The node neither votes nor acknowledges entries, but can redirect requests to the leader.
         """
         if isinstance(incoming, AppendRequest | SnapshotRequest) and incoming.term >= self.term:
             self.term = incoming.term
@@ -127,7 +130,7 @@
             self._leader_contact_at = now
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Forget the log up to a snapshot that the caller has made durable."""
+        """Remove the entries up to a snapshot that the caller has made durable."""
         self.log.compact(snapshot)
 
     # Elections
@@ -155,7 +158,7 @@
         self._count_votes(now)
 
     def _on_vote_request(self, request: VoteRequest, now: float) -> None:
-        # Stickiness: while a leader is heard, nobody may disturb it by a higher term.
+        # Leader stickiness: a node that hears from a leader ignores higher terms of candidates.
         silence_seconds = now - self._leader_contact_at
         if self.is_leader or silence_seconds < self._config.election_timeout_seconds:
             if request.term < self.term or not self.is_leader:
@@ -208,7 +211,7 @@
         self._progress.set_members(self.membership, self.log.last_index, now)
         self.propose(EntryKind.NOOP, b"", now)
 
-    # Replication, leader's side
+    # Replication on the leader
 
     def _tick_leader(self, now: float) -> None:
         if self._config.check_quorum and now >= self._quorum_due:
@@ -228,7 +231,7 @@
             self._heartbeat_due = now + self._config.heartbeat_seconds
         for peer, progress in self._progress.items():
             if heartbeat and now - progress.sent_at > self._config.election_timeout_seconds:
-                # What was in flight is lost by now: begin again after what is known to match.
+                # Unanswered messages are lost by now: resend from the last known match.
                 progress.next_index = progress.match + 1 if progress.match else progress.next_index
                 progress.in_flight = 0
             self._replicate(peer, progress, now, heartbeat)
@@ -295,10 +298,10 @@
         ]
         matches.sort(reverse=True)
         index = matches[len(voters) // 2] if matches else 0
-        # Only an entry of the leader's own term commits by counting (Raft, section 5.4.2).
+        # Only entries of the leader's own term commit by counting replicas (Raft, 5.4.2).
         if index > self.commit_index and self.log.term_at(index) == self.term:
             if not self.is_established_leader:
-                self._heartbeat_due = self._became_leader_at  # followers wait to learn of it
+                self._heartbeat_due = self._became_leader_at  # announce the commit at the next tick
             self.commit_index = index
             if self.node not in voters and self.log.membership_index <= self.commit_index:
                 self.role = Role.FOLLOWER
@@ -315,7 +318,7 @@
 
         self._effects.ready_reads.extend(self._reads.pop_confirmed(is_confirmed))
 
-    # Replication, follower's side
+    # Replication on followers
 
     def _on_append(self, request: AppendRequest, now: float) -> None:
         self._accept_leader(request.sender, now)
@@ -354,7 +357,7 @@
                 assert entry.index > self.commit_index, "a committed entry would be overwritten"
                 self.log.truncate_from(entry.index)
                 self._effects.append = [
-                    kept for kept in self._effects.append if kept.index < entry.index
+                    pending for pending in self._effects.append if pending.index < entry.index
                 ]
                 truncated_from = self._effects.truncate_from
                 self._effects.truncate_from = (
--- a/src/rowanrail/consensus/raft_state.py
+++ b/src/rowanrail/consensus/raft_state.py
@@ -1,7 +1,7 @@
-"""State of a node of the replicated log, and the transitions that all its inputs share.
+"""State of a Raft node and the transitions that its input handlers share.
 
-For :class:`Raft`, which adds what each message does. Owns term, vote, role and the effects that
-wait to be carried out; no I/O and no clock of its own.
+:class:`rowanrail.consensus.raft.Raft` adds the handlers. Times are seconds of the monotonic clock
+and are passed in by the caller.
 """
 
 import random
@@ -12,11 +12,18 @@
 from rowanrail.consensus.progress import NEVER_SECONDS, PendingReads, ProgressTable
 from rowanrail.consensus.raft_types import Effects, RaftConfig, Role
 
-MINIMUM_FIRST_ELECTION_SHARE = 0.1  # share of the longest first wait that a node waits in any case
+MINIMUM_FIRST_ELECTION_SHARE = 0.1  # minimum first election timeout, as a share of the maximum
 
 
 class RaftState:
-    """Term, role, log and what is known of the other nodes; see :class:`raft.Raft`."""
+    """Term, vote, role, log and replication progress of a node.
+
+    :param config: timing of heartbeats and elections.
+    :param hard_state: last durable term and vote.
+    :param randomness: source of the random election timeouts.
+    :param quorum_check: rule by which a leader confirms its majority.
+    :param now: current monotonic time in seconds.
+    """
 
     def __init__(
         self,
@@ -54,16 +61,16 @@
             share = randomness.uniform(MINIMUM_FIRST_ELECTION_SHARE, 1.0)
             self._election_due = now + config.first_election_seconds * share
 
-    # Views
+    # Queries
 
     @property
     def membership(self) -> Membership:
-        """The newest membership in the log, committed or not."""
+        """The latest membership in the log, committed or not."""
         return self.log.membership
 
     @property
     def is_leader(self) -> bool:
-        """Whether the node leads its term."""
+        """Whether the node is the leader of its term."""
         return self.role is Role.LEADER
 
     @property
@@ -72,43 +79,42 @@
         return self.is_leader and self.log.term_at(self.commit_index) == self.term
 
     def match_index(self, node: str) -> int:
-        """Return the last index that ``node`` is known to hold, as the leader sees it."""
+        """Return the last index that the leader knows ``node`` to hold; 0 if unknown."""
         return self._progress.match_index(node)
 
     def seconds_since_reply(self, node: str, now: float) -> float:
-        """Return how long ago ``node`` last answered the leader."""
+        """Return the seconds since ``node`` last replied to this leader; infinity if unknown."""
         return self._progress.seconds_since_reply(node, now)
 
     def seconds_since_leader_contact(self, now: float) -> float:
-        """Return how long ago this node last heard from a leader."""
+        """Return the seconds since this node last received a message from a leader."""
         return now - self._leader_contact_at
 
     def seconds_since_up_to_date(self, now: float) -> float:
-        """Return how long ago this node held all that the leader had committed.
+        """Return the seconds since this node was known to hold all committed entries.
 
-        A follower that hears the leader may still lack most of the log. A leader that has not
-        committed an entry of its own term does not know yet what is committed, so that nobody
-        who follows it does. A leader rests on the answers of a majority, as a follower on the
-        leader's word: without them another may lead already.
+        For a follower, that is when it last held everything up to the leader's commit index, if
+        the entry there is of the leader's term: before, the leader doesn't know what is committed.
+        For a leader, it is when a majority last replied, since otherwise another may lead already.
         """
         if self.is_established_leader:
             return now - self._progress.quorum_reply_time(self.membership.voters, now)
         return now - self._up_to_date_at
 
     def mark_applied(self, index: int) -> None:
-        """Begin with the entries up to ``index`` committed and applied already."""
+        """Treat the entries up to ``index`` as committed and applied, after a restart."""
         self.commit_index = index
         self._applied = index
 
     def take_effects(self) -> Effects:
-        """Return and forget the effects that accumulated."""
+        """Return the accumulated effects and start a new collection."""
         self._collect_committed()
         effects = self._effects
         self._effects = Effects()
         return effects
 
     def next_due(self) -> float:
-        """Return the time at which :meth:`tick` has something to do."""
+        """Return the time in seconds at which ``tick`` is due."""
         return self._heartbeat_due if self.is_leader else self._election_due
 
     # Transitions
--- a/src/rowanrail/consensus/raft_types.py
+++ b/src/rowanrail/consensus/raft_types.py
@@ -1,7 +1,4 @@
-"""Types that the replicated log's state machine takes and gives.
-
-For Raft and the node that carries its effects out. Own nothing but their fields.
-"""
+"""Configuration, roles, effects and errors of the Raft state machine."""
 
 import enum
 
@@ -20,11 +17,16 @@
 
 
 class RaftConfig(msgspec.Struct, frozen=True):
-    """Timing of elections.
-
-    :param check_quorum: whether a leader steps down when a majority is silent.
-    :param first_election_seconds: longest wait for a leader right after the start. It may be
-        short: others that hear a leader refuse the preliminary vote.
+    """Timing of heartbeats and elections.
+
+    :param election_timeout_seconds: minimum time without a leader before an election; the timeout
+        is drawn between this and twice this.
+    :param check_quorum: whether a leader steps down if no majority replies within the election
+        timeout.
+    :param first_election_seconds: maximum election timeout right after the start. It may be short,
+        since nodes that hear from a leader refuse the pre-vote.
+    :param repeated_election_seconds: maximum time until the next attempt after an election without
+        a winner; the election timeout if None.
     """
 
     heartbeat_seconds: float = 0.1
@@ -35,7 +37,14 @@
 
 
 class Effects(msgspec.Struct):
-    """What the caller must do, in the order of the fields."""
+    """Actions for the caller; see :mod:`rowanrail.consensus.raft` for their order.
+
+    :param install: snapshot that replaces the whole log and state, before any of ``append``.
+    :param messages: messages by id of the receiving node.
+    :param committed: entries to apply.
+    :param ready_reads: tokens of confirmed reads with their read indexes.
+    :param failed_reads: tokens of reads that failed because the node lost leadership.
+    """
 
     hard_state: HardState | None = None
     truncate_from: int | None = None
@@ -48,8 +57,8 @@
 
 
 class NotLeader(Exception):
-    """The node is not the leader, or not yet able to act as one."""
+    """The node does not lead, or has not committed an entry of its term yet."""
 
 
 class MembershipChangeInProgress(Exception):
-    """Another membership change is under way."""
+    """A membership change is not committed yet, or the new one changes several voters."""
--- a/src/rowanrail/consensus/state_machine.py
+++ b/src/rowanrail/consensus/state_machine.py
@@ -1,8 +1,4 @@
-"""What the replicated log acts on.
-
-A port: the states of both kinds of control nodes, and of the lab's members, take its place. They
-may depend on nothing but the entries, so that all nodes hold the same.
-"""
+"""Interface of the replicated state machine."""
 
 from abc import ABC, abstractmethod
 
@@ -12,7 +8,11 @@
 
 
 class StateMachine(ABC):
-    """What the log's commands act on. Must depend on nothing but the commands."""
+    """State to which committed entries are applied in log order.
+
+    Implementations must be deterministic: the state may depend only on the applied entries, so that
+    all nodes reach the same state.
+    """
 
     @abstractmethod
     def apply(self, entry: Entry) -> object:
@@ -20,8 +20,8 @@
 
     @abstractmethod
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the serialized state."""
 
     @abstractmethod
     def restore(self, data: bytes) -> None:
-        """Replace the state."""
+        """Replace the state by one that :meth:`snapshot` returned."""
--- a/src/rowanrail/consensus/storage.py
+++ b/src/rowanrail/consensus/storage.py
@@ -1,8 +1,9 @@
 """Durable state of a node: identity, hard state, snapshot and a segmented log.
 
-A log record is a header (length and CRC-32C of the payload) and a MessagePack payload.
-Each record names the index that was durable when it was written. That tells a torn tail
-(unsynced records, which may be cut) from damage to records that were promised.
+A log record is a header (length and CRC-32C of the payload, each a little-endian 32-bit integer)
+and a MessagePack payload. Each record holds the last index that was durable when it was written.
+That distinguishes a torn tail, whose records were never synced and may be truncated, from damage to
+durable records.
 """
 
 import struct
@@ -16,7 +17,7 @@
 from rowanrail.kernel.disk import Disk
 from rowanrail.kernel.errors import StorageError
 
-SEGMENT_BYTES = 1024 * 1024  # of a file of the log; small beside 128 MB of disk
+SEGMENT_BYTES = 1024 * 1024  # size from which a new log file is started; small beside a 128 MB disk
 IDENTITY_FILE = "identity"
 HARD_STATE_FILE = "hard-state"
 SNAPSHOT_FILE = "snapshot"
@@ -27,7 +28,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who owns the folder."""
+    """Cluster and node that own the data folder."""
 
     cluster: str
     node: str
@@ -35,26 +36,26 @@
 
 
 class LogRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One log record."""
+    """Payload of a log record: an entry and the last index durable when it was written."""
 
     durable_index: int
     entry: Entry
 
 
 class RecordLocation(msgspec.Struct, frozen=True):
-    """Where a record begins."""
+    """File and byte offset of a record."""
 
     segment: str
     offset: int
 
 
 def encode_checksummed(payload: bytes) -> bytes:
-    """Return ``payload`` behind a header with its length and checksum."""
+    """Return ``payload`` with a header of its length and checksum."""
     return _HEADER.pack(len(payload), google_crc32c.value(payload)) + payload
 
 
 def decode_checksummed(data: bytes, offset: int) -> bytes | None:
-    """Return the payload sealed at ``offset``, or None if it is torn or damaged."""
+    """Return the payload whose header is at ``offset``, or None if it is torn or damaged."""
     if offset + _HEADER.size > len(data):
         return None
     length, checksum = _HEADER.unpack_from(data, offset)
@@ -65,7 +66,10 @@
 
 
 class Storage:
-    """Reads and writes a node's data folder through the disk port."""
+    """Reads and writes a node's data folder on a disk.
+
+    :ivar truncated_bytes: size in bytes of the torn tail that loading truncated.
+    """
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
@@ -74,12 +78,12 @@
         self._lengths: dict[str, int] = {}
         self._durable_index = 0
         self._last_index = 0
-        self._unwritten_bytes = 0  # of the write that is under way, or that has failed
+        self._unwritten_bytes = 0  # size of the current or failed write
 
     # Identity
 
     def load_identity(self) -> Identity | None:
-        """Return who owns the folder, or None if it is empty.
+        """Return the owner of the folder, or None if it has none yet.
 
         :raises StorageError: if the identity is damaged, or missing beside other files.
         """
@@ -96,7 +100,7 @@
         return self._load(IDENTITY_FILE, Identity)
 
     def create(self, identity: Identity, snapshot: Snapshot | None) -> None:
-        """Set up an empty folder."""
+        """Initialize an empty folder; the identity is written last."""
         if snapshot is not None:
             self.save_snapshot(snapshot)
         self.save_hard_state(HardState())
@@ -105,9 +109,9 @@
     # Loading
 
     def load(self) -> tuple[HardState, Log]:
-        """Return what the folder holds.
+        """Return the stored hard state and log, truncating a torn tail.
 
-        :raises StorageError: if promised data are damaged; nothing is changed then.
+        :raises StorageError: if durable data are damaged; they are left as they are.
         """
         hard_state = self._load(HARD_STATE_FILE, HardState)
         snapshot = None
@@ -122,12 +126,13 @@
         return hard_state, Log(snapshot, entries)
 
     def reopen(self) -> tuple[HardState, Log]:
-        """Return what the folder holds for certain, after a write has failed.
+        """Return the durable hard state and log after a failed write.
 
-        Entries that were never synced are cut. Nothing was promised of them, and after a failed
-        sync the system may show bytes that the disk does not hold.
+        Entries that were never synced are truncated: after a failed sync, reads may return bytes
+        that are not on the disk.
 
-        :raises StorageError: if the disk still refuses what it refused, or data are damaged.
+        :raises StorageError: if a write as large as the failed one fails again, or data are
+            damaged.
         """
         durable_index = self._durable_index
         try:
@@ -135,14 +140,14 @@
             self.truncate_from(durable_index + 1)
             self._probe_free_space()
             hard_state, log = self.load()
-            self.save_hard_state(hard_state)  # the file that is seen may not be durable either
+            self.save_hard_state(hard_state)  # the file read may not be durable
         except StorageError:
             self._durable_index = durable_index
             raise
         return hard_state, log
 
     def _probe_free_space(self) -> None:
-        """Write as much as the write that failed, and take it back."""
+        """Check that a write as large as the failed one succeeds, then remove it."""
         segment = self._segment_for(self._last_index + 1)
         self.disk.append(segment, bytes(self._unwritten_bytes))
         self.disk.sync_file(segment)
@@ -209,11 +214,11 @@
     # Writing
 
     def save_hard_state(self, hard_state: HardState) -> None:
-        """Make term and vote durable."""
+        """Write term and vote durably."""
         self._save(HARD_STATE_FILE, hard_state)
 
     def append(self, entries: list[Entry]) -> None:
-        """Append entries and make them durable, with one sync for all of them."""
+        """Append entries durably, with one sync per file."""
         written_segments: list[str] = []
         records = [
             encode_checksummed(msgspec.msgpack.encode(LogRecord(self._durable_index, entry)))
@@ -235,7 +240,7 @@
         self._unwritten_bytes = 0
 
     def truncate_from(self, index: int) -> None:
-        """Remove the entries from ``index`` on."""
+        """Remove the entries from ``index`` on durably."""
         location = self._locations.get(index)
         if location is None:
             return
@@ -252,9 +257,9 @@
         self._durable_index = index - 1
 
     def save_snapshot(self, snapshot: Snapshot, discard_log: bool = False) -> None:
-        """Make a snapshot durable and drop the segments that it covers.
+        """Write a snapshot durably and delete the log files that it covers.
 
-        :param discard_log: also drop the entries after the snapshot.
+        :param discard_log: also delete the entries after the snapshot.
         """
         self._save(SNAPSHOT_FILE, snapshot)
         for segment in self._segments():
