--- a/src/rowanrail/consensus/storage.py
+++ b/src/rowanrail/consensus/storage.py
@@ -1,8 +1,9 @@
 """Durable state of a node: identity, hard state, snapshot and a segmented log.
 
-A log record is a header (length and CRC-32C of the payload) and a MessagePack payload.
-Each record names the index that was durable when it was written. That tells a torn tail
-(unsynced records, which may be cut) from damage to records that were promised.
+A log record is a header (length and CRC-32C of the payload, each a little-endian 32-bit integer)
+and a MessagePack payload. Each record holds the last index that was durable when it was written.
+That distinguishes a torn tail, whose records were never synced and may be truncated, from damage to
+durable records.
 """
 
 import struct
@@ -16,7 +17,7 @@
 from rowanrail.kernel.disk import Disk
 from rowanrail.kernel.errors import StorageError
 
-SEGMENT_BYTES = 1024 * 1024  # of a file of the log; small beside 128 MB of disk
+SEGMENT_BYTES = 1024 * 1024  # size from which a new log file is started; small beside a 128 MB disk
 IDENTITY_FILE = "identity"
 HARD_STATE_FILE = "hard-state"
 SNAPSHOT_FILE = "snapshot"
@@ -27,34 +28,34 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who owns the folder."""
+    """Cluster and node that own the data folder."""
 
     cluster: str
     node: str
     format: int = 1
 
 
-class Record(msgspec.Struct, array_like=True, frozen=True):
-    """One log record."""
+class LogRecord(msgspec.Struct, array_like=True, frozen=True):
+    """Payload of a log record: an entry and the last index durable when it was written."""
 
     durable_index: int
     entry: Entry
 
 
-class Place(msgspec.Struct, frozen=True):
-    """Where a record begins."""
+class RecordLocation(msgspec.Struct, frozen=True):
+    """File and byte offset of a record."""
 
     segment: str
     offset: int
 
 
-def seal(payload: bytes) -> bytes:
-    """Return ``payload`` behind a header with its length and checksum."""
+def encode_checksummed(payload: bytes) -> bytes:
+    """Return ``payload`` with a header of its length and checksum."""
     return _HEADER.pack(len(payload), google_crc32c.value(payload)) + payload
 
 
-def unseal(data: bytes, offset: int) -> bytes | None:
-    """Return the payload sealed at ``offset``, or None if it is torn or damaged."""
+def decode_checksummed(data: bytes, offset: int) -> bytes | None:
+    """Return the payload whose header is at ``offset``, or None if it is torn or damaged."""
     if offset + _HEADER.size > len(data):
         return None
     length, checksum = _HEADER.unpack_from(data, offset)
@@ -65,21 +66,24 @@
 
 
 class Storage:
-    """Reads and writes a node's data folder through the disk port."""
+    """Reads and writes a node's data folder on a disk.
+
+    :ivar truncated_bytes: size in bytes of the torn tail that loading truncated.
+    """
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
-        self.cut_bytes = 0
-        self._places: dict[int, Place] = {}
+        self.truncated_bytes = 0
+        self._locations: dict[int, RecordLocation] = {}
         self._lengths: dict[str, int] = {}
         self._durable_index = 0
         self._last_index = 0
-        self._unwritten_bytes = 0  # of the write that is under way, or that has failed
+        self._unwritten_bytes = 0  # size of the current or failed write
 
     # Identity
 
-    def identity(self) -> Identity | None:
-        """Return who owns the folder, or None if it is empty.
+    def load_identity(self) -> Identity | None:
+        """Return the owner of the folder, or None if it has none yet.
 
         :raises StorageError: if the identity is damaged, or missing beside other files.
         """
@@ -96,7 +100,7 @@
         return self._load(IDENTITY_FILE, Identity)
 
     def create(self, identity: Identity, snapshot: Snapshot | None) -> None:
-        """Set up an empty folder."""
+        """Initialize an empty folder; the identity is written last."""
         if snapshot is not None:
             self.save_snapshot(snapshot)
         self.save_hard_state(HardState())
@@ -105,9 +109,9 @@
     # Loading
 
     def load(self) -> tuple[HardState, Log]:
-        """Return what the folder holds.
+        """Return the stored hard state and log, truncating a torn tail.
 
-        :raises StorageError: if promised data are damaged; nothing is changed then.
+        :raises StorageError: if durable data are damaged; they are left as they are.
         """
         hard_state = self._load(HARD_STATE_FILE, HardState)
         snapshot = None
@@ -122,27 +126,28 @@
         return hard_state, Log(snapshot, entries)
 
     def reopen(self) -> tuple[HardState, Log]:
-        """Return what the folder holds for certain, after a write has failed.
+        """Return the durable hard state and log after a failed write.
 
-        Entries that were never synced are cut. Nothing was promised of them, and after a failed
-        sync the system may show bytes that the disk does not hold.
+        Entries that were never synced are truncated: after a failed sync, reads may return bytes
+        that are not on the disk.
 
-        :raises StorageError: if the disk still refuses what it refused, or data are damaged.
+        :raises StorageError: if a write as large as the failed one fails again, or data are
+            damaged.
         """
-        promised_index = self._durable_index
+        durable_index = self._durable_index
         try:
             self.load()
-            self.truncate_from(promised_index + 1)
-            self._try_space()
+            self.truncate_from(durable_index + 1)
+            self._probe_free_space()
             hard_state, log = self.load()
-            self.save_hard_state(hard_state)  # the file that is seen may not be durable either
+            self.save_hard_state(hard_state)  # the file read may not be durable
         except StorageError:
-            self._durable_index = promised_index
+            self._durable_index = durable_index
             raise
         return hard_state, log
 
-    def _try_space(self) -> None:
-        """Write as much as the write that failed, and take it back."""
+    def _probe_free_space(self) -> None:
+        """Check that a write as large as the failed one succeeds, then remove it."""
         segment = self._segment_for(self._last_index + 1)
         self.disk.append(segment, bytes(self._unwritten_bytes))
         self.disk.sync_file(segment)
@@ -150,7 +155,7 @@
         self.disk.sync_file(segment)
 
     def _load_entries(self) -> list[Entry]:
-        self._places = {}
+        self._locations = {}
         self._lengths = {}
         entries: list[Entry] = []
         segments = self._segments()
@@ -161,7 +166,7 @@
                 self._check_torn_tail(segment, data, offset, entries)
                 if position < len(segments) - 1:
                     raise self._damaged(segment, f"record at byte {offset} is damaged")
-                self.cut_bytes = len(data) - offset
+                self.truncated_bytes = len(data) - offset
                 self.disk.truncate(segment, offset)
                 self.disk.sync_file(segment)
             self._lengths[segment] = offset
@@ -169,14 +174,14 @@
 
     def _load_segment(self, segment: str, data: bytes, entries: list[Entry]) -> int:
         offset = 0
-        while (payload := unseal(data, offset)) is not None:
+        while (payload := decode_checksummed(data, offset)) is not None:
             entry = self._decode(segment, payload).entry
             if entries and entry.index != entries[-1].index + 1:
                 raise self._damaged(
                     segment, f"entry {entry.index} follows entry {entries[-1].index}"
                 )
             entries.append(entry)
-            self._places[entry.index] = Place(segment, offset)
+            self._locations[entry.index] = RecordLocation(segment, offset)
             offset += _HEADER.size + len(payload)
         return offset
 
@@ -185,7 +190,7 @@
     ) -> None:
         last_index = entries[-1].index if entries else 0
         for later in range(offset + 1, len(data) - _HEADER.size):
-            payload = unseal(data, later)
+            payload = decode_checksummed(data, later)
             if payload is None:
                 continue
             if self._decode(segment, payload).durable_index > last_index:
@@ -200,33 +205,34 @@
             peer=name,
         )
 
-    def _decode(self, segment: str, payload: bytes) -> Record:
+    def _decode(self, segment: str, payload: bytes) -> LogRecord:
         try:
-            return msgspec.msgpack.decode(payload, type=Record)
+            return msgspec.msgpack.decode(payload, type=LogRecord)
         except msgspec.MsgspecError as error:
             raise self._damaged(segment, f"a record can't be decoded ({error})") from error
 
     # Writing
 
     def save_hard_state(self, hard_state: HardState) -> None:
-        """Make term and vote durable."""
+        """Write term and vote durably."""
         self._save(HARD_STATE_FILE, hard_state)
 
     def append(self, entries: list[Entry]) -> None:
-        """Append entries and make them durable, with one sync for all of them."""
-        touched: list[str] = []
+        """Append entries durably, with one sync per file."""
+        written_segments: list[str] = []
         records = [
-            seal(msgspec.msgpack.encode(Record(self._durable_index, entry))) for entry in entries
+            encode_checksummed(msgspec.msgpack.encode(LogRecord(self._durable_index, entry)))
+            for entry in entries
         ]
         self._unwritten_bytes = sum(map(len, records))
         for entry, record in zip(entries, records, strict=True):
             segment = self._segment_for(entry.index)
-            self._places[entry.index] = Place(segment, self._lengths[segment])
+            self._locations[entry.index] = RecordLocation(segment, self._lengths[segment])
             self.disk.append(segment, record)
             self._lengths[segment] += len(record)
-            if segment not in touched:
-                touched.append(segment)
-        for segment in touched:
+            if segment not in written_segments:
+                written_segments.append(segment)
+        for segment in written_segments:
             self.disk.sync_file(segment)
         if entries:
             self._last_index = entries[-1].index
@@ -234,37 +240,39 @@
         self._unwritten_bytes = 0
 
     def truncate_from(self, index: int) -> None:
-        """Remove the entries from ``index`` on."""
-        place = self._places.get(index)
-        if place is None:
+        """Remove the entries from ``index`` on durably."""
+        location = self._locations.get(index)
+        if location is None:
             return
         for segment in self._segments():
-            if segment > place.segment:
+            if segment > location.segment:
                 self.disk.delete(segment)
                 self._lengths.pop(segment, None)
-        self.disk.truncate(place.segment, place.offset)
-        self.disk.sync_file(place.segment)
+        self.disk.truncate(location.segment, location.offset)
+        self.disk.sync_file(location.segment)
         self.disk.sync_folder()
-        self._lengths[place.segment] = place.offset
-        self._places = {key: value for key, value in self._places.items() if key < index}
+        self._lengths[location.segment] = location.offset
+        self._locations = {key: value for key, value in self._locations.items() if key < index}
         self._last_index = index - 1
         self._durable_index = index - 1
 
-    def save_snapshot(self, snapshot: Snapshot, whole: bool = False) -> None:
-        """Make a snapshot durable and drop the segments that it covers.
+    def save_snapshot(self, snapshot: Snapshot, discard_log: bool = False) -> None:
+        """Write a snapshot durably and delete the log files that it covers.
 
-        :param whole: also drop the entries after the snapshot.
+        :param discard_log: also delete the entries after the snapshot.
         """
         self._save(SNAPSHOT_FILE, snapshot)
         for segment in self._segments():
-            indexes = [index for index, place in self._places.items() if place.segment == segment]
-            if whole or not indexes or max(indexes) <= snapshot.index:
+            indexes = [
+                index for index, location in self._locations.items() if location.segment == segment
+            ]
+            if discard_log or not indexes or max(indexes) <= snapshot.index:
                 self.disk.delete(segment)
                 self._lengths.pop(segment, None)
                 for index in indexes:
-                    del self._places[index]
+                    del self._locations[index]
         self.disk.sync_folder()
-        if whole:
+        if discard_log:
             self._last_index = snapshot.index
             self._durable_index = snapshot.index
 
@@ -283,13 +291,13 @@
         return segment
 
     def _save(self, name: str, value: msgspec.Struct) -> None:
-        data = seal(msgspec.msgpack.encode(value))
+        data = encode_checksummed(msgspec.msgpack.encode(value))
         self._unwritten_bytes = len(data)
         self.disk.replace(name, data)
         self._unwritten_bytes = 0
 
     def _load(self, name: str, kind: type[LoadedType]) -> LoadedType:
-        payload = unseal(self.disk.read(name), 0)
+        payload = decode_checksummed(self.disk.read(name), 0)
         if payload is None:
             raise self._damaged(name, "the file's checksum does not match")
         try:
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -88,7 +88,7 @@
     @property
     def is_current(self) -> bool:
         """Whether this node recently held all committed entries."""
-        return self._node.raft.current_seconds_ago(self._now()) < CURRENT_MAX_AGE_SECONDS
+        return self._node.raft.seconds_since_up_to_date(self._now()) < CURRENT_MAX_AGE_SECONDS
 
     def notice_change(self) -> None:
         """Wake the waiting polls if something changed that gateways need to know."""
@@ -119,7 +119,7 @@
         :mod:`rowanrail.gateway.discovery.provisional`.
         """
         assert isinstance(request, LoggedDirectoryRequest)
-        self._node.check_failure("tell what is held")  # the log in memory is not what is on disk
+        self._node.raise_if_failed("tell what is held")  # the log in memory is not what is on disk
         log = self._node.raft.log
         state = self._replay.replay(log)
         if self._replayed_updates.state is not state:
