--- a/src/rowanlab/simulator/control_world.py
+++ b/src/rowanlab/simulator/control_world.py
@@ -113,7 +113,7 @@
         request = ApplyRequest(FIRST_CHANGE, "setup", 0, first)
         service = leader.node.service
         process = self.world.process(leader.name)
-        reply = await self.world.run_in(process, service.request(request))
+        reply = await self.world.run_in(process, service.call_leader_with_retry(request))
         assert isinstance(reply, ChangeReply)
 
     def leader(self) -> SimulatedControl | None:
@@ -207,7 +207,7 @@
                 continue
             raft = control.node.consensus.raft
             first = raft.log.snapshot_index + 1
-            for entry in raft.log.between(first, raft.commit):
+            for entry in raft.log.entries_between(first, raft.commit_index):
                 text = f"{entry.term}/{entry.kind}/{hashlib.sha256(entry.data).hexdigest()}"
                 self.oracle.note_committed(entry.index, text, control.name)
 
--- a/src/rowanlab/simulator/permissive.py
+++ b/src/rowanlab/simulator/permissive.py
@@ -61,7 +61,7 @@
 class EverythingNotRun(OutcomeClassification):
     """Whatever is lost counts as not run."""
 
-    def after_loss(
+    def connection_lost_error(
         self, message: str, *, sent: bool, retry_after_seconds: float, step: str, peer: str
     ) -> CallerError:
         """See the guard."""
@@ -71,7 +71,7 @@
 class NoRecord(RequestRecord):
     """Request ids are not recorded."""
 
-    def is_recorded(self) -> bool:
+    def records_requests(self) -> bool:
         """See the guard."""
         return False
 
@@ -119,7 +119,7 @@
 class OldIdentityKept(LearnerFirst):
     """A node with an empty folder goes on under its old identity, with its vote."""
 
-    def identity(self, name: str, fresh_identity: str) -> str:
+    def new_node_id(self, name: str, random_id: str) -> str:
         """See the guard."""
         return f"{name}@1"
 
--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -19,11 +19,11 @@
 from rowanrail.cluster.messages import JoinRequest, NodesRequest, ReportsReply, ReportsRequest
 from rowanrail.config.settings import NodeAddress
 from rowanrail.consensus.errors import NotLeaderError
-from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind
 from rowanrail.consensus.node import CONSENSUS_MESSAGES, ConsensusNode, NodeOptions
 from rowanrail.consensus.policies import LearnerFirst
 from rowanrail.consensus.raft_types import RaftConfig
+from rowanrail.consensus.state_machine import StateMachine
 from rowanrail.consensus.storage import Identity, Storage
 from rowanrail.kernel.disk import Disk
 from rowanrail.kernel.errors import BackendRefusedError, TransportError
@@ -214,7 +214,9 @@
         )
         self.node = self._create_node(identity)
         self.members = MembershipManager(self.node, settings.group)
-        self.machine.committed_before = lambda index: self.node.raft.log.between(1, index - 1)
+        self.machine.committed_before = lambda index: self.node.raft.log.entries_between(
+            1, index - 1
+        )
         self.node.on_change = self._on_change
         self._listener = await self._network.serve(settings.rpc_listen, self.handle)
         self.node.start()
@@ -261,7 +263,7 @@
         if isinstance(request, NodesRequest):
             return self.members.view()
         if isinstance(request, ReportsRequest):
-            return ReportsReply(self.node.identity.node, max(0, self.node.applied - 2), [])
+            return ReportsReply(self.node.identity.node, max(0, self.node.applied_index - 2), [])
         if isinstance(request, FaultRequest):
             self.set_faults(request)
             return request
@@ -301,7 +303,7 @@
         self.generation += 1
         self.engine.roll_back()
         if self.machine.local:
-            self.machine.rebuild(self.node.raft.log.between(1, self.node.applied))
+            self.machine.rebuild(self.node.raft.log.entries_between(1, self.node.applied_index))
 
     def count_new_work(self) -> None:
         """Count work that begins well after the member said that it is leaving."""
--- a/src/rowanrail/cluster/membership.py
+++ b/src/rowanrail/cluster/membership.py
@@ -12,7 +12,7 @@
 from rowanrail.consensus.errors import NotLeaderError
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.consensus.raft_types import MembershipBusy
+from rowanrail.consensus.raft_types import MembershipChangeInProgress
 from rowanrail.kernel.errors import InvalidRequestError, RowanrailError
 
 MAX_LEARNER_LAG = 10  # entries behind the log's end at which a learner gets a vote
@@ -164,7 +164,7 @@
     async def _change(self, membership: Membership) -> None:
         try:
             await self._node.change_membership(membership)
-        except MembershipBusy as error:
+        except MembershipChangeInProgress as error:
             raise RowanrailError("another membership change is under way", step="join") from error
 
     def view(self) -> NodesReply:
@@ -174,7 +174,7 @@
         views = []
         for node, address in sorted(raft.membership.addresses().items()):
             is_self = node == self._node.identity.node
-            match = raft.log.last_index if is_self else raft.match_of(node)
+            match = raft.log.last_index if is_self else raft.match_index(node)
             views.append(
                 NodeView(
                     name=node_name(node),
@@ -183,7 +183,7 @@
                     voter=node in raft.membership.voters,
                     leader=node == raft.leader,
                     behind=raft.log.last_index - match,
-                    answered_seconds_ago=0.0 if is_self else raft.answered_seconds_ago(node, now),
+                    answered_seconds_ago=0.0 if is_self else raft.seconds_since_reply(node, now),
                 )
             )
         return NodesReply(raft.term, views)
@@ -194,11 +194,11 @@
             if self._node.raft.is_established_leader:
                 try:
                     await self._promote_learner()
-                except (RowanrailError, MembershipBusy, NotLeaderError):
+                except (RowanrailError, MembershipChangeInProgress, NotLeaderError):
                     continue  # the leader retries at its next check
 
     async def _promote_learner(self) -> None:
         raft = self._node.raft
-        changed = next_promotion(raft.membership, raft.match_of, raft.log.last_index)
+        changed = next_promotion(raft.membership, raft.match_index, raft.log.last_index)
         if changed is not None:
             await self._change(changed)
--- a/src/rowanrail/consensus/raft.py
+++ b/src/rowanrail/consensus/raft.py
@@ -1,11 +1,11 @@
-"""The replicated log as a pure state machine: inputs and time in, effects out, no I/O.
+"""Raft as a pure state machine: inputs and time in, effects out, no I/O.
 
-Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014)
+Implements Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014)
 with pre-vote, check-quorum, leader stickiness, learners, read index and one membership
 change at a time (Ongaro's thesis, 2014, chapters 4, 6 and 9).
 
-The caller gives inputs to :class:`Raft` and then carries out :meth:`Raft.take_effects`
-in this order: persist, send, apply, answer.
+After each input the caller performs the effects that :meth:`Raft.take_effects` returns, in this
+order: persist, send, apply, answer reads.
 """
 
 import msgspec
@@ -22,28 +22,27 @@
     VoteReply,
     VoteRequest,
 )
-from rowanrail.consensus.progress import BEFORE_START_SECONDS, Progress
+from rowanrail.consensus.progress import NEVER_SECONDS, Progress
 from rowanrail.consensus.raft_state import RaftState
-from rowanrail.consensus.raft_types import Effects, MembershipBusy, NotLeader, Role
+from rowanrail.consensus.raft_types import Effects, MembershipChangeInProgress, NotLeader, Role
 
-# Of entries in a message, so that heartbeats behind it are not late.
+# Entry data in one message, so that heartbeats queued behind it are not delayed.
 MAXIMUM_APPEND_BYTES = 256 * 1024
-MAXIMUM_IN_FLIGHT = 32  # messages to a follower that are not answered yet; chosen
-# Seconds after which a snapshot that was not answered is sent again. Chosen.
-SNAPSHOT_RETRY_SECONDS = 1.0
+MAXIMUM_IN_FLIGHT_MESSAGES = 32  # unanswered messages with entries per follower
+SNAPSHOT_RETRY_SECONDS = 1.0  # after which an unanswered snapshot is sent again
 
 
 class Raft(RaftState):
-    """One node of the replicated log."""
+    """Raft node: handlers of timeouts, requests and messages."""
 
     # Inputs
 
     def tick(self, now: float) -> None:
-        """Let time pass."""
+        """Start an election or send heartbeats if they are due."""
         if self.is_leader:
             self._tick_leader(now)
         elif now >= self._election_due:
-            self._election_due = self._next_election(now)
+            self._election_due = self._next_election_time(now)
             if self.may_campaign and self.node in self.membership.voters:
                 self._campaign(now, preliminary=True)
 
@@ -61,26 +60,27 @@
         return entry
 
     def change_membership(self, membership: Membership, now: float) -> Entry:
-        """Propose a membership that differs by at most one voter.
+        """Append a membership that differs from the current one by at most one voter.
 
         :raises NotLeader: if the node does not lead or has not committed in its term.
-        :raises MembershipBusy: if an earlier change is not committed.
+        :raises MembershipChangeInProgress: if an earlier change is not committed, or several voters
+            would change.
         """
         if not self.is_established_leader:
             raise NotLeader
         changed = set(self.membership.voters) ^ set(membership.voters)
-        if self.log.membership_index > self.commit or len(changed) > 1:
-            raise MembershipBusy
+        if self.log.membership_index > self.commit_index or len(changed) > 1:
+            raise MembershipChangeInProgress
         return self.propose(EntryKind.MEMBERSHIP, msgspec.msgpack.encode(membership), now)
 
     def read(self, token: int, now: float) -> None:
-        """Ask for a read index; it comes in ``ready_reads`` once a majority confirms.
+        """Request a read index; ``ready_reads`` reports it once a majority confirms the leader.
 
         :raises NotLeader: if the node does not lead or has not committed in its term.
         """
         if not self.is_established_leader:
             raise NotLeader
-        self._reads.add(token, self.commit)
+        self._reads.add(token, self.commit_index)
         self._broadcast(now, heartbeat=True)
         self._confirm_reads()
 
@@ -105,29 +105,32 @@
             self._on_snapshot(incoming, now)
 
     def step_down(self, now: float) -> None:
-        """Give up leadership of one's own accord."""
+        """Become a follower if the node leads."""
         if self.is_leader:
             self._become_follower(self.term, "", now)
 
-    def withdraw(self) -> None:
-        """Give up every role, and the claim to hold what is committed."""
+    def deactivate(self) -> None:
+        """Become a follower that is not up to date, and discard pending effects.
+
+        Until the node is replaced, its only input is :meth:`track_leader`.
+        """
         self.role = Role.FOLLOWER
         self.leader = ""
-        self._current_at = BEFORE_START_SECONDS
+        self._up_to_date_at = NEVER_SECONDS
         self._effects = Effects()
 
-    def observe(self, incoming: ConsensusMessage, now: float) -> None:
-        """Learn who leads, and nothing else, after :meth:`withdraw`.
+    def track_leader(self, incoming: ConsensusMessage, now: float) -> None:
+        """Update only term and leader from a message, after :meth:`deactivate`.
 
-        Such a node may neither vote nor confirm, but it can tell others whom to ask.
+        The node neither votes nor acknowledges entries, but can redirect requests to the leader.
         """
         if isinstance(incoming, AppendRequest | SnapshotRequest) and incoming.term >= self.term:
             self.term = incoming.term
             self.leader = incoming.sender
-            self._heard_from_leader_at = now
+            self._leader_contact_at = now
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Forget the log up to a snapshot that the caller has made durable."""
+        """Remove the entries up to a snapshot that the caller has made durable."""
         self.log.compact(snapshot)
 
     # Elections
@@ -141,7 +144,7 @@
         self.leader = ""
         self._votes = {self.node}
         if self._config.repeated_election_seconds is not None:
-            self._election_due = self._next_election(now)
+            self._election_due = self._next_election_time(now)
         request = VoteRequest(
             sender=self.node,
             term=self.term + 1 if preliminary else self.term,
@@ -155,25 +158,27 @@
         self._count_votes(now)
 
     def _on_vote_request(self, request: VoteRequest, now: float) -> None:
-        # Stickiness: while a leader is heard, nobody may disturb it by a higher term.
-        quiet_seconds = now - self._heard_from_leader_at
-        if self.is_leader or quiet_seconds < self._config.election_timeout_seconds:
+        # Leader stickiness: a node that hears from a leader ignores higher terms of candidates.
+        silence_seconds = now - self._leader_contact_at
+        if self.is_leader or silence_seconds < self._config.election_timeout_seconds:
             if request.term < self.term or not self.is_leader:
                 self._refuse_vote(request)
             return
         if not request.preliminary and request.term > self.term:
             self._become_follower(request.term, "", now)
-        newer = (request.last_term, request.last_index) >= (
+        is_up_to_date = (request.last_term, request.last_index) >= (
             self.log.last_term,
             self.log.last_index,
         )
         if request.preliminary:
-            granted = newer and request.term > self.term
+            granted = is_up_to_date and request.term > self.term
         else:
-            granted = newer and request.term == self.term and self.vote in ("", request.sender)
+            granted = (
+                is_up_to_date and request.term == self.term and self.vote in ("", request.sender)
+            )
             if granted:
                 self._set_term(self.term, request.sender)
-                self._election_due = self._next_election(now)
+                self._election_due = self._next_election_time(now)
         term = request.term if request.preliminary and granted else self.term
         self._send(request.sender, VoteReply(self.node, term, granted, request.preliminary))
 
@@ -203,17 +208,17 @@
         self._progress.clear()
         self._became_leader_at = now
         self._quorum_due = now + self._config.election_timeout_seconds
-        self._progress.follow(self.membership, self.log.last_index, now)
+        self._progress.set_members(self.membership, self.log.last_index, now)
         self.propose(EntryKind.NOOP, b"", now)
 
-    # Replication, leader's side
+    # Replication on the leader
 
     def _tick_leader(self, now: float) -> None:
         if self._config.check_quorum and now >= self._quorum_due:
             self._quorum_due = now + self._config.election_timeout_seconds
             voters = self.membership.voters
             since = now - self._config.election_timeout_seconds
-            answered = self._progress.answered_since(voters, since)
+            answered = self._progress.count_replied_since(voters, since)
             if not self._quorum_check.has_quorum(answered, len(voters)):
                 self._become_follower(self.term, "", now)
                 return
@@ -221,35 +226,37 @@
             self._broadcast(now, heartbeat=True)
 
     def _broadcast(self, now: float, heartbeat: bool = False) -> None:
-        self._progress.follow(self.membership, self.log.last_index, now)
+        self._progress.set_members(self.membership, self.log.last_index, now)
         if heartbeat:
             self._heartbeat_due = now + self._config.heartbeat_seconds
         for peer, progress in self._progress.items():
             if heartbeat and now - progress.sent_at > self._config.election_timeout_seconds:
-                # What was in flight is lost by now: begin again after what is known to match.
+                # Unanswered messages are lost by now: resend from the last known match.
                 progress.next_index = progress.match + 1 if progress.match else progress.next_index
                 progress.in_flight = 0
             self._replicate(peer, progress, now, heartbeat)
 
     def _replicate(self, peer: str, progress: Progress, now: float, heartbeat: bool) -> None:
-        behind = progress.next_index <= self.log.last_index
+        has_unsent_entries = progress.next_index <= self.log.last_index
         if progress.next_index <= self.log.snapshot_index:
             if progress.in_flight == 0 or now - progress.sent_at > SNAPSHOT_RETRY_SECONDS:
                 self._send_snapshot(peer, progress, now)
             return
-        if not heartbeat and (not behind or progress.in_flight >= MAXIMUM_IN_FLIGHT):
+        if not heartbeat and (
+            not has_unsent_entries or progress.in_flight >= MAXIMUM_IN_FLIGHT_MESSAGES
+        ):
             return
         entries: list[Entry] = []
-        if progress.in_flight < MAXIMUM_IN_FLIGHT:
-            entries = self.log.slice(progress.next_index, MAXIMUM_APPEND_BYTES)
+        if progress.in_flight < MAXIMUM_IN_FLIGHT_MESSAGES:
+            entries = self.log.entries_from(progress.next_index, MAXIMUM_APPEND_BYTES)
         previous = progress.next_index - 1
         request = AppendRequest(
             sender=self.node,
             term=self.term,
             previous_index=previous,
-            previous_term=self.log.term_of(previous),
+            previous_term=self.log.term_at(previous),
             entries=entries,
-            commit=self.commit,
+            commit=self.commit_index,
             round=self._reads.round,
         )
         if entries:
@@ -287,16 +294,16 @@
     def _advance_commit(self) -> None:
         voters = self.membership.voters
         matches = [
-            self.log.last_index if peer == self.node else self.match_of(peer) for peer in voters
+            self.log.last_index if peer == self.node else self.match_index(peer) for peer in voters
         ]
         matches.sort(reverse=True)
         index = matches[len(voters) // 2] if matches else 0
-        # Only an entry of the leader's own term commits by counting (Raft, section 5.4.2).
-        if index > self.commit and self.log.term_of(index) == self.term:
+        # Only entries of the leader's own term commit by counting replicas (Raft, 5.4.2).
+        if index > self.commit_index and self.log.term_at(index) == self.term:
             if not self.is_established_leader:
-                self._heartbeat_due = self._became_leader_at  # followers wait to learn of it
-            self.commit = index
-            if self.node not in voters and self.log.membership_index <= self.commit:
+                self._heartbeat_due = self._became_leader_at  # announce the commit at the next tick
+            self.commit_index = index
+            if self.node not in voters and self.log.membership_index <= self.commit_index:
                 self.role = Role.FOLLOWER
 
     def _confirm_reads(self) -> None:
@@ -304,63 +311,68 @@
 
         def is_confirmed(round_number: int) -> bool:
             answered = sum(
-                peer == self.node or self._progress.round_of(peer) >= round_number
+                peer == self.node or self._progress.last_round(peer) >= round_number
                 for peer in voters
             )
             return self._quorum_check.has_quorum(answered, len(voters))
 
-        self._effects.ready_reads.extend(self._reads.take_confirmed(is_confirmed))
+        self._effects.ready_reads.extend(self._reads.pop_confirmed(is_confirmed))
 
-    # Replication, follower's side
+    # Replication on followers
 
     def _on_append(self, request: AppendRequest, now: float) -> None:
-        self._follow(request.sender, now)
+        self._accept_leader(request.sender, now)
         previous = request.previous_index
         if previous < self.log.snapshot_index:
             success, match = True, self.log.snapshot_index
             entries = [entry for entry in request.entries if entry.index > match]
             if entries and entries[0].index == match + 1:
-                match = self._merge(entries)
-        elif self.log.term_of(previous) == request.previous_term and (
+                match = self._append_missing(entries)
+        elif self.log.term_at(previous) == request.previous_term and (
             previous <= self.log.last_index
         ):
-            success, match = True, max(previous, self._merge(request.entries))
+            success, match = True, max(previous, self._append_missing(request.entries))
         else:
             success, match = False, min(previous - 1, self.log.last_index)
-            while match > self.commit and self.log.term_of(match) > request.previous_term:
+            while match > self.commit_index and self.log.term_at(match) > request.previous_term:
                 match -= 1
         if success:
-            self.commit = max(self.commit, min(request.commit, match))
-            if self.commit >= request.commit and self.log.term_of(self.commit) == self.term:
-                self._current_at = now
+            self.commit_index = max(self.commit_index, min(request.commit, match))
+            if (
+                self.commit_index >= request.commit
+                and self.log.term_at(self.commit_index) == self.term
+            ):
+                self._up_to_date_at = now
         self._send(request.sender, AppendReply(self.node, self.term, success, match, request.round))
 
-    def _follow(self, leader: str, now: float) -> None:
+    def _accept_leader(self, leader: str, now: float) -> None:
         self._become_follower(self.term, leader, now)
-        self._heard_from_leader_at = now
+        self._leader_contact_at = now
 
-    def _merge(self, entries: list[Entry]) -> int:
+    def _append_missing(self, entries: list[Entry]) -> int:
         for position, entry in enumerate(entries):
             if entry.index <= self.log.last_index:
-                if self.log.term_of(entry.index) == entry.term:
+                if self.log.term_at(entry.index) == entry.term:
                     continue
-                assert entry.index > self.commit, "a committed entry would be overwritten"
+                assert entry.index > self.commit_index, "a committed entry would be overwritten"
                 self.log.truncate_from(entry.index)
                 self._effects.append = [
-                    kept for kept in self._effects.append if kept.index < entry.index
+                    pending for pending in self._effects.append if pending.index < entry.index
                 ]
-                cut = self._effects.truncate_from
-                self._effects.truncate_from = entry.index if cut is None else min(cut, entry.index)
+                truncated_from = self._effects.truncate_from
+                self._effects.truncate_from = (
+                    entry.index if truncated_from is None else min(truncated_from, entry.index)
+                )
             self._append(entries[position:])
             break
         return entries[-1].index if entries else 0
 
     def _on_snapshot(self, request: SnapshotRequest, now: float) -> None:
-        self._follow(request.sender, now)
+        self._accept_leader(request.sender, now)
         snapshot = request.snapshot
-        if snapshot.index > self.commit:
+        if snapshot.index > self.commit_index:
             self.log.reset(snapshot)
-            self.commit = snapshot.index
+            self.commit_index = snapshot.index
             self._applied = snapshot.index
             self._effects.append = []
             self._effects.committed = []
--- a/src/rowanrail/coordination/voters.py
+++ b/src/rowanrail/coordination/voters.py
@@ -78,9 +78,9 @@
         raft = self._node.raft
         if node == self._node.identity.node:
             return ReplicationProgress(raft.log.last_index, 0, 0.0)
-        held = raft.match_of(node)
+        held = raft.match_index(node)
         behind = raft.log.last_index - held
-        return ReplicationProgress(held, behind, raft.answered_seconds_ago(node, self._now()))
+        return ReplicationProgress(held, behind, raft.seconds_since_reply(node, self._now()))
 
     async def _promote_learner(self) -> None:
         changed = next_membership(self._node.raft.membership, self._target, self._progress)
--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -150,7 +150,7 @@
     ),
     CauseRule(
         "tenant key revoked",
-        "rowanrail.gateway.policies.KeyCheck.holds",
+        "rowanrail.gateway.policies.KeyCheck.is_same_identity",
         lambda evidence: evidence.outcome == Refusal.DENIED.value,
         lambda evidence: (
             f"its key is no longer tenant {evidence.fields.get('tenant')}'s ({evidence.reason})"
@@ -158,7 +158,7 @@
     ),
     CauseRule(
         "tenant limit exceeded",
-        "rowanrail.tenants.quota.QuotaGuard.begin",
+        "rowanrail.tenants.quota.QuotaLimiter.admit",
         lambda evidence: bool(evidence.exceeded_limit),
         lambda evidence: evidence.exceeded_limit,
     ),
--- a/src/rowanrail/explain/diagnosis.py
+++ b/src/rowanrail/explain/diagnosis.py
@@ -12,7 +12,7 @@
 from rowanrail.explain.lines import LogLine
 from rowanrail.gateway import events as gateway_events
 from rowanrail.kernel import decisions
-from rowanrail.model.statements import NOT_RUN, Refusal
+from rowanrail.model.statements import NO_EFFECT_REFUSALS, Refusal
 
 CONTEXT_SECONDS = 6.0  # covers a failover of up to 4 s and the events that led to it
 MAXIMUM_CONTEXT_LINES = 40  # about one screen
@@ -118,7 +118,7 @@
         return "it succeeded"
     refusals = {refusal.value: refusal for refusal in Refusal}
     refusal = refusals.get(outcome)
-    if refusal in NOT_RUN:
+    if refusal in NO_EFFECT_REFUSALS:
         return "nothing of it is kept; it may be sent again"
     if refusal in _NOT_RETRYABLE:
         return "it did not run; sending it again will not help"
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -8,8 +8,8 @@
 import functools
 from collections.abc import Callable
 
+from rowanrail.gateway.discovery.current_directory import CurrentDirectory
 from rowanrail.gateway.discovery.directory import Directory
-from rowanrail.gateway.discovery.known_directory import KnownDirectory
 from rowanrail.gateway.events import (
     CONFIGURATION_TAKEN,
     DETOUR_FOUND,
@@ -27,7 +27,7 @@
 from rowanrail.gateway.services.primary_log import log_primary_state
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.services.weight_log import log_weight_change
-from rowanrail.gateway.session_values import PreparedNames
+from rowanrail.gateway.session_context import PreparedStatementNames
 from rowanrail.gateway.sessions.access import AccessControl
 from rowanrail.gateway.sessions.outcomes import OutcomeRecorder
 from rowanrail.gateway.sessions.pending import PendingSample, PendingSessionStart
@@ -45,9 +45,9 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.scheduling.load import ServiceLoad
 from rowanrail.scheduling.plan import Plan
-from rowanrail.tenants.demand import DemandBook
+from rowanrail.tenants.demand import DemandAggregator
 from rowanrail.tenants.model import ClientIdentity, Tenants
-from rowanrail.tenants.terms import QuotaTerms
+from rowanrail.tenants.quota_parameters import QuotaParameters
 
 TICK_SECONDS = 0.05  # a sixth of the shortest time that is watched, SAMPLE_TIMEOUT_SECONDS
 # Of them, between checks of services that nobody uses. 75 such services took 0.7 % of a core when
@@ -69,15 +69,15 @@
         decisions: DecisionLog,
         registry: Registry,
         peers: Peers = NO_PEERS,
-        quota_terms: QuotaTerms = QuotaTerms(),  # noqa: B008 - it is frozen
+        quota_terms: QuotaParameters = QuotaParameters(),  # noqa: B008 - it is frozen
     ) -> None:
         self.clock = clock
-        self.names = PreparedNames()
+        self.names = PreparedStatementNames()
         self.configuration: RoutingConfiguration | None = None
         self.services: dict[str, Service] = {}
         self.sessions: dict[Session, None] = {}
         self.stopping = False
-        self.on_alarm: Callable[[], None] = lambda: None
+        self.on_primary_change: Callable[[], None] = lambda: None
         self._locality = locality
         self._driver = driver
         self._decisions = decisions
@@ -91,7 +91,7 @@
         self.outcomes = OutcomeRecorder(decisions, self.access)
         self.holdings = Holdings(self, peers, decisions)
         self.outcomes.on_trace = self.holdings.note_own
-        self._known = KnownDirectory(peers)
+        self._known = CurrentDirectory(peers)
         self._remote_admission = RemoteAdmission(Clock(clock))
         self._router = self._make_router()
         self._follow_peers()
@@ -152,13 +152,15 @@
 
     # Configuration and members
 
-    def apply(self, configuration: RoutingConfiguration, corrects: bool = False) -> bool:
+    def apply(
+        self, configuration: RoutingConfiguration, replaces_provisional: bool = False
+    ) -> bool:
         """Put a configuration in force if its version is higher than the one in force.
 
-        One that ``corrects`` a provisional one replaces it under the same version, too.
+        With ``replaces_provisional`` a configuration of the same version is also applied.
         """
         known = self.configuration
-        if known is not None and configuration.version < known.version + (not corrects):
+        if known is not None and configuration.version < known.version + (not replaces_provisional):
             return False
         self.configuration = configuration
         self._set_services(configuration)
@@ -207,7 +209,7 @@
 
     def set_directory(self, directory: Directory) -> None:
         """Know the members that announced themselves, and the gateways beside this one."""
-        if not self._known.set(directory, self.services):
+        if not self._known.update(directory, self.services):
             return
         self.access.quota.set_population(directory.population.gateways)
         self.holdings.set_population(directory.population)
@@ -235,7 +237,7 @@
     def _note_primary(self, service: Service) -> None:
         """Log that a primary was lost or found again, and have the control nodes told."""
         log_primary_state(self._decisions, service.primary, self.clock.time())
-        self.on_alarm()
+        self.on_primary_change()
 
     def health(self) -> list[PrimaryHealth]:
         """Return what this proxy sees of the primaries that it uses."""
@@ -263,7 +265,7 @@
         return self.access.admits(database, identity, version)
 
     @property
-    def demand(self) -> DemandBook:
+    def demand(self) -> DemandAggregator:
         """See :meth:`rowanrail.gateway.relay.serving.HolderHost.demand`."""
         return self.access.demand
 
--- a/src/rowanrail/gateway/work/commands.py
+++ b/src/rowanrail/gateway/work/commands.py
@@ -4,7 +4,7 @@
 :class:`rowanrail.gateway.policies.StateReplay`.
 """
 
-from rowanrail.gateway.session_values import PreparedNames, SessionValues
+from rowanrail.gateway.session_context import PreparedStatementNames, SessionContext
 from rowanrail.members.channel import Channel
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Command, CommandKind, StatementKind, TypedStatement
@@ -16,8 +16,8 @@
     statement: TypedStatement,
     floor: Position | None,
     channel: Channel,
-    session: SessionValues,
-    names: PreparedNames,
+    session: SessionContext,
+    names: PreparedStatementNames,
 ) -> list[Command]:
     """Return the commands for a read or write; the statement's own command is the last one.
 
@@ -32,9 +32,9 @@
         Log position that the member must have reached to run a read.
     channel : Channel
         The connection; its set of prepared names is updated.
-    session : SessionValues
+    session : SessionContext
         Session whose prepared statements are resolved.
-    names : PreparedNames
+    names : PreparedStatementNames
         The gateway's names of prepared statements.
     """
     if statement.kind is not StatementKind.EXECUTE:
--- a/src/rowanrail/gateway/work/local.py
+++ b/src/rowanrail/gateway/work/local.py
@@ -4,7 +4,7 @@
 """
 
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import PreparedNames, SessionValues
+from rowanrail.gateway.session_context import PreparedStatementNames, SessionContext
 from rowanrail.gateway.work.autocommit_read import AutocommitRead
 from rowanrail.gateway.work.autocommit_write import AutocommitWrite
 from rowanrail.gateway.work.ports import NO_OTHER_GATEWAYS, AutocommitExecution, OtherGateways
@@ -22,7 +22,7 @@
     ----------
     service : Service
         The service's members.
-    names : PreparedNames
+    names : PreparedStatementNames
         The gateway's names of prepared statements.
     clock : Scheduler
         Time and timers.
@@ -35,7 +35,7 @@
     def __init__(
         self,
         service: Service,
-        names: PreparedNames,
+        names: PreparedStatementNames,
         clock: Scheduler,
         others: OtherGateways = NO_OTHER_GATEWAYS,
     ) -> None:
@@ -44,12 +44,14 @@
         self._clock = clock
         self._others = others
 
-    def autocommit(self, route: Route, session: SessionValues, writes: bool) -> AutocommitExecution:
+    def autocommit(
+        self, route: Route, session: SessionContext, writes: bool
+    ) -> AutocommitExecution:
         """Return the execution of one autocommit read or write; it isn't started yet."""
         kind = AutocommitWrite if writes else AutocommitRead
         return kind(self._service, route, session, self._names, self._clock, self._others)
 
-    def transaction(self, route: Route, session: SessionValues, read_only: bool) -> Transaction:
+    def transaction(self, route: Route, session: SessionContext, read_only: bool) -> Transaction:
         """Return the execution of a transaction; it starts with its first statement."""
         return Transaction(
             self._service, route, session, self._names, self._clock, self._others, read_only
--- a/src/rowanrail/gateway/work/statement.py
+++ b/src/rowanrail/gateway/work/statement.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.gateway.work.attempts import RETRY_INTERVAL_SECONDS
 from rowanrail.gateway.work.refusals import (
     base_retry_after_ms,
@@ -40,14 +40,14 @@
         Service whose members run the statement.
     route : Route
         Route with the time-out and the latency objective.
-    session : SessionValues
+    session : SessionContext
         Values and identity of the client's session.
     clock : Scheduler
         Time and timers.
     """
 
     def __init__(
-        self, service: Service, route: Route, session: SessionValues, clock: Scheduler
+        self, service: Service, route: Route, session: SessionContext, clock: Scheduler
     ) -> None:
         self.service = service
         self.route = route
--- a/src/rowanrail/sql_proxy/group.py
+++ b/src/rowanrail/sql_proxy/group.py
@@ -1,8 +1,7 @@
-"""A database group as one proxy sees it: its members, the primary among them, fresh replicas.
+"""A database group at one proxy: its members, the current primary and the fresh replicas.
 
-For whatever runs statements of the group. Owns the members with their pools and monitors, the
-highest term in which a primary was seen, and the share of connections; relies on the rules in
-``serving`` and ``outcomes`` and on the guards.
+Owns the members with their pools and monitors, the highest term of a primary, and the proxy's share
+of connections. The rules are in ``member_selection``, ``outcomes`` and the guards.
 """
 
 import asyncio
@@ -16,42 +15,46 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.sql_proxy.backend import BackendConnection, BackendDriver
+from rowanrail.sql_proxy.connection_share import UNKNOWN_PROXY_COUNT, ConnectionShare
+from rowanrail.sql_proxy.member_selection import (
+    PRIMARY_POLL_SECONDS,
+    current_primary,
+    expected_completion_seconds,
+)
 from rowanrail.sql_proxy.monitor import MemberMonitor
 from rowanrail.sql_proxy.outcomes import GROUP_RETRY_AFTER_SECONDS
 from rowanrail.sql_proxy.policies import Freshness, LeavingCheck
 from rowanrail.sql_proxy.pool import Pool, PoolLimits
-from rowanrail.sql_proxy.rounds import MajorityRounds
-from rowanrail.sql_proxy.serving import PRIMARY_SEARCH_SECONDS, current_primary, expected_seconds
-from rowanrail.sql_proxy.share import UNKNOWN_PROXIES, ConnectionShare
+from rowanrail.sql_proxy.quorum import QuorumQueries
 
 
 class GroupOptions(msgspec.Struct, frozen=True):
-    """What a proxy adds to a group's configuration."""
+    """Settings of the proxy that apply to all of its groups."""
 
     zone: str
     routes: dict[str, str]
 
 
 class Member:
-    """One member: its pool, its monitor, what it last said and whether it is leaving."""
+    """One member: its pool, monitor and state, and whether it is leaving."""
 
     def __init__(self, name: str, zone: str, pool: Pool, monitor: MemberMonitor) -> None:
         self.name = name
         self.zone = zone
         self.pool = pool
         self.monitor = monitor
-        self.known = monitor.known
+        self.state = monitor.state
         self.drained = False
         self.listed_leaving = False
 
     @property
     def leaving(self) -> bool:
-        """Whether the member is leaving: by an operator, by the list, or by its own report."""
-        return self.drained or self.listed_leaving or self.known.is_leaving
+        """Whether an operator, the platform's machine list or the member itself says it leaves."""
+        return self.drained or self.listed_leaving or self.state.is_leaving
 
 
 class GroupRuntime:
-    """Members of a group, and the primary among them."""
+    """Members of a group and their connections, while a proxy watches the group."""
 
     def __init__(
         self,
@@ -67,9 +70,9 @@
         self.leaving_check: LeavingCheck = registry.create("proxy-guard", "leaving-check")
         self._options = options
         self._driver = driver
-        self._changed = asyncio.Event()
-        self._term = 0
-        self.asked_at = float("-inf")
+        self._status_received = asyncio.Event()
+        self._highest_term = 0
+        self.polled_at = float("-inf")
         self._connection_share = ConnectionShare()
         self.members: list[Member] = []
         self.members = [
@@ -77,25 +80,29 @@
             for position in range(len(spec.members))
         ]
         monitors = [member.monitor for member in self.members]
-        self.rounds = MajorityRounds(spec.name, monitors, self.freshness, confirmation)
+        self.quorum = QuorumQueries(spec.name, monitors, self.freshness, confirmation)
 
     def _create_member(
         self, spec: GroupSpec, position: int, registry: Registry, randomness: random.Random
     ) -> Member:
         member = spec.members[position]
-        opener = self._opener(member.address)
+        connection_factory = self._connection_factory(member.address)
         peer = f"{spec.name}/{member.name}"
         pool = Pool(
             peer,
-            PoolLimits(self._share(), spec.limits.slots_per_member, spec.limits.queue_length),
-            opener,
+            PoolLimits(
+                self._connection_limit(), spec.limits.slots_per_member, spec.limits.queue_length
+            ),
+            connection_factory,
             registry.create("proxy-guard", "late-answer-discard"),
         )
-        monitor = MemberMonitor(peer, opener, random.Random(randomness.getrandbits(64)))
+        monitor = MemberMonitor(peer, connection_factory, random.Random(randomness.getrandbits(64)))
         monitor.on_status = self._on_status
         return Member(member.name, member.zone, pool, monitor)
 
-    def _opener(self, address: str) -> Callable[[], "asyncio.Future[BackendConnection]"]:
+    def _connection_factory(
+        self, address: str
+    ) -> Callable[[], "asyncio.Future[BackendConnection]"]:
         routed = self._options.routes.get(address, address)
         backend = self.spec.backend
         database = self.spec.databases[0]
@@ -107,37 +114,37 @@
 
         return open_connection
 
-    def _share(self) -> int:
-        # One connection of the share is the monitor's.
+    def _connection_limit(self) -> int:
+        # The monitor uses one connection of the share.
         limit = self.spec.limits.connections_per_member
         now = asyncio.get_running_loop().time()
         return max(1, self._connection_share.connections(limit, now) - 1)
 
-    def set_users(self, proxies: int) -> None:
-        """Note how many proxies use the group, this one included; 0 if that is not known."""
+    def set_proxy_count(self, proxies: int) -> None:
+        """Record the number of proxies that use the group, including this one; 0 if unknown."""
         self._connection_share.observe(proxies, asyncio.get_running_loop().time())
-        share = self._share()
+        limit = self._connection_limit()
         for member in self.members:
-            if member.pool.limit != share:
-                member.pool.set_limit(share)
+            if member.pool.limit != limit:
+                member.pool.set_limit(limit)
 
-    def shrink(self) -> None:
-        """Keep no more connections than what runs needs."""
+    def minimize_connections(self) -> None:
+        """Limit each pool to one connection; surplus ones are closed once they are idle."""
         for member in self.members:
             member.pool.set_limit(1)
 
-    def keep_share(self, older: "GroupRuntime") -> None:
-        """Go on with the share of the runtime that this one takes the place of."""
-        self._connection_share = older._connection_share
-        self.set_users(UNKNOWN_PROXIES)
+    def inherit_connection_share(self, replaced: "GroupRuntime") -> None:
+        """Continue with the connection share of the runtime that this one replaces."""
+        self._connection_share = replaced._connection_share
+        self.set_proxy_count(UNKNOWN_PROXY_COUNT)
 
     def start(self) -> None:
-        """Begin to watch the members."""
+        """Start the monitors of the members."""
         for member in self.members:
             member.monitor.start()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop the monitors, abort running statements and close all connections."""
         for member in self.members:
             member.monitor.stop()
             member.pool.abort_leased()
@@ -145,45 +152,45 @@
 
     @property
     def outstanding(self) -> int:
-        """Number of requests that run at the members or wait for them."""
+        """Number of requests that run at the members or wait for a connection."""
         return sum(member.pool.outstanding for member in self.members)
 
-    def kick(self) -> None:
-        """Ask all members for their status soon."""
+    def poll_soon(self) -> None:
+        """Query the status of all members soon."""
         for member in self.members:
-            member.monitor.kick()
+            member.monitor.poll_soon()
 
     def _on_status(self) -> None:
-        self._changed.set()
+        self._status_received.set()
         self.primary()
 
     # The primary
 
     def primary(self) -> Member | None:
-        """Return the member that claims to be primary in the highest term seen, if any."""
-        terms = [member.known.term for member in self.members]
-        found = current_primary(terms, [member.known.is_primary for member in self.members])
+        """Return the current primary, None if there is none or it is leaving."""
+        terms = [member.state.term for member in self.members]
+        found = current_primary(terms, [member.state.is_primary for member in self.members])
         if found is None:
             return None
         best = self.members[found]
-        if terms[found] > self._term:
+        if terms[found] > self._highest_term:
             self._on_new_primary(best)
         if not self.leaving_check.accepts_work(best.leaving):
             return None
         return best
 
     def _on_new_primary(self, primary: Member) -> None:
-        self._term = primary.known.term
+        self._highest_term = primary.state.term
         for member in self.members:
             if member is not primary:
-                # What runs there can't be confirmed any more: end it now, not at its deadline.
+                # Writes that run there can no longer be confirmed: end them before their deadline.
                 member.pool.abort_leased()
 
-    async def wait_primary(self, deadline: float, floor: Position = ORIGIN) -> Member:
-        """Return the primary, searching for one until ``deadline`` (loop time).
+    async def wait_for_primary(self, deadline: float, floor: Position = ORIGIN) -> Member:
+        """Return the primary, polling the members until there is one that has applied ``floor``.
 
-        :param floor: what it must have applied, see :meth:`_has_applied`.
-        :raises NotRunError: if none is found in time.
+        :param deadline: event loop time in seconds.
+        :raises NotRunError: if there is none in time.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -199,68 +206,73 @@
                     step="find primary",
                     peer=self.spec.name,
                 )
-            self.kick()
-            await self._wait_change(min(deadline, loop.time() + PRIMARY_SEARCH_SECONDS))
+            self.poll_soon()
+            await self._wait_for_status(min(deadline, loop.time() + PRIMARY_POLL_SECONDS))
 
     def fresh_primary(self, floor: Position) -> Member | None:
-        """Return the primary if reads there see all up to ``floor``."""
+        """Return the primary if it has applied ``floor``, else None."""
         primary = self.primary()
         return primary if primary is not None and self._has_applied(primary, floor) else None
 
     def _has_applied(self, primary: Member, floor: Position) -> bool:
-        """Return whether reads at a primary see all up to ``floor``.
+        """Return whether reads at a primary see everything up to ``floor``.
 
-        Only what it reports counts. It may hold a write of an earlier term and not have applied
-        it yet; and a write of its own term may be undone at it, if it is demoted before it
+        Only the reported committed position counts. A primary may hold writes of an earlier term
+        that it has not applied yet, and may lose a write of its own term if it is demoted before it
         learns that a majority holds the write.
         """
-        return self.freshness.is_fresh(primary.known.committed, floor)
+        return self.freshness.is_fresh(primary.state.committed, floor)
 
-    async def _wait_change(self, until: float) -> None:
-        self._changed.clear()
+    async def _wait_for_status(self, until: float) -> None:
+        self._status_received.clear()
         try:
             async with asyncio.timeout_at(until):
-                await self._changed.wait()
+                await self._status_received.wait()
         except TimeoutError:
-            pass  # the caller looks at its deadline
+            pass  # the caller checks its own deadline
 
-    def suspect(self, member: Member) -> None:
-        """Note that a connection to ``member`` broke: ask it again before it gets more work."""
-        member.known.suspect()
-        self.kick()
+    def mark_unreachable(self, member: Member) -> None:
+        """Mark ``member`` as unreachable after a lost connection, and poll all members soon."""
+        member.state.mark_unreachable()
+        self.poll_soon()
 
     # Replicas
 
     def fresh_replicas(self, floor: Position) -> list[Member]:
-        """Return the replicas that may serve a read that must see ``floor``."""
+        """Return the usable replicas that have committed up to ``floor``."""
         return [
             member
             for member in self.members
-            if member.known.is_replica
+            if member.state.is_replica
             and self.leaving_check.accepts_work(member.leaving)
-            and self.freshness.is_fresh(member.known.committed, floor)
+            and self.freshness.is_fresh(member.state.committed, floor)
         ]
 
     def usable_replicas(self) -> list[Member]:
-        """Return the replicas that answer and are not leaving, fresh or not."""
+        """Return the replicas that are reachable and not leaving, fresh or not."""
         return [
             member
             for member in self.members
-            if member.known.is_replica and self.leaving_check.accepts_work(member.leaving)
+            if member.state.is_replica and self.leaving_check.accepts_work(member.leaving)
         ]
 
-    async def wait_fresh(self, floor: Position, until: float) -> list[Member]:
-        """Wait until a replica is fresh, at most until ``until`` (loop time)."""
+    async def wait_for_fresh_replicas(self, floor: Position, until: float) -> list[Member]:
+        """Return the fresh replicas, waiting for one until ``until`` (event loop time).
+
+        Returns an empty list if none is fresh in time or no replica is usable.
+        """
         loop = asyncio.get_running_loop()
         while True:
             fresh = self.fresh_replicas(floor)
             if fresh or loop.time() >= until or not self.usable_replicas():
                 return fresh
             for member in self.usable_replicas():
-                member.monitor.kick()
-            await self._wait_change(until)
+                member.monitor.poll_soon()
+            await self._wait_for_status(until)
 
     def cost(self, member: Member) -> float:
-        """Return the expected seconds for a statement at ``member``."""
+        """Return the expected completion time of a statement at ``member``, in seconds."""
         pool = member.pool
-        return expected_seconds(pool.latency_seconds, pool.outstanding, pool.limit, pool.slots)
+        return expected_completion_seconds(
+            pool.latency_seconds, pool.outstanding, pool.limit, pool.slots
+        )
--- a/src/rowanrail/sql_proxy/rounds.py
+++ b/src/rowanrail/sql_proxy/quorum.py
@@ -1,8 +1,6 @@
-"""Rounds of questions to all members of a group, and what a majority's answers say.
+"""Status queries to all members of a group: confirmation of writes and the floor of reads.
 
-For writes, which are confirmed here, and for reads that ask how far they must see. Owns nothing
-between rounds; relies on the members' monitors for answers, on the guards for what they mean, and
-on ``outcomes`` for the pauses.
+The guards in :mod:`rowanrail.sql_proxy.policies` evaluate the answers of a majority.
 """
 
 import asyncio
@@ -14,19 +12,19 @@
 from rowanrail.sql_proxy.monitor import MemberMonitor
 from rowanrail.sql_proxy.outcomes import (
     GROUP_RETRY_AFTER_SECONDS,
-    ROUND_RETRY_MAXIMUM_SECONDS,
-    ROUND_RETRY_SECONDS,
-    next_round_pause,
+    INITIAL_BACKOFF_SECONDS,
+    MAXIMUM_BACKOFF_SECONDS,
+    next_backoff,
 )
 from rowanrail.sql_proxy.policies import Freshness, TermConfirmation
 
-__all__ = ["MajorityRounds"]
+__all__ = ["QuorumQueries"]
 
 
-class MajorityRounds:
-    """Asks a group's members together.
+class QuorumQueries:
+    """Queries the members of a group concurrently.
 
-    :param name: the group's name, for errors.
+    :param name: name of the group, for error messages.
     """
 
     def __init__(
@@ -42,33 +40,33 @@
         self._confirmation = confirmation
 
     async def confirm(self, position: Position, deadline: float) -> bool:
-        """Return whether a majority, in the position's own term, holds ``position``.
+        """Return whether a majority holds ``position`` in the position's own term.
 
-        :returns: False as soon as a majority has moved on, or at ``deadline``.
+        :returns: False as soon as a majority is in a later term, or at ``deadline``.
         """
         loop = asyncio.get_running_loop()
-        pause_seconds = ROUND_RETRY_SECONDS
+        pause_seconds = INITIAL_BACKOFF_SECONDS
         while loop.time() < deadline:
             try:
                 async with asyncio.timeout_at(deadline):
-                    statuses = await self._ask(
-                        lambda answers: self._confirms(position, answers) is not None
+                    statuses = await self._query_members(
+                        lambda answers: self._confirmation_result(position, answers) is not None
                     )
             except TimeoutError:
                 return False
-            confirmed = self._confirms(position, statuses)
+            confirmed = self._confirmation_result(position, statuses)
             if confirmed is not None:
                 return confirmed
             await asyncio.sleep(pause_seconds)
-            pause_seconds = next_round_pause(pause_seconds)
+            pause_seconds = next_backoff(pause_seconds)
         return False
 
-    def _confirms(self, position: Position, statuses: list[MemberStatus]) -> bool | None:
-        """Return what answers say of a position; None if they leave it open."""
+    def _confirmation_result(self, position: Position, statuses: list[MemberStatus]) -> bool | None:
+        """Return whether the answers confirm a position or rule it out; None if undecided."""
         members = len(self._monitors)
         if self._confirmation.is_confirmed(position, statuses, members):
             return True
-        if self._confirmation.is_replaced(position, statuses, members):
+        if self._confirmation.is_superseded(position, statuses, members):
             return False
         return None
 
@@ -83,13 +81,13 @@
         while True:
             try:
                 async with asyncio.timeout_at(deadline):
-                    statuses = await self._ask(lambda answers: len(answers) >= majority)
+                    statuses = await self._query_members(lambda answers: len(answers) >= majority)
                     floor = self._freshness.acknowledged_floor(statuses, members)
                     if floor is not None:
                         return floor
-                    await asyncio.sleep(ROUND_RETRY_MAXIMUM_SECONDS)
+                    await asyncio.sleep(MAXIMUM_BACKOFF_SECONDS)
             except TimeoutError:
-                pass  # ends below with the reason
+                pass  # reported below
             if loop.time() >= deadline:
                 raise NotRunError(
                     "no majority of the group's members answers",
@@ -98,10 +96,12 @@
                     peer=self._name,
                 )
 
-    async def _ask(self, is_enough: Callable[[list[MemberStatus]], bool]) -> list[MemberStatus]:
-        """Ask all members and return the answers as soon as they are enough.
+    async def _query_members(
+        self, is_enough: Callable[[list[MemberStatus]], bool]
+    ) -> list[MemberStatus]:
+        """Query all members and return the answers once ``is_enough`` accepts them.
 
-        All answers were sent after this call. Rounds that begin together share questions.
+        All answers are sent after this call. Concurrent calls share status queries.
         """
         pending = {asyncio.ensure_future(monitor.refresh()) for monitor in self._monitors}
         statuses: list[MemberStatus] = []
--- a/src/rowanrail/sql_proxy/report.py
+++ b/src/rowanrail/sql_proxy/report.py
@@ -1,8 +1,4 @@
-"""What a proxy reports of itself: to the control nodes, and as metrics.
-
-For the watch of the configuration and the administration's interface. Owns the metrics' names;
-relies on the core for all that it reports.
-"""
+"""The proxy's reports to the control nodes, and its Prometheus metrics."""
 
 import asyncio
 
@@ -12,7 +8,7 @@
 from rowanrail.sql_proxy.core import ProxyCore
 from rowanrail.sql_proxy.services import GroupServices
 
-REPORTED_GROUPS = 8  # the most recently used ones: a report's size must be bounded
+MAXIMUM_REPORTED_GROUPS = 8  # the most recently used groups; bounds the size of a report
 _GROUP_METRICS = (
     ("replica_reads", "Reads served by replicas"),
     ("primary_reads", "Reads that could go to a replica, served by the primary"),
@@ -23,13 +19,17 @@
 
 
 def make_report(core: ProxyCore, name: str, zone: str, incarnation: str) -> ProxyReport:
-    """Return the proxy's report."""
-    replica_reads = sum(services.statistics.replica_reads for services in core.services())
-    primary_reads = sum(services.statistics.primary_reads for services in core.services())
-    primary_only_reads = sum(services.statistics.primary_only_reads for services in core.services())
-    newest = sorted(core.services(), key=lambda services: services.used_at, reverse=True)
+    """Return the proxy's report to the control nodes."""
+    replica_reads = sum(services.statistics.replica_reads for services in core.watched_groups())
+    primary_reads = sum(services.statistics.primary_reads for services in core.watched_groups())
+    primary_only_reads = sum(
+        services.statistics.primary_only_reads for services in core.watched_groups()
+    )
+    newest = sorted(core.watched_groups(), key=lambda services: services.used_at, reverse=True)
     groups = [
-        report for services in newest[:REPORTED_GROUPS] for report in _group_reports(services)
+        report
+        for services in newest[:MAXIMUM_REPORTED_GROUPS]
+        for report in _group_reports(services)
     ]
     return ProxyReport(
         proxy=name,
@@ -39,7 +39,7 @@
         replica_reads=replica_reads,
         primary_reads=primary_reads,
         primary_only_reads=primary_only_reads,
-        used=core.groups.used(),
+        used=core.groups.watched_names(),
         groups=groups,
     )
 
@@ -48,7 +48,7 @@
     now = asyncio.get_running_loop().time()
     reports = []
     for member in services.group.members:
-        status = member.known.latest
+        status = member.state.last_status
         reports.append(
             GroupReport(
                 group=services.spec.name,
@@ -57,9 +57,11 @@
                 role=status.role.value if status else "unknown",
                 term=status.term if status else 0,
                 position=status.committed.index if status else 0,
-                lag_seconds=round(max(0.0, now - member.known.latest_at), 3) if status else -1.0,
+                lag_seconds=round(max(0.0, now - member.state.last_status_at), 3)
+                if status
+                else -1.0,
                 leaving=member.leaving,
-                reachable=member.known.reachable,
+                reachable=member.state.reachable,
                 connections=member.pool.open_count,
             )
         )
@@ -102,10 +104,10 @@
         )
 
     def render(self) -> bytes:
-        """Return the metrics in Prometheus' text format."""
+        """Return the metrics in the Prometheus text format."""
         self._sessions.set(len(self._core.sessions))
         self._version.set(self._core.in_force.version)
-        for services in self._core.services():
+        for services in self._core.watched_groups():
             group = services.spec.name
             for name, gauge in self._groups.items():
                 gauge.labels(group).set(getattr(services.statistics, name))
--- a/src/rowanrail/sql_proxy/requests.py
+++ b/src/rowanrail/sql_proxy/requests.py
@@ -1,8 +1,8 @@
-"""Request ids: each id runs at most once, and its outcome is remembered.
+"""Request ids: idempotency keys, each of which commits at most once.
 
-The record is inserted in the same database transaction as the work, under a unique key.
-Ids begin with their time of creation, so that an id past the horizon, whose record may
-be gone, can be refused. After Stripe's idempotency keys.
+The record of a request is inserted under a unique key, in the same database transaction as its
+writes. An id begins with its creation time, so that an id past the horizon, whose record may have
+been deleted, can be refused.
 """
 
 import enum
@@ -23,11 +23,10 @@
 from rowanrail.sql_proxy.pool import PooledConnection
 
 TABLE = "rowanrail_requests"
-# Of a request id, which stands in the record's key. Chosen.
+# Maximum length of a request id, the primary key of its record.
 MAXIMUM_ID_CHARACTERS = 100
-# Seconds by which a caller's clock may be ahead of ours, and that records are kept for longer.
-# Chosen.
-CLOCK_SLACK_SECONDS = 300.0
+# Maximum seconds by which a caller's clock may be ahead; records are kept longer by as much.
+MAXIMUM_CLOCK_SKEW_SECONDS = 300.0
 _ID = re.compile(r"^(\d{9,11})-[A-Za-z0-9._:-]+$")
 
 CREATE_TABLE = (
@@ -38,16 +37,16 @@
 
 
 class RequestState(enum.Enum):
-    """What a record says of its request."""
+    """State of a recorded request."""
 
     DONE = "done"
     TOMBSTONE = "tombstone"
 
 
 class RequestRecordRow(msgspec.Struct, frozen=True):
-    """A record as it stands in the database.
+    """A row of the request table.
 
-    :param position: position at which the record was read.
+    :param position: log position at which the row was read.
     """
 
     digest: str
@@ -59,7 +58,7 @@
     def result(self, request_id: str, digest: str) -> StatementResult:
         """Return the recorded outcome.
 
-        :raises RequestConflictError: if the id stands for different work.
+        :raises RequestConflictError: if the id was used for other statements.
         :raises NotRunError: if the record is a tombstone.
         """
         if self.state is RequestState.TOMBSTONE:
@@ -74,10 +73,10 @@
 
 
 def check_request_id(request_id: str, now: float, horizon_seconds: float) -> None:
-    """Check the form and the age of an id.
+    """Check the format and the age of an id.
 
     :param now: wall-clock time in seconds.
-    :raises InvalidRequestError: if the form is wrong.
+    :raises InvalidRequestError: if the format is wrong.
     :raises RequestConflictError: if the id is past the horizon.
     """
     match = _ID.match(request_id)
@@ -88,7 +87,7 @@
             step="request id",
         )
     age_seconds = now - int(match.group(1))
-    if age_seconds > horizon_seconds or age_seconds < -CLOCK_SLACK_SECONDS:
+    if age_seconds > horizon_seconds or age_seconds < -MAXIMUM_CLOCK_SKEW_SECONDS:
         raise RequestConflictError(
             f"request id {request_id} is outside of the horizon of {horizon_seconds:.0f} s; "
             "whether it ran before is not remembered",
@@ -101,7 +100,7 @@
     return hashlib.sha256("\x00".join(work).encode()).hexdigest()[:32]
 
 
-def _created(request_id: str) -> int:
+def _creation_seconds(request_id: str) -> int:
     return int(request_id.split("-")[0])
 
 
@@ -113,14 +112,14 @@
     state: RequestState,
     result: StatementResult,
 ) -> None:
-    """Insert the record within the open transaction.
+    """Insert the record of a request in the open transaction.
 
-    :raises BackendRefusedError: with ``outcomes.DUPLICATE_KEY_CODE`` if the id is taken.
+    :raises BackendRefusedError: with ``outcomes.DUPLICATE_KEY_CODE`` if the id has a record.
     """
     await connection.execute(
         f"INSERT INTO {TABLE} (id, digest, state, affected, insert_id, created) VALUES "
         f"('{request_id}', '{digest}', '{state.value}', {result.affected_rows}, "
-        f"{result.insert_id}, {_created(request_id)})",
+        f"{result.insert_id}, {_creation_seconds(request_id)})",
         deadline,
     )
 
@@ -128,7 +127,7 @@
 async def find_record(
     connection: PooledConnection, deadline: float, request_id: str
 ) -> RequestRecordRow | None:
-    """Return the record of an id, read in a transaction of its own."""
+    """Return the record of an id, read in a separate transaction; None if there is none."""
     await connection.execute("BEGIN", deadline)
     try:
         result = await connection.execute(
@@ -153,7 +152,7 @@
     return value.decode() if isinstance(value, bytes) else str(value)
 
 
-def clean_up_statement(now: float, horizon_seconds: float) -> str:
-    """Return the statement that removes records well past the horizon."""
-    limit = int(now - 2 * horizon_seconds - CLOCK_SLACK_SECONDS)
+def cleanup_statement(now: float, horizon_seconds: float) -> str:
+    """Return the statement that deletes records older than twice the horizon."""
+    limit = int(now - 2 * horizon_seconds - MAXIMUM_CLOCK_SKEW_SECONDS)
     return f"DELETE FROM {TABLE} WHERE created < {limit}"
--- a/tests/unit/test_groups.py
+++ b/tests/unit/test_groups.py
@@ -1,4 +1,4 @@
-"""Which groups a proxy watches."""
+"""Selection of the groups that a proxy watches."""
 
 import asyncio
 import random
@@ -6,9 +6,9 @@
 from unittest import mock
 
 from rowanrail.kernel.registry import Registry
-from rowanrail.sql_proxy import watching
-from rowanrail.sql_proxy.groups import GroupTable
-from rowanrail.sql_proxy.watching import ALWAYS_WATCHED_GROUPS
+from rowanrail.sql_proxy import group_polling
+from rowanrail.sql_proxy.group_polling import ALWAYS_WATCHED_GROUPS
+from rowanrail.sql_proxy.group_table import GroupTable
 from tests.support.stubs import ZONES, StubDriver, configuration
 
 GROUPS = 40
@@ -34,25 +34,24 @@
 
     async def test_unused_groups_are_dropped_and_come_back(self):
         self.table.find("database30")
-        with mock.patch.object(watching, "UNUSED_GROUP_SECONDS", -1.0):
+        with mock.patch.object(group_polling, "UNUSED_GROUP_SECONDS", -1.0):
             self.table._drop_unused(self.now())
         self.assertEqual(len(self.watched()), ALWAYS_WATCHED_GROUPS)
         self.assertIsNotNone(self.table.find("database30"))
 
     async def test_a_group_shared_by_many_proxies_is_watched_only_by_those_who_use_it(self):
         self.table.find("database1")
-        self.table.set_users({"group0": 11, "group1": 11, "group2": 10})
+        self.table.set_proxy_counts({"group0": 11, "group1": 11, "group2": 10})
         for services in self.table.running():
             if services.spec.name != "group1":
-                services.used_at -= 2 * watching.UNUSED_GROUP_SECONDS
+                services.used_at -= 2 * group_polling.UNUSED_GROUP_SECONDS
         self.table._drop_unused(self.now())
         self.assertNotIn("group0", self.watched())
         self.assertIn("group1", self.watched())
         self.assertIn("group2", self.watched())
-        self.table.set_users({"group1": 11})
+        self.table.set_proxy_counts({"group1": 11})
         self.table.apply(self.specs, [])
         self.assertNotIn("group0", self.watched())
 
     def now(self):
-
         return asyncio.get_running_loop().time()
