--- a/tests/explain/test_causes.py
+++ b/tests/explain/test_causes.py
@@ -24,7 +24,7 @@
     return line(REFUSED, service="db", milliseconds=50, **fields)
 
 
-LOST = line(PRIMARY_LOST, time=9.9, service="db", instance="m1")
+LOST_PRIMARY = line(PRIMARY_LOST, time=9.9, service="db", instance="m1")
 
 
 class CausesTest(unittest.TestCase):
@@ -48,11 +48,15 @@
 
     def test_a_rejection_by_the_holder_precedes_the_lack_of_a_holder(self):
         fields = {"outcome": "busy", "stage": "waits-for-holder", "reason": "crowded"}
-        lack = describe_cause(answer(**fields), [])
-        self.assertEqual(lack, "no gateway of its zone held connections to db in time (crowded)")
-        said = describe_cause(answer(**fields, cause="holder-crowded", wait=700, return_in=200), [])
+        without_holder = describe_cause(answer(**fields), [])
         self.assertEqual(
-            said,
+            without_holder, "no gateway of its zone held connections to db in time (crowded)"
+        )
+        by_holder = describe_cause(
+            answer(**fields, cause="holder-crowded", wait=700, return_in=200), []
+        )
+        self.assertEqual(
+            by_holder,
             "crowded: its holder had told of a line of 700 ms or more, so that it was not sent "
             "there; told to return in 0.20 s",
         )
@@ -65,8 +69,8 @@
         self.assertEqual(text, "cut (stage sent, at m1 through g2)")
 
     def test_an_exceeded_limit_precedes_a_lost_primary(self):
-        over = line(OVER_QUOTA, tenant="t", limit=9, fleet=8, asked=7, age_ms=5)
-        text = describe_cause(answer(outcome="busy", stage="accepted"), [LOST, over])
+        exceeded = line(OVER_QUOTA, tenant="t", limit=9, fleet=8, asked=7, age_ms=5)
+        text = describe_cause(answer(outcome="busy", stage="accepted"), [LOST_PRIMARY, exceeded])
         self.assertEqual(
             text,
             "tenant t may begin 9 operations in a window; 8 had begun at all gateways and 7 were "
@@ -74,11 +78,11 @@
         )
 
     def over_limit(self, seconds_before, milliseconds):
-        over = line(
+        exceeded = line(
             OVER_QUOTA, time=10.0 - seconds_before, tenant="t", limit=9, fleet=8, asked=7, age_ms=5
         )
         refused = line(REFUSED, outcome="busy", reason="at its limit", milliseconds=milliseconds)
-        return describe_cause(refused, [over])
+        return describe_cause(refused, [exceeded])
 
     def test_an_exceeded_limit_is_reported_despite_rounded_times(self):
         self.assertIn("tenant t may begin 9 operations", self.over_limit(0.001, 0.2))
@@ -88,10 +92,10 @@
 
     def test_a_lost_primary_precedes_a_lack_of_connections(self):
         fields = {"outcome": "busy", "stage": "waits-for-connection", "reason": "r", "member": "m1"}
-        short = describe_cause(answer(**fields), [])
-        self.assertEqual(short, "m1 of db had no connection free in time (r)")
+        no_connection = describe_cause(answer(**fields), [])
+        self.assertEqual(no_connection, "m1 of db had no connection free in time (r)")
         self.assertEqual(
-            describe_cause(answer(**fields), [LOST]),
+            describe_cause(answer(**fields), [LOST_PRIMARY]),
             "it could not run: the primary of db was lost; no order to replace it is in these logs",
         )
 
@@ -100,6 +104,6 @@
         busy = describe_cause(answer(**fields), [])
         self.assertEqual(busy, "m1 of db had too much to do and refused it")
         rejected = {"cause": "crowded", "wait": 900, "left": 50, "return_in": 500}
-        text = describe_cause(answer(**fields, **rejected), [LOST])
+        text = describe_cause(answer(**fields, **rejected), [LOST_PRIMARY])
         self.assertTrue(text.startswith("r: when it came about 900 ms of waiting lay before it"))
         self.assertTrue(text.endswith("; no order to replace it is in these logs"))
