--- a/src/rowanrail/sql_control/__init__.py
+++ b/src/rowanrail/sql_control/__init__.py
@@ -1,1 +1,1 @@
-"""Control node: configuration service, watch streams and operators' API."""
+"""SQL control node: configuration service, long polls of proxies and operators' API."""
--- a/src/rowanrail/sql_control/backup.py
+++ b/src/rowanrail/sql_control/backup.py
@@ -1,8 +1,8 @@
-"""Backups of a control node's folder, and new folders made of them.
+"""Backup and restore of a control node's data folder.
 
-A restored folder is a new system of one node. That is the way back after the majority's
-disks are gone for good: only an operator can know that they are, so it takes a confirmation.
-The other nodes then join with empty folders.
+A restored folder starts a new system of one node, which the other nodes join with empty folders.
+Restoring is meant for a permanent loss of the majority's disks, which only an operator can
+establish; the command therefore requires a confirmation.
 """
 
 import secrets
@@ -16,14 +16,17 @@
 from rowanrail.sql_control.policies import ExpectedVersion
 from rowanrail.sql_control.state import ConfigurationState
 
-BACKUP_FORMAT = 1  # of the file; another one is refused
-NODE_ID_RANDOM_BYTES = 6  # random ones in the id of a restored node; chosen
+BACKUP_FORMAT = 1  # version of the file format; others are rejected
+NODE_ID_RANDOM_BYTES = 6  # in the id of a restored node
 
 
 class Backup(msgspec.Struct, frozen=True):
-    """Contents of a backup file, sealed with a checksum.
+    """Contents of a backup file.
 
-    :param version: newest configuration version in it.
+    :param term: term of the node's hard state.
+    :param index: index of the last log entry in ``state``.
+    :param version: configuration version in ``state``.
+    :param state: encoded snapshot of the state machine.
     """
 
     cluster: str
@@ -36,10 +39,10 @@
 
 
 def make_backup(storage: Storage) -> Backup:
-    """Return a backup of a folder.
+    """Return a backup of a data folder.
 
-    It holds all entries of the folder's log, also those of which no majority is known: a
-    change whose outcome nobody has learned may be in it.
+    It contains all entries of the folder's log, committed or not. It may thus contain a change
+    whose outcome was never reported.
 
     :raises StorageError: if the folder is empty or damaged.
     """
@@ -64,14 +67,14 @@
 
 
 def encode_backup(backup: Backup) -> bytes:
-    """Return the bytes of a backup file."""
+    """Return the contents of a backup file, with a checksum."""
     return encode_checksummed(msgspec.msgpack.encode(backup))
 
 
 def decode_backup(data: bytes) -> Backup:
-    """Return the backup in a file.
+    """Return the backup that a file contains.
 
-    :raises StorageError: if it is damaged or of another format.
+    :raises StorageError: if the file is damaged or has another format.
     """
     payload = decode_checksummed(data, 0)
     if payload is None:
@@ -86,10 +89,10 @@
 
 
 class RestoreOptions(msgspec.Struct, frozen=True):
-    """Which node a folder is made for.
+    """Node for which a folder is restored.
 
-    :param least_version: the highest version that any proxy has in force. Proxies never go
-        back: what is restored gets a version above it, so that they take it.
+    :param least_version: highest version that any proxy has in force. Proxies accept only newer
+        versions, so the restored configuration gets a version above it.
     """
 
     cluster: str
@@ -99,9 +102,9 @@
 
 
 def restore_backup(storage: Storage, backup: Backup, options: RestoreOptions) -> int:
-    """Make a new folder of a backup and return the configuration's version.
+    """Create a data folder from a backup and return the configuration's version.
 
-    :raises StorageError: if the folder is not empty, or the backup is another system's.
+    :raises StorageError: if the folder is not empty, or the backup belongs to another system.
     """
     if backup.cluster != options.cluster:
         raise StorageError(
--- a/src/rowanrail/sql_control/census.py
+++ b/src/rowanrail/sql_control/census.py
@@ -1,10 +1,8 @@
-"""How many proxies use each group, counted over all control nodes.
+"""Number of proxies that use each group, summed over all control nodes.
 
-For the configuration service, which adds the numbers to its answers to proxies; they share members'
-connections by them. Owns the other nodes' counts; relies on the watches for this node's.
-Every control node knows the proxies that ask it. The nodes tell each other their counts.
-A silent node's last count stays: its proxies may be alive behind the cut with their
-connections. Counting too many only makes shares smaller.
+Proxies divide the members' connections by these numbers. Each control node counts the proxies that
+poll it and queries the counts of the others. The last count of an unreachable node is kept, since
+its proxies may still be alive: a count that is too high only makes the shares smaller.
 """
 
 import asyncio
@@ -16,14 +14,12 @@
 from rowanrail.sql_control.messages import CensusReply, CensusRequest
 from rowanrail.sql_control.watch import WatchHub
 
-# Seconds between rounds of questions to the other nodes. Chosen.
-CENSUS_INTERVAL_SECONDS = 2.0
-# Seconds for a node's answer. Chosen.
-CENSUS_TIMEOUT_SECONDS = 1.0
+CENSUS_INTERVAL_SECONDS = 2.0  # between queries of the other nodes
+CENSUS_TIMEOUT_SECONDS = 1.0  # for a node's reply
 
 
 class ProxyCensus:
-    """Counts of this node and, as last reported, of the others."""
+    """Proxy counts of this node and the last reported counts of the other nodes."""
 
     def __init__(self, node: ConsensusNode, hub: WatchHub, network: Network) -> None:
         self._node = node
@@ -33,22 +29,22 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to ask the other nodes."""
+        """Start querying the other nodes."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Stop."""
+        """Stop querying the other nodes."""
         if self._task is not None:
             self._task.cancel()
 
     def reply(self) -> CensusReply:
-        """Return this node's own counts."""
+        """Return this node's counts in answer to :class:`CensusRequest`."""
         return CensusReply(self._hub.proxy_counts())
 
     def proxy_counts(self, groups: list[str]) -> dict[str, int]:
-        """Return the number of proxies that use each of the groups.
+        """Return the number of proxies that use each of the groups; unused groups are left out.
 
-        :returns: nothing as long as a node has not been heard since this one started.
+        The result is empty until every other node has replied once since this node started.
         """
         if any(node not in self._remote_counts for node in self._peers()):
             return {}
@@ -75,6 +71,6 @@
         try:
             reply = await self._network.call(address, CensusRequest(), CENSUS_TIMEOUT_SECONDS)
         except RowanrailError:
-            return  # its last count stays
+            return  # keep the last count
         if isinstance(reply, CensusReply):
             self._remote_counts[node] = reply.users
--- a/src/rowanrail/sql_control/changes.py
+++ b/src/rowanrail/sql_control/changes.py
@@ -1,8 +1,7 @@
-"""Rules for what becomes of an operator's change, and of a request that only the leader serves.
+"""Rules for configuration changes and for retrying requests to the leader.
 
-For the replicated state, which decides by them at every node alike, and for the service, which
-tries again by them. Owns nothing: pure functions on plain values; times are seconds of the event
-loop. Relies on the guard ``ExpectedVersion`` in :mod:`rowanrail.sql_control.policies`.
+The replicated state applies them on every node, so they depend on nothing but their arguments.
+Times are seconds of the event loop's clock.
 """
 
 from rowanrail.sql_control.messages import Outcome, Verdict
@@ -16,27 +15,24 @@
     "outcome_of_resend",
 ]
 
-# Seconds for the leader's reply to a request that another node passes on. Chosen.
-LEADER_REPLY_TIMEOUT_SECONDS = 3.0
-# Seconds for which an operator's request waits for a leader, tries included: within the 12 s that
-# the command line gives a control node. Chosen.
+LEADER_REPLY_TIMEOUT_SECONDS = 3.0  # for a request that a node forwards to the leader
+# Including retries. Shorter than the command line's timeout of 12 s for a control node.
 LEADER_WAIT_TIMEOUT_SECONDS = 8.0
-# Seconds between two tries. Chosen.
 LEADER_RETRY_INTERVAL_SECONDS = 0.1
 
 
 def change_verdict(is_current_version: bool, is_explicit: bool, is_empty: bool) -> Verdict:
-    """Return what becomes of a change that was not applied before.
+    """Return the verdict on a change whose id is new.
 
     Parameters
     ----------
     is_current_version : bool
-        Whether it was made against the version in force, by the guard ``ExpectedVersion``.
+        Whether the change is based on the current version, as decided by ``ExpectedVersion``.
     is_explicit : bool
-        Whether the operator named that version. If not, the service makes the change again
-        against the newer one, so that operators who do not care never see a conflict.
+        Whether the operator named the base version. If not, the service rebases the change on the
+        newer version, so that the operator sees no conflict.
     is_empty : bool
-        Whether it changes nothing.
+        Whether the change has no effect.
 
     Examples
     --------
@@ -49,16 +45,16 @@
 
 
 def outcome_of_resend(recorded_digest: str, recorded: Outcome, digest: str) -> Outcome:
-    """Return the outcome of a change whose id was used before.
+    """Return the outcome of a change whose id has been used.
 
     Parameters
     ----------
     recorded_digest : str
         Digest of the first request with this id.
     recorded : Outcome
-        Its outcome: a resend gets the same, whatever happened since.
+        Outcome of that request, which a resend gets again.
     digest : str
-        Digest of the request at hand; another one is other work under a used id.
+        Digest of the new request; a different digest means that the id was reused.
     """
     if recorded_digest != digest:
         return Outcome(Verdict.REUSED_ID, recorded.version)
@@ -66,5 +62,5 @@
 
 
 def may_retry(now: float, deadline: float) -> bool:
-    """Return whether a request that no leader served has time for another try."""
+    """Return whether a request that no leader served can be retried before its deadline."""
     return now + LEADER_RETRY_INTERVAL_SECONDS < deadline
--- a/src/rowanrail/sql_control/daemon.py
+++ b/src/rowanrail/sql_control/daemon.py
@@ -1,8 +1,4 @@
-"""The control daemon: a control node as a process.
-
-Makes the ports (network, disk, operators' interface), runs the node until a stop signal. Owns
-nothing else.
-"""
+"""Control daemon: runs a control node on the real network and disk until a stop signal."""
 
 import random
 from pathlib import Path
--- a/src/rowanrail/sql_control/delta.py
+++ b/src/rowanrail/sql_control/delta.py
@@ -1,8 +1,4 @@
-"""Deltas between configurations, and views of a configuration for one zone.
-
-For the replicated state, the watches and the proxies, which apply what they are sent. Owns
-nothing: pure functions on the model.
-"""
+"""Deltas between configurations, and the part of a configuration that one zone needs."""
 
 from collections.abc import Sequence
 from typing import TypeVar
@@ -22,7 +18,7 @@
 
 
 def make_delta(before: Configuration, after: Configuration) -> ConfigurationDelta:
-    """Return the delta that leads from ``before`` to ``after``."""
+    """Return the delta that changes ``before`` into ``after``, without drains."""
     return ConfigurationDelta(
         sites=_changed(before.sites, after.sites),
         groups=_changed(before.groups, after.groups),
@@ -34,12 +30,15 @@
 
 
 def is_empty(delta: ConfigurationDelta) -> bool:
-    """Return whether a delta changes nothing."""
+    """Return whether a delta has no effect."""
     return delta == ConfigurationDelta()
 
 
 def apply_delta(base: VersionedConfiguration, delta: ConfigurationDelta) -> VersionedConfiguration:
-    """Return ``base`` with ``delta`` applied, under the next version."""
+    """Return ``base`` with ``delta`` applied, as the next version.
+
+    Drains of members that no longer exist are removed.
+    """
     old = base.configuration
     configuration = Configuration(
         sites=_merge(old.sites, delta.sites, delta.removed_sites),
@@ -54,7 +53,10 @@
 
 
 def view_for_zone(full: VersionedConfiguration, zone: str) -> VersionedConfiguration:
-    """Return the part of a configuration that the proxies of ``zone`` need."""
+    """Return the part of a configuration that the proxies of ``zone`` need.
+
+    It lacks the groups that are restricted to other sites.
+    """
     site = next((site.name for site in full.configuration.sites if zone in site.zones), "")
     groups = [
         group for group in full.configuration.groups if not group.sites or site in group.sites
@@ -68,7 +70,7 @@
 def view_delta(
     known: VersionedConfiguration, current: VersionedConfiguration
 ) -> ConfigurationDelta:
-    """Return the delta between two views of the same zone, drains included."""
+    """Return the delta between two views of the same zone, including drains."""
     delta = make_delta(known.configuration, current.configuration)
     return msgspec.structs.replace(
         delta,
--- a/src/rowanrail/sql_control/http_api.py
+++ b/src/rowanrail/sql_control/http_api.py
@@ -1,8 +1,4 @@
-"""The operators' interface of a control node: HTTP and JSON, with health and metrics.
-
-Owns the routes, the check of operators' tokens and the gauges; relies on the configuration service
-for everything that it answers.
-"""
+"""Operators' HTTP API of a control node, with JSON bodies, health checks and metrics."""
 
 import hashlib
 import hmac
@@ -30,18 +26,21 @@
 )
 from rowanrail.sql_control.service import ControlService
 
-# Bytes of an operator's request, which holds a whole configuration at the most. Chosen.
-MAXIMUM_REQUEST_BYTES = 16 * 1024 * 1024
-# Seconds after which an operator is told to retry whom no leader served. Chosen.
-OPERATOR_RETRY_AFTER_SECONDS = 2
-# Seconds since a proxy's report within which it is shown as live. Chosen.
-MAXIMUM_LIVE_REPORT_AGE_SECONDS = 6.0
+MAXIMUM_REQUEST_BYTES = 16 * 1024 * 1024  # the largest request is a whole configuration
+OPERATOR_RETRY_AFTER_SECONDS = 2  # Retry-After of a request that no leader served
+MAXIMUM_LIVE_REPORT_AGE_SECONDS = 6.0  # of the reports that a zone's version is computed from
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class ChangeBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a change request."""
+    """Body of an apply, diff, drain or rollback request.
+
+    :param configuration: for apply and diff.
+    :param members: for drain, as ``group/member``.
+    :param drain: whether to begin or end the drain.
+    :param version: for rollback.
+    """
 
     change_id: str
     expected_version: int | None = None
@@ -59,7 +58,10 @@
 
 
 class OperatorApi:
-    """Routes of the operators' interface. Any node answers; changes go to the leader."""
+    """Routes of the operators' API.
+
+    Every node serves them; changes and consistent reads are forwarded to the leader.
+    """
 
     def __init__(self, service: ControlService, operators: list[OperatorSpec]) -> None:
         self._service = service
@@ -78,7 +80,7 @@
         }
 
     def application(self) -> web.Application:
-        """Return the web application."""
+        """Return the web application with all routes."""
         application = web.Application(
             client_max_size=MAXIMUM_REQUEST_BYTES, middlewares=[self._authenticate_and_handle]
         )
--- a/src/rowanrail/sql_control/messages.py
+++ b/src/rowanrail/sql_control/messages.py
@@ -1,7 +1,6 @@
-"""Messages of the control plane, and the commands in its log.
+"""Messages of the SQL control plane and the commands in its log.
 
-For control nodes, proxies and the operators' interface. Owns the messages' names and fields, which
-are stored and which processes of other versions know; relies on ``rpc.codec``.
+Their names and fields are part of the wire and storage formats.
 """
 
 import enum
@@ -15,7 +14,11 @@
 
 
 class ConfigurationDelta(msgspec.Struct, frozen=True):
-    """What to put into and remove from a configuration; removals are by name."""
+    """Additions to and removals from a configuration; removals are by name.
+
+    :param drained: members to drain, as ``group/member``.
+    :param undrained: members whose drain ends.
+    """
 
     sites: list[SiteSpec] = []
     groups: list[GroupSpec] = []
@@ -28,12 +31,12 @@
 
 
 class ChangeCommand(msgspec.Struct, frozen=True):
-    """A command in the log: a change of the configuration.
+    """Log command that changes the configuration.
 
-    :param change_id: names the change; a resend carries the same one.
-    :param base_version: version that the delta was made against.
-    :param explicit: whether the operator demanded that version.
-    :param digest: digest of the operator's request, to tell a resend from another change.
+    :param change_id: id of the change, which a resend repeats.
+    :param base_version: version that the delta is based on.
+    :param explicit: whether the operator named the base version.
+    :param digest: digest of the operator's request, by which a resend is told from a reused id.
     """
 
     change_id: str
@@ -47,7 +50,10 @@
 
 
 class Verdict(enum.Enum):
-    """What became of a change."""
+    """Result of a change.
+
+    ``REBASE`` is internal to the service, which makes the change again on the newer version.
+    """
 
     ACCEPTED = "accepted"
     UNCHANGED = "unchanged"
@@ -57,9 +63,9 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Result of a change, the same for each resend.
+    """Verdict on a change and the resulting version; the same for each resend.
 
-    :param winner: on a conflict, the author and change id that were first.
+    :param winner: on a conflict, author and id of the change that followed the base version.
     """
 
     verdict: Verdict
@@ -68,7 +74,7 @@
 
 
 class Revision(msgspec.Struct, frozen=True):
-    """One accepted version in the history."""
+    """History entry of an accepted change."""
 
     version: int
     change_id: str
@@ -79,7 +85,7 @@
 
 @message("ApplyRequest")
 class ApplyRequest(msgspec.Struct, frozen=True):
-    """An operator's configuration; sent to the leader."""
+    """Replace the configuration; sent to the leader."""
 
     change_id: str
     author: str
@@ -89,7 +95,7 @@
 
 @message("DrainRequest")
 class DrainRequest(msgspec.Struct, frozen=True):
-    """Drain members (``group/member``), or end their drain."""
+    """Begin or end the drain of members, given as ``group/member``."""
 
     change_id: str
     author: str
@@ -99,7 +105,7 @@
 
 @message("RollbackRequest")
 class RollbackRequest(msgspec.Struct, frozen=True):
-    """Make the contents of an earlier version a new version."""
+    """Apply the configuration of an earlier version as a new version."""
 
     change_id: str
     author: str
@@ -108,14 +114,14 @@
 
 @message("ChangeReply")
 class ChangeReply(msgspec.Struct, frozen=True):
-    """Answer to the requests above."""
+    """Answer to :class:`ApplyRequest`, :class:`DrainRequest` and :class:`RollbackRequest`."""
 
     outcome: Outcome
 
 
 @message("ReadRequest")
 class ReadRequest(msgspec.Struct, frozen=True):
-    """Read the configuration and history through the leader."""
+    """Read the configuration and its history from the leader."""
 
 
 @message("ReadReply")
@@ -130,10 +136,11 @@
 
 @message("WatchRequest")
 class WatchRequest(msgspec.Struct, frozen=True):
-    """A proxy's heartbeat and its question for a newer configuration.
+    """A proxy's report and long poll for a newer configuration.
 
     :param known_version: version that the proxy holds, 0 for none.
-    :param hold_seconds: how long the answer may be held back when nothing is newer.
+    :param known_digest: digest of the configuration that the proxy holds.
+    :param hold_seconds: maximum wait for a newer version, in seconds.
     """
 
     report: ProxyReport
@@ -144,9 +151,13 @@
 
 @message("WatchReply")
 class WatchReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`WatchRequest`: a delta, or the whole configuration, or nothing newer.
+    """Answer to :class:`WatchRequest`: a delta, the whole configuration, or nothing newer.
 
-    :param confirmed: whether the leader confirmed that nothing newer was accepted.
+    :param digest: digest of the zone's configuration at ``version``.
+    :param confirmed: whether the node had applied all changes that were committed at the request;
+        checked only if the proxy holds no version.
+    :param whole: whether ``delta`` is the whole configuration.
+    :param delta: changes to apply; None if nothing is newer.
     :param users: number of proxies that use each of the groups that the proxy uses.
     """
 
@@ -160,19 +171,19 @@
 
 @message("CensusRequest")
 class CensusRequest(msgspec.Struct, frozen=True):
-    """A control node asks another how many of its proxies use each group."""
+    """A control node's request for the proxy counts of another one."""
 
 
 @message("CensusReply")
 class CensusReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`CensusRequest`: number of proxies by group."""
+    """Answer to :class:`CensusRequest`: number of the node's proxies by group."""
 
     users: dict[str, int]
 
 
 @message("PeerConfigurationRequest")
 class PeerConfigurationRequest(msgspec.Struct, frozen=True):
-    """A proxy asks another proxy for the configuration that it has in force."""
+    """A proxy's request for the configuration that another proxy has in force."""
 
     zone: str
 
--- a/src/rowanrail/sql_control/node.py
+++ b/src/rowanrail/sql_control/node.py
@@ -1,6 +1,6 @@
-"""One control node, apart from its process: folder, log, service and membership.
+"""SQL control node: data folder, replicated log, configuration service and membership.
 
-The daemon and the simulator both build it, each with its own network and disk.
+Network, disk, randomness and clock are passed in, so that the simulator can replace them.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class ControlNode:
-    """Opens the folder, serves the other processes, and takes part in the log."""
+    """A control node, from opening its data folder to its stop."""
 
     def __init__(
         self,
@@ -55,8 +55,9 @@
         self._reported_failure = False
 
     async def start(self, bootstrap: bool) -> None:
-        """Open the folder and begin to serve.
+        """Open the data folder and start serving.
 
+        :param bootstrap: start a new system, unless another node already knows one.
         :raises StorageError: if the folder can't be used.
         """
         settings = self._settings
@@ -136,7 +137,7 @@
             emit(FOLDER_RECOVERED, term=self.consensus.raft.term)
 
     async def stop(self) -> None:
-        """Stop serving."""
+        """Stop serving and stop the node's tasks."""
         if self._join_task is not None:
             self._join_task.cancel()
         if self._listener is not None:
--- a/src/rowanrail/sql_control/policies.py
+++ b/src/rowanrail/sql_control/policies.py
@@ -1,7 +1,6 @@
-"""Guards of the configuration service, as plug-ins of kind ``control-guard``.
+"""Safety rules of the configuration service, as plug-ins of kind ``control-guard``.
 
-For the replicated state. Own nothing: pure, so that the lab can take one away and find its
-guarantee broken.
+Tests replace one of them to check that its guarantee is then violated.
 """
 
 from rowanrail.kernel.registry import register
@@ -9,8 +8,8 @@
 
 @register("control-guard", "expected-version")
 class ExpectedVersion:
-    """A change applies only to the version that it was made against."""
+    """Optimistic concurrency control: a change applies only to the version that it is based on."""
 
     def matches(self, base_version: int, current_version: int) -> bool:
-        """Return whether the change may be accepted."""
+        """Return whether a change based on ``base_version`` may be applied."""
         return base_version == current_version
--- a/src/rowanrail/sql_control/service.py
+++ b/src/rowanrail/sql_control/service.py
@@ -1,8 +1,7 @@
-"""The configuration service of one control node.
+"""Configuration service of a control node.
 
-Answers proxies, other control nodes and the operators' interface; passes to the leader what only
-the leader may do. Owns the watches, the admission of nodes and the count of proxies; relies on the
-replicated state and its node, and on the network for calls to other nodes.
+It answers proxies, other control nodes and the operators' API. Requests that only the leader can
+serve are forwarded to it.
 """
 
 import asyncio
@@ -56,19 +55,15 @@
 from rowanrail.sql_control.state import ConfigurationState
 from rowanrail.sql_control.watch import WatchHub
 
-# Seconds for a new proxy's question to be confirmed by the leader; after it the answer says that it
-# is not. Chosen.
-BARRIER_TIMEOUT_SECONDS = 1.0
-# Newest entries of the history in an answer to operators. Chosen.
-MAXIMUM_READ_HISTORY = 200
-# Seconds for another node's reply with the proxies that it knows. Chosen.
-REPORTS_TIMEOUT_SECONDS = 1.0
+BARRIER_TIMEOUT_SECONDS = 1.0  # for the leader to confirm the reply to a new proxy
+MAXIMUM_READ_HISTORY = 200  # latest history entries in a reply to operators
+REPORTS_TIMEOUT_SECONDS = 1.0  # for another node's reply with its proxies
 
 ChangeRequest = ApplyRequest | DrainRequest | RollbackRequest
 
 
 class ControlService:
-    """Handles the messages of proxies and control nodes, and the operators' requests."""
+    """Handles messages of proxies and control nodes, and operators' requests."""
 
     def __init__(
         self,
@@ -91,7 +86,7 @@
     # Messages from other processes
 
     async def handle(self, request: msgspec.Struct) -> msgspec.Struct | None:
-        """Answer a message from another process."""
+        """Handle a message from another process and return the reply, None for no reply."""
         if isinstance(request, CONSENSUS_MESSAGES):
             consensus: ConsensusMessage = request
             self.node.receive(consensus)
@@ -128,22 +123,22 @@
         return msgspec.structs.replace(reply, users=users)
 
     async def _catch_up(self) -> bool:
-        """Bring this node up to all that was accepted; return whether that was possible."""
+        """Apply all changes committed so far; return whether that succeeded in time."""
         try:
             async with asyncio.timeout(BARRIER_TIMEOUT_SECONDS):
                 reply = await self.call_leader(BarrierRequest())
                 assert isinstance(reply, BarrierReply)
                 await self.node.wait_applied(reply.index)
         except (RowanrailError, TimeoutError):
-            return False  # the reply says that it is not confirmed
+            return False  # the reply is marked as not confirmed
         return True
 
     # Requests that only the leader can serve
 
     async def call_leader(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Serve a request here if this node leads, else at the leader.
+        """Serve a request on this node if it leads, else forward it to the leader.
 
-        :raises RowanrailError: if no leader served it; a change may or may not have run.
+        :raises RowanrailError: if no leader served it; a change may still have been applied.
         """
         leader = self.node.leader_address()
         if self.node.raft.is_leader or not leader:
@@ -151,9 +146,9 @@
         return await self._network.call(leader, request, LEADER_REPLY_TIMEOUT_SECONDS)
 
     async def call_leader_with_retry(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Like :meth:`call_leader`, and wait for a leader for a while if there is none.
+        """Call the leader, retrying for ``LEADER_WAIT_TIMEOUT_SECONDS`` if no leader serves it.
 
-        Repeating is safe: a change carries an id, and its first outcome is remembered.
+        Retries are safe, since the first outcome of each change id is recorded.
 
         :raises RowanrailError: if no leader served it in time.
         """
@@ -255,7 +250,7 @@
         return ConfigurationDelta(undrained=members), changes
 
     async def collect_reports(self) -> tuple[list[ProxyReport], list[str]]:
-        """Return the proxies that any control node knows, and the nodes that are silent."""
+        """Return the latest report of each proxy and the ids of nodes that did not reply."""
         silent: list[str] = []
         newest: dict[str, ProxyReport] = {}
         replies: list[list[ProxyReport]] = [self.watches.reports()]
--- a/src/rowanrail/sql_control/state.py
+++ b/src/rowanrail/sql_control/state.py
@@ -1,9 +1,4 @@
-"""The replicated state machine: the configuration, its history and the outcomes of changes.
-
-For the control node, whose log applies each change here. Owns what is in force and what is
-remembered of earlier versions and changes; all nodes hold the same. Relies on the rules in
-``changes`` and on nothing but the log.
-"""
+"""Replicated state machine: the configuration, its history and the outcomes of changes."""
 
 from collections import deque
 
@@ -17,24 +12,21 @@
 from rowanrail.sql_control.messages import ChangeCommand, Outcome, Revision, Verdict
 from rowanrail.sql_control.policies import ExpectedVersion
 
-# Changes whose outcome a resend still gets. Chosen.
-MAXIMUM_RECORDED_OUTCOMES = 10_000
-# Entries of the history. Chosen.
-MAXIMUM_REVISIONS = 1_000
-# Earlier configurations, to which an operator can go back and from which proxies get a delta.
-# Chosen.
+MAXIMUM_RECORDED_OUTCOMES = 10_000  # changes for which a resend gets the first outcome
+MAXIMUM_REVISIONS = 1_000  # entries of the history
+# Configurations that can be rolled back to, and from which proxies can get a delta.
 MAXIMUM_EARLIER_CONFIGURATIONS = 50
 
 
 class RecordedOutcome(msgspec.Struct, frozen=True):
-    """The outcome of a change, with the digest of its request."""
+    """Outcome of a change and digest of its request."""
 
     digest: str
     outcome: Outcome
 
 
 class ConfigurationSnapshot(msgspec.Struct, frozen=True):
-    """The whole state, as it stands in a snapshot."""
+    """State as it is stored in a snapshot."""
 
     current: VersionedConfiguration
     earlier: list[VersionedConfiguration]
@@ -43,7 +35,7 @@
 
 
 class ConfigurationState(StateMachine):
-    """Accepts changes one after the other; depends on nothing but the log."""
+    """Configuration, history and outcomes of changes, as functions of the log alone."""
 
     def __init__(self, expected_version: ExpectedVersion) -> None:
         self._expected_version = expected_version
@@ -53,21 +45,27 @@
         self._outcomes: dict[str, RecordedOutcome] = {}
 
     def recorded_outcome(self, change_id: str, digest: str) -> Outcome | None:
-        """Return the outcome of an earlier change with this id, if there was one."""
+        """Return the outcome of an earlier change with this id, or None.
+
+        If that change had another digest, the outcome is a reused id.
+        """
         known = self._outcomes.get(change_id)
         if known is None:
             return None
         return outcome_of_resend(known.digest, known.outcome, digest)
 
     def configuration_at(self, version: int) -> Configuration | None:
-        """Return the configuration at a version, if it is still remembered."""
+        """Return the configuration at ``version``, or None if it is no longer kept."""
         for candidate in (self.current, *self.earlier):
             if candidate.version == version:
                 return candidate.configuration
         return None
 
     def apply(self, entry: Entry) -> object:
-        """See :meth:`StateMachine.apply`."""
+        """Apply a configuration change and return its :class:`Outcome`; None for other entries.
+
+        See :meth:`StateMachine.apply`.
+        """
         if entry.kind is not EntryKind.COMMAND:
             return None
         return self._apply_change(msgspec.msgpack.decode(entry.data, type=ChangeCommand))
@@ -112,14 +110,20 @@
         return ""
 
     def snapshot(self) -> bytes:
-        """See :meth:`StateMachine.snapshot`."""
+        """Return the state as an encoded :class:`ConfigurationSnapshot`.
+
+        See :meth:`StateMachine.snapshot`.
+        """
         state = ConfigurationSnapshot(
             self.current, list(self.earlier), list(self.history), dict(self._outcomes)
         )
         return msgspec.msgpack.encode(state)
 
     def restore(self, data: bytes) -> None:
-        """See :meth:`StateMachine.restore`."""
+        """Replace the state by an encoded snapshot; empty data leave it unchanged.
+
+        See :meth:`StateMachine.restore`.
+        """
         if not data:
             return
         state = msgspec.msgpack.decode(data, type=ConfigurationSnapshot)
--- a/src/rowanrail/sql_control/watch.py
+++ b/src/rowanrail/sql_control/watch.py
@@ -1,7 +1,6 @@
-"""Long polls of proxies for a newer configuration, and what the proxies report.
+"""Long polls of proxies for newer configurations, and the proxies' latest reports.
 
-For the configuration service. Owns the newest report of each live proxy, and the
-views and deltas that it has made; relies on the replicated state for versions.
+Views of zones and deltas between them are cached, since many proxies need the same ones.
 """
 
 import asyncio
@@ -17,14 +16,10 @@
 from rowanrail.sql_control.messages import ConfigurationDelta, WatchReply, WatchRequest
 from rowanrail.sql_control.state import ConfigurationState
 
-# Seconds that a long poll waits at most for a change, whatever the proxy asks for. Chosen.
-MAXIMUM_POLL_SECONDS = 5.0
-# Seconds after which the report of a silent proxy is forgotten. Chosen.
-REPORT_EXPIRY_SECONDS = 60.0
-# Seconds for which a silent proxy counts as a user of its groups. Chosen.
-PROXY_LIVENESS_SECONDS = 15.0
-# Views of zones, and as many deltas, that are kept. Chosen.
-MAXIMUM_CACHED_VIEWS = 100
+MAXIMUM_POLL_SECONDS = 5.0  # upper limit on the wait that a proxy requests
+REPORT_EXPIRY_SECONDS = 60.0  # after which the report of a silent proxy is removed
+PROXY_LIVENESS_SECONDS = 15.0  # for which a silent proxy still counts as a user of its groups
+MAXIMUM_CACHED_VIEWS = 100  # zone views, and as many deltas
 
 Key = TypeVar("Key")
 Value = TypeVar("Value")
@@ -36,7 +31,10 @@
 
 
 class WatchHub:
-    """Answers long polls as soon as a newer version is committed here."""
+    """Answers long polls once this node has applied a newer version.
+
+    :param monotonic: rule by which proxies accept only newer versions.
+    """
 
     def __init__(self, state: ConfigurationState, monotonic: VersionMonotonic) -> None:
         self._state = state
@@ -48,14 +46,17 @@
         self._views: dict[tuple[str, int], tuple[VersionedConfiguration, str]] = {}
 
     def notify_change(self) -> None:
-        """Wake the polls that wait if the configuration changed."""
+        """Wake the waiting polls if the configuration version changed."""
         if self._state.current.version != self._notified_version:
             self._notified_version = self._state.current.version
             self._changed.set()
             self._changed = asyncio.Event()
 
     async def watch(self, request: WatchRequest, confirmed: bool) -> WatchReply:
-        """Return what is newer than the proxy knows, or nothing at the end of the wait."""
+        """Record the proxy's report and return a newer configuration, or none after the wait.
+
+        :param confirmed: whether this node is known to hold the newest accepted version.
+        """
         loop = asyncio.get_running_loop()
         self._reports[request.report.proxy] = _ReceivedReport(request.report, loop.time())
         if not self._is_newer(request):
@@ -64,7 +65,7 @@
                 async with asyncio.timeout(min(request.hold_seconds, MAXIMUM_POLL_SECONDS)):
                     await changed.wait()
             except TimeoutError:
-                pass  # nothing changed meanwhile, which the reply says
+                pass  # the reply says that nothing changed
         return self._reply(request, confirmed)
 
     def _is_newer(self, request: WatchRequest) -> bool:
@@ -87,9 +88,9 @@
         return WatchReply(current.version, digest, confirmed, True, full)
 
     def _delta(self, zone: str, request: WatchRequest) -> ConfigurationDelta | None:
-        """Return what leads to the newest version; None if it is not known any more.
+        """Return the cached or new delta to the current version.
 
-        All proxies of a zone that hold the same version get the same delta, made once.
+        The result is None if the proxy's version is no longer kept, or has another digest here.
         """
         current = self._state.current
         key = (zone, request.known_version, request.known_digest, current.version)
@@ -120,7 +121,7 @@
         return view
 
     def proxy_counts(self) -> dict[str, int]:
-        """Return how many of the proxies that reported recently use each group."""
+        """Return the number of live proxies that use each group."""
         now = asyncio.get_running_loop().time()
         users: Counter[str] = Counter()
         for received in self._reports.values():
@@ -129,7 +130,7 @@
         return dict(users)
 
     def reports(self) -> list[ProxyReport]:
-        """Return the newest report of each proxy that reported recently."""
+        """Remove expired reports and return the latest one of each remaining proxy."""
         now = asyncio.get_running_loop().time()
         self._reports = {
             proxy: received
@@ -142,6 +143,6 @@
         ]
 
 
-def _evict_oldest(remembered: dict[Key, Value]) -> None:
-    while len(remembered) > MAXIMUM_CACHED_VIEWS:
-        del remembered[next(iter(remembered))]
+def _evict_oldest(cache: dict[Key, Value]) -> None:
+    while len(cache) > MAXIMUM_CACHED_VIEWS:
+        del cache[next(iter(cache))]
