--- a/tests/unit/test_sql_rules.py
+++ b/tests/unit/test_sql_rules.py
@@ -181,25 +181,25 @@
 
 
 class ChangeTest(unittest.TestCase):
-    def test_a_change_against_the_version_in_force_is_accepted_if_it_changes_anything(self):
+    def test_change_of_current_version_is_accepted_unless_empty(self):
         for is_explicit in (False, True):
             verdicts = [changes.change_verdict(True, is_explicit, empty) for empty in (False, True)]
             self.assertEqual(verdicts, [Verdict.ACCEPTED, Verdict.UNCHANGED])
 
-    def test_against_an_older_one_it_conflicts_only_if_its_author_named_that(self):
+    def test_change_of_older_version_conflicts_only_if_the_version_was_named(self):
         for is_empty in (False, True):
             self.assertIs(changes.change_verdict(False, True, is_empty), Verdict.CONFLICT)
             self.assertIs(changes.change_verdict(False, False, is_empty), Verdict.REBASE)
 
-    def test_a_resend_gets_the_first_outcome(self):
+    def test_resend_gets_the_first_outcome(self):
         first = Outcome(Verdict.ACCEPTED, 7)
         self.assertIs(changes.outcome_of_resend("digest", first, "digest"), first)
 
-    def test_other_work_under_a_used_id_is_refused(self):
+    def test_reused_id_with_another_digest_is_rejected(self):
         outcome = changes.outcome_of_resend("digest", Outcome(Verdict.ACCEPTED, 7), "other")
         self.assertEqual(outcome, Outcome(Verdict.REUSED_ID, 7))
 
-    def test_a_request_waits_for_a_leader_until_its_deadline(self):
+    def test_request_is_retried_only_before_its_deadline(self):
         self.assertTrue(changes.may_retry(7.8, 8.0))
         self.assertFalse(changes.may_retry(7.95, 8.0))
 
--- a/tests/unit/test_storage.py
+++ b/tests/unit/test_storage.py
@@ -1,4 +1,4 @@
-"""Durable state under torn tails, flipped bits and crashes; the decoder under garbage."""
+"""Durable storage with torn tails, flipped bits and crashes; the message decoder with garbage."""
 
 import random
 import unittest
@@ -34,21 +34,21 @@
 
 
 class TestReopen(unittest.TestCase):
-    """A disk that refuses writes for a while, and a node that goes on with what is durable."""
+    """Reopening a storage after failed writes."""
 
     def fail(self, storage, entries):
         storage.disk.full = True
         with self.assertRaises(StorageError):
             storage.append(entries)
 
-    def test_a_full_disk_is_not_reopened(self):
+    def test_reopen_fails_while_disk_is_full(self):
         storage = new_storage()
         storage.load()
         self.fail(storage, [entry(2)])
         with self.assertRaises(StorageError):
             storage.reopen()
 
-    def test_what_was_not_synced_is_cut(self):
+    def test_unsynced_entries_are_truncated(self):
         for seed in range(20):
             storage = new_storage(seed=seed)
             storage.load()
@@ -60,8 +60,8 @@
             _, log = storage.reopen()
             self.assertEqual(log.last_index, 3)
 
-    def test_entries_that_a_failed_sync_left_are_cut(self):
-        # They can be read, but may never have reached the disk.
+    def test_entries_of_a_failed_sync_are_truncated(self):
+        # They can be read, but may not be on the disk.
         storage = new_storage()
         storage.load()
         storage.append([entry(2)])
@@ -74,7 +74,7 @@
         _, log = storage.reopen()
         self.assertEqual(log.last_index, 2)
 
-    def test_it_goes_on_where_it_was(self):
+    def test_reopened_storage_accepts_entries(self):
         storage = new_storage()
         storage.load()
         storage.save_hard_state(HardState(5, "n@1"))
@@ -87,26 +87,26 @@
         storage.disk.crash()
         self.assertEqual(indexes(storage.disk), [2, 3, 4, 5])
 
-    def test_room_for_less_than_was_refused_is_not_enough(self):
+    def test_reopen_fails_without_space_for_the_failed_write(self):
         storage = new_storage()
         storage.load()
-        room = len(storage.disk.read("hard-state")) + 10
+        free_bytes = len(storage.disk.read("hard-state")) + 10
         append = storage.disk.append
 
-        def append_little(name, data):
-            if len(data) > room:
+        def append_if_it_fits(name, data):
+            if len(data) > free_bytes:
                 raise StorageError("the disk is full")
             append(name, data)
 
-        storage.disk.append = append_little
+        storage.disk.append = append_if_it_fits
         with self.assertRaises(StorageError):
-            storage.append([entry(2, size=4 * room)])
+            storage.append([entry(2, size=4 * free_bytes)])
         with self.assertRaises(StorageError):
             storage.reopen()
 
 
 class TestTornTail(unittest.TestCase):
-    def test_cut_at_every_byte_of_an_unsynced_tail(self):
+    def test_unsynced_tail_truncated_at_every_byte_is_accepted(self):
         storage = new_storage()
         storage.load()
         storage.append([entry(2), entry(3)])
@@ -150,7 +150,7 @@
 
 
 class TestCrashes(unittest.TestCase):
-    """What was promised survives any crash; what was not may go, but leaves no gap."""
+    """Durable entries, snapshots and hard state after crashes."""
 
     actions = st.lists(
         st.one_of(
@@ -196,13 +196,13 @@
         for index in range(base + 1, last + 1):
             self.assertEqual(log.entries_between(index, index), [entry(index)])
 
-    def test_without_syncs_promises_are_lost(self):
+    def test_unsynced_state_is_lost_in_a_crash(self):
         storage = new_storage(honours_sync=False)
         storage.append([entry(2)])
         storage.disk.crash()
         self.assertIsNone(Storage(storage.disk).load_identity())
 
-    def test_a_lost_rename_leaves_the_earlier_file(self):
+    def test_unfinished_replacement_keeps_the_previous_file(self):
         storage = new_storage()
         storage.save_hard_state(HardState(3, "a"))
         storage.disk.append("hard-state.tmp", b"half a fi")
