--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -4,7 +4,7 @@
 on the properties of the gateway's parts.
 """
 
-from rowanrail.gateway.discovery.control_follower import ControlFollower
+from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.relay.detours import Detours
@@ -88,17 +88,17 @@
 def tenant_gauges(gateway: Gateway) -> list[Reading]:
     """Return the largest tenants with their limits, and how much of the fleet is heard."""
     quota = gateway.access.quota
-    readings: list[Reading] = [("quota_heard_share", {}, quota.heard_share)]
-    for tenant in quota.largest(SHOWN_TENANTS):
+    readings: list[Reading] = [("quota_heard_share", {}, quota.reporting_share)]
+    for tenant in quota.top_tenants(SHOWN_TENANTS):
         labels = {"tenant": tenant.name}
         readings.append(("tenant_limit", labels, tenant.limit))
-        readings.append(("tenant_begun", labels, tenant.begun))
-        readings.append(("tenant_asked", labels, tenant.asked))
+        readings.append(("tenant_begun", labels, tenant.admitted))
+        readings.append(("tenant_asked", labels, tenant.requested))
         readings.append(("tenant_refused", labels, tenant.refused))
     return readings
 
 
-def directory_gauges(follower: ControlFollower) -> list[Reading]:
+def directory_gauges(follower: ControlPlaneClient) -> list[Reading]:
     """Return how the directory came: whole, by difference, and by difference that differed."""
     counts = follower.counts.items()
     return [("directories_taken", {"kind": kind}, count) for kind, count in counts]
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -34,7 +34,7 @@
     SampleRequest,
 )
 from rowanrail.gateway.relay.serving_rules import ArrivalDecision, decide_arrival
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.gateway.work.connected import Stage
 from rowanrail.gateway.work.local import LocalExecutor
 from rowanrail.gateway.work.ports import AutocommitExecution, TransactionExecution
@@ -44,7 +44,7 @@
 from rowanrail.model.trace import Trace
 from rowanrail.placement.hashed import Shard
 from rowanrail.scheduling.load import LoadReporter, ServiceLoad
-from rowanrail.tenants.demand import DemandBook, Report
+from rowanrail.tenants.demand import DemandAggregator, DemandSummary
 from rowanrail.tenants.model import ClientIdentity
 
 __all__ = ["Holder", "HolderHost", "ServedLink"]
@@ -69,7 +69,7 @@
         """
 
     @property
-    def demand(self) -> DemandBook:
+    def demand(self) -> DemandAggregator:
         """Demand of other gateways' clients."""
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
@@ -101,7 +101,7 @@
 
     local: LocalExecutor
     work: TransactionExecution
-    session: SessionValues
+    session: SessionContext
     call: int = 0  # id of the running statement's call, 0 while idle
     idle_since: float = 0.0
 
@@ -110,7 +110,7 @@
 class _SingleStatement:
     local: LocalExecutor
     work: AutocommitExecution
-    session: SessionValues = field(default_factory=SessionValues)
+    session: SessionContext = field(default_factory=SessionContext)
 
 
 class Holder:
@@ -247,14 +247,16 @@
     def _add_demand(self, message: DemandReport) -> None:
         book = self._holder.host.demand
         if message.is_region:
-            book.note_region(message.sender, message.report)
+            book.record_region(message.sender, message.report)
             self._holder.on_region_report(message)
         else:
-            book.note_gateway(message.sender, message.report)
-        fleet = book.fleet()
+            book.record_gateway(message.sender, message.report)
+        fleet = book.fleet_totals()
         asked = message.report.tenants
         named = {tenant: total for tenant, total in fleet.tenants.items() if tenant in asked}
-        self.send(DemandTotals(message.call, Report(named, fleet.gateways, fleet.unknown)))
+        self.send(
+            DemandTotals(message.call, DemandSummary(named, fleet.gateways, fleet.unknown_windows))
+        )
 
     # Statements
 
@@ -284,7 +286,7 @@
         if work is None:
             self.send(NotServed(run.call, f"it does not serve {run.service} now"))
         elif run.transaction:
-            session = SessionValues()
+            session = SessionContext()
             opened = work.transaction(route_from(run), session, run.read_only)
             transaction = self._transactions[run.transaction] = _Transaction(work, opened, session)
             self._run_in_transaction(transaction, run)
@@ -297,7 +299,7 @@
         self.send(build_reply(run, Answer(refusal=refusal, message=reason), None, trace))
 
     def _run_single(self, work: LocalExecutor, run: RunStatement) -> None:
-        session = SessionValues()
+        session = SessionContext()
         apply_session_values(session, run)
         single = work.autocommit(route_from(run), session, run.writes)
         self._singles[run.call] = _SingleStatement(work, single, session)
--- a/src/rowanrail/gateway/services/weight_log.py
+++ b/src/rowanrail/gateway/services/weight_log.py
@@ -1,6 +1,6 @@
-"""Log lines on members that lose their weight, or have it back.
+"""Log events for members that are degraded or recover.
 
-Decides nothing: it writes what :mod:`rowanrail.scheduling.member_weight` decided, with its inputs.
+The decision is made in :mod:`rowanrail.scheduling.member_weight`.
 """
 
 from rowanrail.gateway.events import MEMBER_FELL, MEMBER_ROSE
@@ -11,22 +11,22 @@
 
 
 def log_weight_change(
-    decisions: DecisionLog, service: Service, instance: str, has_fallen: bool
+    decisions: DecisionLog, service: Service, instance: str, is_degraded: bool
 ) -> None:
-    """Log a change of a member's weight with what decided it.
+    """Log that a member was degraded or recovered, with the inputs of the decision.
 
-    A fall of a member is logged once, until it has risen again, which takes its probes seconds.
+    A degradation is logged once until the member has recovered, which takes seconds of probing.
     """
     weight = service.estimates.weights.local_weight(instance)
     pool = service.pools.get(instance)
     decisions.note(
-        MEMBER_FELL if has_fallen else MEMBER_ROSE,
+        MEMBER_FELL if is_degraded else MEMBER_ROSE,
         service=service.spec.name,
         instance=instance,
         weight=weight.value,
         reason=weight.reason,
         falls=weight.falls,
-        error_share=0.0 if pool is None else round(pool.error_share, 3),
+        error_share=0.0 if pool is None else round(pool.error_rate, 3),
         queue=round(service.estimates.queue_seconds(instance), 3),
         primary=service.primary.presumed_primary,
     )
--- a/src/rowanrail/gateway/sessions/access.py
+++ b/src/rowanrail/gateway/sessions/access.py
@@ -22,10 +22,10 @@
     RetryingClients,
     client_label,
 )
-from rowanrail.tenants.demand import DemandBook
+from rowanrail.tenants.demand import DemandAggregator
 from rowanrail.tenants.model import ClientIdentity, Tenants, key_digest
-from rowanrail.tenants.quota import QuotaGuard
-from rowanrail.tenants.terms import QuotaTerms
+from rowanrail.tenants.quota import QuotaLimiter
+from rowanrail.tenants.quota_parameters import QuotaParameters
 
 __all__ = ["AccessControl"]
 
@@ -43,7 +43,7 @@
         Log of refusals; neither keys nor their digests are written to it.
     key_check : KeyCheck
         Decides whether a session's key is still valid.
-    terms : QuotaTerms
+    terms : QuotaParameters
         Parameters of the limits.
 
     Attributes
@@ -53,27 +53,27 @@
     """
 
     def __init__(
-        self, clock: Clock, decisions: DecisionLog, key_check: KeyCheck, terms: QuotaTerms
+        self, clock: Clock, decisions: DecisionLog, key_check: KeyCheck, terms: QuotaParameters
     ) -> None:
         self._clock = clock
         self._decisions = decisions
         self._control_peer = ""
         self._confirmed_at: float | None = None
         self._key_check = key_check
-        self._quota = QuotaGuard(clock, terms)
-        self._demand = DemandBook(clock)
+        self._quota = QuotaLimiter(clock, terms)
+        self._demand = DemandAggregator(clock)
         self._configuration: RoutingConfiguration | None = None
         self._retrying_clients = RetryingClients(clock)
         self._quota_rejections = 0
         self.on_rejection: Callable[[str, int, float], None] = lambda *rejection: None
 
     @property
-    def quota(self) -> QuotaGuard:
+    def quota(self) -> QuotaLimiter:
         """Counter and limits of the operations of this gateway's clients."""
         return self._quota
 
     @property
-    def demand(self) -> DemandBook:
+    def demand(self) -> DemandAggregator:
         """Demand of the clients of other gateways."""
         return self._demand
 
@@ -130,7 +130,7 @@
 
     def is_key_valid(self, database: str, identity: ClientIdentity) -> bool:
         """Return whether a key still belongs to the tenant for which its session was opened."""
-        return self._key_check.holds(identity, self.identify(database, identity.key))
+        return self._key_check.is_same_identity(identity, self.identify(database, identity.key))
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
         """Return whether another gateway's client may run statements here.
@@ -168,21 +168,21 @@
     def refuse_over_quota(self, session: Session) -> Answer | None:
         """Count an operation of a session's tenant, or return its refusal if over the limit."""
         urgency = self._urgency(session)
-        over = self._quota.begin(session.identity.tenant, urgency)
+        over = self._quota.admit(session.identity.tenant, urgency)
         if over is None:
             return None
         self._quota_rejections += 1
-        retry_after_ms = quota_retry_after_ms(self._quota_rejections, over.wait)
+        retry_after_ms = quota_retry_after_ms(self._quota_rejections, over.retry_after)
         self._decisions.note(
             OVER_QUOTA,
             session=session.label,
             tenant=session.identity.tenant,
             limit=round(over.limit),
-            fleet=over.fleet,
-            asked=over.asked,
-            part=round(over.part, 2),
-            age_ms=round(over.age),
-            heard=round(over.heard, 2),
+            fleet=over.fleet_admitted,
+            asked=over.fleet_requested,
+            part=round(over.admitted_fraction, 2),
+            age_ms=round(over.totals_age),
+            heard=round(over.reporting_share, 2),
             urgency=urgency,
             version=self.version,
             return_in=round(retry_after_ms),
@@ -224,7 +224,7 @@
 
     def note_not_run(self, session: Session) -> None:
         """Remove an operation that did not run from its tenant's count."""
-        self._quota.note_not_run(session.identity.tenant)
+        self._quota.refund(session.identity.tenant)
 
 
 def _retry_label(session: Session) -> ClientLabel:
--- a/src/rowanrail/gateway/work/freshness.py
+++ b/src/rowanrail/gateway/work/freshness.py
@@ -5,7 +5,7 @@
 """
 
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import SessionValues
+from rowanrail.gateway.session_context import SessionContext
 from rowanrail.model.position import ORIGIN, Position
 from rowanrail.model.routing import Consistency, Route
 
@@ -43,7 +43,7 @@
 
 def note_commit(
     service: Service,
-    session: SessionValues,
+    session: SessionContext,
     instance: str,
     sent_at: float,
     position: Position | None,
--- a/src/rowanrail/sql_control/events.py
+++ b/src/rowanrail/sql_control/events.py
@@ -9,10 +9,10 @@
     100,
     Level.INFO,
     "control node {node} started, rpc {rpc}, http {http}",
-    "The daemon is ready. No action is needed.",
+    "The node accepts connections. No action is needed.",
 )
 CONTROL_STOPPED = define(
-    101, Level.INFO, "control node {node} stopped", "The daemon has shut down."
+    101, Level.INFO, "control node {node} stopped", "The shutdown is complete."
 )
 LEADER_CHANGED = define(
     110,
--- a/src/rowanrail/sql_proxy/pool.py
+++ b/src/rowanrail/sql_proxy/pool.py
@@ -1,8 +1,8 @@
-"""Pool of connections to one member: bounded, with bounded waiting.
+"""Connection pool of one member, with a bounded number of connections and a bounded wait queue.
 
-A connection is idle, leased to one statement or transaction, or closed. What a session
-set on a connection (``settings``) stays with it; it is only reused for sessions with the
-same settings, or closed.
+A connection is idle, leased to one statement or transaction, or closed. It keeps the session
+variables that were set on it (``settings``); a connection with settings is reused only for sessions
+with the same ones.
 """
 
 import asyncio
@@ -21,20 +21,20 @@
 from rowanrail.sql_proxy.backend import BackendConnection, MemberStatus, StatementResult
 from rowanrail.sql_proxy.policies import LateAnswerDiscard
 from rowanrail.sql_proxy.queueing import (
+    CONNECT_TIMEOUT_SECONDS,
     INITIAL_LATENCY_SECONDS,
-    MINIMUM_RETRY_SECONDS,
-    OPEN_LIMIT_SECONDS,
+    MINIMUM_RETRY_AFTER_SECONDS,
     displaces_last,
     expected_wait_seconds,
-    has_room,
+    has_queue_room,
     retry_after_seconds,
     smoothed_latency,
-    would_be_late,
+    would_miss_deadline,
 )
 
 
 class Priority(enum.IntEnum):
-    """Order in which waiting requests get connections."""
+    """Priority of queued requests; lower values are served first."""
 
     TRANSACTION = 0
     WRITE = 1
@@ -44,9 +44,9 @@
 class PoolLimits(msgspec.Struct, frozen=True):
     """Limits of a pool.
 
-    :param connections: how many connections may be open or being opened.
-    :param slots: how many statements the member runs at once.
-    :param queue_length: how many requests may wait for a connection.
+    :param connections: maximum number of connections that are open or being opened.
+    :param slots: maximum number of concurrent statements at the member.
+    :param queue_length: maximum number of requests that wait for a connection.
     """
 
     connections: int
@@ -55,7 +55,7 @@
 
 
 class PooledConnection:
-    """A connection and whether its last answer came."""
+    """A connection, its session variables, and whether its last statement was answered."""
 
     def __init__(
         self, connection: BackendConnection, peer: str, late_answers: LateAnswerDiscard
@@ -70,11 +70,11 @@
         self._aborted: asyncio.Future[StatementResult] | None = None
 
     async def execute(self, sql: str, deadline: float) -> StatementResult:
-        """Run a statement until ``deadline`` (loop time).
+        """Run a statement until ``deadline`` (event loop time).
 
         :raises BackendRefusedError: if the member refused it.
-        :raises BackendLostError: if it was sent and no answer came, or if an answer that
-            nobody asked for is already there: the next one read would not be this statement's.
+        :raises BackendLostError: if it was sent but not answered, or if unread data would be taken
+            for its answer.
         """
         self.answered = self.is_reusable()
         if not self.answered:
@@ -82,14 +82,14 @@
         self.answered = False
         try:
             async with asyncio.timeout_at(deadline):
-                result = await self._run(self._connection.execute(sql))
+                result = await self._run_abortable(self._connection.execute(sql))
         except TimeoutError as error:
             raise BackendLostError("no answer in time", step="execute", peer=self.peer) from error
         self.answered = True
         return result
 
-    async def _run(self, work: Awaitable[StatementResult]) -> StatementResult:
-        """Await ``work``, but end at once when :meth:`abort` is called."""
+    async def _run_abortable(self, work: Awaitable[StatementResult]) -> StatementResult:
+        """Await ``work``, or fail as soon as :meth:`abort` is called."""
         loop = asyncio.get_running_loop()
         aborted: asyncio.Future[StatementResult] = loop.create_future()
         self._aborted = aborted
@@ -106,7 +106,7 @@
                 task.cancel()
 
     def is_reusable(self) -> bool:
-        """Return whether the last answer came, and nothing after it."""
+        """Return whether the last answer was read and no other data has arrived."""
         return self._late_answers.is_reusable(self.answered and self._connection.is_clean())
 
     async def status(self) -> MemberStatus:
@@ -114,24 +114,28 @@
         return await self._connection.status()
 
     def abort(self) -> None:
-        """Make a running statement end as lost."""
+        """Make a running statement fail with :class:`BackendLostError`."""
         if self._aborted is not None and not self._aborted.done():
             self._aborted.set_result(StatementResult())
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self.closed = True
         self._connection.close()
 
 
-Opener = Callable[[], Awaitable[BackendConnection]]
+ConnectionFactory = Callable[[], Awaitable[BackendConnection]]
 
 
 class Pool:
-    """Connections to one member. At most ``limit`` are open or being opened."""
+    """Connections to one member, at most ``limit`` of them open or being opened."""
 
     def __init__(
-        self, peer: str, limits: PoolLimits, opener: Opener, late_answers: LateAnswerDiscard
+        self,
+        peer: str,
+        limits: PoolLimits,
+        connection_factory: ConnectionFactory,
+        late_answers: LateAnswerDiscard,
     ) -> None:
         self.peer = peer
         self.limit = limits.connections
@@ -139,14 +143,14 @@
         self._queue_length = limits.queue_length
         self.latency_seconds = INITIAL_LATENCY_SECONDS
         self.open_count = 0
-        self.leased: dict[PooledConnection, None] = {}  # in the order of their leases
-        self._opener = opener
+        self.leased: dict[PooledConnection, None] = {}  # an ordered set, oldest lease first
+        self._connection_factory = connection_factory
         self._late_answers = late_answers
         self._idle: list[PooledConnection] = []
         self._waiting: list[tuple[int, int, asyncio.Future[None]]] = []
         self._sequence = 0
         self._refusals = 0
-        self._failing_until = 0.0
+        self._connect_paused_until = 0.0
 
     @property
     def waiting(self) -> int:
@@ -155,11 +159,11 @@
 
     @property
     def outstanding(self) -> int:
-        """Number of requests that run or wait."""
+        """Number of leased connections and queued requests."""
         return len(self.leased) + len(self._waiting)
 
     def expected_wait_seconds(self) -> float:
-        """Return how long a request that arrives now is likely to wait."""
+        """Return the expected queueing delay in seconds of a request that arrives now."""
         return expected_wait_seconds(
             len(self._waiting), len(self.leased), self.limit, self.slots, self.latency_seconds
         )
@@ -167,11 +171,12 @@
     async def acquire(
         self, deadline: float, priority: Priority, settings: tuple[str, ...] = ()
     ) -> PooledConnection:
-        """Lease a connection by ``deadline``.
+        """Lease a connection that has the given settings or none, by ``deadline``.
 
-        A connection with other settings than wanted is closed and replaced.
+        If the pool is at its limit, an idle connection with other settings is closed to make room.
 
-        :raises NotRunError: if none is to be had in time; nothing was sent.
+        :raises NotRunError: if no connection becomes free in time; nothing was sent.
+        :raises BackendConnectError: if a new connection can't be opened.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -180,9 +185,9 @@
                 return leased
             if self.open_count < self.limit:
                 return await self._open(deadline)
-            if would_be_late(loop.time(), self.expected_wait_seconds(), deadline):
+            if would_miss_deadline(loop.time(), self.expected_wait_seconds(), deadline):
                 raise self._refusal("all connections are busy")
-            await self._wait_turn(deadline, priority)
+            await self._wait_in_queue(deadline, priority)
 
     def _take_idle(self, settings: tuple[str, ...]) -> PooledConnection | None:
         for position in range(len(self._idle) - 1, -1, -1):
@@ -199,37 +204,37 @@
 
     async def _open(self, deadline: float) -> PooledConnection:
         loop = asyncio.get_running_loop()
-        if loop.time() < self._failing_until:
+        if loop.time() < self._connect_paused_until:
             raise BackendConnectError("refused a moment ago", step="connect", peer=self.peer)
         self.open_count += 1
         try:
-            limit = min(deadline, loop.time() + OPEN_LIMIT_SECONDS)
+            limit = min(deadline, loop.time() + CONNECT_TIMEOUT_SECONDS)
             async with asyncio.timeout_at(limit):
                 pooled = await self._connect()
         except (BackendConnectError, BackendLostError, BackendRefusedError, TimeoutError) as error:
-            self._failing_until = loop.time() + MINIMUM_RETRY_SECONDS
-            self._release_place()
+            self._connect_paused_until = loop.time() + MINIMUM_RETRY_AFTER_SECONDS
+            self._release_slot()
             raise BackendConnectError(str(error), step="connect", peer=self.peer) from error
         except BaseException:
-            self._release_place()
+            self._release_slot()
             raise
         self.leased[pooled] = None
         return pooled
 
     async def _connect(self) -> PooledConnection:
-        connection = await self._opener()
+        connection = await self._connection_factory()
         pooled = PooledConnection(connection, self.peer, self._late_answers)
         try:
-            # What is known of a member holds for one start of it: learn which one this is.
+            # A member's known state holds for one incarnation: get that of this connection.
             pooled.incarnation = (await connection.status()).incarnation
         except BaseException:
             connection.close()
             raise
         return pooled
 
-    async def _wait_turn(self, deadline: float, priority: Priority) -> None:
+    async def _wait_in_queue(self, deadline: float, priority: Priority) -> None:
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._make_room(priority)
+        self._make_queue_room(priority)
         self._sequence += 1
         entry = (int(priority), self._sequence, future)
         heapq.heappush(self._waiting, entry)
@@ -245,12 +250,12 @@
             elif future.cancelled():
                 self._wake_one()
 
-    def _make_room(self, priority: Priority) -> None:
-        """Keep the queue bounded: of the least urgent requests the last is refused at once.
+    def _make_queue_room(self, priority: Priority) -> None:
+        """Refuse the last request of lowest priority if the queue is full.
 
-        :raises NotRunError: if that is the request that has just come.
+        :raises NotRunError: if that is the arriving request.
         """
-        if has_room(len(self._waiting), self._queue_length):
+        if has_queue_room(len(self._waiting), self._queue_length):
             return
         last = max(self._waiting, default=None)
         if last is None or not displaces_last(last[0], priority):
@@ -266,9 +271,9 @@
         return NotRunError(message, retry_after_seconds=retry_after, step="acquire", peer=self.peer)
 
     def release(self, connection: PooledConnection, seconds: float | None = None) -> None:
-        """Give a connection back; one whose answer is late is closed.
+        """Return a connection to the pool, or close it if it is not reusable.
 
-        :param seconds: how long the statement took, for the latency estimate.
+        :param seconds: duration of the statement, for the latency estimate.
         """
         self.leased.pop(connection, None)
         if seconds is not None:
@@ -280,15 +285,15 @@
             self._wake_one()
 
     def discard(self, connection: PooledConnection) -> None:
-        """Close a connection in doubt."""
+        """Close a leased connection whose state is uncertain."""
         self.leased.pop(connection, None)
         self._close(connection)
 
     def _close(self, connection: PooledConnection) -> None:
         connection.close()
-        self._release_place()
+        self._release_slot()
 
-    def _release_place(self) -> None:
+    def _release_slot(self) -> None:
         self.open_count -= 1
         self._wake_one()
 
@@ -300,17 +305,17 @@
                 return
 
     def close_idle(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         while self._idle:
             self._close(self._idle.pop())
 
     def abort_leased(self) -> None:
-        """Make all running statements end as lost, since the member was replaced."""
+        """Make all running statements fail as lost, because another primary was elected."""
         for connection in list(self.leased):
             connection.abort()
 
     def set_limit(self, limit: int) -> None:
-        """Change the limit; surplus idle connections are closed at once."""
+        """Change the maximum number of connections; surplus idle ones are closed at once."""
         self.limit = max(1, limit)
         while self._idle and self.open_count > self.limit:
             self._close(self._idle.pop(0))
--- a/src/rowanrail/sql_proxy/session.py
+++ b/src/rowanrail/sql_proxy/session.py
@@ -1,7 +1,7 @@
-"""A caller's session: what it must see, what it set, and its transaction.
+"""A caller's session, one for each client connection: classifies and dispatches statements.
 
-For the frontend, one for each connection of a caller. Owns the variables, the positions, the pinned
-connection and the open transaction; relies on the group's services to run statements.
+Owns the session's variables, positions, pinned connection and open transaction; the services of the
+group run the statements.
 """
 
 import asyncio
@@ -26,28 +26,28 @@
 )
 from rowanrail.sql_proxy.limits import (
     DEFAULT_DEADLINE_SECONDS,
-    overdue_reason,
-    statement_seconds,
+    rollback_reason,
+    statement_timeout_seconds,
 )
-from rowanrail.sql_proxy.pinned import PinnedConnection
+from rowanrail.sql_proxy.pinned_connection import PinnedConnection
 from rowanrail.sql_proxy.policies import Pinning
 from rowanrail.sql_proxy.pool import Priority
-from rowanrail.sql_proxy.positions import SessionPositions
-from rowanrail.sql_proxy.rules import allows_replica
+from rowanrail.sql_proxy.routing_rules import allows_replica
 from rowanrail.sql_proxy.services import GroupServices, SqlSessionHost
+from rowanrail.sql_proxy.session_positions import SessionPositions
 from rowanrail.sql_proxy.session_variables import SessionVariables
 from rowanrail.sql_proxy.transaction import SqlTransaction, TransactionState
 
-VAR_STRING_TYPE = 253  # of MySQL's protocol
+VAR_STRING_TYPE = 253  # MYSQL_TYPE_VAR_STRING
 REQUEST_ATTRIBUTE = "request_id"
 DEADLINE_ATTRIBUTE = "deadline_ms"
-# Seconds for the rollback of a transaction whose caller is gone. Chosen.
-ABANDON_SECONDS = 1.0
+# Timeout in seconds for rolling back the transaction of a session that is reset or closed.
+ABANDON_ROLLBACK_SECONDS = 1.0
 _READS = (Kind.READ, Kind.SHOW)
 
 
 class SqlSession:
-    """One caller's session. Statements of a session run one after the other."""
+    """One caller's session, which runs one statement at a time."""
 
     def __init__(self, host: SqlSessionHost, user: str, database: str) -> None:
         self.user = user
@@ -61,7 +61,7 @@
         self._variables = SessionVariables()
         self._pinned = PinnedConnection()
 
-    # State that callers see
+    # State visible to callers
 
     @property
     def in_transaction(self) -> bool:
@@ -74,21 +74,21 @@
         return self._variables.autocommit
 
     def token(self) -> str:
-        """Return the session's token."""
+        """Return the session token, which carries the positions to another connection."""
         return self._positions.token()
 
-    def take_token(self, token: str) -> None:
-        """Make the session see at least what ``token`` stands for.
+    def merge_token(self, token: str) -> None:
+        """Raise the session's positions to those in ``token``.
 
         :raises InvalidRequestError: if the token is damaged.
         """
-        self._positions.take_token(token)
+        self._positions.merge_token(token)
 
     def use(self, database: str) -> None:
         """Change the default database.
 
-        :raises CallerError: if the user may not use it, no group serves it, or a
-            transaction of another group is open.
+        :raises CallerError: if the user may not use it, no group serves it, or a transaction or
+            pinned connection of another group is open.
         """
         group = self._host.group_spec(self.user, database)
         current = self._host.database_group(self.database)
@@ -101,27 +101,28 @@
     async def execute(self, sql: str, attributes: dict[str, str]) -> StatementResult:
         """Run a statement.
 
-        :raises CallerError: the caller's error.
+        :param attributes: query attributes: token, request id and deadline of the statement.
+        :raises CallerError: if the statement fails.
         """
         self._host.check_accepting(self)
         self.busy = True
         try:
-            self._take_attributes(attributes)
+            self._apply_attributes(attributes)
             if is_token_query(sql):
                 return _text_result(TOKEN_VARIABLE, self.token())
             statement = classify(sql)
             deadline = self._deadline(attributes)
             result = await self._dispatch(sql, statement, deadline)
-            self._variables.remember(result)
+            self._variables.record_result(result)
             return result
         finally:
             self.busy = False
             self._host.session_idle(self)
 
-    def _take_attributes(self, attributes: dict[str, str]) -> None:
+    def _apply_attributes(self, attributes: dict[str, str]) -> None:
         token = attributes.get(TOKEN_VARIABLE)
         if token:
-            self.take_token(token)
+            self.merge_token(token)
         request_id = attributes.get(REQUEST_ATTRIBUTE) or attributes.get(REQUEST_VARIABLE)
         if request_id:
             self._variables.request_id = request_id
@@ -136,7 +137,7 @@
             raise InvalidRequestError(
                 f"{DEADLINE_ATTRIBUTE} {given!r} is not a number", step="deadline"
             )
-        return now + statement_seconds(allowed, int(given) if given else None)
+        return now + statement_timeout_seconds(allowed, int(given) if given else None)
 
     async def _dispatch(
         self, sql: str, statement: ClassifiedStatement, deadline: float
@@ -166,13 +167,13 @@
         self, sql: str, statement: ClassifiedStatement, deadline: float
     ) -> StatementResult:
         if statement.kind is Kind.DEFINITION and self.transaction is not None:
-            await self._commit(deadline)  # definitions end a transaction in MySQL, too
+            await self._commit(deadline)  # data definition commits implicitly, as in MySQL
         if statement.kind is Kind.PINNING and not self._pinned.is_held and not self.transaction:
             await self._pin(deadline)
         if not self._variables.autocommit and not self.transaction and statement.tables:
             await self._begin("BEGIN", ClassifiedStatement(Kind.BEGIN), deadline)
         if not self._pinned.is_held:
-            sql = self._variables.fill_functions(sql)
+            sql = self._variables.substitute_functions(sql)
         if self.transaction is not None:
             is_write = statement.kind not in _READS
             return await self.transaction.execute(sql, is_write, deadline)
@@ -187,12 +188,14 @@
     ) -> StatementResult:
         services = self._services()
         spec = services.group.spec
-        allow = allows_replica(spec.rules, statement, self.database, self.user)
+        allow_replica = allows_replica(spec.rules, statement, self.database, self.user)
         if statement.kind is Kind.SESSION_FUNCTION or not (statement.tables or statement.schemas):
-            floor, allow = ORIGIN, statement.kind is not Kind.SHOW or allow
+            floor, allow_replica = ORIGIN, statement.kind is not Kind.SHOW or allow_replica
         else:
             floor = await self._positions.floor(services, deadline)
-        return await services.reader.run(sql, floor, allow, self._variables.settings, deadline)
+        return await services.reader.run(
+            sql, floor, allow_replica, self._variables.settings, deadline
+        )
 
     async def _write(self, sql: str, deadline: float, is_read: bool) -> StatementResult:
         services = self._services()
@@ -201,7 +204,7 @@
         result = await services.writer.run(
             sql, request_id, self._variables.settings, deadline, floor
         )
-        self._positions.note(services.spec.name, result)
+        self._positions.record_write(services.spec.name, result)
         return result
 
     def _take_request_id(self, spec: GroupSpec) -> str:
@@ -222,17 +225,17 @@
     async def _set(self, sql: str, deadline: float) -> StatementResult:
         command = parse_set(sql)
         if command.kind is SetKind.TOKEN:
-            self.take_token(command.value)
+            self.merge_token(command.value)
         elif command.kind is SetKind.REQUEST_ID:
             self._variables.request_id = command.value
         elif command.kind is SetKind.AUTOCOMMIT:
             await self._set_autocommit(command.value == "1", deadline)
         elif command.kind is SetKind.NEXT_TRANSACTION:
-            self._variables.before_next_transaction.append(command.value)
+            self._variables.pre_transaction_statements.append(command.value)
         elif command.kind is SetKind.COMPUTED:
             return await self._run(sql, ClassifiedStatement(Kind.PINNING), deadline)
-        elif command.kind is SetKind.CARRIED:
-            return await self._carry(command.value, deadline)
+        elif command.kind is SetKind.SESSION_VARIABLE:
+            return await self._set_variable(command.value, deadline)
         return StatementResult()
 
     async def _set_autocommit(self, on: bool, deadline: float) -> None:
@@ -240,14 +243,14 @@
             await self._commit(deadline)
         self._variables.autocommit = on
 
-    async def _carry(self, setting: str, deadline: float) -> StatementResult:
+    async def _set_variable(self, setting: str, deadline: float) -> StatementResult:
         settings = self._variables.with_setting(setting)
         if self.transaction is not None:
             await self.transaction.execute(setting, False, deadline)
         elif self._pinned.is_held:
             await self._pinned.execute(setting, deadline)
         else:
-            # Tried at once, so that a wrong one is refused here and not at a later statement.
+            # Apply the setting once, so that an invalid one is refused here.
             reader = self._services().reader
             lease = await reader.lease(ORIGIN, True, settings, deadline)
             lease.release()
@@ -266,7 +269,7 @@
         is_write = statement.kind in (Kind.WRITE, Kind.DEFINITION)
         result = await self._pinned.run(services, sql, is_write, deadline)
         if is_write:
-            self._positions.note(services.spec.name, result)
+            self._positions.record_write(services.spec.name, result)
         return result
 
     # Transactions
@@ -278,7 +281,7 @@
             await self._commit(deadline)
         services = self._services()
         spec = services.group.spec
-        services.check_transactions()
+        services.check_transaction_limit()
         on_replica = statement.kind is Kind.BEGIN_READ_ONLY and allows_replica(
             spec.rules, statement, self.database, self.user
         )
@@ -291,11 +294,11 @@
             lease = await services.writer.lease_primary(
                 deadline, Priority.TRANSACTION, self._variables.settings, floor
             )
-        before = self._variables.take_before_transaction()
+        before = self._variables.take_pre_transaction_statements()
         transaction = SqlTransaction(lease, services, self._pinning, may_write=not on_replica)
         result = await transaction.begin(sql, before, deadline)
         self.transaction = transaction
-        services.transactions += 1
+        services.open_transactions += 1
         return result
 
     async def _commit(self, deadline: float) -> StatementResult:
@@ -310,7 +313,7 @@
             result = await transaction.commit(request_id, self._variables.settings, deadline)
         finally:
             self._end_transaction()
-        self._positions.note(spec.name, result)
+        self._positions.record_write(spec.name, result)
         return result
 
     async def _roll_back(self, deadline: float) -> StatementResult:
@@ -327,18 +330,18 @@
 
     def _end_transaction(self) -> None:
         if self.transaction is not None:
-            self.transaction.services.transactions -= 1
+            self.transaction.services.open_transactions -= 1
             self.transaction = None
 
     def check_limits(self, now: float) -> None:
-        """Roll back a transaction that is idle or open for too long."""
+        """Roll back the transaction if it has been idle or open for too long."""
         transaction = self.transaction
         if transaction is None or self.busy:
             return
         limits = transaction.services.spec.limits
         if transaction.state is not TransactionState.OPEN:
             return
-        reason = overdue_reason(
+        reason = rollback_reason(
             now - transaction.used_at,
             limits.transaction_idle_seconds,
             now - transaction.began_at,
@@ -350,7 +353,7 @@
     # End
 
     async def reset(self) -> None:
-        """Forget what the session set and roll back its transaction (COM_RESET_CONNECTION)."""
+        """Reset the session variables and roll back the transaction (COM_RESET_CONNECTION)."""
         await self._abandon()
         self._variables.reset()
 
@@ -364,9 +367,9 @@
         self._pinned.drop()
         if self.transaction is not None:
             try:
-                await self._roll_back(asyncio.get_running_loop().time() + ABANDON_SECONDS)
+                await self._roll_back(asyncio.get_running_loop().time() + ABANDON_ROLLBACK_SECONDS)
             except CallerError:
-                return  # the member rolls back once the connection is closed
+                return  # the member rolls back when the connection is closed
 
 
 def _text_result(name: str, value: str) -> StatementResult:
--- a/src/rowanrail/tenants/demand.py
+++ b/src/rowanrail/tenants/demand.py
@@ -1,7 +1,7 @@
-"""What the gateways of a region, and the other regions, run for tenants: summed by one of them.
+"""Tenants' demand, summed over the gateways of a region and over all regions.
 
-Owns the last report of each gateway and region with its age; what is older than its time is left
-out of the sums. The order of the messages' fields is on the wire.
+One gateway of a region aggregates the last report of each gateway and region; expired reports are
+left out. The structs are encoded as arrays, so the order of their fields is fixed.
 """
 
 from collections.abc import Iterable
@@ -11,39 +11,38 @@
 
 from rowanrail.kernel.clock import Clock
 
-__all__ = ["Demand", "DemandBook", "Report"]
+__all__ = ["Demand", "DemandAggregator", "DemandSummary"]
 
-# A gateway's last report counts for a window, and for the 3 s before it counts as alone.
-GATEWAY_MS = 8000.0
-# Another region's counts for longer, since its clients go on where it is only cut off; twice
-# the time for which regions lose each other on most days.
-REGION_MS = 10000.0
-# Three reports: after it nothing is known of how a count goes on, and the sender counts as silent.
+# A window, plus the 3 s after which a gateway without totals counts as isolated.
+GATEWAY_REPORT_TTL_MS = 8000.0
+# Longer than for a gateway, since an unreachable region still serves its clients.
+REGION_REPORT_TTL_MS = 10000.0
+# Three report intervals, after which the sender's rates are unknown.
 STALE_MS = 1000.0
 
 
 class Demand(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Operations of one tenant.
+    """Numbers of operations of one tenant.
 
     Parameters
     ----------
-    begun : int
-        That began in the last window.
-    begun_lately : int
-        That began in the last second.
-    asked_lately : int
-        That were asked for in the last second, begun or refused.
-    leaving : int
-        That leave the window within the next second.
-    silent : int
-        Of those that began, what is known from gateways that are not heard any more.
+    admitted : int
+        Admitted in the last window.
+    recently_admitted : int
+        Admitted in the last second.
+    recently_requested : int
+        Requested in the last second, whether admitted or refused.
+    expiring : int
+        Expiring from the window within the next second.
+    stale : int
+        Admitted ones that are known only from stale reports.
     """
 
-    begun: int = 0
-    begun_lately: int = 0
-    asked_lately: int = 0
-    leaving: int = 0
-    silent: int = 0
+    admitted: int = 0
+    recently_admitted: int = 0
+    recently_requested: int = 0
+    expiring: int = 0
+    stale: int = 0
 
     def __add__(self, other: "Demand") -> "Demand":
         """Return the sum.
@@ -51,69 +50,69 @@
         Examples
         --------
         >>> Demand(5, 1, 2) + Demand(1, 1, 1)
-        Demand(begun=6, begun_lately=2, asked_lately=3, leaving=0, silent=0)
+        Demand(admitted=6, recently_admitted=2, recently_requested=3, expiring=0, stale=0)
         """
         return Demand(
-            self.begun + other.begun,
-            self.begun_lately + other.begun_lately,
-            self.asked_lately + other.asked_lately,
-            self.leaving + other.leaving,
-            self.silent + other.silent,
+            self.admitted + other.admitted,
+            self.recently_admitted + other.recently_admitted,
+            self.recently_requested + other.recently_requested,
+            self.expiring + other.expiring,
+            self.stale + other.stale,
         )
 
-    def scaled(self, heard_share: float) -> "Demand":
-        """Return the demand of the whole fleet, of which only a share is heard.
+    def scaled(self, reporting_share: float) -> "Demand":
+        """Return the demand extrapolated to the whole fleet, of which only a share reports.
 
-        Who is not heard is taken to run as much as the others: all sides of a split do so, and
-        hold themselves to parts of a limit that add up to the limit.
+        Gateways that don't report are assumed to admit as much as the others. All partitions of a
+        network do so, and thus hold themselves to shares that add up to the limit.
 
         Examples
         --------
-        >>> Demand(60, 10, 20, 8, silent=20).scaled(0.5)
-        Demand(begun=80, begun_lately=20, asked_lately=40, leaving=16, silent=20)
+        >>> Demand(60, 10, 20, 8, stale=20).scaled(0.5)
+        Demand(admitted=80, recently_admitted=20, recently_requested=40, expiring=16, stale=20)
         """
-        heard = (self.begun - self.silent) / heard_share
+        extrapolated = (self.admitted - self.stale) / reporting_share
         return Demand(
-            max(self.begun, round(heard)),
-            round(self.begun_lately / heard_share),
-            round(self.asked_lately / heard_share),
-            round(self.leaving / heard_share),
-            self.silent,
+            max(self.admitted, round(extrapolated)),
+            round(self.recently_admitted / reporting_share),
+            round(self.recently_requested / reporting_share),
+            round(self.expiring / reporting_share),
+            self.stale,
         )
 
 
-class Report(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What one gateway, or all of a region, run for tenants.
+class DemandSummary(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """Demand of all tenants at one gateway, or at all gateways of a region.
 
     Parameters
     ----------
     tenants : dict of str to Demand
     gateways : int
-        How many gateways it speaks for that are still heard.
-    unknown : float
-        Of how many of their windows nothing is known, since they have started a short while ago.
+        Number of gateways included whose reports are not stale.
+    unknown_windows : float
+        Sum of the unknown shares of their windows, from before the gateways started.
     is_early : bool
-        Whether it comes before its turn, since some tenant's demand has grown suddenly.
+        Whether a burst of some tenant made it immediate.
     """
 
     tenants: dict[str, Demand]
     gateways: int = 1
-    unknown: float = 0.0
+    unknown_windows: float = 0.0
     is_early: bool = False
 
     @property
     def unknown_share(self) -> float:
-        """Which share of the last window nothing is known of."""
-        return self.unknown / max(1, self.gateways)
+        """Share of the last window of which nothing is known."""
+        return self.unknown_windows / max(1, self.gateways)
 
 
-class _Heard(NamedTuple):
-    report: Report
-    at: float
+class _ReceivedReport(NamedTuple):
+    report: DemandSummary
+    received_at: float
 
 
-class DemandBook:
-    """The last report of each gateway of the own region and of each other region.
+class DemandAggregator:
+    """Sums the last reports of the gateways of this region and of the other regions.
 
     Parameters
     ----------
@@ -123,68 +122,70 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._gateways: dict[str, _Heard] = {}
-        self._regions: dict[str, _Heard] = {}
+        self._gateways: dict[str, _ReceivedReport] = {}
+        self._regions: dict[str, _ReceivedReport] = {}
         self._has_burst = False
 
     @property
     def has_burst(self) -> bool:
-        """Whether a gateway reported a burst that other regions have not heard of yet."""
+        """Whether a gateway reported a burst that other regions don't know yet."""
         return self._has_burst
 
-    def note_gateway(self, name: str, report: Report) -> None:
-        """Note what a gateway of this region runs for its clients.
+    def record_gateway(self, name: str, report: DemandSummary) -> None:
+        """Record the report of a gateway of this region.
 
         Parameters
         ----------
         name : str
-            Another one for each life of a gateway: what it began before it ended still counts.
+            Unique to each run of a gateway: what it admitted before a restart still counts.
         """
         self._has_burst = self._has_burst or report.is_early
-        self._gateways[name] = _Heard(report, self._clock.now)
+        self._gateways[name] = _ReceivedReport(report, self._clock.now)
 
-    def note_region(self, name: str, report: Report) -> None:
-        """Note what another region runs for its clients."""
-        self._regions[name] = _Heard(report, self._clock.now)
+    def record_region(self, name: str, report: DemandSummary) -> None:
+        """Record the report of another region."""
+        self._regions[name] = _ReceivedReport(report, self._clock.now)
 
-    def tell_region(self) -> Report:
-        """Return the sums of this region for the others, who know of each burst then."""
+    def take_region_totals(self) -> DemandSummary:
+        """Return the totals of this region for the others, and reset the burst flag."""
         self._has_burst = False
-        return self.region()
+        return self.region_totals()
 
-    def region(self) -> Report:
-        """Return the sums of this region."""
-        self._gateways = self._since(self._gateways, GATEWAY_MS)
+    def region_totals(self) -> DemandSummary:
+        """Return the totals of this region."""
+        self._gateways = self._unexpired(self._gateways, GATEWAY_REPORT_TTL_MS)
         return _sum(map(self._as_of_now, self._gateways.values()))
 
-    def fleet(self) -> Report:
-        """Return the sums of all regions."""
-        self._regions = self._since(self._regions, REGION_MS)
-        return _sum([self.region(), *map(self._as_of_now, self._regions.values())])
+    def fleet_totals(self) -> DemandSummary:
+        """Return the totals of all regions."""
+        self._regions = self._unexpired(self._regions, REGION_REPORT_TTL_MS)
+        return _sum([self.region_totals(), *map(self._as_of_now, self._regions.values())])
 
-    def _as_of_now(self, heard: _Heard) -> Report:
-        """Return a report; of an old one only what began, not how that goes on."""
-        if self._clock.now - heard.at <= STALE_MS:
-            return heard.report
-        tenants = heard.report.tenants.items()
-        silent = {name: Demand(demand.begun, silent=demand.begun) for name, demand in tenants}
-        return Report(silent, gateways=0)
+    def _as_of_now(self, received: _ReceivedReport) -> DemandSummary:
+        """Return a report; of a stale one only the admitted operations, without rates."""
+        if self._clock.now - received.received_at <= STALE_MS:
+            return received.report
+        tenants = received.report.tenants.items()
+        stale = {name: Demand(demand.admitted, stale=demand.admitted) for name, demand in tenants}
+        return DemandSummary(stale, gateways=0)
 
-    def _since(self, known: dict[str, _Heard], age: float) -> dict[str, _Heard]:
-        limit = self._clock.now - age
-        return {name: heard for name, heard in known.items() if heard.at >= limit}
+    def _unexpired(
+        self, reports: dict[str, _ReceivedReport], ttl_ms: float
+    ) -> dict[str, _ReceivedReport]:
+        since = self._clock.now - ttl_ms
+        return {name: report for name, report in reports.items() if report.received_at >= since}
 
 
-def _sum(reports: Iterable[Report]) -> Report:
+def _sum(reports: Iterable[DemandSummary]) -> DemandSummary:
     tenants: dict[str, Demand] = {}
     gateways = 0
     unknown = 0.0
     for report in reports:
         gateways += report.gateways
-        unknown += report.unknown
+        unknown += report.unknown_windows
         for tenant, demand in report.tenants.items():
-            tenants[tenant] = tenants.get(tenant, _NONE) + demand
-    return Report(tenants, gateways, unknown)
+            tenants[tenant] = tenants.get(tenant, _NO_DEMAND) + demand
+    return DemandSummary(tenants, gateways, unknown)
 
 
-_NONE = Demand()
+_NO_DEMAND = Demand()
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -5,7 +5,13 @@
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.model.position import Position
-from rowanrail.model.statements import NOT_RUN, Answer, CommandKind, Refusal, SessionState
+from rowanrail.model.statements import (
+    NO_EFFECT_REFUSALS,
+    Answer,
+    CommandKind,
+    Refusal,
+    SessionState,
+)
 from rowanrail.placement.hashed import Population
 from rowanrail.scheduling.queue import QueueEntry
 from tests.support.gateway import PlayedGateway
@@ -192,7 +198,7 @@
         # Regression: the loss was only visible to polling, and not reported.
         played = PlayedGateway()
         alarms = []
-        played.gateway.on_alarm = lambda: alarms.append(played.clock.now)
+        played.gateway.on_primary_change = lambda: alarms.append(played.clock.now)
         client = played.client("orders")
         client.run("WRITE a 1")
         played.clock.advance(0.1)
@@ -263,8 +269,10 @@
         asked = len(played.near.ran)
         played.clock.advance(1.0)
         self.assertEqual(len(played.near.ran), asked)
-        probes = played.gateway.services["db"].primary._sampler._probes
-        self.assertEqual([name for name, probe in probes.items() if probe.is_open], ["m3"])
+        connections = played.gateway.services["db"].primary._sampler._connections
+        self.assertEqual(
+            [name for name, connection in connections.items() if connection.is_open], ["m3"]
+        )
 
     def test_writes_resume_as_soon_as_the_primary_is_proved_again(self):
         # Regression: the pool of a recovered primary was avoided for up to 2 s longer.
@@ -563,7 +571,7 @@
         client = self.played.client("orders")
         self.played.primary.primary = False
         answer = client.run("WRITE a 1", seconds=0.36)
-        self.assertIn(answer.refusal, NOT_RUN)
+        self.assertIn(answer.refusal, NO_EFFECT_REFUSALS)
         self.assertEqual(self.played.primary.texts(), ["WRITE a 1"])
 
 
