--- a/src/rowanrail/consensus/node.py
+++ b/src/rowanrail/consensus/node.py
@@ -144,6 +144,7 @@
         :raises NotLeaderError: if the node does not lead; nothing was appended.
         :raises SupersededError: if another leader's entry took its index.
         :raises LeadershipLostError: if the outcome is unknown.
+        :raises StorageError: if the storage has failed; a pending entry may still be applied.
         """
         entry = self.append(data)
         return await self._pending.wait_entry(entry)
@@ -166,6 +167,7 @@
         """Wait until the state machine has applied all entries committed before the call.
 
         :raises NotLeaderError: if the node does not lead, or can't confirm that it does.
+        :raises StorageError: if the storage has failed.
         """
         self.raise_if_failed("read")
         token, future = self._pending.wait_read()
--- a/src/rowanrail/sql_control/messages.py
+++ b/src/rowanrail/sql_control/messages.py
@@ -36,7 +36,7 @@
     :param change_id: id of the change, which a resend repeats.
     :param base_version: version that the delta is based on.
     :param explicit: whether the operator named the base version.
-    :param digest: digest of the operator's request, by which a resend is told from a reused id.
+    :param digest: digest of the operator's request, which distinguishes a resend from a reused id.
     """
 
     change_id: str
