--- a/tests/integration/test_control_folder.py
+++ b/tests/integration/test_control_folder.py
@@ -1,4 +1,4 @@
-"""A control node's folder: full, backed up, restored, and what a person sees of it."""
+"""A control node's data folder: full disk, backup, restore and their error messages."""
 
 import unittest
 
--- a/tests/integration/test_dead_quorum.py
+++ b/tests/integration/test_dead_quorum.py
@@ -1,4 +1,4 @@
-"""Two of three control nodes are dead: what callers and operators see."""
+"""Callers and operators' commands while two of three control nodes are dead."""
 
 import signal
 import tempfile
@@ -40,7 +40,7 @@
             cursor.execute("SELECT 1")
             return cursor.fetchone()
 
-    def test_callers_go_on_and_operators_are_told(self):
+    def test_callers_are_served_and_operators_get_an_error(self):
         shared, path = self.shared, self.changed_file()
         dead = [node.name for node in shared.file.controls[:2]]
         for name in dead:
@@ -52,7 +52,7 @@
         self.assertNotIn("Traceback", refused.stderr)
         for proxy in shared.file.proxies:
             self.assertEqual(self.query(proxy), (1,))
-        with self.subTest("a proxy that restarts takes what its zone or region knows"):
+        with self.subTest("a restarted proxy takes the configuration of its zone or region"):
             proxy = shared.file.proxies[0]
             shared.fleet.signal(proxy.name, signal.SIGTERM)
             shared.fleet.wait_exit(proxy.name, 20)
--- a/tests/integration/test_operators.py
+++ b/tests/integration/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' commands and daemons' errors, as a person sees them."""
+"""Output of operators' commands and error messages of daemons."""
 
 import tempfile
 import unittest
@@ -60,7 +60,7 @@
 
     def test_drain_reaches_every_proxy_and_status_shows_it(self):
         group = shared.file.groups[0]
-        # Proxies report their members with each poll, the first time before any has answered.
+        # A proxy's first report may precede its members' first status.
         wait_until(lambda: self.shown_replicas(group))
         replica = self.shown_replicas(group)[0]
         self.assertEqual(shared.command("drain", f"{group.name}/{replica}").returncode, 0)
