--- a/tests/forms/texts.py
+++ b/tests/forms/texts.py
@@ -29,7 +29,7 @@
     "OutcomeUnknownError",
     "RequestConflictError",
     "UnknownDatabaseError",
-    "_end",
+    "_close_with_error",
     "_fail",
     "_refuse",
     "abort",
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -9,7 +9,7 @@
 from rowanrail.tenants.model import Tenant, key_digest
 from tests.support import platform_path  # noqa: F401 - it is imported for its effect
 
-from rowanrail_platform.configuration import DocumentFormat  # isort: skip
+from rowanrail_platform.configuration import JsonDocumentFormat  # isort: skip
 
 DOCUMENT = {
     "version": 9,
@@ -36,7 +36,7 @@
 
 
 def parse(document):
-    return DocumentFormat().parse(msgspec.json.encode(document))
+    return JsonDocumentFormat().parse(msgspec.json.encode(document))
 
 
 class DocumentNamesTest(unittest.TestCase):
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -20,7 +20,7 @@
 class HeartbeatTest(unittest.TestCase):
     def record(self, **fields):
         body = msgspec.json.encode(PLAIN | fields)
-        return msgspec.json.decode(body, type=Heartbeat).record("i-1")
+        return msgspec.json.decode(body, type=Heartbeat).to_member_record("i-1")
 
     def test_a_member_tells_how_long_it_stays_slow(self):
         self.assertEqual(self.record(**{"cold-ms": 3200}).cold_ms, 3200)
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -9,7 +9,7 @@
 from tests.support import platform_path  # noqa: F401 - it is imported for its effect
 from tests.support.platform_fleet import configuration
 
-from rowanrail_platform.configuration import DocumentFormat  # isort: skip
+from rowanrail_platform.configuration import JsonDocumentFormat  # isort: skip
 
 
 def tenant(name, *keys, **changes):
@@ -18,7 +18,7 @@
 
 def parse(*tenants, **changes):
     document = configuration(7, tenants=list(tenants), **changes)
-    return DocumentFormat().parse(msgspec.json.encode(document))
+    return JsonDocumentFormat().parse(msgspec.json.encode(document))
 
 
 class DocumentTest(unittest.TestCase):
@@ -29,13 +29,13 @@
         self.assertEqual(tenants.tenants.by_name["b"].rate, 10)
 
     def test_a_document_without_tenants_asks_for_no_keys(self):
-        parsed = DocumentFormat().parse(msgspec.json.encode(configuration(7)))
+        parsed = JsonDocumentFormat().parse(msgspec.json.encode(configuration(7)))
         self.assertIsNone(parsed.unwrap().tenants)
 
     def test_routes_say_whether_they_take_anybody(self):
         document = configuration(7, tenants=[])
         document["routes"][0]["no-auth"] = True
-        parsed = DocumentFormat().parse(msgspec.json.encode(document)).unwrap()
+        parsed = JsonDocumentFormat().parse(msgspec.json.encode(document)).unwrap()
         self.assertEqual([route.takes_anybody for route in parsed.routes.values()].count(True), 1)
 
     def test_what_is_wrong_is_told_by_its_path_and_never_by_the_key(self):
@@ -62,7 +62,7 @@
             raw = raw.replace(b'"rate-per-s":10', b'"rate-per-s":' + msgspec.json.encode(rate))
             if rate == float("inf"):
                 raw = raw.replace(b"null", b"1e999")
-            self.assertIsInstance(DocumentFormat().parse(raw), Failure, rate)
+            self.assertIsInstance(JsonDocumentFormat().parse(raw), Failure, rate)
 
     def test_no_limit_is_valid(self):
         self.assertIsInstance(parse({"name": "a", "api-keys": ["k"]}), Success)
