--- a/tests/forms/names.py
+++ b/tests/forms/names.py
@@ -33,7 +33,7 @@
 from rowanrail.sql_control.http_api import ChangeBody
 from rowanrail.sql_proxy.directory import MachineList
 from rowanrail.sql_proxy.report import ProxyMetrics
-from tests.forms.form import form_of, plain
+from tests.forms.schema import schema_of, to_json_value
 from tests.support import platform_path  # noqa: F401 - it is imported for its effect
 
 # isort: split
@@ -41,12 +41,12 @@
 from rowanrail_platform.configuration import _Document
 from rowanrail_platform.control_api import Heartbeat
 
-__all__ = ["gather"]
+__all__ = ["gather_names"]
 
 ROOT = Path(rowanrail.__file__).resolve().parents[2]
 PROGRAM = ROOT / "platform" / "main.py"
-DEPLOYED = ("system.toml", "control.json", "proxy.json")
-DOCUMENTS = {
+DEPLOYED_FILES = ("system.toml", "control.json", "proxy.json")
+DOCUMENT_TYPES = {
     "proxy": settings.ProxySettings,
     "control": settings.ControlSettings,
     "gateway": settings.GatewaySettings,
@@ -57,10 +57,10 @@
     "change": ChangeBody,
     "list of machines": MachineList,
 }
-LOGGING = ("note", "emit")
+LOGGING_METHODS = ("note", "emit")
 
 
-def modules() -> list[ModuleType]:
+def import_all_modules() -> list[ModuleType]:
     """Import and return all modules of the product."""
     found = []
     for package in (rowanrail, rowanrail_platform):
@@ -70,26 +70,27 @@
     return found
 
 
-def gather() -> dict[str, Any]:
+def gather_names() -> dict[str, Any]:
     """Return all names, in JSON's terms."""
-    loaded = modules()
+    loaded = import_all_modules()
     trees = {module: ast.parse(Path(module.__file__ or "").read_text()) for module in loaded}
     return {
         "documents": {
-            name: form_of(inspect.type_info(kind)) for name, kind in sorted(DOCUMENTS.items())
+            name: schema_of(inspect.type_info(kind))
+            for name, kind in sorted(DOCUMENT_TYPES.items())
         },
-        "events": _events(trees),
+        "events": _log_events(trees),
         "statement lines": _statement_lines(),
-        "log values": _enumerations(loaded),
+        "log values": _enumeration_values(loaded),
         "metrics": _metrics(trees),
-        "paths": _paths(trees),
-        "commands": dict(_commands(command_line, "rowanrail")),
+        "paths": _http_paths(trees),
+        "commands": dict(_cli_commands(command_line, "rowanrail")),
         "exit codes": {code.name: code.value for code in ExitCode},
-        "program": _program(),
+        "program": _program_output(),
         "plug-ins": sorted("/".join(key) for key in registry._registered if _is_product(key)),
         "deployed": {
             name: hashlib.sha256((ROOT / "deploy" / name).read_bytes()).hexdigest()
-            for name in DEPLOYED
+            for name in DEPLOYED_FILES
         },
     }
 
@@ -101,15 +102,19 @@
 # Events
 
 
-def _events(trees: dict[ModuleType, ast.Module]) -> dict[str, Any]:
+def _log_events(trees: dict[ModuleType, ast.Module]) -> dict[str, Any]:
     """Return level and fields by number; under ``?`` the fields of calls whose event varies."""
     fields: dict[str, set[str]] = {str(number): set() for number in CATALOGUE}
     fields["?"] = set()
     for module, tree in trees.items():
         for call in ast.walk(tree):
-            if isinstance(call, ast.Call) and _name(call.func) in LOGGING and call.args:
+            if (
+                isinstance(call, ast.Call)
+                and _function_name(call.func) in LOGGING_METHODS
+                and call.args
+            ):
                 named = {keyword.arg for keyword in call.keywords if keyword.arg}
-                numbers = _numbers(module, call.args[0]) or ["?"]
+                numbers = _event_numbers(module, call.args[0]) or ["?"]
                 for number in numbers:
                     fields[number] |= named
     events = {
@@ -119,16 +124,16 @@
     return {**events, "?": {"level": "", "fields": sorted(fields["?"])}}
 
 
-def _numbers(module: ModuleType, argument: ast.expr) -> list[str]:
-    values = [getattr(module, name.id, None) for name in ast.walk(argument) if _is_name(name)]
+def _event_numbers(module: ModuleType, argument: ast.expr) -> list[str]:
+    values = [getattr(module, name.id, None) for name in ast.walk(argument) if _is_name_node(name)]
     return [str(value.number) for value in values if isinstance(value, Event)]
 
 
-def _is_name(node: ast.AST) -> bool:
+def _is_name_node(node: ast.AST) -> bool:
     return isinstance(node, ast.Name)
 
 
-def _name(function: ast.expr) -> str:
+def _function_name(function: ast.expr) -> str:
     return getattr(function, "attr", "") or getattr(function, "id", "")
 
 
@@ -157,7 +162,7 @@
         return lines.read().splitlines()
 
 
-def _enumerations(loaded: list[ModuleType]) -> list[Any]:
+def _enumeration_values(loaded: list[ModuleType]) -> list[Any]:
     """Return the values of each enumeration; most of them occur in logs or messages."""
     kinds = {
         value
@@ -167,11 +172,14 @@
         and issubclass(value, enum.Enum)
         and value.__module__.startswith("rowanrail")
     }
-    values = [sorted(plain(member) for member in kind if _is_word(member)) for kind in kinds]
+    values = [
+        sorted(to_json_value(member) for member in kind if _is_string_member(member))
+        for kind in kinds
+    ]
     return sorted(each for each in values if each)
 
 
-def _is_word(member: enum.Enum) -> bool:
+def _is_string_member(member: enum.Enum) -> bool:
     return isinstance(member.value, str)
 
 
@@ -188,8 +196,8 @@
             if isinstance(node, ast.Constant) and str(node.value).startswith("rowanrail_"):
                 prefixes.add(str(node.value))
             elif hasattr(module, "Reading"):
-                readings |= set(_reading(node))
-                labels |= set(_labels(node))
+                readings |= set(_reading_names(node))
+                labels |= set(_label_names(node))
     core = mock.Mock(sessions=[])
     core.in_force.version = 1
     core.watched_groups.return_value = []
@@ -200,18 +208,18 @@
         "labels": sorted(labels),
         "words": sorted(word for word in prefixes if word.replace("_", "").isalpha()),
         "fixed": sorted(kind for kind in kinds if "_created" not in kind),
-        "fixed labels": _fixed_labels(ProxyMetrics(core)) + _fixed_labels(Metrics("p", list)),
+        "fixed labels": _declared_labels(ProxyMetrics(core)) + _declared_labels(Metrics("p", list)),
     }
 
 
-def _reading(node: ast.AST) -> Iterator[str]:
+def _reading_names(node: ast.AST) -> Iterator[str]:
     if isinstance(node, ast.Tuple) and len(node.elts) == 3:
         first = node.elts[0]
         if isinstance(first, ast.Constant) and isinstance(first.value, str):
             yield first.value
 
 
-def _labels(node: ast.AST) -> Iterator[str]:
+def _label_names(node: ast.AST) -> Iterator[str]:
     keys: list[Any] = []
     if isinstance(node, ast.Dict):
         keys = list(node.keys)
@@ -222,12 +230,12 @@
             yield key.value
 
 
-def _fixed_labels(metrics: Any) -> list[str]:
+def _declared_labels(metrics: Any) -> list[str]:
     collectors = set(metrics._registry._names_to_collectors.values())
     return sorted(f"{each._name} {' '.join(each._labelnames)}" for each in collectors)
 
 
-def _paths(trees: dict[ModuleType, ast.Module]) -> list[str]:
+def _http_paths(trees: dict[ModuleType, ast.Module]) -> list[str]:
     """Return the strings that begin as the path of a call over HTTP."""
     words = {
         node.value
@@ -241,30 +249,30 @@
 # Command line
 
 
-def _commands(command: click.Command, path: str) -> Iterator[tuple[str, Any]]:
+def _cli_commands(command: click.Command, path: str) -> Iterator[tuple[str, Any]]:
     parameters = {}
     for parameter in command.params:
         kind = parameter.type
         parameters["/".join(parameter.opts)] = {
             "type": kind.name,
-            "choices": [str(plain(each)) for each in getattr(kind, "choices", [])],
+            "choices": [str(to_json_value(each)) for each in getattr(kind, "choices", [])],
             "required": parameter.required,
             "many": parameter.multiple or parameter.nargs != 1,
             "flag": bool(getattr(parameter, "is_flag", False)),
-            "default": _told(parameter.default),
+            "default": _format_default(parameter.default),
         }
     yield path, parameters
     for name, sub in sorted(getattr(command, "commands", {}).items()):
-        yield from _commands(sub, f"{path} {name}")
+        yield from _cli_commands(sub, f"{path} {name}")
 
 
-def _told(default: Any) -> str:
+def _format_default(default: Any) -> str:
     """Return a default in words; what click has in place of one is none."""
-    value = plain(default)
+    value = to_json_value(default)
     return str(value) if isinstance(value, str | int | float | list) and value else ""
 
 
-def _program() -> list[str]:
+def _program_output() -> list[str]:
     """Return what the platform's program says of its roles and of the settings file."""
     with mock.patch.object(sys, "path", list(sys.path)):
         main = runpy.run_path(str(PROGRAM))["main"]
--- a/tests/forms/form.py
+++ b/tests/forms/schema.py
@@ -10,42 +10,44 @@
 import msgspec
 from msgspec import inspect
 
-__all__ = ["differences", "form_of", "plain"]
+__all__ = ["schema_differences", "schema_of", "to_json_value"]
 
 REQUIRED = "required"
 
 
-def plain(value: Any) -> Any:
+def to_json_value(value: Any) -> Any:
     """Return a value in JSON's terms: arrays by place, objects by encoded name, bytes in hex."""
     match value:
         case msgspec.Struct():
             fields = msgspec.structs.fields(type(value))
-            values = [plain(getattr(value, field.name)) for field in fields]
+            values = [to_json_value(getattr(value, field.name)) for field in fields]
             config = value.__struct_config__
             if config.array_like:
                 return values if config.tag is None else [config.tag, *values]
             named = dict(zip([field.encode_name for field in fields], values, strict=True))
             return named if config.tag is None else {config.tag_field: config.tag, **named}
         case enum.Enum():
-            return plain(value.value)
+            return to_json_value(value.value)
         case bytes():
             return {"hex": value.hex()}
         case msgspec.Raw():
             return {"hex": bytes(value).hex()}
         case dict():
-            return {str(plain(key)): plain(item) for key, item in value.items()}
+            return {str(to_json_value(key)): to_json_value(item) for key, item in value.items()}
         case list() | tuple():
-            return [plain(item) for item in value]
+            return [to_json_value(item) for item in value]
         case set() | frozenset():
-            return sorted(plain(item) for item in value)
+            return sorted(to_json_value(item) for item in value)
     return value
 
 
-def form_of(kind: inspect.Type) -> Any:
+def schema_of(kind: inspect.Type) -> Any:
     """Return the form of a type as ``msgspec.inspect`` describes it."""
     match kind:
         case inspect.StructType(cls=cls, fields=fields, tag=tag, array_like=array_like):
-            names = [[field.encode_name, _default(field), form_of(field.type)] for field in fields]
+            names = [
+                [field.encode_name, _default(field), schema_of(field.type)] for field in fields
+            ]
             form = {"array" if array_like else "object": names}
             if tag is not None:
                 form["tag"] = [kind.tag_field, tag]
@@ -53,19 +55,19 @@
                 form["closed"] = True
             return form
         case inspect.EnumType(cls=cls):
-            return {"enum": sorted((plain(member) for member in cls), key=str)}
+            return {"enum": sorted((to_json_value(member) for member in cls), key=str)}
         case inspect.ListType() | inspect.SetType() | inspect.FrozenSetType():
-            return {"list": form_of(kind.item_type)}
+            return {"list": schema_of(kind.item_type)}
         case inspect.VarTupleType():
-            return {"list": form_of(kind.item_type)}
+            return {"list": schema_of(kind.item_type)}
         case inspect.TupleType(item_types=items):
-            return {"tuple": [form_of(item) for item in items]}
+            return {"tuple": [schema_of(item) for item in items]}
         case inspect.DictType(key_type=key, value_type=value):
-            return {"map": [form_of(key), form_of(value)]}
+            return {"map": [schema_of(key), schema_of(value)]}
         case inspect.UnionType(types=types):
-            return {"one of": sorted((form_of(each) for each in types), key=str)}
+            return {"one of": sorted((schema_of(each) for each in types), key=str)}
         case inspect.Metadata(type=inner):
-            return form_of(inner)
+            return schema_of(inner)
     return type(kind).__name__.removesuffix("Type").lower()
 
 
@@ -73,11 +75,11 @@
     if field.required:
         return REQUIRED
     if field.default is not inspect.NODEFAULT:
-        return [plain(field.default)]
-    return [plain(field.default_factory())]
+        return [to_json_value(field.default)]
+    return [to_json_value(field.default_factory())]
 
 
-def differences(golden: Any, now: Any, place: str = "") -> list[str]:
+def schema_differences(golden: Any, now: Any, place: str = "") -> list[str]:
     """Return where a form is another one than it was.
 
     Fields of arrays are known by their place, so they may be renamed, but no name may move.
@@ -85,14 +87,14 @@
     if isinstance(golden, dict) and isinstance(now, dict) and "array" in golden:
         was, here = golden["array"], now.get("array", [])
         others = [{key: form[key] for key in form if key != "array"} for form in (golden, now)]
-        found = differences(*others, place)
+        found = schema_differences(*others, place)
         if len(was) != len(here):
             return [*found, f"{place}: {len(here)} fields where {len(was)} were"]
         for number, (before, after) in enumerate(zip(was, here, strict=True)):
             inside = f"{place}[{number} {before[0]}]"
             if before[0] != after[0] and after[0] in [name for name, _, _ in was]:
                 found.append(f"{inside}: {after[0]} has moved here")
-            found += differences(before[1:], after[1:], inside)
+            found += schema_differences(before[1:], after[1:], inside)
         return found
     if isinstance(golden, dict) and isinstance(now, dict):
         found = []
@@ -100,13 +102,13 @@
             if key not in golden or key not in now:
                 found.append(f"{place}: {key!r} in only one of both")
             else:
-                found += differences(golden[key], now[key], f"{place}.{key}")
+                found += schema_differences(golden[key], now[key], f"{place}.{key}")
         return found
     if isinstance(golden, list) and isinstance(now, list) and len(golden) == len(now):
         return [
             each
             for number, (before, after) in enumerate(zip(golden, now, strict=True))
-            for each in differences(before, after, f"{place}[{number}]")
+            for each in schema_differences(before, after, f"{place}[{number}]")
         ]
     if golden == now and type(golden) is type(now):
         return []
--- a/tests/forms/test_derived.py
+++ b/tests/forms/test_derived.py
@@ -20,7 +20,7 @@
 GATEWAY = GatewayRecord("g1", "a", "10.0.1.1:18710", "r1")
 GATEWAYS = [f"g{number}" for number in range(6)]
 TOKEN = "AYKlY2FydHOSAQKmb3JkZXJzkgPOAAERcBbO85Y"
-PACKED = (
+ENCODED_UPDATE = (
     "789c5dcd3d0e82401086612d8c965e44c384c4bfcb90919d904d965ddc0112ac6deca0b315214b8387500f261a2bb"
     "faf7f9fcbf4351fffad3a7752738a3aa49b5c8063b2b90ca9167b87425862eec15b7e0e3bdff756cdd168baa24bac"
     "8cd1164fa70873a9a347cbcaa43ceb980e190db5890b8d1241cca36a086fab53a331a63a825fa1b7a4b0087ec8fd8"
@@ -29,19 +29,19 @@
 
 
 class DerivedTest(unittest.TestCase):
-    def test_digests_of_directories(self):
+    def test_directory_digests(self):
         member = combined_digest(record_hash(RecordKind.MEMBER, MEMBER))
         kinds = (RecordKind.NEIGHBOUR, RecordKind.REMOTE_HOLDER)
         gateways = combined_digest(*(record_hash(kind, GATEWAY) for kind in kinds))
         self.assertEqual(member.hex(), "f66dc7a53c0091e7f8b37fe67d1ddf7a")
         self.assertEqual(gateways.hex(), "b17b2c34428bd2ccfac1d6c15397016d")
 
-    def test_mark_of_known_control_nodes(self):
+    def test_checksum_of_control_node_addresses(self):
         self.assertEqual(controls_checksum(["a:1", "b:2"]), 2400326235)
 
-    def test_a_packed_part_of_a_directory(self):
+    def test_encoded_directory_update(self):
         part = DirectoryUpdate(7, b"\1" * 16, [MEMBER], ["i-9"], [GATEWAY])
-        self.assertEqual(decode_update(bytes.fromhex(PACKED)), part)
+        self.assertEqual(decode_update(bytes.fromhex(ENCODED_UPDATE)), part)
 
     def test_digest_of_a_configuration(self):
         site, user = SiteSpec("s", "r", ["a"]), UserSpec("u", "*00")
@@ -52,11 +52,11 @@
     def test_digest_of_a_key(self):
         self.assertEqual(key_digest("secret").hex(), "12b033d357080ef091a0f8b61545eaa5")
 
-    def test_which_part_a_tenant_belongs_to(self):
+    def test_shard_of_a_tenant(self):
         numbers = [Shard.of("db", f"tenant-{number}").number for number in range(16)]
         self.assertEqual(numbers, [0, 1, 1, 2, 2, 2, 1, 2, 1, 1, 1, 1, 0, 2, 2, 0])
 
-    def test_who_holds_the_connections(self):
+    def test_rank_of_connection_holders(self):
         keys = [Shard.of("orders", tenant).key for tenant in ("", "anna", "bob", "t3")]
         self.assertEqual(keys, ["orders", "orders/1", "orders/1", "orders/2"])
         self.assertEqual(rank("orders", GATEWAYS), ["g3", "g1", "g4", "g2", "g0", "g5"])
--- a/tests/forms/test_messages.py
+++ b/tests/forms/test_messages.py
@@ -21,17 +21,17 @@
 from rowanrail.gateway.relay import transport
 from rowanrail.gateway.relay.messages import FromGateway, FromHolder
 from rowanrail.rpc import codec, tcp
-from tests.forms.golden import GoldenCase, decoder, load
-from tests.forms.names import modules
+from tests.forms.golden import GoldenTestCase, load_golden, make_decoder
+from tests.forms.names import import_all_modules
 
-GOLDEN = load("messages.json")
+GOLDEN = load_golden("messages.json")
 LENGTH = struct.Struct("<I")  # before each frame
 
 
-class RpcTest(GoldenCase):
+class RpcTest(GoldenTestCase):
     @classmethod
     def setUpClass(cls) -> None:
-        modules()  # so that all messages are registered
+        import_all_modules()  # so that all messages are registered
 
     def test_each_message_keeps_its_bytes(self):
         for tag, golden in GOLDEN["rpc"].items():
@@ -50,7 +50,7 @@
                 def encode(message: msgspec.Struct, of=(frame_kind, call)) -> bytes:
                     return codec.encode_frame(*of, message)
 
-                self.hold(kind, golden, decode, encode)
+                self.check_type(kind, golden, decode, encode)
 
     def test_each_message_has_golden_bytes(self):
         product = {
@@ -76,12 +76,12 @@
         self.assertEqual(asyncio.run(read()), frame)
 
 
-class RelayTest(GoldenCase):
+class RelayTest(GoldenTestCase):
     def test_each_message_from_a_gateway_keeps_its_bytes(self):
-        self.hold_union(FromGateway, GOLDEN["from gateway"])
+        self.check_union(FromGateway, GOLDEN["from gateway"])
 
     def test_each_message_from_a_holder_keeps_its_bytes(self):
-        self.hold_union(FromHolder, GOLDEN["from holder"])
+        self.check_union(FromHolder, GOLDEN["from holder"])
 
     def test_the_links_decode_and_encode_the_golden_bytes(self):
         for section, take in {
@@ -105,14 +105,16 @@
                     self.assertEqual(taken, [frame])
 
 
-class PackedTest(GoldenCase):
-    def test_part_of_a_directory(self):
+class DirectoryUpdateTest(GoldenTestCase):
+    def test_directory_update(self):
         golden = GOLDEN["inside others"]["part of a directory"]
-        self.hold(DirectoryUpdate, golden, decoder(DirectoryUpdate), msgspec.msgpack.encode)
+        self.check_type(
+            DirectoryUpdate, golden, make_decoder(DirectoryUpdate), msgspec.msgpack.encode
+        )
 
-    def test_a_part_is_packed_as_a_whole(self):
+    def test_directory_update_round_trip(self):
         for sample in GOLDEN["inside others"]["part of a directory"]["samples"]:
-            part = decoder(DirectoryUpdate)(bytes.fromhex(sample["bytes"]))
+            part = make_decoder(DirectoryUpdate)(bytes.fromhex(sample["bytes"]))
             self.assertEqual(decode_update(encode_update(part)), part)
 
 
--- a/tests/forms/test_names.py
+++ b/tests/forms/test_names.py
@@ -1,23 +1,23 @@
-"""Names by which others know the programs: none may go or change; new ones may come.
+"""The external names of the programs may be extended, but not removed or changed.
 
-``data/names.json`` was written by ``names.gather`` in a checkout of b0400eb, the code in use when
-these tests were written. It holds the keys of settings and documents with their defaults, log
-events with level and fields, the values of enumerations that stand in logs, metrics, paths of
-calls over HTTP, the command line, plug-ins, and digests of what is deployed. What is added to the
-code may be added to the file; what is taken away from it breaks somebody's tool or file.
+``data/names.json`` was written by ``names.gather_names`` at revision b0400eb, the reference
+version. It holds the keys of settings and documents with their defaults, log events with level and
+fields, the values of enumerations that appear in logs, metrics, HTTP paths, the command line,
+plug-ins, and digests of the deployed files. New names may be added to the file; removing one breaks
+a tool or a file of a user.
 """
 
 import unittest
 from typing import Any
 
-from tests.forms.golden import load
-from tests.forms.names import gather
+from tests.forms.golden import load_golden
+from tests.forms.names import gather_names
 
-GOLDEN = load("names.json")
-VARIES = "?"  # fields of calls that log one of several events
+GOLDEN = load_golden("names.json")
+VARYING_EVENT = "?"  # fields of calls that log one of several events
 
 
-def gone(golden: Any, now: Any, place: str) -> list[str]:
+def find_removed(golden: Any, now: Any, place: str) -> list[str]:
     """Return what is in golden names and not in today's; a list or an object may be longer."""
     if isinstance(golden, dict) and isinstance(now, dict):
         found = []
@@ -25,9 +25,9 @@
             if key not in now:
                 found.append(f"{place}: {key!r} is gone")
             elif key == "object":
-                found += _gone_fields(value, now[key], place)
+                found += _find_removed_fields(value, now[key], place)
             else:
-                found += gone(value, now[key], f"{place}: {key}")
+                found += find_removed(value, now[key], f"{place}: {key}")
         return found
     if isinstance(golden, list) and isinstance(now, list):
         return [f"{place}: {each!r} is gone" for each in golden if each not in now]
@@ -35,7 +35,7 @@
     return [] if same else [f"{place}: {now!r} in place of {golden!r}"]
 
 
-def _gone_fields(golden: list[Any], now: list[Any], place: str) -> list[str]:
+def _find_removed_fields(golden: list[Any], now: list[Any], place: str) -> list[str]:
     """Compare fields of objects: name, default, form; a new one must have a default."""
     fields = {name: rest for name, *rest in now}
     found = []
@@ -43,8 +43,8 @@
         if name not in fields:
             found.append(f"{place}: field {name!r} is gone")
             continue
-        found += _changed(default, fields[name][0], f"{place}.{name}")
-        found += gone(form, fields[name][1], f"{place}.{name}")
+        found += _compare_defaults(default, fields[name][0], f"{place}.{name}")
+        found += find_removed(form, fields[name][1], f"{place}.{name}")
     known = {name for name, *_ in golden}
     for name, (default, _) in fields.items():
         if name not in known and default == "required":
@@ -52,7 +52,7 @@
     return found
 
 
-def _changed(golden: Any, now: Any, place: str) -> list[str]:
+def _compare_defaults(golden: Any, now: Any, place: str) -> list[str]:
     return [] if golden == now else [f"{place}: default {now!r} in place of {golden!r}"]
 
 
@@ -61,22 +61,22 @@
 
     @classmethod
     def setUpClass(cls) -> None:
-        cls.now = gather()
+        cls.now = gather_names()
 
-    def hold(self, part: str) -> None:
+    def check_part(self, part: str) -> None:
         """Hold that nothing of a part of the names is gone or changed."""
-        self.assertEqual(gone(GOLDEN[part], self.now[part], part), [])
+        self.assertEqual(find_removed(GOLDEN[part], self.now[part], part), [])
 
-    def test_every_part_is_held(self):
+    def test_every_section_has_a_test(self):
         self.assertEqual(sorted(GOLDEN), sorted(self.now))
         tests = {name.removeprefix("test_").replace("_", " ") for name in dir(self)}
         self.assertEqual([part for part in GOLDEN if part.replace("-", " ") not in tests], [])
 
     def test_documents(self):
-        self.hold("documents")
+        self.check_part("documents")
 
     def test_events(self):
-        varying = set(self.now["events"][VARIES]["fields"])
+        varying = set(self.now["events"][VARYING_EVENT]["fields"])
         for number, golden in GOLDEN["events"].items():
             with self.subTest(number):
                 event = self.now["events"][number]
@@ -92,25 +92,25 @@
             self.assertTrue(kept, f"of {values} a value is gone")
 
     def test_metrics(self):
-        self.hold("metrics")
+        self.check_part("metrics")
 
     def test_paths(self):
-        self.hold("paths")
+        self.check_part("paths")
 
     def test_commands(self):
-        self.hold("commands")
+        self.check_part("commands")
 
     def test_exit_codes(self):
-        self.hold("exit codes")
+        self.check_part("exit codes")
 
     def test_program(self):
-        self.hold("program")
+        self.check_part("program")
 
     def test_plug_ins(self):
-        self.hold("plug-ins")
+        self.check_part("plug-ins")
 
     def test_deployed(self):
-        self.hold("deployed")
+        self.check_part("deployed")
 
 
 class ComparisonTest(unittest.TestCase):
@@ -121,20 +121,20 @@
         renamed = {"object": [["a", "required", "int"], ["c", [1], "int"]]}
         longer = {"object": [*golden["object"], ["c", [1], "int"]]}
         demanding = {"object": [*golden["object"], ["c", "required", "int"]]}
-        self.assertEqual(gone(golden, golden, "x"), [])
-        self.assertEqual(gone(golden, longer, "x"), [])
-        self.assertEqual(gone(golden, renamed, "x"), ["x: field 'b' is gone"])
-        self.assertEqual(gone(golden, demanding, "x"), ["x: new field 'c' has no default"])
+        self.assertEqual(find_removed(golden, golden, "x"), [])
+        self.assertEqual(find_removed(golden, longer, "x"), [])
+        self.assertEqual(find_removed(golden, renamed, "x"), ["x: field 'b' is gone"])
+        self.assertEqual(find_removed(golden, demanding, "x"), ["x: new field 'c' has no default"])
 
     def test_a_default_or_type_that_changed(self):
         golden = {"object": [["b", [1], "int"]]}
-        self.assertEqual(len(gone(golden, {"object": [["b", [2], "int"]]}, "x")), 1)
-        self.assertEqual(len(gone(golden, {"object": [["b", [1], "str"]]}, "x")), 1)
+        self.assertEqual(len(find_removed(golden, {"object": [["b", [2], "int"]]}, "x")), 1)
+        self.assertEqual(len(find_removed(golden, {"object": [["b", [1], "str"]]}, "x")), 1)
 
     def test_lists_and_maps(self):
-        self.assertEqual(gone({"k": ["a"]}, {"k": ["a", "b"], "l": []}, "x"), [])
-        self.assertEqual(gone({"k": ["a"]}, {"k": ["b"]}, "x"), ["x: k: 'a' is gone"])
-        self.assertEqual(gone({"k": []}, {}, "x"), ["x: 'k' is gone"])
+        self.assertEqual(find_removed({"k": ["a"]}, {"k": ["a", "b"], "l": []}, "x"), [])
+        self.assertEqual(find_removed({"k": ["a"]}, {"k": ["b"]}, "x"), ["x: k: 'a' is gone"])
+        self.assertEqual(find_removed({"k": []}, {}, "x"), ["x: 'k' is gone"])
 
 
 if __name__ == "__main__":
--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -42,21 +42,21 @@
 from rowanrail.sql_control.messages import ChangeCommand
 from rowanrail.sql_control.policies import ExpectedVersion
 from rowanrail.sql_control.state import ConfigurationState
-from tests.forms.form import plain
-from tests.forms.golden import DATA, GoldenCase, decoder, load
+from tests.forms.golden import DATA_FOLDER, GoldenTestCase, load_golden, make_decoder
+from tests.forms.schema import to_json_value
 
-GOLDEN = load("stored.json")
+GOLDEN = load_golden("stored.json")
 # Elections of a node that is alone are over at once; a snapshot each few entries.
 OPTIONS = NodeOptions(RaftConfig(0.01, 0.02, first_election_seconds=0.005), snapshot_entries=6)
 
 
-class TypesTest(GoldenCase):
+class TypesTest(GoldenTestCase):
     def test_commands_of_gateways_control_nodes(self):
-        self.hold_union(Command, GOLDEN["log of the gateways' control nodes"])
+        self.check_union(Command, GOLDEN["log of the gateways' control nodes"])
 
     def test_command_of_sql_control_nodes(self):
         golden = GOLDEN["log of the SQL control nodes"]["change"]
-        self.hold(ChangeCommand, golden, decoder(ChangeCommand), msgspec.msgpack.encode)
+        self.check_type(ChangeCommand, golden, make_decoder(ChangeCommand), msgspec.msgpack.encode)
 
     def test_files(self):
         kinds = {
@@ -72,36 +72,38 @@
         self.assertEqual(sorted(kinds), sorted(GOLDEN["files"]))
         for name, kind in kinds.items():
             with self.subTest(name):
-                self.hold(kind, GOLDEN["files"][name], decoder(kind), msgspec.msgpack.encode)
+                self.check_type(
+                    kind, GOLDEN["files"][name], make_decoder(kind), msgspec.msgpack.encode
+                )
 
 
-def contents(folder: Path) -> dict[str, str]:
+def folder_contents(folder: Path) -> dict[str, str]:
     """Return the files of a folder, in hex."""
     return {path.name: path.read_bytes().hex() for path in sorted(folder.iterdir())}
 
 
-def state_of(machine: StateMachine) -> Any:
+def decoded_state(machine: StateMachine) -> Any:
     """Return a state machine's whole state, as its snapshot would have it."""
-    return plain(msgspec.msgpack.decode(machine.snapshot()))
+    return to_json_value(msgspec.msgpack.decode(machine.snapshot()))
 
 
-class Life:
+class NodeRun:
     """One run of a control node that is alone, on a folder."""
 
     def __init__(self, folder: Path, story: Any, machine: StateMachine) -> None:
         self.folder = folder
         self.machine = machine
         name = story["node"]
-        self.owner = NodeConfig(story["cluster"], name, [NodeAddress(name, name)])
+        self.config = NodeConfig(story["cluster"], name, [NodeAddress(name, name)])
 
-    async def live(self, commands: list[bytes]) -> tuple[Any, list[Any], Any]:
+    async def run(self, commands: list[bytes]) -> tuple[Any, list[Any], Any]:
         """Return the state that was found, the results of commands, and the state after them."""
         disk = FileDisk(self.folder)
         storage = Storage(disk)
         network = mock.Mock()
         learner_first = policies.LearnerFirst()
         identity = await open_data_folder(
-            self.owner, storage, network, random.Random(0), learner_first, bootstrap=False
+            self.config, storage, network, random.Random(0), learner_first, bootstrap=False
         )
         node = ConsensusNode(
             identity, storage, network, self.machine, OPTIONS, random.Random(0), Registry()
@@ -109,21 +111,21 @@
         node.start()
         try:
             async with asyncio.timeout(5.0):
-                while not self._has_all(node):
+                while not self._has_applied_all(node):
                     await asyncio.sleep(0.001)
-                found = state_of(self.machine)
-                results = [plain(await node.propose(command)) for command in commands]
+                found = decoded_state(self.machine)
+                results = [to_json_value(await node.propose(command)) for command in commands]
         finally:
             await node.stop()
             disk.close()
-        return found, results, state_of(self.machine)
+        return found, results, decoded_state(self.machine)
 
     @staticmethod
-    def _has_all(node: ConsensusNode) -> bool:
+    def _has_applied_all(node: ConsensusNode) -> bool:
         return node.raft.is_established_leader and node.applied == node.raft.log.last_index
 
 
-class FolderCases(GoldenCase):
+class DataFolderTestCase(GoldenTestCase):
     """Opens a folder that was written earlier, and lives on in it."""
 
     kind = ""
@@ -135,8 +137,8 @@
         raise NotImplementedError
 
     def setUp(self) -> None:
-        self.data = DATA / self.kind
-        self.story = load(f"{self.kind}/story.json")
+        self.data = DATA_FOLDER / self.kind
+        self.story = load_golden(f"{self.kind}/story.json")
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
         self.folder = Path(scratch.name) / "folder"
@@ -146,23 +148,25 @@
         _, log = Storage(FileDisk(self.folder)).load()
         self.assertEqual(log.snapshot_index, self.index)
         self.assertGreater(log.last_index, self.index + 1)
-        self.assertEqual(contents(self.folder), contents(self.data / "before"), "only read")
+        self.assertEqual(
+            folder_contents(self.folder), folder_contents(self.data / "before"), "only read"
+        )
 
-    def test_what_is_written_in_two_more_lives_has_the_same_bytes(self):
+    def test_folder_is_byte_identical_after_two_more_runs(self):
         expected = self.story["state"]
         for life in self.story["lives"]:
             received = [bytes.fromhex(data) for data in life["commands"]]
-            commands = [decoder(self.command)(data) for data in received]
-            node = Life(self.folder, self.story, self.machine())
+            commands = [make_decoder(self.command)(data) for data in received]
+            node = NodeRun(self.folder, self.story, self.machine())
             encoded = [msgspec.msgpack.encode(command) for command in commands]
-            found, results, state = asyncio.run(node.live(encoded))
+            found, results, state = asyncio.run(node.run(encoded))
             self.assertEqual(found, expected)
             self.assertEqual(results, life["results"])
             self.assertEqual(state, life["state"])
             expected = state
-        self.assertEqual(contents(self.folder), contents(self.data / "after"))
+        self.assertEqual(folder_contents(self.folder), folder_contents(self.data / "after"))
 
-    def test_all_files_are_read_and_written_alike(self):
+    def test_every_file_round_trips_to_the_same_bytes(self):
         for name, kind in {
             "identity": Identity,
             "hard-state": HardState,
@@ -170,11 +174,11 @@
         }.items():
             for folder in ("before", "after"):
                 data = (self.data / folder / name).read_bytes()
-                value = decoder(kind)(data[8:])
+                value = make_decoder(kind)(data[8:])
                 self.assertEqual(seal(msgspec.msgpack.encode(value)), data, f"{folder}/{name}")
 
 
-class GatewaysFolderTest(FolderCases):
+class GatewaysFolderTest(DataFolderTestCase):
     kind, command, index = "gateways", Command, 13
 
     def machine(self) -> StateMachine:
@@ -185,7 +189,7 @@
         self.assertEqual(identity, Identity(CLUSTER, f"{self.story['node']}@1"))
 
 
-class SqlFolderTest(FolderCases):
+class SqlFolderTest(DataFolderTestCase):
     kind, command, index = "sql", ChangeCommand, 7
 
     def machine(self) -> StateMachine:
@@ -207,11 +211,11 @@
         machine = self.machine()
         assert log.snapshot is not None
         machine.restore(log.snapshot.data)
-        self.assertEqual(state_of(machine), self.story["state"])
+        self.assertEqual(decoded_state(machine), self.story["state"])
         self.assertEqual(version, self.story["state"]["current"]["version"])
 
 
-del FolderCases  # has tests, but no folder of its own
+del DataFolderTestCase  # has tests, but no folder of its own
 
 
 if __name__ == "__main__":
--- a/tests/forms/test_texts.py
+++ b/tests/forms/test_texts.py
@@ -5,13 +5,13 @@
 
 import unittest
 
-from tests.forms.golden import load
+from tests.forms.golden import load_golden
 from tests.forms.texts import gather_texts, texts_of
 
-GOLDEN: dict[str, int] = load("texts.json")
+GOLDEN: dict[str, int] = load_golden("texts.json")
 
 
-class TextTest(unittest.TestCase):
+class ExternalTextsTest(unittest.TestCase):
     def test_no_text_is_gone(self) -> None:
         now = gather_texts()
         gone = [text for text, count in GOLDEN.items() if now.get(text, 0) < count]
--- a/tests/forms/texts.py
+++ b/tests/forms/texts.py
@@ -12,12 +12,12 @@
 ROOT = Path(rowanrail.__file__).resolve().parents[2]
 FOLDERS = ("src/rowanrail", "platform")
 # Sentences of log lines and of ``explain``, and descriptions that made pages hold.
-LEFT_OUT = ("events.py", "cli/explain.py", "config/model.py", "config/settings.py")
-LEFT_OUT_PACKAGE = "rowanrail/explain"
+EXCLUDED_FILES = ("events.py", "cli/explain.py", "config/model.py", "config/settings.py")
+EXCLUDED_PACKAGE = "rowanrail/explain"
 # Help of options, and errors that are only logged or printed as text.
-LEFT_OUT_CALLS = {"LookupError", "StorageError", "ValueError", "_damaged", "define", "option"}
+EXCLUDED_CALLS = {"LookupError", "StorageError", "ValueError", "_damaged", "define", "option"}
 # Calls whose texts leave the program even if they are a single word.
-EDGE_CALLS = {
+EXTERNAL_TEXT_CALLS = {
     "Answer",
     "BackendRefusedError",
     "Failure",
@@ -49,7 +49,7 @@
     for folder in FOLDERS:
         for path in sorted((ROOT / folder).rglob("*.py")):
             name = path.as_posix()
-            if not name.endswith(LEFT_OUT) and LEFT_OUT_PACKAGE not in name:
+            if not name.endswith(EXCLUDED_FILES) and EXCLUDED_PACKAGE not in name:
                 counts.update(texts_of(path.read_text()))
     return dict(sorted(counts.items()))
 
@@ -59,33 +59,33 @@
     tree = ast.parse(source)
     parents = {child: node for node in ast.walk(tree) for child in ast.iter_child_nodes(node)}
     for node in ast.walk(tree):
-        text = _text(node)
+        text = _literal_text(node)
         if text is None or isinstance(parents[node], ast.JoinedStr | ast.Expr | ast.FormattedValue):
             continue
-        call = _call_around(node, parents)
-        if call in LEFT_OUT_CALLS or _is_unsaid(node, parents):
+        call = _enclosing_call(node, parents)
+        if call in EXCLUDED_CALLS or _is_assertion_or_annotation(node, parents):
             continue
-        if call in EDGE_CALLS or " " in text.strip():
+        if call in EXTERNAL_TEXT_CALLS or " " in text.strip():
             yield text
 
 
-def _text(node: ast.AST) -> str | None:
+def _literal_text(node: ast.AST) -> str | None:
     if isinstance(node, ast.Constant):
         return node.value if isinstance(node.value, str) else None
     if isinstance(node, ast.JoinedStr):
-        return "".join(_part(part) for part in node.values)
+        return "".join(_format_part(part) for part in node.values)
     return None
 
 
-def _part(node: ast.expr) -> str:
+def _format_part(node: ast.expr) -> str:
     if isinstance(node, ast.FormattedValue):
         conversion = f"!{chr(node.conversion)}" if node.conversion >= 0 else ""
-        form = f":{_text(node.format_spec)}" if node.format_spec else ""
+        form = f":{_literal_text(node.format_spec)}" if node.format_spec else ""
         return "{" + conversion + form + "}"
-    return _text(node) or ""
+    return _literal_text(node) or ""
 
 
-def _call_around(node: ast.AST, parents: dict[ast.AST, ast.AST]) -> str:
+def _enclosing_call(node: ast.AST, parents: dict[ast.AST, ast.AST]) -> str:
     """Return the name of the innermost call whose argument a text belongs to; empty if none."""
     while not isinstance(node, ast.stmt):
         node = parents[node]
@@ -94,7 +94,7 @@
     return ""
 
 
-def _is_unsaid(node: ast.AST, parents: dict[ast.AST, ast.AST]) -> bool:
+def _is_assertion_or_annotation(node: ast.AST, parents: dict[ast.AST, ast.AST]) -> bool:
     """Return whether a text is an assertion's or a quoted annotation."""
     while not isinstance(node, ast.stmt):
         parent = parents[node]
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -40,7 +40,7 @@
 
 
 class DocumentNamesTest(unittest.TestCase):
-    def test_every_name_is_taken(self):
+    def test_every_field_is_decoded(self):
         taken = parse(DOCUMENT).unwrap()
         route = Route("r1", "orders", "db", Consistency.BOUNDED, 2.5, 0.4, 1.5, 0, True)
         self.assertEqual((taken.version, taken.routes), (9, {"orders": route}))
@@ -50,7 +50,7 @@
         self.assertEqual(taken.tenants.by_name, {"anna": Tenant("anna", 2, 12.5, 4)})
         self.assertEqual(taken.tenants.owners, {key_digest("k1"): "anna"})
 
-    def test_what_is_left_out_has_its_default(self):
+    def test_omitted_fields_have_defaults(self):
         route = {"name": "r1", "host": "orders", "service": "db", "kind": "primary"}
         document = {
             "version": 1,
@@ -65,7 +65,7 @@
         self.assertEqual(taken.maximum_statement_bytes, 262144)
         self.assertIsNone(taken.tenants)
 
-    def test_problems_name_what_the_document_names(self):
+    def test_problems_use_the_names_of_the_document(self):
         route = DOCUMENT["routes"][0] | {"kind": "x", "timeout-ms": 0, "max-staleness-ms": -1}
         services = [{"name": "db", "max-conns": 0}]
         document = DOCUMENT | {"routes": [route], "services": services}
@@ -81,7 +81,7 @@
             ],
         )
 
-    def test_a_name_of_the_wrong_type_is_named_by_its_path(self):
+    def test_a_value_of_the_wrong_type_is_reported_with_its_path(self):
         route = DOCUMENT["routes"][0] | {"target-latency-ms": "fast"}
         (problem,) = parse(DOCUMENT | {"routes": [route]}).failure()
         self.assertIn("$.routes[0].target-latency-ms", problem)
--- a/tests/platform/test_control.py
+++ b/tests/platform/test_control.py
@@ -97,7 +97,7 @@
             tokens = [call[1] for call in fleet.platform.calls]
             self.assertEqual(tokens, sorted(set(tokens)))
 
-    async def test_a_lost_disk_and_a_killed_core_lose_nothing(self):
+    async def test_configuration_survives_a_lost_disk_and_killed_nodes(self):
         async with PlatformFleet(controls=3, proxies=1) as fleet:
             self.assertEqual(await fleet.put(configuration(50)), 200)
             for host in fleet.control_hosts:
@@ -122,7 +122,7 @@
 
 
 class ChangedSettingsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_programs_go_on_after_a_sighup(self):
+    async def test_programs_keep_running_after_a_sighup(self):
         # Found on played days: control nodes ended with code 129.
         async with PlatformFleet(controls=1, proxies=1) as fleet:
             for host in (fleet.control_hosts[0], fleet.proxy_hosts[0]):
@@ -136,7 +136,7 @@
 
 
 class PlannedStopTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_stop_lets_transactions_end_and_closes_sessions_at_rest(self):
+    async def test_a_stop_lets_transactions_end_and_closes_idle_sessions(self):
         async with PlatformFleet(controls=1, proxies=1) as fleet:
             host = fleet.proxy_hosts[0]
             open_client, idle = await fleet.client("orders"), await fleet.client("orders")
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -22,10 +22,10 @@
         body = msgspec.json.encode(PLAIN | fields)
         return msgspec.json.decode(body, type=Heartbeat).to_member_record("i-1")
 
-    def test_a_member_tells_how_long_it_stays_slow(self):
+    def test_cold_time_is_rounded_to_milliseconds(self):
         self.assertEqual(self.record(**{"cold-ms": 3200}).cold_ms, 3200)
         self.assertEqual(self.record(**{"cold-ms": 3200.4}).cold_ms, 3200)
 
-    def test_one_that_does_not_tell_is_warm(self):
+    def test_cold_time_defaults_to_zero(self):
         self.assertEqual(self.record().cold_ms, 0)
         self.assertEqual(self.record(**{"cold-ms": -5}).cold_ms, 0)
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -26,7 +26,7 @@
             self.assertEqual(done.returncode, 2, done.stderr)
             self.assertIn("settings file", done.stderr)
 
-    def test_no_program_loads_site_packages_of_the_machine(self):
+    def test_no_program_loads_the_site_module(self):
         # Found on hb-subrail-large: after a loss of power clients find no gateway for as long as
         # the programs take to load, and the site module is a part of it that nothing here needs.
         for role in self.roles.values():
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -32,13 +32,13 @@
         parsed = JsonDocumentFormat().parse(msgspec.json.encode(configuration(7)))
         self.assertIsNone(parsed.unwrap().tenants)
 
-    def test_routes_say_whether_they_take_anybody(self):
+    def test_routes_that_allow_anonymous_clients(self):
         document = configuration(7, tenants=[])
         document["routes"][0]["no-auth"] = True
         parsed = JsonDocumentFormat().parse(msgspec.json.encode(document)).unwrap()
         self.assertEqual([route.takes_anybody for route in parsed.routes.values()].count(True), 1)
 
-    def test_what_is_wrong_is_told_by_its_path_and_never_by_the_key(self):
+    def test_problems_name_the_path_and_never_the_key(self):
         cases = {
             "tenants.b.api-keys.0": [tenant("a", "secret-1"), tenant("b", "secret-1")],
             "tenants.a.api-keys.1": [tenant("a", "secret-1", "secret-1")],
@@ -72,11 +72,11 @@
     def setUp(self):
         self.tenants = parse(tenant("a", "k1")).unwrap().tenants
 
-    def test_a_known_key_is_its_tenants_also_where_anybody_is_taken(self):
+    def test_a_known_key_identifies_its_tenant_on_every_route(self):
         known = ClientIdentity("a", key_digest("k1"))
         for takes_anybody in (False, True):
             self.assertEqual(self.tenants.identify(key_digest("k1"), takes_anybody), known)
 
-    def test_an_unknown_key_counts_only_where_anybody_is_taken(self):
+    def test_an_unknown_key_is_accepted_only_on_anonymous_routes(self):
         self.assertIsNone(self.tenants.identify(key_digest("k2"), False))
         self.assertEqual(self.tenants.identify(key_digest("k2"), True), ClientIdentity(ANONYMOUS))
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -7,7 +7,7 @@
 
 
 class WireTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_wire(self):
+    async def test_line_protocol(self):
         async with PlatformFleet(controls=1, proxies=1) as fleet:
             for check in (
                 self.statements,
