--- a/src/rowanrail/coordination/state.py
+++ b/src/rowanrail/coordination/state.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from rowanrail.cluster.policies import VersionMonotonic
-from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import Entry, EntryKind, Snapshot
+from rowanrail.consensus.state_machine import StateMachine
 from rowanrail.coordination.changes import DirectoryChange, GatewayChange, MemberChange
 from rowanrail.coordination.commands import (
     Announce,
