--- a/tests/forms/golden.py
+++ b/tests/forms/golden.py
@@ -1,4 +1,4 @@
-"""Checks of one type against golden bytes."""
+"""Base class of tests that compare types with golden encodings."""
 
 import json
 import unittest
@@ -20,43 +20,43 @@
 
 
 def load_golden(name: str) -> Any:
-    """Return a golden file's contents."""
+    """Return the contents of a golden file."""
     return json.loads((DATA_FOLDER / name).read_text())
 
 
 class GoldenTestCase(unittest.TestCase):
-    """Holds types against what is written of them in a golden file."""
+    """Compares types with their schemas and samples in a golden file."""
 
     def check_type(self, kind: Any, golden: Any, decode: Decode, encode: Encode) -> None:
-        """Hold one type: its form, and what golden bytes mean and become."""
+        """Check the schema of a type, and that its golden bytes round-trip."""
         self.assertEqual(schema_differences(golden["form"], schema_of(inspect.type_info(kind))), [])
         for sample in golden["samples"]:
             self.check_bytes(sample["bytes"], sample["value"], sample["bytes"], decode, encode)
-        if "less" in golden:  # from a peer that leaves out what has a default
+        if "less" in golden:  # from an older peer, without the fields that have a default
             less = golden["less"]
             self.check_bytes(less["received"], less["value"], less["bytes"], decode, encode)
-        if "more" in golden:  # from a peer of a later version, that says something unknown
+        if "more" in golden:  # from a newer peer, with an unknown field
             first = golden["samples"][0]
             self.check_bytes(golden["more"], first["value"], first["bytes"], decode, encode)
 
     def check_bytes(
         self, received: str, value: Any, sent: str, decode: Decode, encode: Encode
     ) -> None:
-        """Hold that bytes are understood as a value, and that the value becomes bytes."""
+        """Check that bytes decode to a value, and that it encodes to the expected bytes."""
         decoded = decode(bytes.fromhex(received))
         self.assertEqual(to_json_value(decoded), value)
         self.assertEqual(encode(decoded).hex(), sent)
 
     def check_union(self, union: Any, golden: dict[str, Any]) -> None:
-        """Hold all structs of a union, which are told apart by their tags."""
+        """Check all structs of a tagged union."""
         kinds = {str(kind.__struct_config__.tag): kind for kind in union.__args__}
-        self.assertEqual(sorted(kinds), sorted(golden), "each tag needs golden samples")
+        self.assertEqual(sorted(kinds), sorted(golden), "every tag needs golden samples")
         for tag, kind in kinds.items():
             with self.subTest(tag):
                 self.check_type(kind, golden[tag], make_decoder(union), msgspec.msgpack.encode)
 
 
 def make_decoder(kind: Any) -> Decode:
-    """Return a function that decodes a type as the code does."""
+    """Return the ``decode`` method of a MessagePack decoder of a type."""
     decode: Decode = msgspec.msgpack.Decoder(kind).decode
     return decode
--- a/tests/forms/names.py
+++ b/tests/forms/names.py
@@ -1,4 +1,4 @@
-"""The names by which others know the programs, read from the code."""
+"""Collects the external names of the programs from the code."""
 
 import ast
 import contextlib
@@ -61,7 +61,7 @@
 
 
 def import_all_modules() -> list[ModuleType]:
-    """Import and return all modules of the product."""
+    """Import all modules of the product, and return them."""
     found = []
     for package in (rowanrail, rowanrail_platform):
         for module in pkgutil.walk_packages(package.__path__, package.__name__ + "."):
@@ -71,9 +71,9 @@
 
 
 def gather_names() -> dict[str, Any]:
-    """Return all names, in JSON's terms."""
-    loaded = import_all_modules()
-    trees = {module: ast.parse(Path(module.__file__ or "").read_text()) for module in loaded}
+    """Return all external names as JSON, by section."""
+    modules = import_all_modules()
+    trees = {module: ast.parse(Path(module.__file__ or "").read_text()) for module in modules}
     return {
         "documents": {
             name: schema_of(inspect.type_info(kind))
@@ -81,7 +81,7 @@
         },
         "events": _log_events(trees),
         "statement lines": _statement_lines(),
-        "log values": _enumeration_values(loaded),
+        "log values": _enumeration_values(modules),
         "metrics": _metrics(trees),
         "paths": _http_paths(trees),
         "commands": dict(_cli_commands(command_line, "rowanrail")),
@@ -103,7 +103,7 @@
 
 
 def _log_events(trees: dict[ModuleType, ast.Module]) -> dict[str, Any]:
-    """Return level and fields by number; under ``?`` the fields of calls whose event varies."""
+    """Return the level and fields of each event; ``?`` has those of calls with a variable event."""
     fields: dict[str, set[str]] = {str(number): set() for number in CATALOGUE}
     fields["?"] = set()
     for module, tree in trees.items():
@@ -138,9 +138,9 @@
 
 
 def _statement_lines() -> list[str]:
-    """Return the lines of a refused and of an answered statement.
+    """Return the log lines of a refused and of a successful statement.
 
-    Their fields are those of a trace, which has other names between processes: none.
+    The fields of a trace have names in these lines only; between processes it is an array.
     """
     reader, writer = os.pipe()
     decisions = DecisionLog("g1", writer, wall_clock=lambda: 1.5)
@@ -162,11 +162,11 @@
         return lines.read().splitlines()
 
 
-def _enumeration_values(loaded: list[ModuleType]) -> list[Any]:
-    """Return the values of each enumeration; most of them occur in logs or messages."""
+def _enumeration_values(modules: list[ModuleType]) -> list[Any]:
+    """Return the string values of each enumeration; most appear in logs or messages."""
     kinds = {
         value
-        for module in loaded
+        for module in modules
         for value in vars(module).values()
         if isinstance(value, type)
         and issubclass(value, enum.Enum)
@@ -187,7 +187,7 @@
 
 
 def _metrics(trees: dict[ModuleType, ast.Module]) -> dict[str, Any]:
-    """Return the names of readings, the words in modules that give them, and the fixed metrics."""
+    """Return names and labels of gauges, prefixes of metrics, and the metrics always present."""
     readings: set[str] = set()
     labels: set[str] = set()
     prefixes: set[str] = set()
@@ -236,7 +236,7 @@
 
 
 def _http_paths(trees: dict[ModuleType, ast.Module]) -> list[str]:
-    """Return the strings that begin as the path of a call over HTTP."""
+    """Return the string constants that look like HTTP paths."""
     words = {
         node.value
         for tree in trees.values()
@@ -267,22 +267,22 @@
 
 
 def _format_default(default: Any) -> str:
-    """Return a default in words; what click has in place of one is none."""
+    """Return an option's default as text; empty if there is none, or click's placeholder."""
     value = to_json_value(default)
     return str(value) if isinstance(value, str | int | float | list) and value else ""
 
 
 def _program_output() -> list[str]:
-    """Return what the platform's program says of its roles and of the settings file."""
+    """Return exit codes and errors of ``platform/main.py`` without role and without settings."""
     with mock.patch.object(sys, "path", list(sys.path)):
         main = runpy.run_path(str(PROGRAM))["main"]
-        said = io.StringIO()
+        output = io.StringIO()
         for arguments in ([], ["control"]):
             with (
                 mock.patch.object(sys, "argv", ["main.py", *arguments]),
                 mock.patch.dict("os.environ"),
-                contextlib.redirect_stderr(said),
+                contextlib.redirect_stderr(output),
             ):
                 os.environ.pop("ROWANRAIL_CONFIG", None)
-                said.write(f"{main()}\n")
-    return said.getvalue().splitlines()
+                output.write(f"{main()}\n")
+    return output.getvalue().splitlines()
--- a/tests/forms/schema.py
+++ b/tests/forms/schema.py
@@ -1,7 +1,7 @@
-"""How a type is encoded and what a value holds, told without names of classes.
+"""Schemas of encoded types and JSON values of their instances, independent of class names.
 
-A form is plain JSON. It says for each field its encoded name, its default and its own form, so
-that two forms are equal if either side reads what the other one writes.
+A schema is JSON with the encoded name, the default and the schema of each field: two types with
+equal schemas can decode each other's encodings.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 def to_json_value(value: Any) -> Any:
-    """Return a value in JSON's terms: arrays by place, objects by encoded name, bytes in hex."""
+    """Return a value as JSON: structs by position or encoded name, bytes in hex."""
     match value:
         case msgspec.Struct():
             fields = msgspec.structs.fields(type(value))
@@ -42,18 +42,18 @@
 
 
 def schema_of(kind: inspect.Type) -> Any:
-    """Return the form of a type as ``msgspec.inspect`` describes it."""
+    """Return the schema of a type that ``msgspec.inspect`` describes."""
     match kind:
         case inspect.StructType(cls=cls, fields=fields, tag=tag, array_like=array_like):
             names = [
                 [field.encode_name, _default(field), schema_of(field.type)] for field in fields
             ]
-            form = {"array" if array_like else "object": names}
+            schema = {"array" if array_like else "object": names}
             if tag is not None:
-                form["tag"] = [kind.tag_field, tag]
+                schema["tag"] = [kind.tag_field, tag]
             if kind.forbid_unknown_fields:
-                form["closed"] = True
-            return form
+                schema["closed"] = True
+            return schema
         case inspect.EnumType(cls=cls):
             return {"enum": sorted((to_json_value(member) for member in cls), key=str)}
         case inspect.ListType() | inspect.SetType() | inspect.FrozenSetType():
@@ -79,37 +79,40 @@
     return [to_json_value(field.default_factory())]
 
 
-def schema_differences(golden: Any, now: Any, place: str = "") -> list[str]:
-    """Return where a form is another one than it was.
+def schema_differences(golden: Any, now: Any, path: str = "") -> list[str]:
+    """Return the differences between two schemas, each with its path.
 
-    Fields of arrays are known by their place, so they may be renamed, but no name may move.
+    Fields of array-like structs are identified by their position, so they may be renamed, but a
+    name must not move to another position.
     """
     if isinstance(golden, dict) and isinstance(now, dict) and "array" in golden:
-        was, here = golden["array"], now.get("array", [])
-        others = [{key: form[key] for key in form if key != "array"} for form in (golden, now)]
-        found = schema_differences(*others, place)
-        if len(was) != len(here):
-            return [*found, f"{place}: {len(here)} fields where {len(was)} were"]
-        for number, (before, after) in enumerate(zip(was, here, strict=True)):
-            inside = f"{place}[{number} {before[0]}]"
-            if before[0] != after[0] and after[0] in [name for name, _, _ in was]:
-                found.append(f"{inside}: {after[0]} has moved here")
-            found += schema_differences(before[1:], after[1:], inside)
+        golden_fields, fields = golden["array"], now.get("array", [])
+        other_keys = [
+            {key: schema[key] for key in schema if key != "array"} for schema in (golden, now)
+        ]
+        found = schema_differences(*other_keys, path)
+        if len(golden_fields) != len(fields):
+            return [*found, f"{path}: {len(fields)} fields, expected {len(golden_fields)}"]
+        for number, (before, after) in enumerate(zip(golden_fields, fields, strict=True)):
+            field_path = f"{path}[{number} {before[0]}]"
+            if before[0] != after[0] and after[0] in [name for name, _, _ in golden_fields]:
+                found.append(f"{field_path}: {after[0]} has moved to this position")
+            found += schema_differences(before[1:], after[1:], field_path)
         return found
     if isinstance(golden, dict) and isinstance(now, dict):
         found = []
         for key in golden | now:
             if key not in golden or key not in now:
-                found.append(f"{place}: {key!r} in only one of both")
+                found.append(f"{path}: {key!r} is in one schema only")
             else:
-                found += schema_differences(golden[key], now[key], f"{place}.{key}")
+                found += schema_differences(golden[key], now[key], f"{path}.{key}")
         return found
     if isinstance(golden, list) and isinstance(now, list) and len(golden) == len(now):
         return [
-            each
+            difference
             for number, (before, after) in enumerate(zip(golden, now, strict=True))
-            for each in schema_differences(before, after, f"{place}[{number}]")
+            for difference in schema_differences(before, after, f"{path}[{number}]")
         ]
     if golden == now and type(golden) is type(now):
         return []
-    return [f"{place}: {now!r} where {golden!r} was"]
+    return [f"{path}: {now!r}, expected {golden!r}"]
--- a/tests/forms/test_derived.py
+++ b/tests/forms/test_derived.py
@@ -1,6 +1,6 @@
-"""Values that two versions work out for themselves and must agree on.
+"""Values that processes of different versions compute independently and must agree on.
 
-The expected ones were worked out by b0400eb, the code in use when these tests were written.
+The expected values were computed at revision b0400eb.
 """
 
 import unittest
@@ -40,8 +40,8 @@
         self.assertEqual(controls_checksum(["a:1", "b:2"]), 2400326235)
 
     def test_encoded_directory_update(self):
-        part = DirectoryUpdate(7, b"\1" * 16, [MEMBER], ["i-9"], [GATEWAY])
-        self.assertEqual(decode_update(bytes.fromhex(ENCODED_UPDATE)), part)
+        update = DirectoryUpdate(7, b"\1" * 16, [MEMBER], ["i-9"], [GATEWAY])
+        self.assertEqual(decode_update(bytes.fromhex(ENCODED_UPDATE)), update)
 
     def test_digest_of_a_configuration(self):
         site, user = SiteSpec("s", "r", ["a"]), UserSpec("u", "*00")
--- a/tests/forms/test_messages.py
+++ b/tests/forms/test_messages.py
@@ -1,12 +1,9 @@
-"""Messages between processes, held against bytes that an earlier version encoded.
-
-How ``data/messages.json`` was made: a script ran in a checkout of b0400eb, the code in use when
-these tests were written. For each type it made values of all fields that differ from each other,
-as many as it takes for each member of each enumeration, and None, to occur, and encoded them with
-that code. ``form`` says the type's fields with their defaults; ``less`` leaves out all fields that
-have a default and ``more`` adds one, with what that code understood and sent then. Hand-made lines
-for a new message are as good: an entry stays as it is for as long as a process that sends or
-takes the message may run.
+"""Messages between processes stay compatible with the bytes that an earlier version encoded.
+
+``data/messages.json`` was generated at revision b0400eb: for each type its schema (``form``), and
+samples that cover all values of enumerations and None. ``less`` omits all fields with a default
+and ``more`` has an unknown field, with the result at that revision. Entries for new messages may be
+written by hand; an entry must not change while processes that use the message may be running.
 """
 
 import asyncio
@@ -31,14 +28,14 @@
 class RpcTest(GoldenTestCase):
     @classmethod
     def setUpClass(cls) -> None:
-        import_all_modules()  # so that all messages are registered
+        import_all_modules()  # registers all messages
 
     def test_each_message_keeps_its_bytes(self):
         for tag, golden in GOLDEN["rpc"].items():
             with self.subTest(tag):
                 kind = codec._types[tag]
                 first = bytes.fromhex(golden["samples"][0]["bytes"])
-                # What the frame says beside the message is the same for all samples of it.
+                # The frame's header is the same for all samples of a message.
                 frame_kind, call, _ = codec.decode_frame(first)
                 self.assertEqual(msgspec.msgpack.decode(first)[:4], [1, frame_kind, call, tag])
 
@@ -84,7 +81,7 @@
         self.check_union(FromHolder, GOLDEN["from holder"])
 
     def test_the_links_decode_and_encode_the_golden_bytes(self):
-        for section, take in {
+        for section, link_decoder in {
             "from gateway": transport._gateway_decoder,
             "from holder": transport._holder_decoder,
         }.items():
@@ -96,13 +93,13 @@
                     peer.transport.is_closing.return_value = False
                     peer.transport.get_write_buffer_size.return_value = 0
                     written = peer.transport.write
-                    peer.write(take.decode(frame))
+                    peer.write(link_decoder.decode(frame))
                     written.assert_called_once_with(LENGTH.pack(len(frame)) + frame)
-                    taken: list[bytes] = []
-                    with mock.patch.object(peer, "take", taken.append):
+                    received: list[bytes] = []
+                    with mock.patch.object(peer, "take", received.append):
                         peer.data_received(LENGTH.pack(len(frame)) + frame[:-1])
                         peer.data_received(frame[-1:])
-                    self.assertEqual(taken, [frame])
+                    self.assertEqual(received, [frame])
 
 
 class DirectoryUpdateTest(GoldenTestCase):
@@ -114,8 +111,8 @@
 
     def test_directory_update_round_trip(self):
         for sample in GOLDEN["inside others"]["part of a directory"]["samples"]:
-            part = make_decoder(DirectoryUpdate)(bytes.fromhex(sample["bytes"]))
-            self.assertEqual(decode_update(encode_update(part)), part)
+            update = make_decoder(DirectoryUpdate)(bytes.fromhex(sample["bytes"]))
+            self.assertEqual(decode_update(encode_update(update)), update)
 
 
 if __name__ == "__main__":
--- a/tests/forms/test_names.py
+++ b/tests/forms/test_names.py
@@ -14,46 +14,46 @@
 from tests.forms.names import gather_names
 
 GOLDEN = load_golden("names.json")
-VARYING_EVENT = "?"  # fields of calls that log one of several events
+VARYING_EVENT = "?"  # key of the fields of calls that log one of several events
 
 
-def find_removed(golden: Any, now: Any, place: str) -> list[str]:
-    """Return what is in golden names and not in today's; a list or an object may be longer."""
-    if isinstance(golden, dict) and isinstance(now, dict):
+def find_removed(golden: Any, current: Any, path: str) -> list[str]:
+    """Return the golden names that are missing now; additions to lists and objects are allowed."""
+    if isinstance(golden, dict) and isinstance(current, dict):
         found = []
         for key, value in golden.items():
-            if key not in now:
-                found.append(f"{place}: {key!r} is gone")
+            if key not in current:
+                found.append(f"{path}: {key!r} is missing")
             elif key == "object":
-                found += _find_removed_fields(value, now[key], place)
+                found += _find_removed_fields(value, current[key], path)
             else:
-                found += find_removed(value, now[key], f"{place}: {key}")
+                found += find_removed(value, current[key], f"{path}: {key}")
         return found
-    if isinstance(golden, list) and isinstance(now, list):
-        return [f"{place}: {each!r} is gone" for each in golden if each not in now]
-    same = golden == now and type(golden) is type(now)
-    return [] if same else [f"{place}: {now!r} in place of {golden!r}"]
+    if isinstance(golden, list) and isinstance(current, list):
+        return [f"{path}: {each!r} is missing" for each in golden if each not in current]
+    same = golden == current and type(golden) is type(current)
+    return [] if same else [f"{path}: {current!r} instead of {golden!r}"]
 
 
-def _find_removed_fields(golden: list[Any], now: list[Any], place: str) -> list[str]:
-    """Compare fields of objects: name, default, form; a new one must have a default."""
-    fields = {name: rest for name, *rest in now}
+def _find_removed_fields(golden: list[Any], current: list[Any], path: str) -> list[str]:
+    """Compare the name, default and schema of fields; a new field must have a default."""
+    fields = {name: rest for name, *rest in current}
     found = []
-    for name, default, form in golden:
+    for name, default, schema in golden:
         if name not in fields:
-            found.append(f"{place}: field {name!r} is gone")
+            found.append(f"{path}: field {name!r} is missing")
             continue
-        found += _compare_defaults(default, fields[name][0], f"{place}.{name}")
-        found += find_removed(form, fields[name][1], f"{place}.{name}")
+        found += _compare_defaults(default, fields[name][0], f"{path}.{name}")
+        found += find_removed(schema, fields[name][1], f"{path}.{name}")
     known = {name for name, *_ in golden}
     for name, (default, _) in fields.items():
         if name not in known and default == "required":
-            found.append(f"{place}: new field {name!r} has no default")
+            found.append(f"{path}: new field {name!r} has no default")
     return found
 
 
-def _compare_defaults(golden: Any, now: Any, place: str) -> list[str]:
-    return [] if golden == now else [f"{place}: default {now!r} in place of {golden!r}"]
+def _compare_defaults(golden: Any, current: Any, path: str) -> list[str]:
+    return [] if golden == current else [f"{path}: default {current!r} instead of {golden!r}"]
 
 
 class NamesTest(unittest.TestCase):
@@ -61,70 +61,76 @@
 
     @classmethod
     def setUpClass(cls) -> None:
-        cls.now = gather_names()
+        cls.current = gather_names()
 
-    def check_part(self, part: str) -> None:
-        """Hold that nothing of a part of the names is gone or changed."""
-        self.assertEqual(find_removed(GOLDEN[part], self.now[part], part), [])
+    def check_section(self, section: str) -> None:
+        """Check that no name of a section was removed or changed."""
+        self.assertEqual(find_removed(GOLDEN[section], self.current[section], section), [])
 
     def test_every_section_has_a_test(self):
-        self.assertEqual(sorted(GOLDEN), sorted(self.now))
+        self.assertEqual(sorted(GOLDEN), sorted(self.current))
         tests = {name.removeprefix("test_").replace("_", " ") for name in dir(self)}
-        self.assertEqual([part for part in GOLDEN if part.replace("-", " ") not in tests], [])
+        self.assertEqual(
+            [section for section in GOLDEN if section.replace("-", " ") not in tests], []
+        )
 
     def test_documents(self):
-        self.check_part("documents")
+        self.check_section("documents")
 
     def test_events(self):
-        varying = set(self.now["events"][VARYING_EVENT]["fields"])
+        varying = set(self.current["events"][VARYING_EVENT]["fields"])
         for number, golden in GOLDEN["events"].items():
             with self.subTest(number):
-                event = self.now["events"][number]
+                event = self.current["events"][number]
                 self.assertEqual(event["level"], golden["level"])
                 self.assertEqual(set(golden["fields"]) - set(event["fields"]) - varying, set())
 
     def test_statement_lines(self):
-        self.assertEqual(self.now["statement lines"], GOLDEN["statement lines"])
+        self.assertEqual(self.current["statement lines"], GOLDEN["statement lines"])
 
     def test_log_values(self):
         for values in GOLDEN["log values"]:
-            kept = [now for now in self.now["log values"] if set(values) <= set(now)]
-            self.assertTrue(kept, f"of {values} a value is gone")
+            kept = [
+                current for current in self.current["log values"] if set(values) <= set(current)
+            ]
+            self.assertTrue(kept, f"a value of {values} is missing")
 
     def test_metrics(self):
-        self.check_part("metrics")
+        self.check_section("metrics")
 
     def test_paths(self):
-        self.check_part("paths")
+        self.check_section("paths")
 
     def test_commands(self):
-        self.check_part("commands")
+        self.check_section("commands")
 
     def test_exit_codes(self):
-        self.check_part("exit codes")
+        self.check_section("exit codes")
 
     def test_program(self):
-        self.check_part("program")
+        self.check_section("program")
 
     def test_plug_ins(self):
-        self.check_part("plug-ins")
+        self.check_section("plug-ins")
 
     def test_deployed(self):
-        self.check_part("deployed")
+        self.check_section("deployed")
 
 
 class ComparisonTest(unittest.TestCase):
-    """What the comparison above takes for a change."""
+    """Checks which changes :func:`find_removed` reports."""
 
-    def test_a_field_that_is_gone_renamed_or_new_without_default(self):
+    def test_a_removed_renamed_or_new_required_field(self):
         golden = {"object": [["a", "required", "int"], ["b", [1], "int"]]}
         renamed = {"object": [["a", "required", "int"], ["c", [1], "int"]]}
-        longer = {"object": [*golden["object"], ["c", [1], "int"]]}
-        demanding = {"object": [*golden["object"], ["c", "required", "int"]]}
+        extended = {"object": [*golden["object"], ["c", [1], "int"]]}
+        with_required = {"object": [*golden["object"], ["c", "required", "int"]]}
         self.assertEqual(find_removed(golden, golden, "x"), [])
-        self.assertEqual(find_removed(golden, longer, "x"), [])
-        self.assertEqual(find_removed(golden, renamed, "x"), ["x: field 'b' is gone"])
-        self.assertEqual(find_removed(golden, demanding, "x"), ["x: new field 'c' has no default"])
+        self.assertEqual(find_removed(golden, extended, "x"), [])
+        self.assertEqual(find_removed(golden, renamed, "x"), ["x: field 'b' is missing"])
+        self.assertEqual(
+            find_removed(golden, with_required, "x"), ["x: new field 'c' has no default"]
+        )
 
     def test_a_default_or_type_that_changed(self):
         golden = {"object": [["b", [1], "int"]]}
@@ -133,8 +139,8 @@
 
     def test_lists_and_maps(self):
         self.assertEqual(find_removed({"k": ["a"]}, {"k": ["a", "b"], "l": []}, "x"), [])
-        self.assertEqual(find_removed({"k": ["a"]}, {"k": ["b"]}, "x"), ["x: k: 'a' is gone"])
-        self.assertEqual(find_removed({"k": []}, {}, "x"), ["x: 'k' is gone"])
+        self.assertEqual(find_removed({"k": ["a"]}, {"k": ["b"]}, "x"), ["x: k: 'a' is missing"])
+        self.assertEqual(find_removed({"k": []}, {}, "x"), ["x: 'k' is missing"])
 
 
 if __name__ == "__main__":
--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -1,13 +1,11 @@
-"""Data folders of control nodes, held against folders that were written by an earlier version.
-
-How ``data`` was made: a script ran in a checkout of b0400eb, the code in use when these tests were
-written. ``stored.json`` holds samples of each type that stands in a folder, made like those of
-``messages.json`` (see ``test_messages``). For each kind of control node, ``before`` is the folder
-of a node that ran alone, took a snapshot each six entries, and was started again once; ``after``
-is the same folder after two more lives, whose commands, results and states stand in
-``story.json``. ``sql/backup`` is a backup of ``sql/before``. The tests live the same two lives with
-today's code: as its folder has the same bytes in the end, the earlier version reads what today's
-writes.
+"""Data folders of control nodes stay compatible with those that an earlier version wrote.
+
+``data`` was generated at revision b0400eb. ``stored.json`` has samples of each stored type, in the
+format of ``messages.json`` (see ``test_messages``). For each kind of control node, ``before`` is
+the folder of a single node that took a snapshot every six entries and restarted once, and ``after``
+is the same folder after two more runs, whose commands, results and states are in ``story.json``.
+``sql/backup`` is a backup of ``sql/before``. The tests repeat both runs and expect identical files,
+so that the earlier version can read what this one writes.
 """
 
 import asyncio
@@ -46,7 +44,7 @@
 from tests.forms.schema import to_json_value
 
 GOLDEN = load_golden("stored.json")
-# Elections of a node that is alone are over at once; a snapshot each few entries.
+# Short election timeouts, as the node is alone; a snapshot every six entries.
 OPTIONS = NodeOptions(RaftConfig(0.01, 0.02, first_election_seconds=0.005), snapshot_entries=6)
 
 
@@ -78,17 +76,17 @@
 
 
 def folder_contents(folder: Path) -> dict[str, str]:
-    """Return the files of a folder, in hex."""
+    """Return the contents of a folder's files in hex, by name."""
     return {path.name: path.read_bytes().hex() for path in sorted(folder.iterdir())}
 
 
 def decoded_state(machine: StateMachine) -> Any:
-    """Return a state machine's whole state, as its snapshot would have it."""
+    """Return the state of a state machine, decoded from a snapshot."""
     return to_json_value(msgspec.msgpack.decode(machine.snapshot()))
 
 
 class NodeRun:
-    """One run of a control node that is alone, on a folder."""
+    """One run of a single control node on a data folder."""
 
     def __init__(self, folder: Path, story: Any, machine: StateMachine) -> None:
         self.folder = folder
@@ -97,7 +95,7 @@
         self.config = NodeConfig(story["cluster"], name, [NodeAddress(name, name)])
 
     async def run(self, commands: list[bytes]) -> tuple[Any, list[Any], Any]:
-        """Return the state that was found, the results of commands, and the state after them."""
+        """Return the state at the start, the results of the commands, and the state after them."""
         disk = FileDisk(self.folder)
         storage = Storage(disk)
         network = mock.Mock()
@@ -126,11 +124,11 @@
 
 
 class DataFolderTestCase(GoldenTestCase):
-    """Opens a folder that was written earlier, and lives on in it."""
+    """Opens a folder that an earlier version wrote, and continues to write to it."""
 
     kind = ""
     command: Any = None
-    index = 0  # of the snapshot, after which entries follow in the log
+    index = 0  # last index of the snapshot in ``before``; the log continues after it
 
     def machine(self) -> StateMachine:
         """Return an empty state machine."""
@@ -149,7 +147,9 @@
         self.assertEqual(log.snapshot_index, self.index)
         self.assertGreater(log.last_index, self.index + 1)
         self.assertEqual(
-            folder_contents(self.folder), folder_contents(self.data / "before"), "only read"
+            folder_contents(self.folder),
+            folder_contents(self.data / "before"),
+            "reading must not change files",
         )
 
     def test_folder_is_byte_identical_after_two_more_runs(self):
@@ -217,7 +217,7 @@
         self.assertEqual(version, self.story["state"]["current"]["version"])
 
 
-del DataFolderTestCase  # has tests, but no folder of its own
+del DataFolderTestCase  # the base class has tests, but no folder
 
 
 if __name__ == "__main__":
--- a/tests/forms/test_texts.py
+++ b/tests/forms/test_texts.py
@@ -1,6 +1,6 @@
-"""Texts that leave the programs may not change: refusals, errors to clients, outputs of commands.
+"""External texts must not change: refusals, errors to clients, output of commands.
 
-``data/texts.json`` was written by ``texts.gather_texts`` in a checkout of f5ba2eb.
+``data/texts.json`` was written by ``texts.gather_texts`` at revision f5ba2eb.
 """
 
 import unittest
@@ -12,12 +12,12 @@
 
 
 class ExternalTextsTest(unittest.TestCase):
-    def test_no_text_is_gone(self) -> None:
+    def test_no_text_is_removed(self) -> None:
         now = gather_texts()
-        gone = [text for text, count in GOLDEN.items() if now.get(text, 0) < count]
-        self.assertEqual(gone, [])
+        removed = [text for text, count in GOLDEN.items() if now.get(text, 0) < count]
+        self.assertEqual(removed, [])
 
-    def test_a_changed_word_or_format_is_seen(self) -> None:
+    def test_a_changed_word_or_format_is_detected(self) -> None:
         before = list(texts_of('Answer(message=f"no route for {name:.1f}")'))
         self.assertEqual(before, ["no route for {:.1f}"])
         self.assertEqual(
@@ -29,7 +29,7 @@
         before = list(texts_of('raise NotRunError(f"no route for {name}")'))
         self.assertEqual(list(texts_of('raise NotRunError(f"no route for {host}")')), before)
 
-    def test_doc_comments_and_assertions_are_left_out(self) -> None:
+    def test_docstrings_and_assertions_are_excluded(self) -> None:
         source = (
             '"""A module."""\nassert x, "never seen"\ndef f() -> "dict[str, int]":\n    "Do it."\n'
         )
--- a/tests/forms/texts.py
+++ b/tests/forms/texts.py
@@ -1,4 +1,4 @@
-"""Texts by which clients, gateways and operators' tools know the programs, read from the code."""
+"""Collects from the code the texts that clients, gateways and operators' tools receive."""
 
 import ast
 from collections import Counter
@@ -11,12 +11,12 @@
 
 ROOT = Path(rowanrail.__file__).resolve().parents[2]
 FOLDERS = ("src/rowanrail", "platform")
-# Sentences of log lines and of ``explain``, and descriptions that made pages hold.
+# Log messages, texts of ``explain``, and descriptions that generated documents contain.
 EXCLUDED_FILES = ("events.py", "cli/explain.py", "config/model.py", "config/settings.py")
 EXCLUDED_PACKAGE = "rowanrail/explain"
-# Help of options, and errors that are only logged or printed as text.
+# Help of options, and errors that are only logged or printed.
 EXCLUDED_CALLS = {"LookupError", "StorageError", "ValueError", "_damaged", "define", "option"}
-# Calls whose texts leave the program even if they are a single word.
+# Calls whose texts are external even if they are a single word.
 EXTERNAL_TEXT_CALLS = {
     "Answer",
     "BackendRefusedError",
@@ -44,7 +44,7 @@
 
 
 def gather_texts() -> dict[str, int]:
-    """Return how often each text stands in the product, without regard to where."""
+    """Return the number of occurrences of each external text in the product."""
     counts: Counter[str] = Counter()
     for folder in FOLDERS:
         for path in sorted((ROOT / folder).rglob("*.py")):
@@ -55,7 +55,7 @@
 
 
 def texts_of(source: str) -> Iterator[str]:
-    """Yield the texts of a module, values that are filled in as ``{}`` with their format."""
+    """Yield the external texts of a module, with ``{}`` and the format for interpolated values."""
     tree = ast.parse(source)
     parents = {child: node for node in ast.walk(tree) for child in ast.iter_child_nodes(node)}
     for node in ast.walk(tree):
@@ -86,7 +86,7 @@
 
 
 def _enclosing_call(node: ast.AST, parents: dict[ast.AST, ast.AST]) -> str:
-    """Return the name of the innermost call whose argument a text belongs to; empty if none."""
+    """Return the name of the innermost call around a node within its statement; empty if none."""
     while not isinstance(node, ast.stmt):
         node = parents[node]
         if isinstance(node, ast.Call):
@@ -95,7 +95,7 @@
 
 
 def _is_assertion_or_annotation(node: ast.AST, parents: dict[ast.AST, ast.AST]) -> bool:
-    """Return whether a text is an assertion's or a quoted annotation."""
+    """Return whether a text is part of an assertion or is a quoted annotation."""
     while not isinstance(node, ast.stmt):
         parent = parents[node]
         if isinstance(parent, ast.FunctionDef | ast.AsyncFunctionDef) and node is parent.returns:
