--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Each name of the configuration document is read for what it means."""
+"""Each field of the configuration document is decoded to the right attribute."""
 
 import unittest
 
@@ -39,16 +39,16 @@
     return JsonDocumentFormat().parse(msgspec.json.encode(document))
 
 
-class DocumentNamesTest(unittest.TestCase):
+class DocumentFieldsTest(unittest.TestCase):
     def test_every_field_is_decoded(self):
-        taken = parse(DOCUMENT).unwrap()
+        parsed = parse(DOCUMENT).unwrap()
         route = Route("r1", "orders", "db", Consistency.BOUNDED, 2.5, 0.4, 1.5, 0, True)
-        self.assertEqual((taken.version, taken.routes), (9, {"orders": route}))
-        self.assertEqual(taken.services, {"db": ServiceSpec("db", 33, 2)})
-        self.assertEqual(taken.idle_transaction_seconds, 7.0)
-        self.assertEqual(taken.maximum_statement_bytes, 1000)
-        self.assertEqual(taken.tenants.by_name, {"anna": Tenant("anna", 2, 12.5, 4)})
-        self.assertEqual(taken.tenants.owners, {key_digest("k1"): "anna"})
+        self.assertEqual((parsed.version, parsed.routes), (9, {"orders": route}))
+        self.assertEqual(parsed.services, {"db": ServiceSpec("db", 33, 2)})
+        self.assertEqual(parsed.idle_transaction_seconds, 7.0)
+        self.assertEqual(parsed.maximum_statement_bytes, 1000)
+        self.assertEqual(parsed.tenants.by_name, {"anna": Tenant("anna", 2, 12.5, 4)})
+        self.assertEqual(parsed.tenants.owners, {key_digest("k1"): "anna"})
 
     def test_omitted_fields_have_defaults(self):
         route = {"name": "r1", "host": "orders", "service": "db", "kind": "primary"}
@@ -57,13 +57,13 @@
             "routes": [route | {"timeout-ms": 1000}],
             "services": [{"name": "db"}],
         }
-        taken = parse(document).unwrap()
+        parsed = parse(document).unwrap()
         expected = Route("r1", "orders", "db", Consistency.PRIMARY, 1.0, 1.0, 0.0, 1, False)
-        self.assertEqual(taken.routes, {"orders": expected})
-        self.assertEqual(taken.services, {"db": ServiceSpec("db", 20, 0)})
-        self.assertEqual(taken.idle_transaction_seconds, 60.0)
-        self.assertEqual(taken.maximum_statement_bytes, 262144)
-        self.assertIsNone(taken.tenants)
+        self.assertEqual(parsed.routes, {"orders": expected})
+        self.assertEqual(parsed.services, {"db": ServiceSpec("db", 20, 0)})
+        self.assertEqual(parsed.idle_transaction_seconds, 60.0)
+        self.assertEqual(parsed.maximum_statement_bytes, 262144)
+        self.assertIsNone(parsed.tenants)
 
     def test_problems_use_the_names_of_the_document(self):
         route = DOCUMENT["routes"][0] | {"kind": "x", "timeout-ms": 0, "max-staleness-ms": -1}
--- a/tests/platform/test_control.py
+++ b/tests/platform/test_control.py
@@ -1,4 +1,4 @@
-"""The operator's and the members' calls, and the replacement of a primary, on processes."""
+"""HTTP API of control nodes, replacement of a primary, and planned stops. Runs processes."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
             changed = configuration(10, limits={"idle-tx-ms": 1})
             self.assertEqual(await fleet.put(changed, third), 200)
             self.assertEqual(await fleet.get(first), (200, wanted))
-            await self.refused(fleet)
+            await self.check_invalid_documents(fleet)
             self.assertEqual(await fleet.get(first), (200, wanted))
             both = await asyncio.gather(
                 fleet.put(configuration(20, limits={"idle-tx-ms": 1}), first),
@@ -30,16 +30,16 @@
             self.assertEqual(both, [200, 200])
             answers = [await fleet.get(host) for host in fleet.control_hosts]
             self.assertEqual(answers, [answers[0]] * 3)
-            await self.without_majority(fleet)
+            await self.check_without_majority(fleet)
 
-    async def refused(self, fleet):
+    async def check_invalid_documents(self, fleet):
         def with_route(**changes):
             document = configuration(30)
             document["routes"][0].update(changes)
             return document
 
-        twice = configuration(30)
-        twice["routes"].append({**twice["routes"][0], "name": "other"})
+        duplicate = configuration(30)
+        duplicate["routes"].append({**duplicate["routes"][0], "name": "other"})
         for document in (
             json.dumps(configuration(30)).encode()[:-40],
             b"",
@@ -48,12 +48,12 @@
             with_route(service="nobody"),
             with_route(**{"timeout-ms": 0}),
             with_route(kind="wild"),
-            twice,
+            duplicate,
             configuration(0),
         ):
             self.assertEqual(await fleet.put(document), 400, document)
 
-    async def without_majority(self, fleet):
+    async def check_without_majority(self, fleet):
         fleet.kill(fleet.control_hosts[1])
         fleet.kill(fleet.control_hosts[2])
         await asyncio.sleep(1.0)
@@ -101,7 +101,7 @@
         async with PlatformFleet(controls=3, proxies=1) as fleet:
             self.assertEqual(await fleet.put(configuration(50)), 200)
             for host in fleet.control_hosts:
-                # Under load a node may not have set up its folder yet: then two would be lost.
+                # Under load a node may not have initialized its folder yet; then two would be lost.
                 await fleet.until(lambda host=host: self.version(fleet, host), 50)
             for host in fleet.control_hosts:
                 fleet.kill(host)
@@ -123,7 +123,7 @@
 
 class ChangedSettingsTest(unittest.IsolatedAsyncioTestCase):
     async def test_programs_keep_running_after_a_sighup(self):
-        # Found on played days: control nodes ended with code 129.
+        # Without a handler, SIGHUP ends a program: a control node exited with code 129.
         async with PlatformFleet(controls=1, proxies=1) as fleet:
             for host in (fleet.control_hosts[0], fleet.proxy_hosts[0]):
                 fleet.processes[host].send_signal(signal.SIGHUP)
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""What a member's heartbeat becomes in the product's own terms."""
+"""Conversion of a member's heartbeat to its record."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 from rowanrail_platform.control_api import Heartbeat
 
-PLAIN = {
+HEARTBEAT = {
     "service": "db",
     "addr": "10.0.0.9:8080",
     "zone": "a",
@@ -19,7 +19,7 @@
 
 class HeartbeatTest(unittest.TestCase):
     def record(self, **fields):
-        body = msgspec.json.encode(PLAIN | fields)
+        body = msgspec.json.encode(HEARTBEAT | fields)
         return msgspec.json.decode(body, type=Heartbeat).to_member_record("i-1")
 
     def test_cold_time_is_rounded_to_milliseconds(self):
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,4 +1,4 @@
-"""The words that start the programs, as ``deploy/system.toml`` has them."""
+"""The commands in ``deploy/system.toml`` start the programs."""
 
 import os
 import subprocess
@@ -16,18 +16,18 @@
         with open(ROOT / "deploy" / "system.toml", "rb") as file:
             self.roles = tomllib.load(file)["roles"]
 
-    def test_each_program_loads_with_nothing_but_its_libraries(self):
+    def test_each_program_loads_with_only_its_libraries(self):
         for role in self.roles.values():
-            words = [sys.executable, *role["run"].split()[1:]]
+            command = [sys.executable, *role["run"].split()[1:]]
             environment = {"PATH": os.environ["PATH"], "PYTHONPATH": sysconfig.get_path("purelib")}
-            done = subprocess.run(
-                words, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=30
+            result = subprocess.run(
+                command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=30
             )
-            self.assertEqual(done.returncode, 2, done.stderr)
-            self.assertIn("settings file", done.stderr)
+            self.assertEqual(result.returncode, 2, result.stderr)
+            self.assertIn("settings file", result.stderr)
 
     def test_no_program_loads_the_site_module(self):
-        # Found on hb-subrail-large: after a loss of power clients find no gateway for as long as
-        # the programs take to load, and the site module is a part of it that nothing here needs.
+        # The site module is not needed; loading it delays a restart, during which clients find no
+        # gateway.
         for role in self.roles.values():
             self.assertIn("-S", role["run"].split())
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants and keys of a configuration document, and what makes one invalid."""
+"""Decoding and validation of tenants and API keys in a configuration document."""
 
 import unittest
 
@@ -21,14 +21,14 @@
     return JsonDocumentFormat().parse(msgspec.json.encode(document))
 
 
-class DocumentTest(unittest.TestCase):
-    def test_keys_are_known_by_their_digests_only(self):
+class TenantsOfDocumentTest(unittest.TestCase):
+    def test_only_digests_of_keys_are_kept(self):
         tenants = parse(tenant("a", "secret-1", "secret-2"), tenant("b", "secret-3")).unwrap()
         self.assertNotIn("secret", repr(tenants))
         self.assertEqual(tenants.tenants.owners[key_digest("secret-2")], "a")
         self.assertEqual(tenants.tenants.by_name["b"].rate, 10)
 
-    def test_a_document_without_tenants_asks_for_no_keys(self):
+    def test_a_document_without_tenants_needs_no_keys(self):
         parsed = JsonDocumentFormat().parse(msgspec.json.encode(configuration(7)))
         self.assertIsNone(parsed.unwrap().tenants)
 
@@ -56,7 +56,7 @@
                 self.assertTrue(problem.startswith(path), problem)
                 self.assertNotIn("secret", problem)
 
-    def test_a_rate_that_is_no_number_is_invalid(self):
+    def test_a_rate_that_is_not_a_finite_number_is_invalid(self):
         for rate in ("many", float("inf"), [1]):
             raw = msgspec.json.encode(configuration(7, tenants=[tenant("a")]))
             raw = raw.replace(b'"rate-per-s":10', b'"rate-per-s":' + msgspec.json.encode(rate))
@@ -64,7 +64,7 @@
                 raw = raw.replace(b"null", b"1e999")
             self.assertIsInstance(JsonDocumentFormat().parse(raw), Failure, rate)
 
-    def test_no_limit_is_valid(self):
+    def test_a_tenant_without_limits_is_valid(self):
         self.assertIsInstance(parse({"name": "a", "api-keys": ["k"]}), Success)
 
 
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""The line wire towards clients, on real processes with stand-in members."""
+"""The line protocol of clients, with gateway processes and simulated members."""
 
 import asyncio
 import unittest
@@ -10,35 +10,35 @@
     async def test_line_protocol(self):
         async with PlatformFleet(controls=1, proxies=1) as fleet:
             for check in (
-                self.statements,
-                self.own_writes,
-                self.transactions,
-                self.values_and_names,
-                self.bad_input,
-                self.pipelining,
-                self.unknown_database,
-                self.changed_routes,
-                self.idle_sessions,
-                self.metrics,
+                self.check_statements,
+                self.check_read_your_writes,
+                self.check_transactions,
+                self.check_session_state,
+                self.check_malformed_input,
+                self.check_pipelining,
+                self.check_unknown_database,
+                self.check_changed_routes,
+                self.check_idle_sessions,
+                self.check_metrics,
             ):
                 with self.subTest(check.__name__):
                     await check(fleet)
 
-    async def statements(self, fleet):
+    async def check_statements(self, fleet):
         client = await fleet.client("orders")
         done = await client.query("WRITE a 1")
         self.assertEqual(done[0], "DONE sig.write")
         self.assertRegex(done[1], r"^READY I 1\.\d+$")
         self.assertEqual((await client.query("READ a"))[:2], ["ROW 1", "DONE sig.read"])
 
-    async def own_writes(self, fleet):
+    async def check_read_your_writes(self, fleet):
         for database in ("orders", "carts"):
             client = await fleet.client(database)
             for number in range(20):
                 await client.query(f"WRITE own {number}")
                 self.assertEqual((await client.query("READ own"))[0], f"ROW {number}")
 
-    async def transactions(self, fleet):
+    async def check_transactions(self, fleet):
         client, other = await fleet.client("orders"), await fleet.client("orders")
         self.assertEqual(await client.query("BEGIN"), ["DONE -", "READY T -"])
         await client.query("WRITE t 1")
@@ -57,7 +57,7 @@
         self.assertTrue((await client.query("READ t"))[0].startswith("ERROR MALFORMED"))
         self.assertEqual((await client.query("ROLLBACK"))[-1], "READY I -")
 
-    async def values_and_names(self, fleet):
+    async def check_session_state(self, fleet):
         client = await fleet.client("reports")
         self.assertEqual(await client.query("SET colour red"), ["DONE -", "READY I -"])
         self.assertEqual(await client.query("PREPARE s READ q1"), ["DONE -", "READY I -"])
@@ -65,7 +65,7 @@
         self.assertEqual(await client.query("CLOSE s"), ["DONE -", "READY I -"])
         self.assertTrue((await client.query("EXECUTE s a"))[0].startswith("ERROR UNKNOWN"))
 
-    async def bad_input(self, fleet):
+    async def check_malformed_input(self, fleet):
         client = await fleet.client("orders")
         for text in (
             "DROP all",
@@ -85,42 +85,42 @@
             await stray.raw(garbage)
             self.assertTrue((await stray.line()).startswith("ERROR MALFORMED"), garbage)
             self.assertEqual(await stray.line(), "")
-        long = await fleet.client("orders")
-        await long.raw(b"QUERY q " + b"x" * (1024 * 1024 + 10) + b"\r\n")
-        self.assertTrue((await long.line()).startswith("ERROR TOOBIG"))
-        half = await fleet.client("orders")
-        await half.raw(b"QUERY q1 READ")
+        oversized = await fleet.client("orders")
+        await oversized.raw(b"QUERY q " + b"x" * (1024 * 1024 + 10) + b"\r\n")
+        self.assertTrue((await oversized.line()).startswith("ERROR TOOBIG"))
+        partial = await fleet.client("orders")
+        await partial.raw(b"QUERY q1 READ")
         await asyncio.sleep(0.05)
-        await half.raw(b" a\r\n")
-        self.assertEqual((await half.answer())[1], "DONE sig.read")
-        gone = await fleet.client("orders")
-        await gone.raw(b"QUERY q1 WRITE gone 1")
-        gone.close()
+        await partial.raw(b" a\r\n")
+        self.assertEqual((await partial.answer())[1], "DONE sig.read")
+        disconnected = await fleet.client("orders")
+        await disconnected.raw(b"QUERY q1 WRITE gone 1")
+        disconnected.close()
         quitting = await fleet.client("orders")
         await quitting.raw(b"QUIT\r\n")
         self.assertEqual(await quitting.line(), "")
 
-    async def pipelining(self, fleet):
+    async def check_pipelining(self, fleet):
         client = await fleet.client("carts")
         await client.raw(b"".join(b"QUERY p%d WRITE p %d\r\n" % (n, n) for n in range(10)))
         answers = [await client.answer() for _ in range(10)]
         self.assertTrue(all(answer[0] == "DONE sig.write" for answer in answers))
         self.assertEqual((await client.query("READ p"))[0], "ROW 9")
 
-    async def unknown_database(self, fleet):
+    async def check_unknown_database(self, fleet):
         client = LineClient(fleet.proxy_hosts[0])
         self.assertTrue((await client.start("nothing")).startswith("ERROR NODB"))
         self.assertEqual(await client.line(), "")
 
-    async def changed_routes(self, fleet):
+    async def check_changed_routes(self, fleet):
         client = await fleet.client("reports")
         routes = [r for r in configuration(1)["routes"] if r["host"] != "reports"]
         self.assertEqual(await fleet.put(configuration(5, routes=routes)), 200)
 
-        async def first_word():
+        async def error_code():
             return (await client.query("READ a"))[0].split(" ")[1]
 
-        await fleet.until(first_word, "NODB", 3)
+        await fleet.until(error_code, "NODB", 3)
         self.assertEqual(await fleet.put(configuration(6)), 200)
         await fleet.until(lambda: self._serves(client), True, 3)
 
@@ -128,7 +128,7 @@
     async def _serves(client):
         return (await client.query("READ a"))[-2] == "DONE sig.read"
 
-    async def idle_sessions(self, fleet):
+    async def check_idle_sessions(self, fleet):
         before = sum(len(member.connections) for member in fleet.members)
         clients = [await fleet.client("orders") for _ in range(200)]
         after = sum(len(member.connections) for member in fleet.members)
@@ -136,7 +136,7 @@
         for client in clients:
             client.close()
 
-    async def metrics(self, fleet):
+    async def check_metrics(self, fleet):
         proxy = await fleet.metrics(fleet.proxy_hosts[0])
         self.assertIn(
             'rowanrail_gateway_statements_total{kind="write",outcome="done",stage="sent"}', proxy
