--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -16,13 +16,13 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.tenants.demand import Report
 from tests.gateway.test_tenants import TenantGateway
-from tests.support.gateway import PlayedGateway
-from tests.support.relay import PlayedZone
+from tests.support.gateway import GatewayHarness
+from tests.support.relay import ZoneHarness
 
 
 class ExplainTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
 
     def story(self, request, extra=()):
         return diagnose(request, read_lines([*self.played.logs(), *extra]).lines)
@@ -153,7 +153,7 @@
         self.assertRegex(story.cause, r"while it waited about \d+ ms still lay before it and")
 
     def test_turned_away_by_what_the_holder_had_told(self):
-        self.played = zone = PlayedZone()
+        self.played = zone = ZoneHarness()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.3)
         pool = zone.first.gateway.services["db"].pools["m1"]
@@ -165,7 +165,7 @@
         self.assertIn("so that it was not sent there", story.cause)
 
     def test_a_write_whose_link_to_the_holder_was_lost(self):
-        zone = PlayedZone()
+        zone = ZoneHarness()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.1)
         zone.primary.script = [None]
@@ -179,7 +179,7 @@
         self.assertTrue([line for line in story.around if line.event == LINK_LOST.number])
 
     def test_refused_while_no_gateway_of_the_zone_held_connections(self):
-        zone = PlayedZone()
+        zone = ZoneHarness()
         for one in (zone.first, zone.second):
             zone.network.frozen.add(one.name)
         client = zone.last.client("orders")
@@ -191,7 +191,7 @@
 
     def test_waiting_for_a_sample_at_the_holder_is_no_lost_link(self):
         # Found by hand on a played day.
-        zone = PlayedZone()
+        zone = ZoneHarness()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.1)
         zone.primary.silent = True
@@ -203,7 +203,7 @@
         self.assertIn("it could not run: the primary of db was lost", story.cause)
 
     def test_what_decided_at_the_holder_is_told_with_its_name(self):
-        zone = PlayedZone()
+        zone = ZoneHarness()
         zone.primary.primary = False
         zone.last.client("orders").run("WRITE a 1", seconds=1.0)
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
--- a/tests/explain/test_search.py
+++ b/tests/explain/test_search.py
@@ -11,7 +11,7 @@
 from rowanrail.explain.diagnosis import diagnose
 from rowanrail.explain.lines import read_lines
 from rowanrail.explain.search import search
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 
 class Log:
@@ -32,7 +32,7 @@
 
 class SearchTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         client = self.played.client("orders")
         client.run("WRITE a 1")
         self.played.primary.silent = True
--- a/tests/gateway/test_choice_of_member.py
+++ b/tests/gateway/test_choice_of_member.py
@@ -8,14 +8,14 @@
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, Refusal, SessionState
 from rowanrail.placement.hashed import Population
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 BUSY_ANSWER = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
 
 
 class ChoiceOfMemberTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         self.client = self.played.client("carts")
         self.client.run("READ warm", seconds=0.1)
 
@@ -83,7 +83,7 @@
     """A slow primary remains primary, but reads that other members can serve avoid it."""
 
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         self.played.primary.zone, self.played.near.zone = "a", "b"
         self.played.announce(2)
         self.played.near.position = self.played.far.position = Position(1, 99)
--- a/tests/gateway/test_crowded.py
+++ b/tests/gateway/test_crowded.py
@@ -4,7 +4,7 @@
 
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, Refusal, SessionState
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 DONE = Answer(rows=[b"row"], signature=b"sig", position=Position(1, 12), state=SessionState.IDLE)
 FULL = Refusal.TOO_MANY_CONNECTIONS
@@ -12,7 +12,7 @@
 
 class ConnectionLimitTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
 
     def health(self):
         (health,) = self.played.gateway.health()
@@ -44,7 +44,7 @@
             self.played.client("orders").run("READ a", seconds=0.1)
             self.played.client("orders").run("WRITE a 1", seconds=0.1)
             self.played.clock.advance(0.5)
-        self.assertEqual(len(self.played.primary.open_wires()), 1)
+        self.assertEqual(len(self.played.primary.open_transports()), 1)
 
     def test_a_sample_succeeds_while_all_connections_are_in_use(self):
         self.played.configure(2, connections=18)
@@ -95,7 +95,7 @@
 class SilentPrimaryTest(unittest.TestCase):
     def test_a_silent_primary_is_detected_while_all_connections_are_in_use(self):
         # A sample must not wait for pooled connections whose statements are never answered.
-        played = PlayedGateway()
+        played = GatewayHarness()
         played.client("orders").run("WRITE a 1", seconds=0.1)
         played.primary.silent = True
         played.client("orders").ask("WRITE b 2")
@@ -107,7 +107,7 @@
 
     def test_statements_for_a_long_lost_primary_are_refused_at_once(self):
         # Their clients must have time left to try a gateway that reaches the primary.
-        played = PlayedGateway()
+        played = GatewayHarness()
         played.client("orders").run("WRITE a 1", seconds=0.1)
         played.primary.silent = True
         for _ in range(6):
@@ -125,19 +125,19 @@
 
 class DelayedOpeningTest(unittest.TestCase):
     def test_a_short_wait_opens_no_further_connection(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         first, second = played.client("orders"), played.client("orders")
         first.run("WRITE a 1", seconds=0.1)
         played.primary.script = [None]
         first.ask("WRITE b 2")
         second.ask("WRITE c 3")
         played.clock.advance(0.01)
-        played.primary.wires[0].channel.answered(DONE)
+        played.primary.transports[0].channel.answered(DONE)
         self.assertIsNone(second.answers[-1].refusal)
-        self.assertEqual(len(played.primary.wires), 1)
+        self.assertEqual(len(played.primary.transports), 1)
 
     def test_a_wait_as_long_as_an_opening_opens_a_connection(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         first, second = played.client("orders"), played.client("orders")
         first.run("WRITE a 1", seconds=0.1)
         played.primary.script = [None]
@@ -145,4 +145,4 @@
         second.ask("WRITE c 3")
         played.clock.advance(0.06)
         self.assertIsNone(second.answers[-1].refusal)
-        self.assertEqual(len(played.primary.wires), 2)
+        self.assertEqual(len(played.primary.transports), 2)
--- a/tests/gateway/test_frozen_process.py
+++ b/tests/gateway/test_frozen_process.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 MAX_CLOCK_READS = 100_000  # per step; a few thousand are usual
 SEEDS = (4, 9, 12, 60, 3035, 3053, 3121, 3196, 6065, 6154, 6290, 9066, 9112, 9163)
@@ -34,7 +34,7 @@
     def play(self, seed):
         """Run reads at silent members while time jumps as in a suspended process."""
         rng = random.Random(seed)
-        played = PlayedGateway(slots=rng.choice([1, 2, 3, 5]))
+        played = GatewayHarness(slots=rng.choice([1, 2, 3, 5]))
         reads = limit_clock_reads(played.clock)
         played.configure(2, connections=rng.choice([3, 6, 9, 15, 30]))
         played.clock.advance(1.0)
--- a/tests/gateway/test_idle_services.py
+++ b/tests/gateway/test_idle_services.py
@@ -5,12 +5,12 @@
 
 from rowanrail.gateway.gateway import TICK_SECONDS, TICKS_OF_IDLE
 from rowanrail.gateway.services.service import IN_USE_SECONDS, Service
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 
 class IdleServicesTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         self.service = self.played.gateway.services["db"]
 
     def count_ticks(self, seconds):
--- a/tests/gateway/test_member_weight.py
+++ b/tests/gateway/test_member_weight.py
@@ -4,7 +4,7 @@
 
 from rowanrail.gateway.gauges import gauges
 from rowanrail.model.statements import Answer, CommandKind, Refusal, SessionState
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 FAILED = Answer(refusal=Refusal.FAILED, state=SessionState.IDLE)
 BUSY_ANSWER = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
@@ -12,7 +12,7 @@
 
 class MemberWeightTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         self.client = self.played.client("reports")
         self.client.run("READ warm", seconds=0.1)
         self.weights = self.played.gateway.services["db"].estimates.weights
@@ -83,7 +83,7 @@
         self.assertLess(self.weight(), before)
 
     def test_a_member_that_refuses_connections_loses_weight(self):
-        for wire in self.played.near.open_wires():
+        for wire in self.played.near.open_transports():
             wire.channel.lost("closed")
         self.played.near.reachable = False
         self.use(1)
--- a/tests/gateway/test_samples.py
+++ b/tests/gateway/test_samples.py
@@ -10,7 +10,7 @@
 from rowanrail.model.position import Position
 from rowanrail.model.statements import CommandKind
 from rowanrail.placement.hashed import Population
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 
 class SampleHistoryTest(unittest.TestCase):
@@ -52,7 +52,7 @@
     """Sampling rate of a primary when no read waits for a sample."""
 
     def played(self, gateways):
-        played = PlayedGateway()
+        played = GatewayHarness()
         played.configure(2, connections=820)
         records = [member.record() for member in played.members]
         played.gateway.set_directory(Directory(2, records, Population(gateways, 6)))
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -8,12 +8,12 @@
 from rowanrail.model.statements import NOT_RUN, Answer, CommandKind, Refusal, SessionState
 from rowanrail.placement.hashed import Population
 from rowanrail.scheduling.queue import QueueEntry
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 
 class ReadTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
 
     def test_a_bounded_read_runs_at_the_near_replica_with_a_floor(self):
         answer = self.played.client("reports").run("READ a")
@@ -157,7 +157,7 @@
         self.assertGreater(len(self.played.near.texts()) - known, 5)
 
     def test_a_member_in_the_same_region_is_preferred(self):
-        played = PlayedGateway(with_regions=True)
+        played = GatewayHarness(with_regions=True)
         played.near.zone, played.near.primary = "c", True
         played.primary.zone, played.primary.primary = "c", False
         played.far.zone = "b"
@@ -190,7 +190,7 @@
 class LostPrimaryTest(unittest.TestCase):
     def test_its_loss_and_its_return_are_reported_at_once(self):
         # Regression: the loss was only visible to polling, and not reported.
-        played = PlayedGateway()
+        played = GatewayHarness()
         alarms = []
         played.gateway.on_alarm = lambda: alarms.append(played.clock.now)
         client = played.client("orders")
@@ -227,7 +227,7 @@
 
     def test_its_successor_is_found_by_probing(self):
         # Regression: probing for the new primary waited for the last attempt at the silent one.
-        played = PlayedGateway()
+        played = GatewayHarness()
         client = self.lose_the_primary(played)
         self.replace_primary(played)
         played.clock.advance(0.25)
@@ -235,14 +235,14 @@
         self.assertIsNone(client.run("WRITE c 3", seconds=0.05).refusal)
 
     def test_its_successor_is_accepted_when_the_directory_names_it(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         client = self.lose_the_primary(played)
         self.replace_primary(played)
         played.announce(2)
         self.assertIsNone(client.run("WRITE c 3", seconds=0.05).refusal)
 
     def test_the_directory_does_not_replace_a_primary_that_serves(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         client = played.client("orders")
         client.run("WRITE a 1")
         played.primary.primary, played.far.primary = False, True
@@ -253,11 +253,11 @@
         self.assertIsNone(client.run("WRITE b 2", seconds=0.1).refusal)
 
     def test_probing_ends_and_closes_its_connections(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         self.lose_the_primary(played)
-        opened = len(played.near.wires)
+        opened = len(played.near.transports)
         played.clock.advance(1.0)
-        self.assertLessEqual(len(played.near.wires) - opened, 1)
+        self.assertLessEqual(len(played.near.transports) - opened, 1)
         self.replace_primary(played)
         played.clock.advance(2.0)
         asked = len(played.near.ran)
@@ -270,11 +270,11 @@
 
     def test_writes_resume_as_soon_as_the_primary_is_proved_again(self):
         # Regression: the pool of a recovered primary was avoided for up to 2 s longer.
-        played = PlayedGateway()
+        played = GatewayHarness()
         client = played.client("orders")
         client.run("WRITE a 1")
         played.primary.reachable = False
-        for wire in played.primary.open_wires():
+        for wire in played.primary.open_transports():
             wire.channel.lost("reset")
         client.run("WRITE b 2", seconds=1.1)
         pool = played.gateway.services["db"].pools["m1"]
@@ -291,7 +291,7 @@
     """Statements that can't be answered before their time-out are rejected on arrival."""
 
     def setUp(self):
-        self.played = PlayedGateway(slots=24)  # connections are the limit, not slots
+        self.played = GatewayHarness(slots=24)  # connections are the limit, not slots
         self.pool = self.played.gateway.services["db"].pools["m1"]
         for _ in range(30):
             self.pool.connections.leases.note(200.0)
@@ -431,7 +431,7 @@
     def test_connections_being_opened_do_not_count_as_waiting(self):
         # Regression: statements whose connection was being opened counted as waiting too, so
         # reads were refused too early after a restart.
-        played = PlayedGateway()
+        played = GatewayHarness()
         pool = played.gateway.services["db"].pools["m2"]
         played.near.silent = True  # accepts connections without opening them
         clients = [played.client("reports") for _ in range(2)]
@@ -447,7 +447,7 @@
     def test_a_member_that_had_no_connection_left_is_retried_soon(self):
         # Regression: a gateway that met the member's limit opened no connection for 2 s more,
         # although the member had released the connections of failed gateways.
-        played = PlayedGateway()
+        played = GatewayHarness()
         pool = played.gateway.services["db"].pools["m1"]
         client = played.client("orders")
         client.run("BEGIN")
@@ -468,7 +468,7 @@
 
 class BegunTransactionTest(unittest.TestCase):
     def test_a_begun_transaction_precedes_those_that_have_not_begun(self):
-        played = PlayedGateway(slots=24)  # connections are the limit, not slots
+        played = GatewayHarness(slots=24)  # connections are the limit, not slots
         begun = played.client("orders")
         begun.run("BEGIN")
         begun.run("WRITE a 1")
@@ -492,7 +492,7 @@
     """Idle transactions hold connections for which other statements wait."""
 
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         self.limit = self.played.gateway.services["db"].pools["m1"].connections.limit
         self.idle = [self.played.client("orders") for _ in range(self.limit)]
         for client in self.idle:
@@ -536,13 +536,13 @@
 
 class WriteTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
 
     def test_a_lost_write_is_in_doubt_and_not_sent_again(self):
         client = self.played.client("orders")
         self.played.primary.script = [None]
         client.ask("WRITE a 1")
-        self.played.primary.open_wires()[-1].channel.lost("reset")
+        self.played.primary.open_transports()[-1].channel.lost("reset")
         self.assertEqual(client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
         self.played.clock.advance(2)
         self.assertEqual(self.played.primary.texts(), ["WRITE a 1"])
@@ -571,7 +571,7 @@
 
 class TransactionTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         self.client = self.played.client("orders")
 
     def test_statements_share_a_connection_that_nobody_else_gets(self):
@@ -598,7 +598,7 @@
     def test_a_lost_connection_before_the_commit_aborts(self):
         self.client.run("BEGIN")
         self.client.run("WRITE a 1")
-        self.played.primary.open_wires()[-1].channel.lost("reset")
+        self.played.primary.open_transports()[-1].channel.lost("reset")
         self.assertEqual(self.client.run("READ a").refusal, Refusal.ABORTED)
         self.assertIs(self.client.session.state, SessionState.FAILED)
         self.assertEqual(self.client.run("READ a").refusal, Refusal.INVALID)
@@ -609,7 +609,7 @@
         self.client.run("WRITE a 1")
         self.played.primary.script = [None]
         self.client.ask("COMMIT")
-        self.played.primary.open_wires()[-1].channel.lost("reset")
+        self.played.primary.open_transports()[-1].channel.lost("reset")
         self.assertEqual(self.client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
         self.assertIs(self.client.session.state, SessionState.IDLE)
 
@@ -618,16 +618,16 @@
         self.client.run("READ a")
         self.played.primary.script = [None]
         self.client.ask("COMMIT")
-        self.played.primary.open_wires()[-1].channel.lost("reset")
+        self.played.primary.open_transports()[-1].channel.lost("reset")
         self.assertEqual(self.client.answers[-1].refusal, Refusal.ABORTED)
 
     def test_a_rolled_back_connection_is_used_again(self):
         self.client.run("BEGIN")
         self.client.run("WRITE a 1")
         self.client.run("ROLLBACK")
-        wires = len(self.played.primary.wires)
+        wires = len(self.played.primary.transports)
         self.client.run("WRITE b 1")
-        self.assertEqual(len(self.played.primary.wires), wires)
+        self.assertEqual(len(self.played.primary.transports), wires)
 
     def test_an_idle_transaction_is_aborted_and_reported_at_the_next_statement(self):
         self.client.run("BEGIN")
@@ -663,11 +663,11 @@
 
 class SessionStateTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         self.played.configure(2, connections=9)
 
     def near_wire(self):
-        return self.played.near.open_wires()[-1]
+        return self.played.near.open_transports()[-1]
 
     def test_values_are_set_on_the_connection_before_the_statement(self):
         client = self.played.client("reports")
@@ -722,13 +722,13 @@
 
 class ConnectionTest(unittest.TestCase):
     def test_idle_sessions_hold_no_connection(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         for _ in range(500):
             played.client("orders")
-        self.assertEqual(sum(len(member.wires) for member in played.members), 0)
+        self.assertEqual(sum(len(member.transports) for member in played.members), 0)
 
     def test_statements_wait_for_a_connection_and_the_limit_holds(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         played.configure(2, connections=9)
         clients = [played.client("orders") for _ in range(6)]
         for client in clients:
@@ -744,7 +744,7 @@
 
     def test_unneeded_connections_are_closed_except_one(self):
         # Regression: idle connections of failed gateways used up the limits of members.
-        played = PlayedGateway()
+        played = GatewayHarness()
         clients = [played.client("orders") for _ in range(4)]
         for client in clients:
             client.run("BEGIN")
@@ -755,7 +755,7 @@
         self.assertEqual(played.gateway.services["db"].pools["m1"].connections.count, 1)
 
     def test_a_member_without_free_connections_is_skipped(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         played.near.refuse_start = Refusal.TOO_MANY_CONNECTIONS
         client = played.client("reports")
         self.assertIsNone(client.run("READ a").refusal)
--- a/tests/gateway/test_silent_members.py
+++ b/tests/gateway/test_silent_members.py
@@ -3,14 +3,14 @@
 import unittest
 
 from rowanrail.model.statements import CommandKind, Refusal
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 
 class SilentMemberTest(unittest.TestCase):
     """Transactions must not wait for a hung member, nor their retries return to it."""
 
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         self.played.client("reports").run("READ warm")
         self.client = self.played.client("reports")
         self.client.run("BEGIN READ")
@@ -62,7 +62,7 @@
     def test_a_slow_opening_at_one_member_does_not_count_against_another(self):
         # The timeout for opening a connection at one member must not continue at the next, where
         # the read is queued, and count that one as silent.
-        played = PlayedGateway()
+        played = GatewayHarness()
         played.client("orders").run("WRITE a 1", seconds=0.1)
         played.far.position = played.near.position = played.primary.position
         played.announce(2, leaving=("m1", "m2"))
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -8,7 +8,7 @@
 from rowanrail.model.statements import Answer, Refusal, SessionState
 from rowanrail.tenants.demand import Report
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
-from tests.support.gateway import PlayedClient, PlayedGateway, routes
+from tests.support.gateway import FakeClient, GatewayHarness, routes
 
 KEYS = {"key-of-a": "a", "key-of-b": "b", "key-of-c": "c"}
 DONE = Answer(rows=[b"row"], signature=b"sig", position=Position(1, 12), state=SessionState.IDLE)
@@ -19,7 +19,7 @@
     return Tenants(by_name, {key_digest(key): name for key, name in keys.items()})
 
 
-class TenantGateway(PlayedGateway):
+class TenantGateway(GatewayHarness):
     """A gateway whose clients authenticate with keys."""
 
     def configure(self, version, keys=KEYS, connections=30, **limits):
@@ -30,7 +30,7 @@
     def client(self, database, key="key-of-a"):
         session = self.gateway.open_session(database, key)
         assert isinstance(session, Session), session
-        return PlayedClient(self, session)
+        return FakeClient(self, session)
 
 
 class KeyTest(unittest.TestCase):
@@ -89,7 +89,7 @@
         client.ask("WRITE a 1")
         self.played.clock.advance(0.1)
         self.played.configure(2, keys={"key-of-b": "b"})
-        (wire,) = [w for w in self.played.primary.wires if w.channel.tenant == "a"]
+        (wire,) = [w for w in self.played.primary.transports if w.channel.tenant == "a"]
         wire.channel.answered(DONE)
         self.assertIsNone(client.answers[-1].refusal)
         self.assertTrue(client.session.is_denied)
@@ -105,7 +105,7 @@
         self.played = TenantGateway()
 
     def opened_for(self, member):
-        return [wire.channel.tenant for wire in member.wires if not wire.closed]
+        return [wire.channel.tenant for wire in member.transports if not wire.closed]
 
     def run_each(self, *keys):
         for key in keys:
@@ -121,7 +121,7 @@
         self.run_each("key-of-a")
         self.played.clock.advance(5.0)
         self.run_each("key-of-a")
-        wires = [wire for wire in self.played.primary.wires if wire.channel.tenant == "a"]
+        wires = [wire for wire in self.played.primary.transports if wire.channel.tenant == "a"]
         self.assertEqual(len(wires), 1)
 
     def test_the_longest_idle_connection_is_closed_at_the_limit(self):
--- a/tests/gateway/test_time_limits.py
+++ b/tests/gateway/test_time_limits.py
@@ -4,7 +4,7 @@
 
 from rowanrail.model.routing import Consistency, Route, RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import NOT_RUN
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 SHORT, LONG = 0.1, 5.0  # time-outs of routes in seconds
 
@@ -15,7 +15,7 @@
 
 class TimeLimitTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
         routes = {
             name: route(name, seconds, objective)
             for name, seconds, objective in (
@@ -36,13 +36,13 @@
         self.played.near.script = [None]
         answer = self.played.client("short").run("READ a", seconds=SHORT)
         self.assertIsNotNone(answer.refusal)
-        self.assertEqual(self.played.near.open_wires(), [])
-        self.played.near.wires[-1].channel.lost("late")  # has no effect any more
+        self.assertEqual(self.played.near.open_transports(), [])
+        self.played.near.transports[-1].channel.lost("late")  # has no effect any more
         self.assertEqual(self.played.near.texts(), ["READ warm", "READ a"])
 
     def test_a_read_without_a_connection_in_time_is_refused_as_not_run(self):
         for member in self.played.members:
-            for wire in member.open_wires():
+            for wire in member.open_transports():
                 wire.channel.lost("reset")
             member.silent = True
         answer = self.played.client("short").run("READ a", seconds=SHORT)
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -17,17 +17,17 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.placement.hashed import Population
 from tests.support.gateway import (
+    FakeClient,
+    FakeDriver,
+    FakeMember,
     ManualClock,
-    PlayedClient,
-    PlayedDriver,
-    PlayedMember,
     RecordingLog,
     routes,
 )
 from tests.support.relay_network import RelayNetwork
 
 
-class CutDriver(PlayedDriver):
+class CutDriver(FakeDriver):
     """A driver that can't reach the members in ``cut``."""
 
     def __init__(self, members):
@@ -67,7 +67,7 @@
     def client(self, database):
         session = self.gateway.open_session(database, "client")
         assert isinstance(session, Session)
-        return PlayedClient(self, session)
+        return FakeClient(self, session)
 
     def cut_path(self, member):
         """Cut the path to a member, and close all connections to it."""
@@ -82,8 +82,8 @@
     def setUp(self):
         self.clock = ManualClock()
         self.network = RelayNetwork(Clock(self.clock), lambda: 5.0)
-        self.primary = PlayedMember("m1", True, "z1")
-        self.members = [self.primary, PlayedMember("m2", False, "z2")]
+        self.primary = FakeMember("m1", True, "z1")
+        self.members = [self.primary, FakeMember("m2", False, "z2")]
         self.zones = {name: SingleGatewayZone(self, name) for name in ("z1", "z2", "z3")}
         records = [member.record() for member in self.members]
         for name, zone in self.zones.items():
--- a/tests/relay/test_forwarding.py
+++ b/tests/relay/test_forwarding.py
@@ -5,18 +5,18 @@
 from rowanrail.gateway.relay.messages import Pong
 from rowanrail.model.position import Position
 from rowanrail.model.statements import NOT_RUN, CommandKind, Refusal, SessionState
-from tests.support.relay import PlayedZone
+from tests.support.relay import ZoneHarness
 
 
 class ForwardingTest(unittest.TestCase):
     def setUp(self):
-        self.zone = PlayedZone()
+        self.zone = ZoneHarness()
 
     def test_a_gateway_that_shares_connections_opens_none_of_its_own(self):
         client = self.zone.last.client("reports")
         self.assertIsNone(client.run("READ a", seconds=0.1).refusal)
-        self.assertEqual(self.zone.opened_by(self.zone.last), 0)
-        self.assertGreater(self.zone.opened_by(self.zone.first), 0)
+        self.assertEqual(self.zone.open_connections(self.zone.last), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.first), 0)
 
     def test_the_holder_itself_runs_its_clients_statements_at_once(self):
         self.assertIsNone(self.zone.first.client("reports").run("READ a").refusal)
@@ -46,8 +46,8 @@
         wires = [(m, n) for m in self.zone.members for n, c in m.ran if c.request_id]
         self.assertEqual(len(wires), 2)
         for member, number in wires:
-            self.assertEqual(member.wires[number].values, {"a": "x"})
-            self.assertEqual(list(member.wires[number].prepared.values()), ["READ q"])
+            self.assertEqual(member.transports[number].values, {"a": "x"})
+            self.assertEqual(list(member.transports[number].prepared.values()), ["READ q"])
 
     def test_a_write_that_the_holder_does_not_answer_in_time_is_in_doubt(self):
         client = self.zone.last.client("orders")
@@ -67,7 +67,7 @@
         self.zone.kill(self.zone.first)
         self.zone.clock.advance(0.2)
         self.assertIsNone(client.answers[-1].refusal)
-        self.assertGreater(self.zone.opened_by(self.zone.second), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.second), 0)
 
     def test_a_write_whose_link_breaks_is_in_doubt_and_not_sent_again(self):
         client = self.zone.last.client("orders")
@@ -113,10 +113,10 @@
         link = self.zone.network.links[0].link
         link.receive(Pong())
         self.assertFalse(link.is_suspect)
-        opened = self.zone.opened_by(self.zone.second)
+        opened = self.zone.open_connections(self.zone.second)
         for _ in range(5):
             self.assertIsNone(client.run("READ c", seconds=0.1).refusal)
-        self.assertLessEqual(self.zone.opened_by(self.zone.second), opened)
+        self.assertLessEqual(self.zone.open_connections(self.zone.second), opened)
 
     def test_a_slow_statement_at_a_holder_that_answers_pings_stays_there(self):
         client = self.zone.last.client("orders")
@@ -134,7 +134,7 @@
         client.ask("WRITE b 2")
         self.zone.clock.advance(0.9)
         self.assertEqual(client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
-        self.assertEqual(self.zone.opened_by(self.zone.second), 0)
+        self.assertEqual(self.zone.open_connections(self.zone.second), 0)
 
     def test_a_process_that_was_paused_suspects_no_gateway(self):
         client = self.zone.last.client("reports")
@@ -150,7 +150,7 @@
         self.zone.kill(self.zone.second)
         client = self.zone.last.client("reports")
         self.assertIsNone(client.run("READ a", seconds=0.3).refusal)
-        self.assertGreater(self.zone.opened_by(self.zone.last), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.last), 0)
 
     def test_a_holder_that_stops_is_left_before_its_end(self):
         client = self.zone.last.client("reports")
@@ -159,7 +159,7 @@
         self.zone.first.holder.announce_leaving()
         self.zone.clock.advance(0.01)
         self.assertIsNone(client.run("READ b", seconds=0.1).refusal)
-        self.assertGreater(self.zone.opened_by(self.zone.second), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.second), 0)
 
     def test_a_holder_without_a_configuration_leads_to_a_not_run_refusal(self):
         self.zone.first.gateway.services.clear()
@@ -187,7 +187,7 @@
 
 class ForwardedTransactionTest(unittest.TestCase):
     def setUp(self):
-        self.zone = PlayedZone()
+        self.zone = ZoneHarness()
         self.client = self.zone.last.client("orders")
 
     def begin(self, *texts):
@@ -203,7 +203,7 @@
         client.run("BEGIN")
         self.assertIsNone(client.run("WRITE b 2", seconds=0.3).refusal)
         self.assertIsNone(client.run("COMMIT").refusal)
-        self.assertEqual(self.zone.opened_by(self.zone.last), 1)
+        self.assertEqual(self.zone.open_connections(self.zone.last), 1)
         self.assertEqual(self.zone.primary.texts()[1:], ["WRITE b 2", "COMMIT"])
 
     def test_it_stays_on_one_connection(self):
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -9,7 +9,7 @@
 from rowanrail.placement.planned import HANDOVER_MS, PlannedHolders
 from rowanrail.scheduling.plan import NO_PLAN, Holding, Plan, PlanCause, ShardPlan
 from tests.support.gateway import ManualClock
-from tests.support.relay import PlayedZone
+from tests.support.relay import ZoneHarness
 
 CONNECTIONS = 30  # that a member accepts
 OTHER_ZONES = ("b", "c", "d", "e", "f")
@@ -23,7 +23,7 @@
     return Plan(number, {"a": {"db": own}, **groups}, {name: name for name in holders})
 
 
-class PlannedZone(PlayedZone):
+class PlannedZone(ZoneHarness):
     """A zone whose gateways receive plans; without one, ``first`` is the holder."""
 
     def set_plan(self, given_plan, *names):
@@ -54,20 +54,20 @@
     def test_without_a_plan_rendezvous_hashing_decides(self):
         self.zone.open_links()
         self.assertIsNone(self.client.run("READ a", seconds=0.1).refusal)
-        self.assertGreater(self.zone.opened_by(self.zone.first), 0)
-        self.assertEqual(self.zone.opened_by(self.zone.last), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.first), 0)
+        self.assertEqual(self.zone.open_connections(self.zone.last), 0)
 
     def test_statements_run_at_the_holder_that_the_plan_names(self):
         self.zone.set_plan(plan(1, self.zone.last.name))
         self.assertIsNone(self.client.run("READ a", seconds=0.1).refusal)
-        self.assertGreater(self.zone.opened_by(self.zone.last), 0)
-        self.assertEqual(self.zone.opened_by(self.zone.first), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.last), 0)
+        self.assertEqual(self.zone.open_connections(self.zone.first), 0)
 
     def test_an_older_plan_changes_nothing(self):
         self.zone.set_plan(plan(7, self.zone.last.name))
         self.zone.set_plan(plan(6, self.zone.second.name))
         self.client.run("READ a", seconds=0.1)
-        self.assertGreater(self.zone.opened_by(self.zone.last), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.last), 0)
 
     def test_an_empty_plan_restores_rendezvous_hashing(self):
         self.zone.set_plan(plan(1, self.zone.last.name))
@@ -75,7 +75,7 @@
         self.zone.set_plan(Plan(2))
         self.zone.open_links()
         self.client.run("READ a", seconds=0.1)
-        self.assertGreater(self.zone.opened_by(self.zone.first), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.first), 0)
         self.assertLess(before, self.zone.limits(self.zone.first))
 
     def test_a_transaction_stays_where_it_began(self):
@@ -135,12 +135,14 @@
 
     def test_the_old_holder_closes_what_nobody_uses(self):
         self.all_ask()
-        self.assertGreater(self.zone.opened_by(self.zone.first), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.first), 0)
         self.zone.set_plan(plan(1, self.zone.last.name))
         self.zone.clock.advance(0.5)
-        self.assertLessEqual(self.zone.opened_by(self.zone.first), 1, "it samples for a while")
+        self.assertLessEqual(
+            self.zone.open_connections(self.zone.first), 1, "it samples for a while"
+        )
         self.zone.clock.advance(12.0)
-        self.assertEqual(self.zone.opened_by(self.zone.first), 0)
+        self.assertEqual(self.zone.open_connections(self.zone.first), 0)
 
     def test_a_holder_by_hashing_keeps_its_whole_share(self):
         before = self.zone.limits(self.zone.first)
@@ -177,7 +179,7 @@
         client = self.zone.second.client("reports")
         self.assertIsNone(client.run("READ b", seconds=0.3).refusal)
         self.zone.clock.advance(0.2)
-        self.assertGreater(self.zone.opened_by(self.zone.first), 0)
+        self.assertGreater(self.zone.open_connections(self.zone.first), 0)
         self.assertEqual(self.zone.limits(self.zone.first), [3, 3, 3], "as by the hash")
 
     def test_a_write_under_way_at_the_old_holder_is_answered_once(self):
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -61,7 +61,7 @@
         del self.world.network.holders[self.new.name]
         for twin in self.world.network.links:
             if self.new.name in twin.ends:
-                twin.break_off("reset")
+                twin.disconnect("reset")
         self.write()
 
     def test_a_holder_without_the_plan_runs_what_it_is_sent(self):
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -20,9 +20,9 @@
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.relay.test_detours import CutDriver
 from tests.support.gateway import (
+    FakeClient,
+    FakeMember,
     ManualClock,
-    PlayedClient,
-    PlayedMember,
     RecordingLog,
     routes,
     statement,
@@ -76,7 +76,7 @@
     def client(self, database, key="key-of-a"):
         session = self.gateway.open_session(database, key)
         assert isinstance(session, Session), session
-        return PlayedClient(self, session)
+        return FakeClient(self, session)
 
 
 class Regions:
@@ -85,8 +85,8 @@
     def __init__(self):
         self.clock = ManualClock()
         self.network = RelayNetwork(Clock(self.clock), lambda: 5.0)
-        self.primary = PlayedMember("m1", True, "b1")
-        self.near = PlayedMember("m2", False, "a1")
+        self.primary = FakeMember("m1", True, "b1")
+        self.near = FakeMember("m2", False, "a1")
         self.members = [self.primary, self.near]
         self.gateways = {n: RegionGateway(self, n, zone) for n, zone in GATEWAYS.items()}
         self.configure(1, {"key-of-a": "a", "key-of-b": "b"})
@@ -114,7 +114,7 @@
         return self.sender.client(database, key)
 
     def wires_for(self, member, tenant):
-        return [w for w in member.wires if w.channel.tenant == tenant and not w.closed]
+        return [w for w in member.transports if w.channel.tenant == tenant and not w.closed]
 
 
 class RemoteHolderTest(unittest.TestCase):
@@ -167,7 +167,7 @@
         self.world.clock.advance(0.1)
         for twin in self.world.network.links:
             if self.world.holder.name in twin.ends:
-                twin.break_off("reset")
+                twin.disconnect("reset")
         self.world.clock.advance(0.1)
         self.assertEqual(client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
 
@@ -293,7 +293,7 @@
         del self.world.network.holders[aggregator.name]
         for twin in self.world.network.links:
             if aggregator.name in twin.ends:
-                twin.break_off("reset")
+                twin.disconnect("reset")
         self.begin_statements(other, 1)
         self.world.clock.advance(1.5)
         # The fourth gateway may be cut off: its demand is estimated from the other three.
--- a/tests/relay/test_remote_admission.py
+++ b/tests/relay/test_remote_admission.py
@@ -17,7 +17,7 @@
 from rowanrail.model.trace import Trace
 from rowanrail.scheduling.load import ServiceLoad
 from tests.support.gateway import statement
-from tests.support.relay import PlayedZone
+from tests.support.relay import ZoneHarness
 
 
 def remote_request(**changes):
@@ -29,7 +29,7 @@
 
 class RemoteAdmissionTest(unittest.TestCase):
     def setUp(self):
-        self.zone = PlayedZone()
+        self.zone = ZoneHarness()
         self.remote_admission = RemoteAdmission(self.zone.relay_clock)
         self.remote_admission.note("g1", "db", "anna", ServiceLoad([0, 3000], [0, 0], 400))
 
@@ -72,7 +72,7 @@
     """Three gateways: clients are at ``last``, connections at ``first``."""
 
     def setUp(self):
-        self.zone = PlayedZone()
+        self.zone = ZoneHarness()
         self.zone.clock.advance(0.2)
         self.client = self.zone.last.client("orders")
         self.assertIsNone(self.client.run("WRITE a 1", seconds=0.3).refusal)
@@ -136,7 +136,7 @@
     """A queued statement does not run at the holder once its client has closed its session."""
 
     def setUp(self):
-        self.zone = PlayedZone()
+        self.zone = ZoneHarness()
         self.zone.clock.advance(0.2)
         self.assertIsNone(self.zone.last.client("orders").run("WRITE a 1", seconds=0.3).refusal)
         self.pool = self.zone.first.gateway.services["db"].pools["m1"]
--- a/tests/relay/test_remote_replicas.py
+++ b/tests/relay/test_remote_replicas.py
@@ -7,7 +7,7 @@
 from rowanrail.gateway.services.member_estimates import ReadRequirements
 from rowanrail.model.statements import Answer, Refusal, SessionState
 from tests.relay.test_regions import GATEWAYS, POPULATION, REGIONS, Regions
-from tests.support.gateway import PlayedMember
+from tests.support.gateway import FakeMember
 
 FULL = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
 
@@ -16,7 +16,7 @@
     def setUp(self):
         """Put the primary and a replica into region a, and a replica into region b."""
         self.world = world = Regions()
-        self.remote = PlayedMember("m3", False, "b2")
+        self.remote = FakeMember("m3", False, "b2")
         self.remote.position = world.primary.position
         world.primary.zone = "a2"
         world.members.append(self.remote)
@@ -68,7 +68,7 @@
             del self.world.network.holders[name]
         for twin in self.world.network.links:
             if {"gb1", "gb2"} & set(twin.ends):
-                twin.break_off("reset")
+                twin.disconnect("reset")
         self.assertIsNone(self.client.run("READ a", seconds=0.4).refusal)
 
 
--- a/tests/scheduling/test_shared_member.py
+++ b/tests/scheduling/test_shared_member.py
@@ -9,7 +9,7 @@
 from rowanrail.model.statements import Refusal
 from rowanrail.scheduling.queue import QueueEntry
 from tests.scheduling.member import Request, SlottedMember, Workload, simulate
-from tests.support.gateway import ManualClock, PlayedGateway
+from tests.support.gateway import GatewayHarness, ManualClock
 
 SERVICE_TIME = 0.009  # s, on average
 OBJECTIVE = 0.5  # s, of the most urgent clients
@@ -370,7 +370,7 @@
     """Metrics of a queue."""
 
     def test_limit_statements_in_flight_and_queue_by_member_and_urgency(self):
-        played = PlayedGateway()
+        played = GatewayHarness()
         played.primary.script = [None] * 10
         for _ in range(5):
             played.client("orders").ask("WRITE a 1")
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -70,7 +70,7 @@
         self.now = until
 
 
-class PlayedMember:
+class FakeMember:
     """A member: answers by itself unless a test holds or scripts its answers."""
 
     def __init__(self, instance: str, primary: bool, zone: str, slots: int = 3) -> None:
@@ -84,7 +84,7 @@
         self.refuse_start: Refusal | None = None
         self.script: list[Answer | None] = []  # None leaves a data command unanswered
         self.ran: list[tuple[int, Command]] = []
-        self.wires: list[PlayedWire] = []
+        self.transports: list[FakeTransport] = []
 
     def record(self, leaving: bool = False, sequence: int = 1) -> MemberRecord:
         return MemberRecord(
@@ -102,14 +102,14 @@
         """Return the clients' commands that reached this member."""
         return [command.text for _, command in self.ran if command.request_id]
 
-    def open_wires(self) -> "list[PlayedWire]":
-        return [wire for wire in self.wires if not wire.closed]
+    def open_transports(self) -> "list[FakeTransport]":
+        return [wire for wire in self.transports if not wire.closed]
 
 
-class PlayedWire(ChannelTransport):
-    def __init__(self, member: PlayedMember, channel: Channel) -> None:
+class FakeTransport(ChannelTransport):
+    def __init__(self, member: FakeMember, channel: Channel) -> None:
         self.member, self.channel, self.closed = member, channel, False
-        self.number = len(member.wires)
+        self.number = len(member.transports)
         self.state = SessionState.IDLE
         self.values: dict[str, str] = {}
         self.prepared: dict[str, str] = {}
@@ -170,8 +170,8 @@
         self.closed = True
 
 
-class PlayedDriver(MemberDriver):
-    def __init__(self, members: list[PlayedMember]) -> None:
+class FakeDriver(MemberDriver):
+    def __init__(self, members: list[FakeMember]) -> None:
         self.members = {f"{member.instance}:1": member for member in members}
 
     def open(self, address: str, service: str, instance: str, channel: Channel) -> None:
@@ -181,8 +181,8 @@
         elif member.refuse_start is not None:
             channel.refused(member.refuse_start, "refused")
         elif not member.silent:
-            wire = PlayedWire(member, channel)
-            member.wires.append(wire)
+            wire = FakeTransport(member, channel)
+            member.transports.append(wire)
             channel.opened(wire, member.position)
 
 
@@ -205,22 +205,22 @@
     }
 
 
-class Played(Protocol):
+class ClockOwner(Protocol):
     """What clients are played on."""
 
     clock: ManualClock
 
 
-class PlayedGateway:
+class GatewayHarness:
     """A gateway in zone a before one service with a primary and two replicas."""
 
     def __init__(self, with_regions: bool = False, slots: int = 3) -> None:
         self.clock = ManualClock()
-        self.primary = PlayedMember("m1", True, "b", slots)
-        self.near = PlayedMember("m2", False, "a", slots)
-        self.far = PlayedMember("m3", False, "c", slots)
+        self.primary = FakeMember("m1", True, "b", slots)
+        self.near = FakeMember("m2", False, "a", slots)
+        self.far = FakeMember("m3", False, "c", slots)
         self.members = [self.primary, self.near, self.far]
-        self.driver = PlayedDriver(self.members)
+        self.driver = FakeDriver(self.members)
         self.decisions = RecordingLog("proxy", wall_clock=self.clock.time)
         regions = {"a": "r1", "b": "r1", "c": "r2"}
         locality = Locality("a", regions if with_regions else {})
@@ -243,17 +243,17 @@
         records = [member.record(member.instance in leaving) for member in self.members]
         self.gateway.set_directory(Directory(revision, records, Population(3, 3)))
 
-    def client(self, database: str) -> "PlayedClient":
+    def client(self, database: str) -> "FakeClient":
         session = self.gateway.open_session(database, "client")
         assert isinstance(session, Session)
-        return PlayedClient(self, session)
+        return FakeClient(self, session)
 
 
-class PlayedClient:
+class FakeClient:
     """A client that runs statements on a session and keeps the answers."""
 
-    def __init__(self, played: Played, session: Session) -> None:
-        self.played, self.session = played, session
+    def __init__(self, owner: ClockOwner, session: Session) -> None:
+        self.owner, self.session = owner, session
         self.answers: list[Answer] = []
         self._number = 0
 
@@ -271,7 +271,7 @@
         known = len(self.answers)
         self.ask(text)
         if len(self.answers) == known:
-            self.played.clock.advance(seconds)
+            self.owner.clock.advance(seconds)
         assert len(self.answers) == known + 1, f"{text}: {len(self.answers) - known} answers"
         return self.answers[-1]
 
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -13,10 +13,10 @@
 from rowanrail.placement.hashed import Population, rank
 from rowanrail.placement.planned import PlannedHolders
 from tests.support.gateway import (
+    FakeClient,
+    FakeDriver,
+    FakeMember,
     ManualClock,
-    PlayedClient,
-    PlayedDriver,
-    PlayedMember,
     RecordingLog,
     routes,
 )
@@ -29,12 +29,12 @@
 class ZoneGateway:
     """One gateway of the zone, with the members as it reaches them."""
 
-    def __init__(self, zone: "PlayedZone", name: str) -> None:
+    def __init__(self, zone: "ZoneHarness", name: str) -> None:
         self.name = name
         self.clock = zone.clock
         self.decisions = RecordingLog(name, wall_clock=zone.clock.time)
         self.neighbours = Neighbours(name, zone.relay_clock, zone.network.opener(name))
-        driver = PlayedDriver(zone.members)
+        driver = FakeDriver(zone.members)
         self.gateway = Gateway(
             Locality("a"),
             driver,
@@ -49,26 +49,26 @@
         services = {"db": ServiceSpec("db", 30)}
         self.gateway.apply(RoutingConfiguration(1, routes(), services, 3.0))
 
-    def client(self, database: str) -> PlayedClient:
+    def client(self, database: str) -> FakeClient:
         session = self.gateway.open_session(database, "client")
         assert isinstance(session, Session)
-        return PlayedClient(self, session)
+        return FakeClient(self, session)
 
     def logs(self) -> list[str]:
         self.decisions.flush()
         return self.decisions.written.decode().splitlines()
 
 
-class PlayedZone:
+class ZoneHarness:
     """Three gateways; ``first`` holds the connections, ``second`` is next, ``last`` has clients."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
         self.relay_clock = Clock(self.clock)
         self.network = RelayNetwork(self.relay_clock)
-        self.primary = PlayedMember("m1", True, "b")
-        self.near = PlayedMember("m2", False, "a")
-        self.members = [self.primary, self.near, PlayedMember("m3", False, "c")]
+        self.primary = FakeMember("m1", True, "b")
+        self.near = FakeMember("m2", False, "a")
+        self.members = [self.primary, self.near, FakeMember("m3", False, "c")]
         self.gateways = {name: ZoneGateway(self, name) for name in GATEWAYS}
         for name, one in self.gateways.items():
             self.network.holders[name] = one.holder
@@ -84,10 +84,10 @@
     def kill(self, one: ZoneGateway) -> None:
         """End a gateway: its links break, and its address refuses."""
         del self.network.holders[one.name]
-        for twin in self.network.links:
-            if one.name in twin.ends:
-                twin.break_off("reset")
+        for link in self.network.links:
+            if one.name in link.ends:
+                link.disconnect("reset")
 
-    def opened_by(self, one: ZoneGateway) -> int:
+    def open_connections(self, one: ZoneGateway) -> int:
         """Return how many connections to members a gateway has open."""
         return sum(pool.connections.count for pool in one.gateway.services["db"].pools.values())
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -11,7 +11,7 @@
 from rowanrail.gateway.relay.serving import Holder, ServedLink
 from rowanrail.kernel.clock import Clock
 
-__all__ = ["RelayNetwork", "RelayOpener", "TwinLink"]
+__all__ = ["RelayNetwork", "RelayOpener", "SimulatedLink"]
 
 Delay = Callable[[], float]
 
@@ -40,7 +40,7 @@
         self.holders: dict[str, Holder] = {}
         self.frozen: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
-        self.links: list[TwinLink] = []
+        self.links: list[SimulatedLink] = []
 
     def opener(self, owner: str) -> "RelayOpener":
         """Return the port through which one gateway opens its links."""
@@ -69,12 +69,12 @@
         elif holder is None:
             link.lost("refused")
         else:
-            twin = TwinLink(self._network, self._owner, address, link)
+            twin = SimulatedLink(self._network, self._owner, address, link)
             link.opened(twin)
             twin.serve(holder)
 
 
-class TwinLink:
+class SimulatedLink:
     """One connection: messages arrive in the order in which they were sent.
 
     A message that meets silence waits and arrives when the silence ends, as TCP has it,
@@ -117,7 +117,7 @@
             self._closed = True
             self._network.clock.call_in(self._network.delay(), self._end_served)
 
-    def break_off(self, reason: str) -> None:
+    def disconnect(self, reason: str) -> None:
         """End the connection at both ends."""
         if not self._closed:
             self._closed = True
--- a/tests/unit/test_inspect_load.py
+++ b/tests/unit/test_inspect_load.py
@@ -11,7 +11,7 @@
 from rowanrail.gateway.gauges import gauges, tenant_gauges
 from rowanrail.kernel.metrics import Metrics
 from rowanrail.tenants.model import Tenant, Tenants
-from tests.support.gateway import PlayedGateway
+from tests.support.gateway import GatewayHarness
 
 
 def metrics_of(played, refused):
@@ -38,7 +38,7 @@
         self.sources = []
         for name, refused in (("g1", 2), ("g2", 3)):
             source = self.folder / name
-            source.write_text(metrics_of(PlayedGateway(), refused))
+            source.write_text(metrics_of(GatewayHarness(), refused))
             self.sources.append(str(source))
 
     def run_command(self, *arguments):
