--- a/tests/coordination/test_control_cost.py
+++ b/tests/coordination/test_control_cost.py
@@ -6,7 +6,7 @@
 
 import unittest
 
-from tests.support.control_cost import play
+from tests.support.control_cost import simulate_fleet
 
 # Tenfold for ten times the machines, plus a fifth for longer names and numbers.
 MAX_GROWTH = 12
@@ -19,11 +19,11 @@
 class ControlCostTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.small, cls.large = play(30), play(300)
+        cls.small, cls.large = simulate_fleet(30), simulate_fleet(300)
 
     def growth(self, phase):
         small, large = (fleet.costs.phases[phase] for fleet in (self.small, self.large))
-        return large.sent / small.sent, large.taken / small.taken
+        return large.bytes_sent / small.bytes_sent, large.bytes_received / small.bytes_received
 
     def test_bytes_grow_with_the_machines_only(self):
         for phase in ("calm", "restarts", "storm"):
@@ -33,13 +33,13 @@
                 self.assertLess(taken, MAX_GROWTH)
 
     def test_a_start_costs_a_gateway_little_more_than_the_directory_itself(self):
-        sent = self.large.costs.phases["start"].sent / self.large.costs.machines
+        sent = self.large.costs.phases["start"].bytes_sent / self.large.costs.machines
         self.assertLess(sent, MAX_START_BYTES_PER_GATEWAY)
 
     def test_a_change_costs_a_gateway_what_changed(self):
         phase = self.large.costs.phases["restarts"]
         changes = 2 * self.large.replaced
-        sent = phase.sent / changes / self.large.costs.machines
+        sent = phase.bytes_sent / changes / self.large.costs.machines
         self.assertLess(sent, MAX_CHANGE_BYTES_PER_GATEWAY)
 
     def test_every_gateway_ends_with_the_directory_and_the_newest_configuration(self):
--- a/tests/coordination/test_directory_updates.py
+++ b/tests/coordination/test_directory_updates.py
@@ -28,7 +28,7 @@
 from rowanrail.model.members import MemberRecord
 from tests.coordination.test_directory import FakeNode
 from tests.coordination.test_holders import commands, new_state
-from tests.support.control_cost import FollowingGateway, PlainFormat, document
+from tests.support.control_cost import FakeGateway, JsonFormat, document
 
 GROUPS = ("a", "b", "east")
 GATEWAY = GatewayReport("g1", "a", [])
@@ -313,13 +313,13 @@
     """A gateway that follows nodes with damaged or differing directories."""
 
     def watch(self, network):
-        self.gateway = FollowingGateway()
+        self.gateway = FakeGateway()
         self.log = RecordingEvents()
         return ControlFollower(
             self.gateway,
             network,
             list(network.nodes),
-            PlainFormat(),
+            JsonFormat(),
             lambda: GATEWAY,
             self.log,
             Locality("a"),
--- a/tests/integration/test_control_folder.py
+++ b/tests/integration/test_control_folder.py
@@ -4,7 +4,7 @@
 
 import yaml
 
-from tests.support.control import SingleControl
+from tests.support.control import ControlNodeProcess
 from tests.support.fleet import run_command
 
 FILE_LIMIT_BYTES = 64 * 1024
@@ -12,7 +12,7 @@
 
 class ControlFolderTest(unittest.TestCase):
     def setUp(self):
-        self.control = SingleControl()
+        self.control = ControlNodeProcess()
         self.addCleanup(self.control.close)
 
     def version(self):
--- a/tests/platform/test_control.py
+++ b/tests/platform/test_control.py
@@ -88,12 +88,12 @@
             fleet.states[leaving.instance] = "draining"
             await asyncio.sleep(HEARTBEAT_SECONDS + 1.2)
             self.assertNotEqual(fleet.group.primary.instance, leaving.instance)
-            leaving.ran.clear()
+            leaving.executed.clear()
             reader = await fleet.client("reports")
             for _ in range(20):
                 self.assertEqual((await client.query("WRITE a 2"))[0], "DONE sig.write")
                 await reader.query("READ a")
-            self.assertEqual(leaving.ran, [])
+            self.assertEqual(leaving.executed, [])
             tokens = [call[1] for call in fleet.platform.calls]
             self.assertEqual(tokens, sorted(set(tokens)))
 
--- a/tests/soak/members.py
+++ b/tests/soak/members.py
@@ -48,7 +48,7 @@
     def end_transactions(self) -> None:
         super().end_transactions()
         for connection in self.pending:
-            connection.lost_lead = True
+            connection.demoted = True
 
     def stop(self) -> None:
         for connection in self.connections | self.pending:
@@ -81,7 +81,7 @@
         self._number = next(_numbers)
         self._shape = ""
 
-    def take(self, line: str) -> None:
+    def handle_line(self, line: str) -> None:
         self._lines.append(line)
         self.member.pending.add(self)
         self.take_waiting()
@@ -121,7 +121,7 @@
             self.take_waiting()
 
     def _run(self, line: str) -> None:
-        super().take(line)
+        super().handle_line(line)
 
     def run_begin(self, words: list[str]) -> list[str]:
         self._has_counted = False
@@ -129,7 +129,7 @@
 
     def run_read(self, words: list[str]) -> list[str]:
         self._count()
-        if self.state == "T" and not self.plain:
+        if self.state == "T" and not self.read_write:
             self.member.group.read_in_transaction(Execution(self._number, self.values))
         return super().run_read(words)
 
@@ -149,7 +149,7 @@
 
     def _count(self) -> None:
         if self.state != "T" or not self._has_counted:
-            self.member.group.began(self.tenant)
+            self.member.group.on_operation(self.tenant)
         self._has_counted = True
 
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -42,8 +42,8 @@
 
     oracle: Oracle
 
-    def ran(self, tenant: str, thing: str) -> None:
-        self.oracle.ran(tenant, thing)
+    def on_statement(self, tenant: str, key: str) -> None:
+        self.oracle.ran(tenant, key)
 
     def wrote(self, value: str, run: Execution) -> None:
         self.oracle.wrote(value, run)
@@ -51,7 +51,7 @@
     def read_in_transaction(self, run: Execution) -> None:
         self.oracle.read_in_transaction(run)
 
-    def began(self, tenant: str) -> None:
+    def on_operation(self, tenant: str) -> None:
         self.oracle.began(tenant, asyncio.get_running_loop().time())
 
     def commit(self, writes: list[tuple[str, str]]) -> None:
@@ -60,7 +60,7 @@
 
     def promote(self, instance: str) -> None:
         member = self.members[instance]
-        if not member.leads:
+        if not member.is_primary:
             for _, writes in self.primary.log[len(member.log) :]:
                 self.oracle.undone(writes)
         super().promote(instance)
@@ -264,7 +264,7 @@
             network=self.network,
             member_type=SlottedMember,
             holders=self.holders,
-            beside=self.beside,
+            other_checkout=self.beside,
         )
         assert isinstance(fleet.group, WatchedGroup)
         fleet.group.oracle = self.oracle
@@ -477,7 +477,7 @@
         host = self.random.choice(self.fleet.control_hosts)
         if self.random.random() < 0.5:
             host = await self.fleet.leader() or host
-        with self.fleet.in_hand(host):
+        with self.fleet.mark_busy(host):
             self.fleet.fill_disk(host, True)
             try:
                 await self._add_route()
@@ -504,12 +504,12 @@
         host = self._free(hosts)
         if not host:
             return
-        with self.fleet.in_hand(host):
+        with self.fleet.mark_busy(host):
             self.ending.add(host)
             self.fleet.processes[host].send_signal(how)
             await self._until_gone(host)
             await asyncio.sleep(self.random.uniform(*OUTAGE))
-            self.fleet.start_again(host)
+            self.fleet.restart(host)
             self.ending.discard(host)
             await asyncio.sleep(1.0)
             self._touch(host)
@@ -529,7 +529,7 @@
         host = self._free(hosts)
         if not host:
             return
-        with self.fleet.in_hand(host):
+        with self.fleet.mark_busy(host):
             process = self.fleet.processes[host]
             process.send_signal(signal.SIGSTOP)
             try:
@@ -548,32 +548,32 @@
         await self._crash(primary)
 
     async def _crash(self, member: Member) -> None:
-        with self.fleet.in_hand(member.instance):
+        with self.fleet.mark_busy(member.instance):
             self.fleet.states[member.instance] = "gone"
             member.stop()
             await asyncio.sleep(3.0)
-            if member.leads:
+            if member.is_primary:
                 self.log.append(f"{member.instance} was not replaced within 3 s")
             await member.start()
             del self.fleet.states[member.instance]
 
     async def _deafen_replica(self) -> None:
-        replicas = [member for member in self.fleet.members if not member.leads]
+        replicas = [member for member in self.fleet.members if not member.is_primary]
         member = self.random.choice(replicas)
-        member.deaf = True
+        member.replication_paused = True
         await asyncio.sleep(self.random.uniform(*OUTAGE))
-        member.deaf = False
+        member.replication_paused = False
 
     async def _heal(self) -> None:
         for host, process in list(self.fleet.processes.items()):
             if host in self.ending:
                 await self._until_gone(host)  # it was told to stop, and its fault was cut short
             if process.poll() is not None:
-                self.fleet.start_again(host)
+                self.fleet.restart(host)
             else:
                 process.send_signal(signal.SIGCONT)
                 self.fleet.fill_disk(host, False)
         for member in self.fleet.members:
-            member.deaf = False
+            member.replication_paused = False
             if self.fleet.states.pop(member.instance, "") == "gone":
                 await member.start()
--- a/tests/support/control.py
+++ b/tests/support/control.py
@@ -15,7 +15,7 @@
 FIRST_SUBNET = 150
 
 
-class SingleControl:
+class ControlNodeProcess:
     """Settings, folder and process of a control node that is alone in its system."""
 
     def __init__(self):
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -38,33 +38,33 @@
 
 
 @dataclass
-class Cost:
+class PhaseCost:
     """What one phase cost: bytes that a control node sent and took, processor time of all."""
 
-    sent: int = 0
-    taken: int = 0
-    seconds: float = 0.0
+    bytes_sent: int = 0
+    bytes_received: int = 0
+    cpu_seconds: float = 0.0
 
 
 @dataclass
-class Costs:
+class FleetCosts:
     """The phases of one run."""
 
     machines: int
-    phases: dict[str, Cost] = field(default_factory=dict)
+    phases: dict[str, PhaseCost] = field(default_factory=dict)
 
 
-class PlainFormat:
+class JsonFormat:
     def parse(self, document):
         return Success(RoutingConfiguration(json.loads(document)["version"], {}, {}))
 
 
-class QuietLog:
+class NullLog:
     def note(self, event, **fields):
         pass
 
 
-class FollowingGateway:
+class FakeGateway:
     """Keeps the last directory that it was told."""
 
     def __init__(self):
@@ -87,14 +87,14 @@
 
     def __init__(self, service):
         self.service = service
-        self.cost = Cost()
+        self.cost = PhaseCost()
 
     async def call(self, address, request, timeout_seconds):
         if type(request).__name__ == "LoggedDirectoryRequest":
             raise TransportError("not listening yet", peer=address)
-        self.cost.taken += len(encode_frame(FrameKind.REQUEST, 1, request))
+        self.cost.bytes_received += len(encode_frame(FrameKind.REQUEST, 1, request))
         reply = await self.service.handle(request)
-        self.cost.sent += len(encode_frame(FrameKind.REPLY, 1, reply))
+        self.cost.bytes_sent += len(encode_frame(FrameKind.REPLY, 1, reply))
         return reply
 
 
@@ -127,7 +127,7 @@
     """Gateways before services whose number grows with the machines."""
 
     def __init__(self, machines):
-        self.costs = Costs(machines)
+        self.costs = FleetCosts(machines)
         self.services = max(2, round(machines / MACHINES_PER_SERVICE))
         self.state = CoordinationState(VersionMonotonic(), IncarnationCheck(), FencingToken())
         self.service = CoordinationService(FakeNode(), self.state, None, "z0")
@@ -162,29 +162,29 @@
         self.service.notice_change()
 
     def _follow(self, record):
-        gateway = FollowingGateway()
+        gateway = FakeGateway()
         health = [PrimaryHealth(f"db{n}", "", -1, 0) for n in range(self.services)]
         watch = ControlFollower(
             gateway,
             self.network,
             ["c1:1"],
-            PlainFormat(),
+            JsonFormat(),
             lambda: GatewayReport(
                 record.name, record.zone, reportable_health(health), 0, record.relay_address
             ),
-            QuietLog(),
+            NullLog(),
             Locality(record.zone),
         )
         watch.start()
         self.followers.append((gateway, watch))
 
     async def _phase(self, name, playing, seconds):
-        self.network.cost = self.costs.phases[name] = Cost()
+        self.network.cost = self.costs.phases[name] = PhaseCost()
         began = time.process_time()
         playing = asyncio.ensure_future(playing)
         await asyncio.sleep(seconds)
         await playing
-        self.network.cost.seconds = time.process_time() - began
+        self.network.cost.cpu_seconds = time.process_time() - began
 
     async def _start(self):
         """Announce members and gateways as they come at a first start."""
@@ -220,7 +220,7 @@
     async def _calm(self):
         pass
 
-    async def play(self):
+    async def run(self):
         """Run all phases."""
         await self._phase("start", self._start(), START_SECONDS + 1.0)
         await self._phase("calm", self._calm(), CALM_SECONDS)
@@ -232,12 +232,12 @@
         return self.costs
 
 
-def play(machines):
+def simulate_fleet(machines):
     """Return a fleet after all its phases."""
     loop = VirtualLoop()
     fleet = ControlledFleet(machines)
     try:
-        loop.run_until_complete(fleet.play())
+        loop.run_until_complete(fleet.run())
     finally:
         loop.close()
     return fleet
@@ -245,9 +245,9 @@
 
 if __name__ == "__main__":
     for size in map(int, sys.argv[1:] or ("30", "100", "300")):
-        costs = play(size).costs
+        costs = simulate_fleet(size).costs
         for name, cost in costs.phases.items():
             print(
-                f"{size:4} {name:9} sent {cost.sent / 1e3:10.1f} KB, taken "
-                f"{cost.taken / 1e3:8.1f} KB, {cost.seconds:7.3f} s of processor"
+                f"{size:4} {name:9} sent {cost.bytes_sent / 1e3:10.1f} KB, taken "
+                f"{cost.bytes_received / 1e3:8.1f} KB, {cost.cpu_seconds:7.3f} s of processor"
             )
--- a/tests/support/line_member.py
+++ b/tests/support/line_member.py
@@ -24,31 +24,31 @@
 
     @property
     def primary(self) -> "Member":
-        return next(member for member in self.members.values() if member.leads)
+        return next(member for member in self.members.values() if member.is_primary)
 
     def commit(self, writes: list[tuple[str, str]]) -> None:
         entry = (self.term, writes)
-        self.primary.take([entry])
+        self.primary.append_entries([entry])
         for member in self.members.values():
-            if not member.leads and not member.deaf:
+            if not member.is_primary and not member.replication_paused:
                 asyncio.get_running_loop().call_later(
-                    self.lag_seconds, member.copy_from, self.primary
+                    self.lag_seconds, member.replicate_from, self.primary
                 )
 
-    def ran(self, tenant: str, thing: str) -> None:
+    def on_statement(self, tenant: str, key: str) -> None:
         """Hear for whom a read or write ran."""
 
-    def began(self, tenant: str) -> None:
+    def on_operation(self, tenant: str) -> None:
         """Hear for whom an operation began: a single statement, or a transaction."""
 
     def promote(self, instance: str) -> None:
         member = self.members[instance]
-        if member.leads:
+        if member.is_primary:
             return
         self.term += 1
         for other in self.members.values():
-            other.leads = False
-        member.leads = True
+            other.is_primary = False
+        member.is_primary = True
         for other in self.members.values():
             del other.log[len(member.log) :]
             other.end_transactions()
@@ -59,14 +59,14 @@
 
     connection_type: "type[MemberConnection]"
 
-    def __init__(self, group: Group, instance: str, host: str, port: int, leads: bool) -> None:
+    def __init__(self, group: Group, instance: str, host: str, port: int, is_primary: bool) -> None:
         self.group, self.instance, self.host, self.port = group, instance, host, port
-        self.leads = leads
-        self.deaf = False
+        self.is_primary = is_primary
+        self.replication_paused = False
         self.slots = 5
         self.log: list[tuple[int, list[tuple[str, str]]]] = []
         self.sequence = 0
-        self.ran: list[str] = []
+        self.executed: list[str] = []
         self.connections: set[MemberConnection] = set()
         self._server: asyncio.Server | None = None
         group.members[instance] = self
@@ -80,18 +80,18 @@
         return (self.log[-1][0] if self.log else 1, len(self.log))
 
     def data(self) -> dict[str, str]:
-        return {thing: value for _, writes in self.log for thing, value in writes}
+        return {key: value for _, writes in self.log for key, value in writes}
 
-    def take(self, entries: list[Any]) -> None:
+    def append_entries(self, entries: list[Any]) -> None:
         self.log.extend(entries)
 
-    def copy_from(self, primary: "Member") -> None:
-        if not self.deaf and not self.leads:
+    def replicate_from(self, primary: "Member") -> None:
+        if not self.replication_paused and not self.is_primary:
             self.log = list(primary.log)
 
     def end_transactions(self) -> None:
         for connection in self.connections:
-            connection.lost_lead = True
+            connection.demoted = True
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -115,7 +115,7 @@
             "slots": self.slots,
             "state": state,
             "cold-ms": 0,
-            "db-role": "primary" if self.leads else "replica",
+            "db-role": "primary" if self.is_primary else "replica",
             "call-seq": self.sequence,
         }
 
@@ -129,8 +129,8 @@
         self.started = False
         self.tenant = ""
         self.state = "I"
-        self.plain = False
-        self.lost_lead = False
+        self.read_write = False
+        self.demoted = False
         self.writes: list[tuple[str, str]] = []
         self.values: dict[str, str] = {}
         self.prepared: dict[str, tuple[str, str]] = {}
@@ -145,9 +145,9 @@
     def data_received(self, data: bytes) -> None:
         *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
-            self.take(line.decode())
+            self.handle_line(line.decode())
 
-    def take(self, line: str) -> None:
+    def handle_line(self, line: str) -> None:
         word, _, rest = line.partition(" ")
         if not self.started:
             service, self.tenant, expected = rest.split(" ")
@@ -190,9 +190,9 @@
         return [f"DONE {signature}"]
 
     def run_begin(self, words: list[str]) -> list[str]:
-        if not words and not self.member.leads:
+        if not words and not self.member.is_primary:
             return self.fail("READONLY")
-        self.state, self.plain, self.writes, self.lost_lead = "T", not words, [], False
+        self.state, self.read_write, self.writes, self.demoted = "T", not words, [], False
         return self.done()
 
     def run_rollback(self, words: list[str]) -> list[str]:
@@ -200,7 +200,7 @@
         return self.done()
 
     def run_commit(self, words: list[str]) -> list[str]:
-        if self.state != "T" or (self.lost_lead and self.writes):
+        if self.state != "T" or (self.demoted and self.writes):
             self.state, self.writes = "I", []
             return self.fail("READONLY")
         self.state = "I"
@@ -210,18 +210,22 @@
         return self.done("sig.commit")
 
     def run_read(self, words: list[str]) -> list[str]:
-        if self.state == "T" and self.plain and self.lost_lead:
+        if self.state == "T" and self.read_write and self.demoted:
             return self.fail("READONLY")
-        self.member.ran.append(f"READ {words[0]}")
-        self.member.group.ran(self.tenant, words[0])
+        self.member.executed.append(f"READ {words[0]}")
+        self.member.group.on_statement(self.tenant, words[0])
         value = {**self.member.data(), **dict(self.writes)}.get(words[0], "none")
         return [f"ROW {value}", *self.done("sig.read")]
 
     def run_write(self, words: list[str]) -> list[str]:
-        if not self.member.leads or self.state == "T" and (self.lost_lead or not self.plain):
+        if (
+            not self.member.is_primary
+            or self.state == "T"
+            and (self.demoted or not self.read_write)
+        ):
             return self.fail("READONLY")
-        self.member.ran.append(f"WRITE {words[0]}")
-        self.member.group.ran(self.tenant, words[0])
+        self.member.executed.append(f"WRITE {words[0]}")
+        self.member.group.on_statement(self.tenant, words[0])
         write = (words[0], words[1] if len(words) > 1 else "")
         if self.state == "T":
             self.writes.append(write)
@@ -249,7 +253,7 @@
 
     def run_status(self, words: list[str]) -> list[str]:
         member = self.member
-        role = "primary" if member.leads else "replica"
+        role = "primary" if member.is_primary else "replica"
         term, number = member.position
         row = f"ROW {role} {member.group.term} {term}.{number} 0 5 0 {len(member.connections)}"
         return [row, *self.done()]
--- a/tests/support/platform_fleet.py
+++ b/tests/support/platform_fleet.py
@@ -20,7 +20,7 @@
 CONTROL_PORT, RPC_PORT, FRONT_PORT, READY_PORT = 18701, 18702, 18703, 18704
 MEMBER_PORT, PROMOTE_PORT = 18705, 18706
 HEARTBEAT_SECONDS = 0.3
-SHOWN_LOG = 6000
+LOG_TAIL_CHARS = 6000
 METRICS = "18707/metrics"
 KINDS = {
     "orders": "primary",
@@ -54,7 +54,7 @@
 class PlatformFleet:
     """``controls`` control nodes and ``proxies`` proxies, three members, one promote call.
 
-    :param beside: another checkout, from which every other process is started. Each zone gets
+    :param other_checkout: the checkout from which every second process is started. Each zone gets
         processes of both. A process that is started again comes from the other checkout the
         first time, from the same one the second time, and so on.
     """
@@ -70,9 +70,9 @@
         network: int = 0,
         member_type: type[Member] = Member,
         holders: str = "hashed",
-        beside: Path | None = None,
+        other_checkout: Path | None = None,
     ) -> None:
-        self.checkouts = [ROOT] if beside is None else [ROOT, beside]
+        self.checkouts = [ROOT] if other_checkout is None else [ROOT, other_checkout]
         self.started: dict[str, list[Path]] = {}
         # Fleets that run side by side differ in the second number of their addresses.
         self.promote_host = f"127.{network}.10.1"
@@ -93,9 +93,9 @@
         self.platform = Platform([self.group])
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.states: dict[str, str] = {}
-        self.beating = True
+        self.sends_heartbeats = True
         self._stack = contextlib.AsyncExitStack()
-        self._beats: list[asyncio.Task[None]] = []
+        self._heartbeats: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> "PlatformFleet":
         self.folder = Path(self._stack.enter_context(tempfile.TemporaryDirectory()))
@@ -110,7 +110,9 @@
             self.start_control(host, bootstrap=True)
         for host in self.proxy_hosts:
             self.start_proxy(host)
-        self._beats = [asyncio.ensure_future(self._beat(member)) for member in self.members]
+        self._heartbeats = [
+            asyncio.ensure_future(self._send_heartbeats(member)) for member in self.members
+        ]
         await self.until(lambda: self.put(configuration(1)), 200)
         for host in self.proxy_hosts:
             await self.until(lambda host=host: self.ready(host), 200)
@@ -135,9 +137,9 @@
     async def __aexit__(self, *error: object) -> None:
         if error[0] is not None:
             for host, process in self.processes.items():
-                print(f"== {host}, exit code {process.poll()}\n{self.log(host)[-SHOWN_LOG:]}")
-        for beat in self._beats:
-            beat.cancel()
+                print(f"== {host}, exit code {process.poll()}\n{self.log(host)[-LOG_TAIL_CHARS:]}")
+        for task in self._heartbeats:
+            task.cancel()
         for process in self.processes.values():
             process.kill()
             process.wait()
@@ -165,7 +167,7 @@
         self._start("control", host, lines, self._checkout(host, number, len(self.control_zones)))
 
     @contextlib.contextmanager
-    def in_hand(self, name: str) -> Iterator[None]:
+    def mark_busy(self, name: str) -> Iterator[None]:
         """Mark a process or member as in the hands of one fault."""
         self.busy.add(name)
         try:
@@ -173,7 +175,7 @@
         finally:
             self.busy.discard(name)
 
-    def start_again(self, host: str) -> None:
+    def restart(self, host: str) -> None:
         if host in self.control_hosts:
             self.start_control(host, bootstrap=False)
         else:
@@ -247,10 +249,10 @@
 
     # The outside
 
-    async def _beat(self, member: Member) -> None:
+    async def _send_heartbeats(self, member: Member) -> None:
         position = 0
         while True:
-            if self.beating and member.connections is not None:
+            if self.sends_heartbeats and member.connections is not None:
                 state = self.states.get(member.instance, "ready")
                 if state != "gone":
                     host = self.control_hosts[position % len(self.control_hosts)]
--- a/tests/unit/test_two_checkouts.py
+++ b/tests/unit/test_two_checkouts.py
@@ -30,7 +30,12 @@
 
     def fleet(self, beside: Path | None) -> PlatformFleet:
         fleet = PlatformFleet(
-            3, 6, zones=("a", "b"), control_zones=("a", "b"), regions={"a": "r1"}, beside=beside
+            3,
+            6,
+            zones=("a", "b"),
+            control_zones=("a", "b"),
+            regions={"a": "r1"},
+            other_checkout=beside,
         )
         fleet.folder = self.folder
         return fleet
@@ -38,7 +43,7 @@
     def started(self, fleet: PlatformFleet, hosts: list[str]) -> list[str]:
         """Start processes and return what each of them said last."""
         for host in hosts:
-            fleet.start_again(host)
+            fleet.restart(host)
         for host in hosts:
             self.assertEqual(fleet.processes[host].wait(), 0, fleet.log(host))
         return [fleet.log(host).splitlines()[-1] for host in hosts]
