--- a/src/rowanrail/consensus/node.py
+++ b/src/rowanrail/consensus/node.py
@@ -1,8 +1,8 @@
-"""A Raft node at work: its timers, its storage, its messages and its requests.
+"""A Raft node with its timers, storage, network and requests.
 
-Takes inputs to :class:`Raft` and carries out the effects in their order: what is promised is
-durable before it is sent. Owns the failure of the storage; relies on ``pending`` for who waits, and
-on the state machine for what entries mean.
+The node passes inputs to :class:`rowanrail.consensus.raft.Raft` and performs the returned effects:
+state is made durable before the messages that depend on it are sent. A node whose storage fails
+takes no part until the storage can be reopened.
 """
 
 import asyncio
@@ -13,7 +13,6 @@
 
 from rowanrail.consensus.errors import LeadershipLostError, NotLeaderError
 from rowanrail.consensus.log import Log
-from rowanrail.consensus.machine import StateMachine
 from rowanrail.consensus.messages import (
     AppendReply,
     AppendRequest,
@@ -30,18 +29,19 @@
 from rowanrail.consensus.pending import PendingRequests
 from rowanrail.consensus.raft import Raft
 from rowanrail.consensus.raft_types import Effects, NotLeader, RaftConfig, Role
+from rowanrail.consensus.state_machine import StateMachine
 from rowanrail.consensus.storage import Identity, Storage
 from rowanrail.kernel.errors import StorageError
 from rowanrail.kernel.registry import Registry
 from rowanrail.rpc.network import Network
 
-# Between tries of a disk that has failed: as long as an election, and a try costs a few syncs.
-REOPEN_SECONDS = 0.5
+# Between attempts to reopen a failed storage, each of which costs a few syncs.
+REOPEN_INTERVAL_SECONDS = 0.5
 CONSENSUS_MESSAGES = (VoteRequest, VoteReply, AppendRequest, AppendReply, SnapshotRequest)
 
 
 class NodeOptions(msgspec.Struct, frozen=True):
-    """How a node runs.
+    """Options of a node.
 
     :param snapshot_entries: number of log entries after which a snapshot is taken.
     """
@@ -51,25 +51,27 @@
 
 
 class ConsensusNode:
-    """One node of the replicated log with its state machine."""
+    """Node of the replicated log, with its storage and state machine."""
 
     def __init__(
         self,
         identity: Identity,
         storage: Storage,
         network: Network,
-        machine: StateMachine,
+        state_machine: StateMachine,
         options: NodeOptions,
         randomness: random.Random,
         registry: Registry,
         fallback_address: Callable[[str], str] = lambda node: "",
     ) -> None:
-        """Load the folder.
+        """Load the log and the snapshot from ``storage``.
 
-        :param fallback_address: address of a node that is in no membership known here yet.
+        :param fallback_address: returns the address of a node that no known membership contains,
+            or an empty string.
+        :raises StorageError: if stored data are damaged.
         """
         self.identity = identity
-        self.machine = machine
+        self.state_machine = state_machine
         self.failure: StorageError | None = None
         self.role_at_failure = Role.FOLLOWER
         self._may_reopen = True
@@ -83,8 +85,8 @@
         self._task: asyncio.Task[None] | None = None
         hard_state, log = storage.load()
         if log.snapshot is not None and log.snapshot.data:
-            machine.restore(log.snapshot.data)
-        self.applied = log.snapshot_index
+            state_machine.restore(log.snapshot.data)
+        self.applied_index = log.snapshot_index
         self._random = randomness
         self._quorum_check = registry.create("consensus-guard", "check-quorum")
         self.raft = self._create_raft(hard_state, log)
@@ -107,11 +109,11 @@
     # Lifecycle
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the node's task."""
         self._task = asyncio.ensure_future(self._run())
 
     async def stop(self) -> None:
-        """Stop taking part; pending requests fail."""
+        """Stop the node's task and fail pending requests."""
         if self._task is not None:
             self._task.cancel()
         self._pending.fail_all(LeadershipLostError("the node stops", step="propose"))
@@ -119,15 +121,16 @@
     # Requests
 
     def leader_address(self) -> str:
-        """Return the leader's address as this node knows it, or an empty string."""
+        """Return the leader's address, or an empty string if it is unknown."""
         return self.raft.membership.addresses().get(self.raft.leader, "")
 
     def append(self, data: bytes) -> Entry:
-        """Append a command without waiting for it to commit.
+        """Append a command without waiting for its commit.
 
         :raises NotLeaderError: if the node does not lead.
+        :raises StorageError: if the storage has failed.
         """
-        self.check_failure("propose")
+        self.raise_if_failed("propose")
         try:
             entry = self.raft.propose(EntryKind.COMMAND, data, self._now())
         except NotLeader as error:
@@ -136,20 +139,21 @@
         return entry
 
     async def propose(self, data: bytes) -> object:
-        """Append a command and return its result once applied.
+        """Append a command and return the state machine's result.
 
         :raises NotLeaderError: if the node does not lead; nothing was appended.
-        :raises SupersededError: if the entry was lost for good.
+        :raises SupersededError: if another leader's entry took its index.
         :raises LeadershipLostError: if the outcome is unknown.
         """
         entry = self.append(data)
         return await self._pending.wait_entry(entry)
 
     async def change_membership(self, membership: Membership) -> None:
-        """Commit a new membership.
+        """Append a new membership and wait for its commit.
 
         :raises NotLeaderError: if the node does not lead.
-        :raises MembershipBusy: if another change is under way.
+        :raises MembershipChangeInProgress: if another change is not committed, or several
+            voters would change.
         """
         try:
             entry = self.raft.change_membership(membership, self._now())
@@ -159,46 +163,47 @@
         await self._pending.wait_entry(entry)
 
     async def read_barrier(self) -> None:
-        """Return once the state machine holds all that was committed before the call.
+        """Wait until the state machine has applied all entries committed before the call.
 
         :raises NotLeaderError: if the node does not lead, or can't confirm that it does.
         """
-        self.check_failure("read")
+        self.raise_if_failed("read")
         token, future = self._pending.wait_read()
         try:
             self.raft.read(token, self._now())
         except NotLeader as error:
-            self._pending.forget_read(token)
+            self._pending.discard_read(token)
             raise NotLeaderError(self.leader_address(), "read") from error
         self._wake.set()
         try:
             await self.wait_applied(await future)
         finally:
-            self._pending.forget_read(token)
+            self._pending.discard_read(token)
 
     async def wait_applied(self, index: int) -> None:
-        """Return once the entry at ``index`` has been applied here."""
-        if self.applied >= index:
+        """Wait until the entry at ``index`` is applied on this node."""
+        if self.applied_index >= index:
             return
         await self._pending.wait_applied(index)
 
     def receive(self, incoming: ConsensusMessage) -> None:
         """Handle a message from another node."""
         if self.failure is not None:
-            self.raft.observe(incoming, self._now())
+            self.raft.track_leader(incoming, self._now())
             return
         self.raft.receive(incoming, self._now())
         self._wake.set()
 
-    def check_failure(self, step: str) -> None:
-        """Refuse to go on while the storage has failed.
+    def raise_if_failed(self, step: str) -> None:
+        """Raise an error if the storage has failed.
 
+        :param step: step that the error names.
         :raises StorageError: with the reason of the failure.
         """
         if self.failure is not None:
             raise StorageError(self.failure.message, step=step, peer=self.failure.peer)
 
-    # The loop
+    # Event loop
 
     async def _run(self) -> None:
         while True:
@@ -206,7 +211,7 @@
                 await self._wait_for_input()
                 self._step()
             elif self._may_reopen:
-                await asyncio.sleep(REOPEN_SECONDS)
+                await asyncio.sleep(REOPEN_INTERVAL_SECONDS)
                 self._reopen()
             else:
                 return
@@ -215,47 +220,47 @@
     def _step(self) -> None:
         self.raft.tick(self._now())
         try:
-            self._carry_out(self.raft.take_effects())
+            self._process_effects(self.raft.take_effects())
         except StorageError as error:
             self._fail(error)
         except Exception as error:
-            # A state machine that could not follow the log may not answer from it either.
+            # The state machine may have missed an entry, so it must not serve requests.
             self._may_reopen = False
             reason = f"{type(error).__name__}: {error}; report this, and start the node again"
             self._fail(StorageError(reason, step="apply", peer=self.identity.node))
 
     def _fail(self, error: StorageError) -> None:
-        """Take no further part: what was not made durable may not be promised.
+        """Stop participating, since nothing can be made durable, and fail pending requests.
 
-        The role ends here. Nothing would end it later, since the node hears no vote and no
-        heartbeat any more, and it would call itself leader and up to date for as long as it runs.
+        The role is reset because a deactivated node handles no message or timeout that would end
+        its leadership.
         """
         self.failure = error
         self.role_at_failure = self.raft.role
-        self.raft.withdraw()
+        self.raft.deactivate()
         self._pending.fail_all(error)
 
     def _reopen(self) -> None:
-        """Take part again with what is durable, as after a restart, if the disk allows it."""
+        """Resume with the durable log, as after a restart, if the storage can be reopened."""
         try:
             hard_state, log = self._storage.reopen()
         except StorageError as error:
             self.failure = error
             return
-        if log.last_index < self.applied:
+        if log.last_index < self.applied_index:
             self._may_reopen = False
             self.failure = StorageError(
-                f"entries {log.last_index + 1} to {self.applied} were applied and are gone; "
+                f"entries {log.last_index + 1} to {self.applied_index} were applied and are gone; "
                 "move the folder away and let the node join as a new one",
                 step="reopen",
                 peer=self.identity.node,
             )
             return
         self.raft = self._create_raft(hard_state, log)
-        if log.snapshot is not None and log.snapshot_index > self.applied:
-            self.machine.restore(log.snapshot.data)
-            self.applied = log.snapshot_index
-        self.raft.resume(self.applied)
+        if log.snapshot is not None and log.snapshot_index > self.applied_index:
+            self.state_machine.restore(log.snapshot.data)
+            self.applied_index = log.snapshot_index
+        self.raft.mark_applied(self.applied_index)
         self.failure = None
 
     async def _wait_for_input(self) -> None:
@@ -265,21 +270,21 @@
                 async with asyncio.timeout(remaining_seconds):
                     await self._wake.wait()
             except TimeoutError:
-                pass  # no input came: a timer of the state machine is due
+                pass  # no input arrived before the next timeout
         self._wake.clear()
 
-    def _carry_out(self, effects: Effects) -> None:
+    def _process_effects(self, effects: Effects) -> None:
         self._persist(effects)
         self._send(effects)
         self._apply(effects)
-        self._answer_reads(effects)
+        self._resolve_reads(effects)
         self._compact()
 
     def _persist(self, effects: Effects) -> None:
         if effects.hard_state is not None:
             self._storage.save_hard_state(effects.hard_state)
         if effects.install is not None:
-            self._storage.save_snapshot(effects.install, whole=True)
+            self._storage.save_snapshot(effects.install, discard_log=True)
         if effects.truncate_from is not None:
             self._storage.truncate_from(effects.truncate_from)
         if effects.append:
@@ -294,37 +299,37 @@
 
     def _apply(self, effects: Effects) -> None:
         if effects.install is not None:
-            self.machine.restore(effects.install.data)
-            self.applied = effects.install.index
+            self.state_machine.restore(effects.install.data)
+            self.applied_index = effects.install.index
         for entry in effects.committed:
-            result = self.machine.apply(entry)
-            self.applied = entry.index
-            self._pending.settle_entry(entry, result)
+            result = self.state_machine.apply(entry)
+            self.applied_index = entry.index
+            self._pending.resolve_entry(entry, result)
         if effects.committed or effects.install:
-            self._pending.settle_applied(self.applied)
+            self._pending.resolve_applied(self.applied_index)
 
-    def _answer_reads(self, effects: Effects) -> None:
+    def _resolve_reads(self, effects: Effects) -> None:
         for token, index in effects.ready_reads:
-            self._pending.settle_read(token, index)
+            self._pending.resolve_read(token, index)
         for token in effects.failed_reads:
             self._pending.fail_read(token, NotLeaderError(self.leader_address(), "read"))
         if not self.raft.is_leader and self._pending.has_proposals:
             self._pending.fail_proposals(LeadershipLostError("the leader changed", step="propose"))
 
     def _compact(self) -> None:
-        if self.raft.log.size < self._options.snapshot_entries or self.applied <= 0:
+        if self.raft.log.size < self._options.snapshot_entries or self.applied_index <= 0:
             return
-        if self.applied - self.raft.log.snapshot_index < self._options.snapshot_entries:
+        if self.applied_index - self.raft.log.snapshot_index < self._options.snapshot_entries:
             return
         snapshot = self.make_snapshot()
         self._storage.save_snapshot(snapshot)
         self.raft.compact(snapshot)
 
     def make_snapshot(self) -> Snapshot:
-        """Return a snapshot of what has been applied."""
+        """Return a snapshot of the state after the last applied entry."""
         return Snapshot(
-            index=self.applied,
-            term=self.raft.log.term_of(self.applied),
-            membership=self.raft.log.membership_at(self.applied),
-            data=self.machine.snapshot(),
+            index=self.applied_index,
+            term=self.raft.log.term_at(self.applied_index),
+            membership=self.raft.log.membership_at(self.applied_index),
+            data=self.state_machine.snapshot(),
         )
--- a/src/rowanrail/coordination/node.py
+++ b/src/rowanrail/coordination/node.py
@@ -184,7 +184,7 @@
             await asyncio.sleep(ADMISSION_CHECK_INTERVAL_SECONDS)
             raft = self.consensus.raft
             is_new = identity.node not in raft.membership.addresses()
-            unheard = raft.heard_seconds_ago(loop.time()) > LEADER_SILENCE_SECONDS
+            unheard = raft.seconds_since_leader_contact(loop.time()) > LEADER_SILENCE_SECONDS
             if raft.is_leader or not (is_new or unheard):
                 continue
             addresses = {*self._settings.peers, *raft.membership.addresses().values()} - {name}
--- a/src/rowanrail/gateway/work/transaction.py
+++ b/src/rowanrail/gateway/work/transaction.py
@@ -7,11 +7,11 @@
 
 from rowanrail.gateway.pools.pool import MemberPool
 from rowanrail.gateway.services.service import Service
-from rowanrail.gateway.session_values import (
-    PreparedNames,
-    SessionValues,
+from rowanrail.gateway.session_context import (
+    PreparedStatementNames,
+    SessionContext,
     is_write,
-    replay_in_transaction,
+    replay_new_values,
 )
 from rowanrail.gateway.work.attempts import (
     SentRequest,
@@ -51,8 +51,8 @@
         self,
         service: Service,
         route: Route,
-        session: SessionValues,
-        names: PreparedNames,
+        session: SessionContext,
+        names: PreparedStatementNames,
         clock: Scheduler,
         others: OtherGateways,
         read_only: bool,
@@ -239,7 +239,7 @@
         assert self.channel is not None
         if is_write(self.statement, self.session):
             self.wrote = True
-        commands = replay_in_transaction(self.channel, self.session)
+        commands = replay_new_values(self.channel, self.session)
         commands += commands_for(self.statement, None, self.channel, self.session, self.names)
         if self.read_only:
             self.limit_answer_time()
--- a/tests/coordination/test_holders.py
+++ b/tests/coordination/test_holders.py
@@ -114,7 +114,7 @@
         return replay.replay(log).snapshot()
 
     def expected(self, log):
-        return new_state().replayed(log.snapshot, log.between(1, log.last_index)).snapshot()
+        return new_state().replayed(log.snapshot, log.entries_between(1, log.last_index)).snapshot()
 
     def test_truncated_entries_are_discarded(self):
         member = MemberRecord("m1", "db", "m1:1", "a", False, False, 3, 1)
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -261,10 +261,10 @@
 
     def begin_statements(self, one, number):
         for _ in range(number):
-            one.gateway.access.quota.begin("a")
+            one.gateway.access.quota.admit("a")
 
     def fleet_at(self, one):
-        return one.gateway.access.quota._counts["a"].fleet.begun
+        return one.gateway.access.quota._counts["a"].fleet.admitted
 
     def test_each_gateway_learns_the_demand_of_the_fleet(self):
         for one, number in zip(self.world.gateways.values(), (5, 7, 11, 13), strict=True):
