--- a/src/rowanlab/cli.py
+++ b/src/rowanlab/cli.py
@@ -45,7 +45,7 @@
     """Test laboratory: stand-ins, fleet, simulator, load and reports."""
 
 
-def _load(path: str, kind: Any) -> Any:
+def _load_settings(path: str, kind: Any) -> Any:
     return msgspec.convert(yaml.safe_load(Path(path).read_text()), kind)
 
 
@@ -57,11 +57,11 @@
     """Run one stand-in process (the fleet does this)."""
     configure_logging(LogFormat.LINES)
     if kind == "member":
-        asyncio.run(run_member(_load(path, MemberSettings), bootstrap))
+        asyncio.run(run_member(_load_settings(path, MemberSettings), bootstrap))
     elif kind == "forwarder":
-        asyncio.run(run_forwarder(_load(path, ForwarderSettings)))
+        asyncio.run(run_forwarder(_load_settings(path, ForwarderSettings)))
     else:
-        asyncio.run(run_directory(_load(path, DirectorySettings)))
+        asyncio.run(run_directory(_load_settings(path, DirectorySettings)))
 
 
 @main.command()
--- a/src/rowanlab/documents.py
+++ b/src/rowanlab/documents.py
@@ -73,11 +73,11 @@
     return "\n".join(lines)
 
 
-def _render_type(kind: type[msgspec.Struct], texts: dict[str, str]) -> list[str]:
+def _render_type(kind: type[msgspec.Struct], descriptions: dict[str, str]) -> list[str]:
     lines = [f"### {kind.__name__}", "", (kind.__doc__ or "").strip(), ""]
     lines += ["| key | type | default | meaning |", "|---|---|---|---|"]
     for field in msgspec.structs.fields(kind):
-        help_text = texts[f"{kind.__name__}.{field.encode_name}"]
+        help_text = descriptions[f"{kind.__name__}.{field.encode_name}"]
         lines.append(
             f"| `{field.encode_name}` | {_type_name(field.type)} | {_default(field)} "
             f"| {help_text} |"
--- a/src/rowanlab/fleet/faults.py
+++ b/src/rowanlab/fleet/faults.py
@@ -8,7 +8,7 @@
 
 from rowanlab.fleet.forwarder import CutRequest, Direction
 from rowanlab.fleet.layout import FleetFile, Process
-from rowanlab.fleet.runner import send
+from rowanlab.fleet.runner import send_request
 from rowanlab.standin.member import FaultRequest
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.sql_proxy.directory import Machine, MachineList
@@ -39,12 +39,12 @@
     if place not in fleet.zones():
         find(fleet, place)
     for forwarder in fleet.forwarders:
-        send(forwarder.rpc, CutRequest(place, direction, is_cut))
+        send_request(forwarder.rpc, CutRequest(place, direction, is_cut))
 
 
 def set_member_faults(fleet: FleetFile, name: str, request: FaultRequest) -> None:
     """Set the faults of a member."""
-    send(find(fleet, name).rpc, request)
+    send_request(find(fleet, name).rpc, request)
 
 
 def set_listed_state(folder: Path, name: str, state: str) -> None:
--- a/src/rowanlab/fleet/forwarder.py
+++ b/src/rowanlab/fleet/forwarder.py
@@ -57,7 +57,7 @@
         self.link = link
         self.forward_cuts: set[str] = set()
         self.backward_cuts: set[str] = set()
-        self.connections: set[_Side] = set()
+        self.connections: set[_Endpoint] = set()
 
     def apply(self, request: CutRequest) -> None:
         """Apply a cut, or heal it."""
@@ -65,16 +65,16 @@
         outward = request.direction in (Direction.BOTH, Direction.OUT)
         inward = request.direction in (Direction.BOTH, Direction.IN)
         if request.place in (link.source, link.source_zone):
-            self._set(request, forward=outward, backward=inward)
+            self._set_cut(request, forward=outward, backward=inward)
         elif request.place in (link.target, link.target_zone):
-            self._set(request, forward=inward, backward=outward)
+            self._set_cut(request, forward=inward, backward=outward)
 
-    def _set(self, request: CutRequest, forward: bool, backward: bool) -> None:
+    def _set_cut(self, request: CutRequest, forward: bool, backward: bool) -> None:
         if not request.cut:
             self.forward_cuts.discard(request.place)
             self.backward_cuts.discard(request.place)
-            for side in list(self.connections):
-                side.close_if_lossy()
+            for endpoint in list(self.connections):
+                endpoint.close_if_data_lost()
             return
         if forward:
             self.forward_cuts.add(request.place)
@@ -82,16 +82,16 @@
             self.backward_cuts.add(request.place)
 
 
-class _Side(asyncio.Protocol):
+class _Endpoint(asyncio.Protocol):
     """One end of a forwarded connection."""
 
     def __init__(self, state: LinkState, is_caller: bool) -> None:
         self._state = state
         self._is_caller = is_caller
         self._transport: asyncio.Transport | None = None
-        self._peer: _Side | None = None
-        self._early: list[bytes] = []
-        self._lost = False
+        self._peer: _Endpoint | None = None
+        self._buffered: list[bytes] = []
+        self._data_lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -106,23 +106,25 @@
         link = self._state.link
         await asyncio.sleep(2 * link.delay_seconds)  # the handshake's round trip
         if self._state.forward_cuts or self._state.backward_cuts:
-            self._lost = True
+            self._data_lost = True
             return
         host, port = split_address(link.address)
         try:
-            _, peer = await loop.create_connection(lambda: _Side(self._state, False), host, port)
+            _, peer = await loop.create_connection(
+                lambda: _Endpoint(self._state, False), host, port
+            )
         except OSError:
             self.close()
             return
         peer._peer = self
         self._peer = peer
-        early, self._early = self._early, []
-        for data in early:
+        buffered, self._buffered = self._buffered, []
+        for data in buffered:
             self._forward(data)
 
     def data_received(self, data: bytes) -> None:
         if self._is_caller and self._peer is None:
-            self._early.append(data)
+            self._buffered.append(data)
         else:
             self._forward(data)
 
@@ -132,8 +134,8 @@
 
     def _deliver(self, data: bytes) -> None:
         cuts = self._state.forward_cuts if self._is_caller else self._state.backward_cuts
-        if cuts or self._lost:
-            self._lost = True
+        if cuts or self._data_lost:
+            self._data_lost = True
             return
         if self._peer is not None and self._peer._transport is not None:
             self._peer._transport.write(data)
@@ -145,9 +147,9 @@
             loop = asyncio.get_running_loop()
             loop.call_later(self._state.link.delay_seconds, self._close_peer, peer)
 
-    def _close_peer(self, peer: "_Side") -> None:
+    def _close_peer(self, peer: "_Endpoint") -> None:
         if self._state.forward_cuts or self._state.backward_cuts:
-            peer._lost = True  # the end of the connection is lost as well
+            peer._data_lost = True  # the end of the connection is lost as well
         else:
             peer.close()
 
@@ -155,10 +157,10 @@
         if self._transport is not None:
             self._transport.close()
 
-    def close_if_lossy(self) -> None:
+    def close_if_data_lost(self) -> None:
         """Close both ends if bytes were lost."""
         peer = self._peer
-        if self._lost or (peer is not None and peer._lost):
+        if self._data_lost or (peer is not None and peer._data_lost):
             if peer is not None and peer._transport is not None:
                 peer._transport.abort()
             if self._transport is not None:
@@ -181,8 +183,8 @@
     for state in states:
         host, port = split_address(state.link.listen)
 
-        def new_side(state: LinkState = state) -> _Side:
-            return _Side(state, True)
+        def new_endpoint(state: LinkState = state) -> _Endpoint:
+            return _Endpoint(state, True)
 
-        await loop.create_server(new_side, host, port, backlog=1024)
+        await loop.create_server(new_endpoint, host, port, backlog=1024)
     await wait_for_stop_signal()
--- a/src/rowanlab/fleet/layout.py
+++ b/src/rowanlab/fleet/layout.py
@@ -89,7 +89,7 @@
     groups: int = 3
 
 
-class _Links:
+class _LinkAllocator:
     """Collects the links of each zone's forwarder."""
 
     def __init__(self, profile: Profile, options: FleetOptions) -> None:
@@ -137,7 +137,7 @@
         self._profile = profile
         self._options = options
         self._folder = folder
-        self._links = _Links(profile, options)
+        self._links = _LinkAllocator(profile, options)
 
     def write(self) -> FleetFile:
         """Write all settings and return the fleet."""
@@ -153,8 +153,8 @@
         self._write_directory(directory, groups)
         configuration = self._write_configuration(groups)
         for proxy in proxies:
-            reached = self._links.route("callers", CALLER_ZONE, proxy, f"{proxy.host}:{proxy.port}")
-            host, _, port = reached.rpartition(":")
+            listen = self._links.route("callers", CALLER_ZONE, proxy, f"{proxy.host}:{proxy.port}")
+            host, _, port = listen.rpartition(":")
             proxy.host, proxy.port = host, int(port)
         return FleetFile(
             profile=self._profile.name,
--- a/src/rowanlab/fleet/runner.py
+++ b/src/rowanlab/fleet/runner.py
@@ -90,7 +90,7 @@
         deadline = time.monotonic() + READY_SECONDS
         for process in self.file.processes():
             host, port = process.host, process.port
-            while not _accepts(host, port):
+            while not _is_listening(host, port):
                 self._check_alive(process)
                 if time.monotonic() > deadline:
                     raise RowanrailError("does not serve in time", step="start", peer=process.name)
@@ -191,7 +191,7 @@
                 running.wait()
 
 
-def _accepts(host: str, port: int) -> bool:
+def _is_listening(host: str, port: int) -> bool:
     try:
         with socket.create_connection((host, port), timeout=1.0):
             return True
@@ -242,6 +242,6 @@
         await network.close()
 
 
-def send(address: str, request: msgspec.Struct) -> msgspec.Struct:
+def send_request(address: str, request: msgspec.Struct) -> msgspec.Struct:
     """Like :func:`call_process`, from synchronous code."""
     return asyncio.run(call_process(address, request))
--- a/src/rowanlab/fleet/workers.py
+++ b/src/rowanlab/fleet/workers.py
@@ -16,7 +16,10 @@
 
 
 def map_over_cores(
-    function: Callable[[Item], Result], items: list[Item], cores: int, fresh: bool = False
+    function: Callable[[Item], Result],
+    items: list[Item],
+    cores: int,
+    process_per_item: bool = False,
 ) -> Iterator[Result]:
     """Yield ``function(item)`` for each item, in order.
 
@@ -24,11 +27,11 @@
     :param cores: number of worker processes; with 1 the work is done in this process.
     :param fresh: whether each item gets a process of its own, for example to measure memory.
     """
-    if not fresh and (cores == 1 or len(items) == 1):
+    if not process_per_item and (cores == 1 or len(items) == 1):
         yield from map(function, items)
         return
     context = multiprocessing.get_context("spawn")
-    tasks = 1 if fresh else None
+    tasks = 1 if process_per_item else None
     workers = min(cores, len(items))
     with ProcessPoolExecutor(workers, mp_context=context, max_tasks_per_child=tasks) as pool:
         yield from pool.map(function, items)
--- a/src/rowanlab/load/control_oracle.py
+++ b/src/rowanlab/load/control_oracle.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-NEVER_ANSWERED = -1
+NO_VERSION = -1
 
 
 class ChangeOutcome(enum.Enum):
@@ -28,7 +28,7 @@
     value: str
     expected_version: int
     outcome: ChangeOutcome = ChangeOutcome.UNKNOWN
-    version: int = NEVER_ANSWERED
+    version: int = NO_VERSION
 
 
 class FinalRevision(msgspec.Struct, frozen=True):
@@ -99,7 +99,7 @@
         self._note(f"sends change {change.change_id} against {change.expected_version}")
 
     def end_change(
-        self, change: AttemptedChange, outcome: ChangeOutcome, version: int = NEVER_ANSWERED
+        self, change: AttemptedChange, outcome: ChangeOutcome, version: int = NO_VERSION
     ) -> None:
         """Note what the operator was told."""
         change.outcome, change.version = outcome, version
@@ -117,13 +117,15 @@
     def _accept(self, change: AttemptedChange) -> None:
         if change.version != change.expected_version + 1:
             self.verdict.lost_updates += 1
-            self._example(
+            self._record_violation(
                 f"{change.change_id} against {change.expected_version} became {change.version}"
             )
         other = self._by_version.get(change.version)
         if other is not None:
             self.verdict.lost += 1
-            self._example(f"{other.change_id} and {change.change_id} both became {change.version}")
+            self._record_violation(
+                f"{other.change_id} and {change.change_id} both became {change.version}"
+            )
         self._by_version[change.version] = change
         self._newest = max(self._newest, change.version)
 
@@ -137,7 +139,7 @@
         self._note(f"read at {where} saw {seen}, at least {expected} was due")
         if seen < expected:
             self.verdict.stale_reads += 1
-            self._example(f"stale read at {where}: saw {seen}, expected {expected}")
+            self._record_violation(f"stale read at {where}: saw {seen}, expected {expected}")
 
     # Proxies and nodes
 
@@ -145,42 +147,42 @@
         """Note that a version is in force at one start of a proxy."""
         known = self._in_force.get(incarnation, 0)
         if version < known:
-            self._went_back(f"{incarnation} went back from {known} to {version}")
+            self._record_regression(f"{incarnation} went back from {known} to {version}")
         self._in_force[incarnation] = version
 
-    def note_first(self, incarnation: str, floor: int) -> None:
+    def check_first_version(self, incarnation: str, floor: int) -> None:
         """Judge the first version of a proxy against what its zone had in force."""
         version = self._in_force[incarnation]
         if version < floor:
-            self._went_back(f"{incarnation} began with {version}, its zone had {floor}")
+            self._record_regression(f"{incarnation} began with {version}, its zone had {floor}")
 
-    def _went_back(self, message: str) -> None:
+    def _record_regression(self, message: str) -> None:
         self.verdict.versions_went_back += 1
-        self._example(message)
+        self._record_violation(message)
 
     def note_leader(self, term: int, node: str) -> None:
         """Note that a node leads in a term."""
         known = self._leaders.setdefault(term, node)
         if known != node:
             self.verdict.two_leaders += 1
-            self._example(f"{known} and {node} both lead in term {term}")
+            self._record_violation(f"{known} and {node} both lead in term {term}")
 
     def note_committed(self, index: int, entry: str, node: str) -> None:
         """Note what a node holds as committed at an index."""
         known = self._entries.setdefault(index, entry)
         if known != entry:
             self.verdict.logs_differ += 1
-            self._example(f"{node} holds another entry at {index}")
+            self._record_violation(f"{node} holds another entry at {index}")
 
     def note_not_in_force(self, message: str) -> None:
         """Note that a version did not come into force everywhere."""
         self.verdict.not_in_force += 1
-        self._example(message)
+        self._record_violation(message)
 
     def note_not_recovered(self, message: str) -> None:
         """Note that work did not go on after all faults had healed."""
         self.verdict.not_recovered += 1
-        self._example(message)
+        self._record_violation(message)
 
     # The end
 
@@ -189,7 +191,7 @@
         found = {revision.change_id: revision.version for revision in history}
         if len(found) != len(history):
             self.verdict.lost += 1
-            self._example("a change is in the history twice")
+            self._record_violation("a change is in the history twice")
         oldest = min(found.values(), default=0)
         for change in self._changes.values():
             if change.outcome is not ChangeOutcome.ACCEPTED or change.version >= oldest:
@@ -202,18 +204,20 @@
         for register, value in expected.items():
             if registers.get(register) != value:
                 self.verdict.reverted += 1
-                self._example(f"{register} is {registers.get(register)}, not {value}")
+                self._record_violation(f"{register} is {registers.get(register)}, not {value}")
 
     def _judge_change(self, change: AttemptedChange, version: int | None) -> None:
         if change.outcome is ChangeOutcome.ACCEPTED and version != change.version:
             self.verdict.lost += 1
-            self._example(f"{change.change_id} was accepted as {change.version}, is {version}")
+            self._record_violation(
+                f"{change.change_id} was accepted as {change.version}, is {version}"
+            )
         refused = change.outcome in (ChangeOutcome.CONFLICT, ChangeOutcome.REFUSED)
         if refused and version is not None:
             self.verdict.reverted += 1
-            self._example(f"{change.change_id} was refused and is version {version}")
+            self._record_violation(f"{change.change_id} was refused and is version {version}")
 
-    def _example(self, message: str) -> None:
+    def _record_violation(self, message: str) -> None:
         self._note(f"VIOLATION: {message}")
         if len(self.verdict.examples) < 20:
             self.verdict.examples.append(message)
--- a/src/rowanlab/load/demo.py
+++ b/src/rowanlab/load/demo.py
@@ -14,7 +14,7 @@
 
 SUBNET = 30
 CALLERS = 24
-SECONDS = 12.0
+LOAD_SECONDS = 12.0
 KILL_AFTER_SECONDS = 5.0
 
 
@@ -44,7 +44,7 @@
     return best[0]
 
 
-def replica_share(fleet: Fleet) -> float:
+def replica_read_share(fleet: Fleet) -> float:
     """Return the share of the reads that the rules allow which replicas served."""
     status = fleet.client().request("GET", "/v1/status").body
     replica = sum(report["replica_reads"] for report in status["proxies"])
@@ -55,16 +55,16 @@
 async def run_demo(fleet: Fleet) -> DemoSummary:
     """Run the load on a fleet that serves, and kill a primary midway."""
     group = fleet.file.groups[0]
-    options = LoadOptions(CALLERS, SECONDS, BLUE_MAHOE.read_share, seed=1)
+    options = LoadOptions(CALLERS, LOAD_SECONDS, BLUE_MAHOE.read_share, seed=1)
     load = RunningLoad(fleet.file, group.database, options)
     await load.start()
     await asyncio.sleep(KILL_AFTER_SECONDS)
     killed = await asyncio.to_thread(primary_of, fleet, group.name)
     killed_at = asyncio.get_running_loop().time()
     await asyncio.to_thread(fleet.kill, killed)
-    await asyncio.sleep(SECONDS - KILL_AFTER_SECONDS)
+    await asyncio.sleep(LOAD_SECONDS - KILL_AFTER_SECONDS)
     verdict = await load.finish()
-    share = await asyncio.to_thread(replica_share, fleet)
+    share = await asyncio.to_thread(replica_read_share, fleet)
     return DemoSummary(verdict, share, load.longest_gap_seconds(killed_at), killed)
 
 
@@ -75,7 +75,7 @@
     print("starting 3 control nodes, 3 proxies, 3 database members, links with delays ...")
     try:
         fleet.start()
-        print(f"fleet ready; load for {SECONDS:.0f} s, a primary is killed midway ...")
+        print(f"fleet ready; load for {LOAD_SECONDS:.0f} s, a primary is killed midway ...")
         summary = asyncio.run(run_demo(fleet))
     finally:
         fleet.stop()
--- a/src/rowanlab/load/driver.py
+++ b/src/rowanlab/load/driver.py
@@ -12,7 +12,7 @@
 NOT_RUN_CODES = frozenset({1049, 30001, 30003, 30004})
 OUTCOME_UNKNOWN_CODES = frozenset({30002, 30005})
 _RETRY_AFTER = re.compile(r"retry after ([0-9.]+) s")
-CONNECT_SECONDS = 5.0
+CONNECT_TIMEOUT_SECONDS = 5.0
 
 
 class CallError(Exception):
@@ -41,7 +41,7 @@
         :raises CallError: if that fails; nothing ran.
         """
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 connection = await asyncmy.connect(
                     host=host,
                     port=port,
@@ -67,14 +67,14 @@
                 await cursor.close()
                 return rows
         except MySQLError as error:
-            raise self._sorted(error) from error
+            raise self._classify(error) from error
         except (OSError, EOFError, TimeoutError, AssertionError) as error:
             lost = CallError(Outcome.UNKNOWN, str(error), 0.0)
             lost.connection_lost = True
             raise lost from error
 
     @staticmethod
-    def _sorted(error: Any) -> CallError:
+    def _classify(error: Any) -> CallError:
         code = error.args[0] if error.args and isinstance(error.args[0], int) else 0
         message = str(error.args[-1]) if error.args else ""
         match = _RETRY_AFTER.search(message)
--- a/src/rowanlab/load/oracle.py
+++ b/src/rowanlab/load/oracle.py
@@ -110,31 +110,33 @@
         self._note(f"read of {key} by {where} saw {seen}, at least {expected} was due")
         if seen < expected:
             self.verdict.stale_reads += 1
-            self._example(f"stale read of {key} by {where}: saw {seen}, expected {expected}")
+            self._record_violation(
+                f"stale read of {key} by {where}: saw {seen}, expected {expected}"
+            )
         if seen > self._attempted.get(key, 0):
             self.verdict.mixed += 1
-            self._example(f"read of {key} by {where} saw {seen}, which nobody wrote")
+            self._record_violation(f"read of {key} by {where} saw {seen}, which nobody wrote")
 
     def note_mixed(self, message: str) -> None:
         """Note that a caller got what belongs to another."""
         self.verdict.mixed += 1
-        self._example(message)
+        self._record_violation(message)
 
-    def note_cut(self, message: str) -> None:
+    def note_interrupted_request(self, message: str) -> None:
         """Note that a planned stop cut a request in flight."""
         self.verdict.cut_by_stop += 1
-        self._example(message)
+        self._record_violation(message)
 
     def note_late_work(self, member: str, count: int) -> None:
         """Note that a member that is leaving got new work."""
         if count:
             self.verdict.late_work += count
-            self._example(f"{member} got {count} pieces of new work while leaving")
+            self._record_violation(f"{member} got {count} pieces of new work while leaving")
 
     def note_not_recovered(self, message: str) -> None:
         """Note that work did not go on after all faults had healed."""
         self.verdict.not_recovered += 1
-        self._example(message)
+        self._record_violation(message)
 
     def judge(self, rows: dict[str, int]) -> Verdict:
         """Judge the database's final contents: number of rows by operation."""
@@ -142,22 +144,22 @@
             found = rows.get(write.operation, 0)
             if found > write.parts:
                 self.verdict.doubled += 1
-                self._example(f"{write.operation} is there {found} times")
+                self._record_violation(f"{write.operation} is there {found} times")
             elif 0 < found < write.parts:
                 self.verdict.mixed += 1
-                self._example(f"{write.operation} is there in part")
+                self._record_violation(f"{write.operation} is there in part")
             if write.outcome is Outcome.ACKNOWLEDGED and found == 0:
                 self.verdict.lost += 1
-                self._example(f"{write.operation} was acknowledged and is not there")
+                self._record_violation(f"{write.operation} was acknowledged and is not there")
             if write.outcome in (Outcome.NOT_RUN, Outcome.FAILED) and found:
                 self.verdict.false_not_run += 1
-                self._example(f"{write.operation} was refused as not run and is there")
+                self._record_violation(f"{write.operation} was refused as not run and is there")
         for operation in rows:
             if operation not in self._writes:
                 self.note_mixed(f"{operation} is there and nobody wrote it")
         return self.verdict
 
-    def _example(self, message: str) -> None:
+    def _record_violation(self, message: str) -> None:
         self._note(f"VIOLATION: {message}")
         if len(self.verdict.examples) < 20:
             self.verdict.examples.append(message)
--- a/src/rowanlab/load/running.py
+++ b/src/rowanlab/load/running.py
@@ -4,7 +4,13 @@
 
 from rowanlab.fleet.layout import FleetFile
 from rowanlab.load.oracle import Oracle, Verdict
-from rowanlab.load.workload import Caller, LoadOptions, connectors, final_rows, prepare
+from rowanlab.load.workload import (
+    Caller,
+    LoadOptions,
+    connectors,
+    count_rows_by_operation,
+    create_tables,
+)
 
 
 class RunningLoad:
@@ -20,7 +26,7 @@
 
     async def start(self) -> None:
         """Create the tables and start the callers."""
-        await prepare(self._connect[0])
+        await create_tables(self._connect[0])
         self.callers = [
             Caller(f"caller{number}", self._connect, self.oracle, self._options)
             for number in range(self._options.callers)
@@ -33,7 +39,7 @@
         """Let the callers end and judge what the database holds."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
-        return self.oracle.judge(await final_rows(self._connect))
+        return self.oracle.judge(await count_rows_by_operation(self._connect))
 
     def acknowledged_times(self) -> list[float]:
         """Return when writes were acknowledged, in order (loop time)."""
--- a/src/rowanlab/load/torture.py
+++ b/src/rowanlab/load/torture.py
@@ -58,7 +58,7 @@
         return broken == 0 and self.acknowledged_after_heal > 0
 
 
-class Torturer:
+class FleetFaultInjector:
     """Breaks one thing of a fleet at a time and mends it again."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
@@ -152,14 +152,14 @@
     load = RunningLoad(fleet.file, fleet.file.groups[0].database, options)
     await load.start()
     await asyncio.sleep(1.0)
-    torturer = Torturer(fleet, seed)
-    await torturer.run(seconds)
+    injector = FleetFaultInjector(fleet, seed)
+    await injector.run(seconds)
     before = load.oracle.verdict.acknowledged
     await asyncio.sleep(RECOVERY_SECONDS)
     after_heal = load.oracle.verdict.acknowledged - before
     verdict = await load.finish()
     gaps = [
-        load.longest_gap_seconds(at, at + GAP_WINDOW_SECONDS) * 1000 for at in torturer.killed_at
+        load.longest_gap_seconds(at, at + GAP_WINDOW_SECONDS) * 1000 for at in injector.killed_at
     ]
     return TortureReport(
         profile=profile.name,
@@ -175,7 +175,7 @@
         stale_reads=verdict.stale_reads,
         mixed=verdict.mixed,
         false_not_run=verdict.false_not_run,
-        faults=torturer.counts,
+        faults=injector.counts,
         failover_gap_ms=round(statistics.median(gaps), 1) if gaps else None,
         failover_gap_max_ms=round(max(gaps), 1) if gaps else None,
         examples=verdict.examples,
--- a/src/rowanlab/load/workload.py
+++ b/src/rowanlab/load/workload.py
@@ -18,9 +18,9 @@
 from rowanlab.load.oracle import Oracle, Outcome, Write
 
 KEYS_PER_CALLER = 3
-MAXIMUM_REPEATS = 20
+MAX_RETRIES = 20
 PAUSE_SECONDS = 0.02
-FINAL_ATTEMPTS = 200
+MAX_FINAL_READ_ATTEMPTS = 200
 
 CREATE_EDITS = (
     "CREATE TABLE IF NOT EXISTS edits (operation VARCHAR(80), part INT, owner VARCHAR(40), "
@@ -53,7 +53,7 @@
         self.acknowledged.append(asyncio.get_running_loop().time())
 
 
-class CallerPort(Protocol):
+class SqlConnection(Protocol):
     """A caller's connection: a real driver's, or a simulated one."""
 
     async def execute(self, sql: str) -> list[tuple[Any, ...]]:
@@ -63,7 +63,7 @@
         """Close at once."""
 
 
-Connect = Callable[[], Awaitable[CallerPort]]
+Connect = Callable[[], Awaitable[SqlConnection]]
 
 
 class Caller:
@@ -89,7 +89,7 @@
         self._wall_clock = wall_clock
         self._random = random.Random(f"{options.seed}/{name}")
         self._keys = [f"{name}.{number}" for number in range(KEYS_PER_CALLER)]
-        self._connection: CallerPort | None = None
+        self._connection: SqlConnection | None = None
         self._operations = 0
         self._reads = 0
 
@@ -106,26 +106,26 @@
                 await self._after_error(error)
             pause = self._options.pause_seconds * self._random.uniform(0.5, 1.5)
             await asyncio.sleep(pause)
-        self._drop()
+        self._close_connection()
 
     async def _after_error(self, error: CallError) -> None:
         if error.cut_by_stop:
-            self._oracle.note_cut(f"{self.name} was cut off by a planned stop")
+            self._oracle.note_interrupted_request(f"{self.name} was cut off by a planned stop")
         if error.connection_lost:
-            self._drop()
+            self._close_connection()
         await asyncio.sleep(min(1.0, max(error.retry_after_seconds, PAUSE_SECONDS)))
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
-    async def _open(self) -> CallerPort:
+    async def _open_connection(self) -> SqlConnection:
         return await self._random.choice(self._connect)()
 
-    async def _own(self) -> CallerPort:
+    async def _own_connection(self) -> SqlConnection:
         if self._connection is None:
-            self._connection = await self._open()
+            self._connection = await self._open_connection()
         return self._connection
 
     # Writes
@@ -143,18 +143,18 @@
     async def _write(self) -> None:
         key = self._random.choice(self._keys)
         kind = self._random.choice(["plain", "recorded", "recorded", "transaction"])
-        connection = await self._own()
+        connection = await self._own_connection()
         if kind == "transaction":
             write = self._oracle.begin_write(self._next_operation(kind), key, parts=2)
-            await self._finish(write, self._transaction(connection, write))
+            await self._record_outcome(write, self._write_in_transaction(connection, write))
         elif kind == "recorded":
             write = self._oracle.begin_write(self._next_operation(kind), key)
-            await self._finish(write, self._recorded(write))
+            await self._record_outcome(write, self._write_with_request_id(write))
         else:
             write = self._oracle.begin_write(self._next_operation(kind), key)
-            await self._finish(write, connection.execute(self._insert(write, 1)))
+            await self._record_outcome(write, connection.execute(self._insert(write, 1)))
 
-    async def _finish(self, write: Write, work: Awaitable[object]) -> None:
+    async def _record_outcome(self, write: Write, work: Awaitable[object]) -> None:
         try:
             await work
         except CallError as error:
@@ -163,25 +163,25 @@
         self._oracle.end_write(write, Outcome.ACKNOWLEDGED)
         self.write_times.note()
 
-    async def _recorded(self, write: Write) -> None:
+    async def _write_with_request_id(self, write: Write) -> None:
         """Write with a request id, and repeat it until its outcome is known."""
         sent = False
-        for _ in range(MAXIMUM_REPEATS):
+        for _ in range(MAX_RETRIES):
             try:
-                connection = await self._own()
+                connection = await self._own_connection()
                 await connection.execute(f"SET @rowanrail_request_id = '{write.operation}'")
                 sent = True
                 await connection.execute(self._insert(write, 1))
                 return
             except CallError as error:
                 if error.connection_lost or error.outcome is Outcome.UNKNOWN:
-                    self._drop()
+                    self._close_connection()
                 elif not sent or error.outcome is not Outcome.NOT_RUN:
                     raise
                 await asyncio.sleep(max(PAUSE_SECONDS, error.retry_after_seconds))
         raise CallError(Outcome.UNKNOWN, "given up", 0.0)
 
-    async def _transaction(self, connection: CallerPort, write: Write) -> None:
+    async def _write_in_transaction(self, connection: SqlConnection, write: Write) -> None:
         committing = False
         try:
             expected = self._oracle.expected(write.key)
@@ -210,30 +210,32 @@
     # Reads
 
     async def _read(self) -> None:
-        way = self._random.choice(["same", "same", "token", "new"])
-        if way == "same":
-            await self._read_through(await self._own(), self._random.choice(self._keys), way)
-        elif way == "token":
+        mode = self._random.choice(["same", "same", "token", "new"])
+        if mode == "same":
+            await self._read_through(
+                await self._own_connection(), self._random.choice(self._keys), mode
+            )
+        elif mode == "token":
             await self._read_with_token()
         else:
             keys = self._oracle.keys() or self._keys
-            connection = await self._open()
+            connection = await self._open_connection()
             try:
-                await self._read_through(connection, self._random.choice(keys), way)
+                await self._read_through(connection, self._random.choice(keys), mode)
             finally:
                 connection.close()
 
     async def _read_with_token(self) -> None:
-        own = await self._own()
+        own = await self._own_connection()
         token = (await own.execute("SELECT @@rowanrail_token"))[0][0]
-        connection = await self._open()
+        connection = await self._open_connection()
         try:
             await connection.execute(f"SET @rowanrail_token = '{token}'")
             await self._read_through(connection, self._random.choice(self._keys), "token")
         finally:
             connection.close()
 
-    async def _read_through(self, connection: CallerPort, key: str, way: str) -> None:
+    async def _read_through(self, connection: SqlConnection, key: str, mode: str) -> None:
         expected = self._oracle.expected(key)
         self._reads += 1
         marker = f"{self.name}/{self._reads}"
@@ -243,24 +245,24 @@
         if len(rows) != 1 or len(rows[0]) != 2 or rows[0][1] != marker:
             self._oracle.note_mixed(f"{marker} got the answer {rows}")
             return
-        self._oracle.end_read(key, expected, int(rows[0][0] or 0), f"{self.name} ({way})")
+        self._oracle.end_read(key, expected, int(rows[0][0] or 0), f"{self.name} ({mode})")
 
 
 def connectors(fleet: FleetFile, database: str) -> list[Connect]:
     """Return how to connect to each proxy of a fleet."""
 
-    def to(proxy: Process) -> Connect:
-        async def connect() -> CallerPort:
+    def connector_for(proxy: Process) -> Connect:
+        async def connect() -> SqlConnection:
             return await CallerConnection.open(
                 proxy.host, proxy.port, fleet.user, fleet.password, database
             )
 
         return connect
 
-    return [to(proxy) for proxy in fleet.proxies]
+    return [connector_for(proxy) for proxy in fleet.proxies]
 
 
-async def prepare(connect: Connect) -> None:
+async def create_tables(connect: Connect) -> None:
     """Create the tables of the load."""
     connection = await connect()
     await connection.execute(CREATE_EDITS)
@@ -268,10 +270,10 @@
     connection.close()
 
 
-async def final_rows(connect: list[Connect]) -> dict[str, int]:
+async def count_rows_by_operation(connect: list[Connect]) -> dict[str, int]:
     """Return the number of rows by operation, as a new session sees them."""
     last_error: CallError | None = None
-    for attempt in range(FINAL_ATTEMPTS):
+    for attempt in range(MAX_FINAL_READ_ATTEMPTS):
         try:
             connection = await connect[attempt % len(connect)]()
             rows = await connection.execute(
--- a/src/rowanlab/simulator/backend.py
+++ b/src/rowanlab/simulator/backend.py
@@ -8,7 +8,7 @@
 
 from rowanlab.simulator.daemon import DurableDaemon
 from rowanlab.simulator.loop import SimulatedProcess
-from rowanlab.simulator.network import Channel, ChannelLostError, Served, SimulatedNetwork
+from rowanlab.simulator.network import Channel, ChannelLostError, EndpointRegistry, SimulatedNetwork
 from rowanlab.simulator.world import World
 from rowanlab.standin.member import Member, MemberSettings
 from rowanlab.standin.session import MemberSession
@@ -41,7 +41,7 @@
 
     async def execute(self, sql: str) -> StatementResult:
         """See :meth:`BackendConnection.execute`."""
-        answer = await self._ask(sql)
+        answer = await self._request(sql)
         if isinstance(answer, Refusal):
             raise BackendRefusedError(answer.code, answer.message, peer=self._channel.peer)
         if not isinstance(answer, StatementResult):
@@ -50,12 +50,12 @@
 
     async def status(self) -> MemberStatus:
         """See :meth:`BackendConnection.status`."""
-        answer = await self._ask(STATUS_REQUEST)
+        answer = await self._request(STATUS_REQUEST)
         if not isinstance(answer, MemberStatus):
             raise BackendLostError("not a status", step="status", peer=self._channel.peer)
         return answer
 
-    async def _ask(self, payload: str) -> Any:
+    async def _request(self, payload: str) -> Any:
         try:
             self._channel.send(payload)
             return await self._channel.receive()
@@ -74,16 +74,16 @@
 class SimulatedDriver(BackendDriver):
     """Opens connections to simulated members."""
 
-    def __init__(self, world: World, served: Served) -> None:
+    def __init__(self, world: World, endpoints: EndpointRegistry) -> None:
         self._world = world
-        self._served = served
+        self._endpoints = endpoints
 
     async def connect(
         self, address: str, user: str, password: str, database: str
     ) -> BackendConnection:
         """See :meth:`BackendDriver.connect`."""
         try:
-            channel = await Channel.open(self._world, self._served, address)
+            channel = await Channel.open(self._world, self._endpoints, address)
         except ChannelLostError as error:
             raise BackendConnectError(str(error), step="connect", peer=address) from error
         await asyncio.sleep(CONNECT_SECONDS)
@@ -122,7 +122,7 @@
     def __init__(
         self,
         world: World,
-        served: Served,
+        endpoints: EndpointRegistry,
         group: str,
         name: str,
         zone: str,
@@ -134,7 +134,7 @@
         self.member: Member | None = None
         self.late_work = 0
         self.repeats_answers = False
-        self._served = served
+        self._endpoints = endpoints
         self._group = group
         self._nodes = nodes
 
@@ -145,7 +145,7 @@
 
     async def _run(self, process: SimulatedProcess, bootstrap: bool) -> None:
         world = self._world
-        network = SimulatedNetwork(world, process, self._served)
+        network = SimulatedNetwork(world, process, self._endpoints)
         settings = MemberSettings(
             group=self._group,
             name=self.name,
@@ -164,11 +164,11 @@
             network,
             self.disk,
             world.scratch_file(),
-            self._randomness(),
+            self._new_random(),
             Registry(),
         )
         await self.member.start(bootstrap)
-        self._served.channels[self.address] = (self.name, lambda: _MemberChannel(self))
+        self._endpoints.channels[self.address] = (self.name, lambda: _MemberChannel(self))
 
     def kill(self) -> None:
         """Kill the process; what was not synced is lost."""
--- a/src/rowanlab/simulator/control_faults.py
+++ b/src/rowanlab/simulator/control_faults.py
@@ -15,7 +15,7 @@
         self._world = control.world
         self.random = random.Random(control.world.random.getrandbits(64))
 
-    def note(self, fault: str) -> None:
+    def count_fault(self, fault: str) -> None:
         """Count a fault."""
         self._world.fault_count += 1
         self._world.note(f"fault {fault}")
@@ -24,14 +24,14 @@
         """Wait for a random time."""
         await asyncio.sleep(self.random.uniform(least_seconds, most_seconds))
 
-    def pick(self) -> SimulatedControl:
+    def pick_node(self) -> SimulatedControl:
         """Return a node, the leader more often than others."""
         leader = self._control.leader()
         if leader is not None and self.random.random() < 0.5:
             return leader
         return self.random.choice(self._control.controls)
 
-    async def leader(self) -> SimulatedControl:
+    async def wait_for_leader(self) -> SimulatedControl:
         """Return the leader, as soon as there is one."""
         while (leader := self._control.leader()) is None:
             await asyncio.sleep(0.05)
@@ -41,24 +41,24 @@
 
     async def kill_node(self) -> None:
         """Kill a node and start it again."""
-        node = self.pick()
-        self.note(f"kill {node.name}")
+        node = self.pick_node()
+        self.count_fault(f"kill {node.name}")
         node.kill()
         await self.pause(0.3, 1.5)
         node.restart()
 
     async def freeze_node(self) -> None:
         """Freeze a node for a while."""
-        node = self.pick()
-        self.note(f"freeze {node.name}")
+        node = self.pick_node()
+        self.count_fault(f"freeze {node.name}")
         self._world.freeze(node.name)
         await self.pause(0.3, 2.0)
         self._world.thaw(node.name)
 
     async def cut_node(self) -> None:
         """Cut a node off from the other nodes; proxies and operators still reach it."""
-        node = self.pick()
-        self.note(f"cut {node.name}")
+        node = self.pick_node()
+        self.count_fault(f"cut {node.name}")
         self.isolate(node)
         await self.pause(0.8, 3.0)
         self.rejoin(node)
@@ -67,7 +67,7 @@
         """Cut a zone off, both ways or one way."""
         zones = self._control.zones
         zone = self.random.choice(zones)
-        self.note(f"cut zone {zone}")
+        self.count_fault(f"cut zone {zone}")
         pairs = [(zone, other) for other in zones if other != zone]
         if self.random.random() < 0.6:
             pairs += [(other, zone) for other in zones if other != zone]
@@ -80,7 +80,7 @@
     async def kill_proxy(self) -> None:
         """Kill a proxy and start it again."""
         proxy = self.random.choice(self._control.proxies)
-        self.note(f"kill {proxy.name}")
+        self.count_fault(f"kill {proxy.name}")
         proxy.kill()
         await self.pause(0.1, 0.5)
         self._control.start_proxy(proxy)
@@ -104,9 +104,11 @@
     def _others(self, node: SimulatedControl) -> list[SimulatedControl]:
         return [other for other in self._control.controls if other is not node]
 
-    async def split(self) -> tuple[SimulatedControl, SimulatedControl, SimulatedControl]:
+    async def leader_and_followers(
+        self,
+    ) -> tuple[SimulatedControl, SimulatedControl, SimulatedControl]:
         """Return the leader and the two others, in random order."""
-        leader = await self.leader()
+        leader = await self.wait_for_leader()
         others = self._others(leader)
         self.random.shuffle(others)
         return leader, others[0], others[1]
--- a/src/rowanlab/simulator/control_scenarios.py
+++ b/src/rowanlab/simulator/control_scenarios.py
@@ -42,8 +42,8 @@
 async def _silent_control(control: ControlWorld, faults: ControlFaults) -> None:
     """The leader loses the other nodes; proxies and operators still reach it."""
     for _ in range(3):
-        leader = await faults.leader()
-        faults.note(f"cut {leader.name}")
+        leader = await faults.wait_for_leader()
+        faults.count_fault(f"cut {leader.name}")
         faults.isolate(leader)
         await faults.pause(1.5, 3.0)
         faults.rejoin(leader)
@@ -54,15 +54,15 @@
     """A node loses its disk and starts again; then a second node is lost."""
     for _ in range(2):
         if faults.random.random() < 0.6:
-            await _lose_while_one_is_behind(faults)
+            await _lose_disk_while_one_lags(faults)
         else:
-            await _lose_after_repair(control, faults)
+            await _lose_second_disk_after_repair(control, faults)
         await _wait_until_all_vote(control)
 
 
-async def _lose_while_one_is_behind(faults: ControlFaults) -> None:
-    first, second, behind = await faults.split()
-    faults.note(f"cut {behind.name}, {second.name} loses its disk, {first.name} dies")
+async def _lose_disk_while_one_lags(faults: ControlFaults) -> None:
+    first, second, behind = await faults.leader_and_followers()
+    faults.count_fault(f"cut {behind.name}, {second.name} loses its disk, {first.name} dies")
     faults.isolate(behind)
     await faults.pause(0.5, 1.0)
     second.kill()
@@ -73,9 +73,9 @@
     first.restart()
 
 
-async def _lose_after_repair(control: ControlWorld, faults: ControlFaults) -> None:
-    first, second, _ = await faults.split()
-    faults.note(f"{second.name} loses its disk, then {first.name} too")
+async def _lose_second_disk_after_repair(control: ControlWorld, faults: ControlFaults) -> None:
+    first, second, _ = await faults.leader_and_followers()
+    faults.count_fault(f"{second.name} loses its disk, then {first.name} too")
     second.kill()
     await faults.pause(0.1, 0.5)
     second.restart(lose_disk=True)
@@ -104,13 +104,13 @@
 
 async def _restart_catch_up(control: ControlWorld, faults: ControlFaults) -> None:
     """All nodes lose power at once; one comes back late, a zone's proxies later still."""
-    _, late, _ = await faults.split()
-    faults.note(f"{late.name} stays away")
+    _, late, _ = await faults.leader_and_followers()
+    faults.count_fault(f"{late.name} stays away")
     late.kill()
     away = faults.random.choice(control.proxies)
     away.kill()
     await faults.pause(2.0, 3.0)
-    faults.note("all nodes lose power")
+    faults.count_fault("all nodes lose power")
     for node in control.controls:
         node.kill()
     await faults.pause(0.1, 0.5)
--- a/src/rowanlab/simulator/control_world.py
+++ b/src/rowanlab/simulator/control_world.py
@@ -7,7 +7,7 @@
 
 from rowanlab.load.control_oracle import ControlOracle, FinalRevision
 from rowanlab.simulator.controls import Operator, SimulatedControl
-from rowanlab.simulator.network import Served
+from rowanlab.simulator.network import EndpointRegistry
 from rowanlab.simulator.proxies import SimulatedProxy
 from rowanlab.simulator.world import World
 from rowanrail.config.model import Configuration, SiteSpec, UserSpec
@@ -17,9 +17,9 @@
 
 ZONES = ["z1", "z2", "z3", "z4", "z5"]
 CLOCK_RATES = (0.98, 1.02)
-WATCH_SECONDS = 0.02
-IN_FORCE_SECONDS = 5.0
-FIRST_CHANGE = "first"
+POLL_SECONDS = 0.02
+IN_FORCE_TIMEOUT_SECONDS = 5.0
+INITIAL_CHANGE_ID = "first"
 
 
 class ControlOptions(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
         self.world = world
         self.options = options
         self.oracle = ControlOracle(world.note)
-        self.served = Served()
+        self.endpoints = EndpointRegistry()
         self.finished = False
         self.zones = ZONES[: options.nodes]
         names = [f"n{number + 1}" for number in range(options.nodes)]
@@ -52,7 +52,7 @@
         self.controls = [
             SimulatedControl(
                 world,
-                self.served,
+                self.endpoints,
                 name,
                 zone,
                 nodes,
@@ -82,13 +82,13 @@
         ]
         rate = self.world.random.uniform(*CLOCK_RATES)
         return SimulatedProxy(
-            self.world, self.served, name, zone, registry, rate, [*own, *others], peers
+            self.world, self.endpoints, name, zone, registry, rate, [*own, *others], peers
         )
 
     def _create_operator(self, name: str) -> Operator:
         addresses = [control.operator_address for control in self.controls]
         return Operator(
-            self.world, self.served, name, addresses, self.oracle, self.options.pause_seconds
+            self.world, self.endpoints, name, addresses, self.oracle, self.options.pause_seconds
         )
 
     async def start(self) -> None:
@@ -96,8 +96,8 @@
         for control in self.controls:
             control.start(bootstrap=True)
         while self.leader() is None:
-            await asyncio.sleep(WATCH_SECONDS)
-        await self._apply_first()
+            await asyncio.sleep(POLL_SECONDS)
+        await self._apply_initial_configuration()
         self.world.run_in(self.world.spawn("monitor", "nowhere"), self._monitor())
         for proxy in self.proxies:
             self.start_proxy(proxy)
@@ -105,12 +105,12 @@
             process = self.world.spawn(operator.name, ZONES[0])
             self.world.run_in(process, operator.run(lambda: self.finished))
 
-    async def _apply_first(self) -> None:
+    async def _apply_initial_configuration(self) -> None:
         users = [UserSpec(f"u{number}", "0" * 40) for number in range(4)]
         first = Configuration(sites=[SiteSpec("site", "region", self.zones)], users=users)
         leader = self.leader()
         assert leader is not None and leader.node is not None
-        request = ApplyRequest(FIRST_CHANGE, "setup", 0, first)
+        request = ApplyRequest(INITIAL_CHANGE_ID, "setup", 0, first)
         service = leader.node.service
         process = self.world.process(leader.name)
         reply = await self.world.run_in(process, service.call_leader_with_retry(request))
@@ -151,38 +151,38 @@
         while True:
             for proxy in self.proxies:
                 if proxy.core is not None and self.world.process(proxy.name).alive:
-                    self._look_at(proxy)
+                    self._check_proxy(proxy)
             for control in self.controls:
                 if control.is_serving and control.node is not None:
                     raft = control.node.consensus.raft
                     if raft.is_leader:
                         self.oracle.note_leader(raft.term, raft.node)
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
-    def _look_at(self, proxy: SimulatedProxy) -> None:
+    def _check_proxy(self, proxy: SimulatedProxy) -> None:
         assert proxy.core is not None
         version = proxy.core.in_force.version
         if version:
             self.oracle.note_in_force(proxy.incarnation, version)
             floor = self._zone_floors.pop(proxy.incarnation, None)
             if floor is not None:
-                self.oracle.note_first(proxy.incarnation, floor)
+                self.oracle.check_first_version(proxy.incarnation, floor)
 
     # The end
 
     async def judge(self) -> None:
         """Judge the final history, the versions in force, and the logs."""
-        read = await self._read_at_end()
+        read = await self._read_final_configuration()
         if read is None:
             self.oracle.note_not_recovered("the configuration can't be read")
             return
         history = [FinalRevision(item.version, item.change_id) for item in read.history]
         registers = {user.name: user.password_hash for user in read.configuration.users}
         self.oracle.judge(history, registers)
-        await self._judge_in_force(read.version)
-        self._judge_logs()
+        await self._check_in_force(read.version)
+        self._check_logs()
 
-    async def _read_at_end(self) -> ReadReply | None:
+    async def _read_final_configuration(self) -> ReadReply | None:
         judge = self._create_operator("judge")
         process = self.world.spawn("judge", ZONES[0])
         for _ in range(50):
@@ -192,16 +192,16 @@
             await asyncio.sleep(0.1)
         return None
 
-    async def _judge_in_force(self, version: int) -> None:
-        deadline = self.world.loop.now + IN_FORCE_SECONDS
+    async def _check_in_force(self, version: int) -> None:
+        deadline = self.world.loop.now + IN_FORCE_TIMEOUT_SECONDS
         while self.world.loop.now < deadline:
             behind = [proxy.name for proxy in self.proxies if _in_force(proxy) < version]
             if not behind:
                 return
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         self.oracle.note_not_in_force(f"{', '.join(behind)} did not take version {version}")
 
-    def _judge_logs(self) -> None:
+    def _check_logs(self) -> None:
         for control in self.controls:
             if not control.is_serving or control.node is None:
                 continue
--- a/src/rowanlab/simulator/controls.py
+++ b/src/rowanlab/simulator/controls.py
@@ -10,7 +10,7 @@
 from rowanlab.load.control_oracle import AttemptedChange, ChangeOutcome, ControlOracle
 from rowanlab.simulator.daemon import DurableDaemon
 from rowanlab.simulator.loop import SimulatedProcess
-from rowanlab.simulator.network import Channel, ChannelLostError, Served, SimulatedNetwork
+from rowanlab.simulator.network import Channel, ChannelLostError, EndpointRegistry, SimulatedNetwork
 from rowanlab.simulator.world import World
 from rowanrail.config.model import Configuration, UserSpec
 from rowanrail.config.settings import ControlSettings, NodeAddress
@@ -25,13 +25,13 @@
 )
 from rowanrail.sql_control.node import ControlNode
 
-CALL_SECONDS = 3.0
-GIVE_UP_SECONDS = 30.0
-REPEAT_SECONDS = 0.2
-REGISTERS = 4
+CALL_TIMEOUT_SECONDS = 3.0
+CHANGE_TIMEOUT_SECONDS = 30.0
+RETRY_INTERVAL_SECONDS = 0.2
+REGISTER_COUNT = 4
 
 
-class Refused(msgspec.Struct, frozen=True):
+class ErrorReply(msgspec.Struct, frozen=True):
     """An operator's error, on its way back.
 
     :param invalid: whether the request itself was refused, so that repeating is of no use.
@@ -54,7 +54,7 @@
         try:
             return await node.service.call_leader_with_retry(payload)
         except RowanrailError as error:
-            return Refused(str(error), isinstance(error, InvalidRequestError))
+            return ErrorReply(str(error), isinstance(error, InvalidRequestError))
 
     async def closed(self) -> None:
         """Nothing to do."""
@@ -66,7 +66,7 @@
     def __init__(
         self,
         world: World,
-        served: Served,
+        endpoints: EndpointRegistry,
         name: str,
         zone: str,
         nodes: list[NodeAddress],
@@ -79,7 +79,7 @@
         self.rpc_address = f"{name}:7100"
         self.operator_address = f"{name}:8100"
         self.node: ControlNode | None = None
-        self._served = served
+        self._endpoints = endpoints
         self._nodes = nodes
         self._registry = registry
         self._snapshot_entries = snapshot_entries
@@ -110,15 +110,18 @@
         )
         node = ControlNode(
             settings,
-            SimulatedNetwork(world, process, self._served),
+            SimulatedNetwork(world, process, self._endpoints),
             self.disk,
-            self._randomness(),
+            self._new_random(),
             self._registry,
             world.wall_clock,
         )
         self.node = node
         await node.start(bootstrap)
-        self._served.channels[self.operator_address] = (self.name, lambda: _OperatorChannel(self))
+        self._endpoints.channels[self.operator_address] = (
+            self.name,
+            lambda: _OperatorChannel(self),
+        )
 
 
 class Operator:
@@ -130,7 +133,7 @@
     def __init__(
         self,
         world: World,
-        served: Served,
+        endpoints: EndpointRegistry,
         name: str,
         addresses: list[str],
         oracle: ControlOracle,
@@ -138,7 +141,7 @@
     ) -> None:
         self.name = name
         self._world = world
-        self._served = served
+        self._endpoints = endpoints
         self._addresses = addresses
         self._oracle = oracle
         self._pause_seconds = pause_seconds
@@ -157,7 +160,7 @@
         """Read the configuration at a random node; None if that failed."""
         expected = self._oracle.newest()
         address = self._random.choice(self._addresses)
-        reply = await self._ask(address, ReadRequest())
+        reply = await self._request(address, ReadRequest())
         if not isinstance(reply, ReadReply):
             return None
         self._oracle.end_read(expected, reply.version, address)
@@ -166,36 +169,36 @@
     async def change(self, read: ReadReply) -> None:
         """Send a change against what was read, and repeat it until it is answered."""
         self._changes += 1
-        register = f"u{self._random.randrange(REGISTERS)}"
+        register = f"u{self._random.randrange(REGISTER_COUNT)}"
         value = f"{self._random.getrandbits(160):040x}"
         change_id = f"{self.name}-{self._changes}"
         change = AttemptedChange(change_id, register, value, read.version)
         request = ApplyRequest(
-            change_id, self.name, read.version, _with(read.configuration, register, value)
+            change_id, self.name, read.version, _with_register(read.configuration, register, value)
         )
         self._oracle.begin_change(change)
-        deadline = self._world.loop.now + GIVE_UP_SECONDS
+        deadline = self._world.loop.now + CHANGE_TIMEOUT_SECONDS
         while self._world.loop.now < deadline:
-            reply = await self._ask(self._random.choice(self._addresses), request)
+            reply = await self._request(self._random.choice(self._addresses), request)
             if isinstance(reply, ChangeReply):
-                self._end(change, reply)
+                self._record_outcome(change, reply)
                 return
-            if isinstance(reply, Refused) and reply.invalid:
+            if isinstance(reply, ErrorReply) and reply.invalid:
                 self._oracle.end_change(change, ChangeOutcome.REFUSED)
                 return
-            await asyncio.sleep(REPEAT_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         self._oracle.end_change(change, ChangeOutcome.UNKNOWN)
 
-    def _end(self, change: AttemptedChange, reply: ChangeReply) -> None:
+    def _record_outcome(self, change: AttemptedChange, reply: ChangeReply) -> None:
         outcome = reply.outcome
         accepted = outcome.verdict is Verdict.ACCEPTED
-        told = ChangeOutcome.ACCEPTED if accepted else ChangeOutcome.CONFLICT
-        self._oracle.end_change(change, told, outcome.version)
+        recorded = ChangeOutcome.ACCEPTED if accepted else ChangeOutcome.CONFLICT
+        self._oracle.end_change(change, recorded, outcome.version)
 
-    async def _ask(self, address: str, request: Any) -> Any:
+    async def _request(self, address: str, request: Any) -> Any:
         try:
-            async with asyncio.timeout(CALL_SECONDS):
-                channel = await Channel.open(self._world, self._served, address)
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
+                channel = await Channel.open(self._world, self._endpoints, address)
                 try:
                     channel.send(request)
                     return await channel.receive()
@@ -205,7 +208,7 @@
             return None
 
 
-def _with(configuration: Configuration, register: str, value: str) -> Configuration:
+def _with_register(configuration: Configuration, register: str, value: str) -> Configuration:
     users = [user for user in configuration.users if user.name != register]
     users = sorted([*users, UserSpec(register, value)], key=lambda user: user.name)
     return msgspec.structs.replace(configuration, users=users)
--- a/src/rowanlab/simulator/daemon.py
+++ b/src/rowanlab/simulator/daemon.py
@@ -27,13 +27,13 @@
 
     def _launch(self, process: SimulatedProcess, work: Coroutine[Any, Any, None]) -> None:
         task = self._world.run_in(process, work)
-        task.add_done_callback(self._note_failure)
+        task.add_done_callback(self._trace_failure)
 
-    def _note_failure(self, task: "asyncio.Task[None]") -> None:
+    def _trace_failure(self, task: "asyncio.Task[None]") -> None:
         if not task.cancelled() and task.exception() is not None:
             self._world.note(f"{self.name} failed: {task.exception()!r}")
 
-    def _randomness(self) -> random.Random:
+    def _new_random(self) -> random.Random:
         """Return a source of random numbers of its own."""
         return random.Random(self._world.random.getrandbits(64))
 
@@ -49,7 +49,7 @@
         self, world: World, name: str, zone: str, rate: float, honours_sync: bool = True
     ) -> None:
         super().__init__(world, name, zone, rate)
-        self.disk = SimulatedDisk(self._randomness(), honours_sync)
+        self.disk = SimulatedDisk(self._new_random(), honours_sync)
 
     def start(self, bootstrap: bool) -> None:
         """Start the process."""
--- a/src/rowanlab/simulator/data_scenarios.py
+++ b/src/rowanlab/simulator/data_scenarios.py
@@ -90,6 +90,6 @@
         "everything",
         None,
         DataOptions(proxies=3),
-        FaultPlan(list(FaultKind), seconds=8.0, at_once=2, recovery_seconds=5.0),
+        FaultPlan(list(FaultKind), seconds=8.0, concurrent_faults=2, recovery_seconds=5.0),
     ),
 ]
--- a/src/rowanlab/simulator/data_world.py
+++ b/src/rowanlab/simulator/data_world.py
@@ -6,9 +6,15 @@
 import msgspec
 
 from rowanlab.load.oracle import Oracle
-from rowanlab.load.workload import Caller, Connect, LoadOptions, final_rows, prepare
+from rowanlab.load.workload import (
+    Caller,
+    Connect,
+    LoadOptions,
+    count_rows_by_operation,
+    create_tables,
+)
 from rowanlab.simulator.backend import SimulatedMember
-from rowanlab.simulator.network import Served
+from rowanlab.simulator.network import EndpointRegistry
 from rowanlab.simulator.proxies import SimulatedCaller, SimulatedProxy
 from rowanlab.simulator.world import World
 from rowanrail.config.model import (
@@ -49,13 +55,20 @@
         self.world = world
         self.options = options
         self.oracle = Oracle(world.note)
-        self.served = Served()
+        self.endpoints = EndpointRegistry()
         self.finished = False
         self.members = self._create_members()
         self.configuration = self._create_configuration()
         self.proxies = [
             SimulatedProxy(
-                world, self.served, f"p{number + 1}", ZONES[number], registry, self._rate(), [], []
+                world,
+                self.endpoints,
+                f"p{number + 1}",
+                ZONES[number],
+                registry,
+                self._rate(),
+                [],
+                [],
             )
             for number in range(options.proxies)
         ]
@@ -70,7 +83,7 @@
         names = [f"m{number + 1}" for number in range(len(ZONES))]
         nodes = [NodeAddress(name, f"{name}:7000") for name in names]
         return [
-            SimulatedMember(self.world, self.served, GROUP, name, zone, nodes, self._rate())
+            SimulatedMember(self.world, self.endpoints, GROUP, name, zone, nodes, self._rate())
             for name, zone in zip(names, ZONES, strict=True)
         ]
 
@@ -104,7 +117,7 @@
         while self.primary() is None:
             await asyncio.sleep(0.05)
         process = self.world.spawn("setup", ZONES[0])
-        await self.world.run_in(process, prepare(self.connectors()[0]))
+        await self.world.run_in(process, create_tables(self.connectors()[0]))
         for number in range(self.options.callers):
             self.start_caller(f"c{number + 1}", ZONES[number % len(ZONES)])
 
@@ -113,7 +126,7 @@
 
         def to(proxy: SimulatedProxy) -> Connect:
             async def connect() -> SimulatedCaller:
-                return await SimulatedCaller.open(self.world, self.served, proxy)
+                return await SimulatedCaller.open(self.world, self.endpoints, proxy)
 
             return connect
 
@@ -175,9 +188,9 @@
             late = member.late_work + (member.member.late_work if member.member else 0)
             self.oracle.note_late_work(member.name, late)
         process = self.world.spawn("judge", ZONES[0])
-        rows = await self.world.run_in(process, final_rows(self.connectors()))
+        rows = await self.world.run_in(process, count_rows_by_operation(self.connectors()))
         self.oracle.judge(rows)
 
-    def chooser(self) -> random.Random:
+    def new_random(self) -> random.Random:
         """Return a source of random choices for faults."""
         return random.Random(self.world.random.getrandbits(64))
--- a/src/rowanlab/simulator/faults.py
+++ b/src/rowanlab/simulator/faults.py
@@ -36,7 +36,7 @@
 
     kinds: list[FaultKind]
     seconds: float = 4.0
-    at_once: int = 1
+    concurrent_faults: int = 1
     pause_seconds: tuple[float, float] = (0.2, 0.8)
     recovery_seconds: float = 4.0  # longer than a late answer can hold its locks
 
@@ -48,7 +48,7 @@
         self._data = data
         self._world = data.world
         self._plan = plan
-        self._random: random.Random = data.chooser()
+        self._random: random.Random = data.new_random()
         self._busy: set[str] = set()
         self._actions = {
             FaultKind.KILL_PRIMARY: self._kill_primary,
@@ -70,15 +70,18 @@
 
     async def run(self) -> None:
         """Inject faults, several workers at once, then heal everything."""
-        workers = [asyncio.ensure_future(self._work()) for _ in range(self._plan.at_once)]
+        workers = [
+            asyncio.ensure_future(self._inject_faults())
+            for _ in range(self._plan.concurrent_faults)
+        ]
         await asyncio.gather(*workers)
         self._world.heal_all()
         for member in self._data.members:
-            self._set(member, FaultRequest(lag_seconds=0.0, answer_delay_seconds=0.0))
+            self._set_faults(member, FaultRequest(lag_seconds=0.0, answer_delay_seconds=0.0))
             if not self._data.is_running(member):
                 member.restart()
 
-    async def _work(self) -> None:
+    async def _inject_faults(self) -> None:
         end = self._world.loop.now + self._plan.seconds
         while self._world.loop.now < end:
             await asyncio.sleep(self._random.uniform(*self._plan.pause_seconds))
@@ -87,11 +90,11 @@
             self._world.note(f"fault {kind.value}")
             await self._actions[kind]()
 
-    def _some_seconds(self, least: float, most: float) -> float:
+    def _random_seconds(self, least: float, most: float) -> float:
         return self._random.uniform(least, most)
 
     @staticmethod
-    def _set(member: SimulatedMember, request: FaultRequest) -> None:
+    def _set_faults(member: SimulatedMember, request: FaultRequest) -> None:
         if member.member is not None and hasattr(member.member, "node"):
             member.member.set_faults(request)
 
@@ -109,9 +112,9 @@
             return
         self._busy.add(member.name)
         member.kill()
-        await asyncio.sleep(self._some_seconds(0.3, 1.5))
+        await asyncio.sleep(self._random_seconds(0.3, 1.5))
         member.restart(lose_disk)
-        await asyncio.sleep(self._some_seconds(0.2, 0.8))
+        await asyncio.sleep(self._random_seconds(0.2, 0.8))
         self._busy.discard(member.name)
 
     async def _kill_primary(self) -> None:
@@ -141,7 +144,7 @@
             return
         self._busy.add(name)
         self._world.freeze(name)
-        await asyncio.sleep(self._some_seconds(0.2, 2.0))
+        await asyncio.sleep(self._random_seconds(0.2, 2.0))
         self._world.thaw(name)
         self._busy.discard(name)
 
@@ -175,27 +178,27 @@
     async def _cut(self, pairs: list[tuple[str, str]]) -> None:
         for source, target in pairs:
             self._world.cut(source, target)
-        await asyncio.sleep(self._some_seconds(0.3, 2.0))
+        await asyncio.sleep(self._random_seconds(0.3, 2.0))
         for pair in pairs:
             self._world.heal(*pair)
 
     async def _lag(self) -> None:
         member = self._pick_member(primary=False)
         if member is not None:
-            self._set(member, FaultRequest(lag_seconds=self._some_seconds(0.05, 1.0)))
-            await asyncio.sleep(self._some_seconds(0.3, 1.5))
-            self._set(member, FaultRequest(lag_seconds=0.0))
+            self._set_faults(member, FaultRequest(lag_seconds=self._random_seconds(0.05, 1.0)))
+            await asyncio.sleep(self._random_seconds(0.3, 1.5))
+            self._set_faults(member, FaultRequest(lag_seconds=0.0))
 
     async def _late_answer(self) -> None:
         member = self._random.choice(self._data.members)
-        self._set(member, FaultRequest(answer_delay_seconds=self._some_seconds(0.3, 3.0)))
-        await asyncio.sleep(self._some_seconds(0.3, 1.5))
-        self._set(member, FaultRequest(answer_delay_seconds=0.0))
+        self._set_faults(member, FaultRequest(answer_delay_seconds=self._random_seconds(0.3, 3.0)))
+        await asyncio.sleep(self._random_seconds(0.3, 1.5))
+        self._set_faults(member, FaultRequest(answer_delay_seconds=0.0))
 
     async def _repeated_answer(self) -> None:
         member = self._random.choice(self._data.members)
         member.repeats_answers = True
-        await asyncio.sleep(self._some_seconds(0.05, 0.3))
+        await asyncio.sleep(self._random_seconds(0.05, 0.3))
         member.repeats_answers = False
 
     async def _kill_proxy(self) -> None:
@@ -204,7 +207,7 @@
             return
         self._busy.add(proxy.name)
         proxy.kill()
-        await asyncio.sleep(self._some_seconds(0.1, 0.8))
+        await asyncio.sleep(self._random_seconds(0.1, 0.8))
         proxy.start(self._data.configuration)
         self._busy.discard(proxy.name)
 
@@ -217,7 +220,7 @@
         task = self._world.run_in(process, proxy.stop(3.0))
         while self._world.process(proxy.name).alive and not task.done():
             await asyncio.sleep(0.05)
-        await asyncio.sleep(self._some_seconds(0.1, 0.3))
+        await asyncio.sleep(self._random_seconds(0.1, 0.3))
         proxy.start(self._data.configuration)
         self._busy.discard(proxy.name)
 
@@ -225,7 +228,7 @@
         name = f"c{self._random.randint(1, self._data.options.callers)}"
         zone = self._world.process(name).zone
         self._world.kill(name)
-        await asyncio.sleep(self._some_seconds(0.05, 0.3))
+        await asyncio.sleep(self._random_seconds(0.05, 0.3))
         self._data.start_caller(name, zone)
 
     async def _leave(self) -> None:
@@ -233,7 +236,7 @@
         if member is None or "leaving" in self._busy:
             return
         self._busy.add("leaving")
-        self._set(member, FaultRequest(leaving=True))
-        await asyncio.sleep(self._some_seconds(3.5, 5.0))
-        self._set(member, FaultRequest(leaving=False))
+        self._set_faults(member, FaultRequest(leaving=True))
+        await asyncio.sleep(self._random_seconds(3.5, 5.0))
+        self._set_faults(member, FaultRequest(leaving=False))
         self._busy.discard("leaving")
--- a/src/rowanlab/simulator/loop.py
+++ b/src/rowanlab/simulator/loop.py
@@ -34,18 +34,18 @@
         self.frozen = False
         self.context = contextvars.copy_context()
         self.context.run(current_process.set, self)
-        self.kept: list[_Kept] = []
+        self.deferred: list[_DeferredCallback] = []
         self.tasks: list[asyncio.Task[Any]] = []
 
     def thaw(self, loop: asyncio.AbstractEventLoop) -> None:
         """Go on, with everything that was kept."""
         self.frozen = False
-        kept, self.kept = self.kept, []
-        for item in kept:
+        deferred, self.deferred = self.deferred, []
+        for item in deferred:
             loop.call_soon(item.run, context=item.context)
 
 
-class _Kept:
+class _DeferredCallback:
     """A callback that came due while its process was frozen; it can still be cancelled."""
 
     def __init__(
@@ -65,17 +65,17 @@
             self._callback(*self._arguments)
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """A selector that never waits: it moves virtual time instead."""
 
-    def __init__(self, jump: Callable[[float], None]) -> None:
+    def __init__(self, advance: Callable[[float], None]) -> None:
         super().__init__()
-        self._jump = jump
+        self._advance = advance
 
     def select(self, timeout: float | None = None) -> list[Any]:
         """Jump over the time that a real selector would wait."""
         if timeout is not None and timeout > 0:
-            self._jump(timeout)
+            self._advance(timeout)
         elif timeout is None:
             raise RuntimeError("the simulation waits for nothing")
         return []
@@ -86,9 +86,9 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        super().__init__(_JumpingSelector(self._jump))
+        super().__init__(_VirtualTimeSelector(self._advance))
 
-    def _jump(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         self.now += seconds
 
     def time(self) -> float:
@@ -103,12 +103,12 @@
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
         """Schedule a callback for the process that it belongs to."""
-        process = _owner(context)
+        process = _owning_process(context)
         if process is None:
             return super().call_soon(callback, *args, context=context)
-        guard = _Guard(process, callback, args, context)
-        guard.handle = super().call_soon(guard.run, context=context)
-        return guard.handle
+        bound = _ProcessCallback(process, callback, args, context)
+        bound.handle = super().call_soon(bound.run, context=context)
+        return bound.handle
 
     def call_at(  # type: ignore[override]
         self,
@@ -118,18 +118,18 @@
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
         """Schedule a callback at the process's own time ``when``."""
-        process = _owner(context)
+        process = _owning_process(context)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
-        guard = _Guard(process, callback, args, context)
+        bound = _ProcessCallback(process, callback, args, context)
         handle = super().call_at(
-            when / process.rate + TIMER_MARGIN_SECONDS, guard.run, context=context
+            when / process.rate + TIMER_MARGIN_SECONDS, bound.run, context=context
         )
-        guard.handle = handle
+        bound.handle = handle
         return handle
 
 
-class _Guard:
+class _ProcessCallback:
     """Runs a callback only while its process is alive, and not while it is frozen."""
 
     __slots__ = ("_arguments", "_callback", "_context", "_process", "handle")
@@ -153,13 +153,15 @@
             return
         if process.frozen:
             assert self.handle is not None
-            kept = _Kept(self.handle, self._callback, self._arguments, self._context)
-            process.kept.append(kept)
+            deferred = _DeferredCallback(
+                self.handle, self._callback, self._arguments, self._context
+            )
+            process.deferred.append(deferred)
             return
         self._callback(*self._arguments)
 
 
-def _owner(context: contextvars.Context | None) -> SimulatedProcess | None:
+def _owning_process(context: contextvars.Context | None) -> SimulatedProcess | None:
     if context is None:
         return current_process.get()
     return context.get(current_process)
--- a/src/rowanlab/simulator/network.py
+++ b/src/rowanlab/simulator/network.py
@@ -14,26 +14,28 @@
 from rowanrail.rpc.network import Handler, Listener, Network
 
 RETRANSMIT_SECONDS = 0.2
-REFUSAL_SECONDS = 0.003
+REFUSAL_DELAY_SECONDS = 0.003
 
 
 class SimulatedNetwork(Network):
     """Calls and notices of one process. Messages are encoded as on the wire.
 
-    :param served: shared by all processes: who serves which address.
+    :param endpoints: shared by all processes: who serves which address.
     """
 
-    def __init__(self, world: World, process: SimulatedProcess, served: "Served") -> None:
+    def __init__(
+        self, world: World, process: SimulatedProcess, endpoints: "EndpointRegistry"
+    ) -> None:
         self._world = world
         self._process = process
-        self._served = served
+        self._endpoints = endpoints
         self._calls: dict[int, asyncio.Future[msgspec.Struct]] = {}
         self._next_call = 0
 
     async def serve(self, address: str, handler: Handler) -> Listener:
         """See :meth:`Network.serve`."""
-        self._served.networks[address] = (self._process.name, self, handler)
-        return _SimulatedListener(self._served, address)
+        self._endpoints.networks[address] = (self._process.name, self, handler)
+        return _SimulatedListener(self._endpoints, address)
 
     async def call(
         self, address: str, request: msgspec.Struct, timeout_seconds: float
@@ -47,7 +49,7 @@
         try:
             async with asyncio.timeout(timeout_seconds):
                 if self._is_refused(address):
-                    await asyncio.sleep(REFUSAL_SECONDS)
+                    await asyncio.sleep(REFUSAL_DELAY_SECONDS)
                     raise TransportError("connection refused", step=step, peer=address)
                 self._transmit(address, encode_frame(FrameKind.REQUEST, call, request))
                 reply = await future
@@ -61,10 +63,10 @@
 
     def _is_refused(self, address: str) -> bool:
         """Return whether the machine can be reached and its process is dead."""
-        served = self._served.networks.get(address)
-        if served is None:
+        endpoint = self._endpoints.networks.get(address)
+        if endpoint is None:
             return False
-        process = self._world.process(served[0])
+        process = self._world.process(endpoint[0])
         return not process.alive and not self._world.is_cut(self._process, process)
 
     def notify(self, address: str, notice: msgspec.Struct) -> None:
@@ -72,13 +74,13 @@
         self._transmit(address, encode_frame(FrameKind.NOTICE, 0, notice))
 
     def _transmit(self, address: str, frame: bytes) -> None:
-        served = self._served.networks.get(address)
-        if served is None:
+        endpoint = self._endpoints.networks.get(address)
+        if endpoint is None:
             return
-        name, network, handler = served
-        self._world.send(self._process, name, lambda: network._arrive(self, handler, frame))
+        name, network, handler = endpoint
+        self._world.send(self._process, name, lambda: network._on_frame(self, handler, frame))
 
-    def _arrive(self, sender: "SimulatedNetwork", handler: Handler, frame: bytes) -> None:
+    def _on_frame(self, sender: "SimulatedNetwork", handler: Handler, frame: bytes) -> None:
         kind, call, body = decode_frame(frame)
         asyncio.ensure_future(self._handle(sender, handler, kind, call, body))
 
@@ -96,9 +98,9 @@
             reply = Failure(f"{type(error).__name__}: {error}")
         if kind is FrameKind.REQUEST:
             frame = encode_frame(FrameKind.REPLY, call, reply or Failure("no reply"))
-            self._world.send(self._process, sender._process.name, lambda: sender._answer(frame))
+            self._world.send(self._process, sender._process.name, lambda: sender._on_reply(frame))
 
-    def _answer(self, frame: bytes) -> None:
+    def _on_reply(self, frame: bytes) -> None:
         _, call, reply = decode_frame(frame)
         future = self._calls.get(call)
         if future is not None and not future.done():
@@ -109,12 +111,12 @@
 
 
 class _SimulatedListener(Listener):
-    def __init__(self, served: "Served", address: str) -> None:
-        self._served = served
+    def __init__(self, endpoints: "EndpointRegistry", address: str) -> None:
+        self._endpoints = endpoints
         self._address = address
 
     async def close(self) -> None:
-        self._served.networks.pop(self._address, None)
+        self._endpoints.networks.pop(self._address, None)
 
 
 class ChannelServer(Protocol):
@@ -129,7 +131,7 @@
         """The other end closed the channel."""
 
 
-class Served:
+class EndpointRegistry:
     """Who serves which address, for calls and for channels."""
 
     def __init__(self) -> None:
@@ -152,29 +154,29 @@
         self._world = world
         self._source = source
         self._target = target
-        self._held_up: collections.deque[Callable[[], None]] = collections.deque()
+        self._unsent: collections.deque[Callable[[], None]] = collections.deque()
 
     def send(self, deliver: Callable[[], None]) -> None:
         """Send something. A dead process sends nothing, also when its tasks are collected."""
         if self._source.alive:
-            self._queue(deliver)
+            self._enqueue(deliver)
 
     def reset(self, deliver: Callable[[], None]) -> None:
         """Send the reset of a process that has just died, after what it had written."""
-        self._queue(deliver)
+        self._enqueue(deliver)
 
-    def _queue(self, deliver: Callable[[], None]) -> None:
-        self._held_up.append(deliver)
-        if len(self._held_up) == 1:
+    def _enqueue(self, deliver: Callable[[], None]) -> None:
+        self._unsent.append(deliver)
+        if len(self._unsent) == 1:
             self._transmit()
 
     def _transmit(self) -> None:
         world = self._world
-        while self._held_up:
+        while self._unsent:
             if world.is_cut(self._source, world.process(self._target)):
                 world.call_later(RETRANSMIT_SECONDS, self._transmit)
                 return
-            deliver = self._held_up.popleft()
+            deliver = self._unsent.popleft()
             world.transmit(self._source, self._target, deliver, in_flight_is_safe=True)
 
 
@@ -186,20 +188,20 @@
         self._process = process
         self.peer = peer
         self._answers: asyncio.Queue[Any] = asyncio.Queue()
-        self._server: _ServerEnd | None = None
+        self._server: _ServerChannel | None = None
         self._stream = _Stream(world, process, peer)
         self._closed = False
         self._lost = False
 
     @classmethod
-    async def open(cls, world: World, served: Served, address: str) -> "Channel":
+    async def open(cls, world: World, endpoints: EndpointRegistry, address: str) -> "Channel":
         """Connect.
 
         :raises ChannelLostError: if nobody serves the address.
         """
         process = current_process.get()
         assert process is not None
-        known = served.channels.get(address)
+        known = endpoints.channels.get(address)
         if known is None:
             await asyncio.sleep(0.001)
             raise ChannelLostError("connection refused")
@@ -217,27 +219,27 @@
                 future.set_exception(ChannelLostError("connection refused"))
 
         def arrive() -> None:
-            if served.channels.get(address) is not known:  # no longer served since
+            if endpoints.channels.get(address) is not known:  # no longer served since
                 back.send(refuse)
                 return
-            end = _ServerEnd(world, world.process(name), channel, accept(), back)
+            end = _ServerChannel(world, world.process(name), channel, accept(), back)
             back.send(lambda: channel._opened(end, future))
 
         channel._stream.send(arrive)
         await future
         return channel
 
-    def _opened(self, end: "_ServerEnd", future: "asyncio.Future[None]") -> None:
+    def _opened(self, end: "_ServerChannel", future: "asyncio.Future[None]") -> None:
         self._server = end
-        self._world.on_death(self.peer, self._peer_died)
+        self._world.on_kill(self.peer, self._peer_died)
         if not future.done():
             future.set_result(None)
 
     def _peer_died(self, peer: SimulatedProcess) -> None:
         assert self._server is not None
-        self._server.stream.reset(self._lose)
+        self._server.stream.reset(self._mark_lost)
 
-    def _lose(self) -> None:
+    def _mark_lost(self) -> None:
         self._lost = True
         self._answers.put_nowait(ChannelLostError("connection reset"))
 
@@ -275,7 +277,7 @@
                 self._stream.send(end.close)
 
 
-class _ServerEnd:
+class _ServerChannel:
     """The server's end of a channel: handles requests one after the other."""
 
     def __init__(
@@ -292,7 +294,7 @@
         self._requests: asyncio.Queue[Any] = asyncio.Queue()
         server.reply = self.reply
         self._task = asyncio.ensure_future(self._run())
-        world.on_death(channel._process.name, self._caller_died)
+        world.on_kill(channel._process.name, self._caller_died)
 
     def _caller_died(self, caller: SimulatedProcess) -> None:
         self._channel._stream.reset(self.close)
--- a/src/rowanlab/simulator/permissive.py
+++ b/src/rowanlab/simulator/permissive.py
@@ -24,7 +24,7 @@
 )
 
 
-class AnyFreshness(Freshness):
+class AlwaysFresh(Freshness):
     """Every member is fresh enough."""
 
     def is_fresh(self, committed: Position, floor: Position) -> bool:
@@ -32,7 +32,7 @@
         return True
 
 
-class NoConfirmation(TermConfirmation):
+class AlwaysConfirmed(TermConfirmation):
     """Every write is confirmed at once."""
 
     def is_confirmed(
@@ -50,7 +50,7 @@
         return False
 
 
-class LateAnswersWelcome(LateAnswerDiscard):
+class AlwaysReusable(LateAnswerDiscard):
     """A connection with a late answer is used again."""
 
     def is_reusable(self, answered: bool) -> bool:
@@ -58,7 +58,7 @@
         return True
 
 
-class EverythingNotRun(OutcomeClassification):
+class AlwaysNotRun(OutcomeClassification):
     """Whatever is lost counts as not run."""
 
     def connection_lost_error(
@@ -68,7 +68,7 @@
         return NotRunError(message, retry_after_seconds=retry_after_seconds, step=step, peer=peer)
 
 
-class NoRecord(RequestRecord):
+class NoRequestRecord(RequestRecord):
     """Request ids are not recorded."""
 
     def records_requests(self) -> bool:
@@ -76,7 +76,7 @@
         return False
 
 
-class LeavingIgnored(LeavingCheck):
+class AlwaysAcceptsWork(LeavingCheck):
     """Leaving members get work."""
 
     def accepts_work(self, leaving: bool) -> bool:
@@ -92,7 +92,7 @@
         return False
 
 
-class AnyVersion(ExpectedVersion):
+class AnyExpectedVersion(ExpectedVersion):
     """A change applies whatever it was made against."""
 
     def matches(self, base_version: int, current_version: int) -> bool:
@@ -100,7 +100,7 @@
         return True
 
 
-class VersionsGoBack(VersionMonotonic):
+class NonMonotonicVersions(VersionMonotonic):
     """Any other version than the one in force is taken."""
 
     def accepts(self, in_force: int, offered: int) -> bool:
@@ -108,7 +108,7 @@
         return offered != in_force
 
 
-class NoQuorum(QuorumCheck):
+class NoQuorumCheck(QuorumCheck):
     """A leader needs nobody's answer."""
 
     def has_quorum(self, answered: int, voters: int) -> bool:
@@ -116,7 +116,7 @@
         return True
 
 
-class OldIdentityKept(LearnerFirst):
+class IdentityReuse(LearnerFirst):
     """A node with an empty folder goes on under its old identity, with its vote."""
 
     def new_node_id(self, name: str, random_id: str) -> str:
@@ -148,18 +148,18 @@
 
 
 _REPLACEMENTS = {
-    Guard.FRESHNESS: _Replacement("proxy-guard", AnyFreshness),
-    Guard.TERM_CONFIRMATION: _Replacement("proxy-guard", NoConfirmation),
+    Guard.FRESHNESS: _Replacement("proxy-guard", AlwaysFresh),
+    Guard.TERM_CONFIRMATION: _Replacement("proxy-guard", AlwaysConfirmed),
     Guard.PINNING: _Replacement("proxy-guard", NoPinning),
-    Guard.LATE_ANSWER_DISCARD: _Replacement("proxy-guard", LateAnswersWelcome),
-    Guard.OUTCOME_CLASSIFICATION: _Replacement("proxy-guard", EverythingNotRun),
-    Guard.REQUEST_RECORD: _Replacement("proxy-guard", NoRecord),
-    Guard.LEAVING_CHECK: _Replacement("proxy-guard", LeavingIgnored),
+    Guard.LATE_ANSWER_DISCARD: _Replacement("proxy-guard", AlwaysReusable),
+    Guard.OUTCOME_CLASSIFICATION: _Replacement("proxy-guard", AlwaysNotRun),
+    Guard.REQUEST_RECORD: _Replacement("proxy-guard", NoRequestRecord),
+    Guard.LEAVING_CHECK: _Replacement("proxy-guard", AlwaysAcceptsWork),
     Guard.DRAIN_WAIT: _Replacement("proxy-guard", NoDrainWait),
-    Guard.VERSION_MONOTONIC: _Replacement("control-guard", VersionsGoBack),
-    Guard.EXPECTED_VERSION: _Replacement("control-guard", AnyVersion),
-    Guard.CHECK_QUORUM: _Replacement("consensus-guard", NoQuorum),
-    Guard.LEARNER_FIRST: _Replacement("consensus-guard", OldIdentityKept),
+    Guard.VERSION_MONOTONIC: _Replacement("control-guard", NonMonotonicVersions),
+    Guard.EXPECTED_VERSION: _Replacement("control-guard", AnyExpectedVersion),
+    Guard.CHECK_QUORUM: _Replacement("consensus-guard", NoQuorumCheck),
+    Guard.LEARNER_FIRST: _Replacement("consensus-guard", IdentityReuse),
 }
 
 
--- a/src/rowanlab/simulator/proxies.py
+++ b/src/rowanlab/simulator/proxies.py
@@ -11,7 +11,7 @@
 from rowanlab.simulator.backend import SimulatedDriver
 from rowanlab.simulator.daemon import SimulatedDaemon
 from rowanlab.simulator.loop import SimulatedProcess
-from rowanlab.simulator.network import Channel, ChannelLostError, Served, SimulatedNetwork
+from rowanlab.simulator.network import Channel, ChannelLostError, EndpointRegistry, SimulatedNetwork
 from rowanlab.simulator.world import World
 from rowanrail.cluster.messages import ProxyReport
 from rowanrail.config.model import VersionedConfiguration
@@ -22,7 +22,7 @@
 from rowanrail.sql_proxy.session import SqlSession
 
 CALLER_TIMEOUT_SECONDS = 8.0
-PROXIES = 3
+PROXY_COUNT = 3
 
 
 class Statement(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
     retry_after_seconds: float
 
 
-def _sorted_failure(error: RowanrailError) -> CallerFailure:
+def _classify_failure(error: RowanrailError) -> CallerFailure:
     if isinstance(error, BackendRefusedError):
         return CallerFailure(Outcome.FAILED, str(error), 0.0)
     if isinstance(error, NotRunError):
@@ -73,7 +73,7 @@
                 self.session = core.open_session("caller", "data")
             return await self.session.execute(payload.sql, {})
         except CallerError as error:
-            return _sorted_failure(error)
+            return _classify_failure(error)
 
     async def closed(self) -> None:
         if self.session is not None:
@@ -86,7 +86,7 @@
     def __init__(
         self,
         world: World,
-        served: Served,
+        endpoints: EndpointRegistry,
         name: str,
         zone: str,
         registry: Registry,
@@ -99,7 +99,7 @@
         self.port = 3306
         self.core: ProxyCore | None = None
         self.stopping = False
-        self._served = served
+        self._endpoints = endpoints
         self._registry = registry
         self._controls = controls
         self._peers = peers
@@ -127,9 +127,9 @@
         core = ProxyCore(
             self.zone,
             {},
-            SimulatedDriver(world, self._served),
+            SimulatedDriver(world, self._endpoints),
             self._registry,
-            self._randomness(),
+            self._new_random(),
             world.wall_clock,
         )
         self.core = core
@@ -138,12 +138,12 @@
         if configuration is not None:
             core.apply(configuration)
             core.set_proxy_counts(
-                {group.name: PROXIES for group in configuration.configuration.groups}
+                {group.name: PROXY_COUNT for group in configuration.configuration.groups}
             )
         if self._controls:
             await self._watch(process, core)
         address = f"{self.host}:{self.port}"
-        self._served.channels[address] = (self.name, self._accept)
+        self._endpoints.channels[address] = (self.name, self._accept)
 
     def _accept(self) -> _SessionChannel:
         channel = _SessionChannel(self)
@@ -156,7 +156,7 @@
                 channel.announce_stop()
 
     async def _watch(self, process: SimulatedProcess, core: ProxyCore) -> None:
-        network = SimulatedNetwork(self._world, process, self._served)
+        network = SimulatedNetwork(self._world, process, self._endpoints)
         incarnation = self.incarnation
 
         def report() -> ProxyReport:
@@ -171,7 +171,7 @@
         assert self.core is not None
         self.stopping = True
         self._world.note(f"{self.name} stops as planned")
-        self._served.channels.pop(f"{self.host}:{self.port}", None)
+        self._endpoints.channels.pop(f"{self.host}:{self.port}", None)
         for channel in self._channels:
             if channel.session is None:
                 channel.announce_stop()
@@ -187,14 +187,16 @@
         self._proxy = proxy
 
     @classmethod
-    async def open(cls, world: World, served: Served, proxy: SimulatedProxy) -> "SimulatedCaller":
+    async def open(
+        cls, world: World, endpoints: EndpointRegistry, proxy: SimulatedProxy
+    ) -> "SimulatedCaller":
         """Connect to a proxy.
 
         :raises CallError: if that fails; nothing ran.
         """
         try:
             async with asyncio.timeout(CALLER_TIMEOUT_SECONDS):
-                channel = await Channel.open(world, served, f"{proxy.host}:{proxy.port}")
+                channel = await Channel.open(world, endpoints, f"{proxy.host}:{proxy.port}")
         except (ChannelLostError, TimeoutError) as error:
             raise CallError(Outcome.NOT_RUN, str(error), 0.1) from error
         return cls(channel, proxy)
--- a/src/rowanlab/simulator/scenario.py
+++ b/src/rowanlab/simulator/scenario.py
@@ -13,7 +13,7 @@
 from rowanlab.simulator.world import World
 from rowanrail.kernel.events import observe
 
-GIVE_UP_SECONDS = 120.0
+RUN_TIMEOUT_SECONDS = 120.0
 AnyVerdict = Verdict | ControlVerdict
 
 
@@ -36,7 +36,7 @@
         return self.verdict.violations > 0
 
 
-Runner = Callable[[int, Guard | None], SeedResult]
+SeedRunner = Callable[[int, Guard | None], SeedResult]
 
 
 class Scenario(msgspec.Struct, frozen=True):
@@ -44,10 +44,10 @@
 
     name: str
     guard: Guard | None
-    run: Runner
+    run: SeedRunner
 
 
-class Judge(Protocol):
+class SimulationOracle(Protocol):
     """An oracle, as far as the run of a seed needs it."""
 
     @property
@@ -59,7 +59,7 @@
 
 
 def run_world(
-    world: World, seed: int, oracle: Judge, scenario: Callable[[], Awaitable[int]]
+    world: World, seed: int, oracle: SimulationOracle, scenario: Callable[[], Awaitable[int]]
 ) -> SeedResult:
     """Run a scenario in its world.
 
@@ -69,7 +69,7 @@
     after_heal = 0
 
     async def limited() -> int:
-        async with asyncio.timeout(GIVE_UP_SECONDS):
+        async with asyncio.timeout(RUN_TIMEOUT_SECONDS):
             return await scenario()
 
     stop_observing = observe(lambda event, message: world.note(f"RR{event.number:04d} {message}"))
--- a/src/rowanlab/simulator/world.py
+++ b/src/rowanlab/simulator/world.py
@@ -10,11 +10,11 @@
 
 from rowanlab.simulator.loop import SimulatedProcess, VirtualLoop, current_process
 
-ZONE_DELAY_SECONDS = 0.0015
+CROSS_ZONE_DELAY_SECONDS = 0.0015
 LOCAL_DELAY_SECONDS = 0.0002
-ORDER_MARGIN_SECONDS = 1e-7
-FIRST_WALL_CLOCK = 1_800_000_000.0
-Deliver = Callable[[], None]
+MIN_ARRIVAL_GAP_SECONDS = 1e-7
+WALL_CLOCK_START = 1_800_000_000.0
+Delivery = Callable[[], None]
 
 
 class World:
@@ -27,11 +27,11 @@
         self.fault_count = 0
         self.scratch = Path(tempfile.mkdtemp(prefix="rowanrail-simulation-"))
         self._processes: dict[str, SimulatedProcess] = {}
-        self._graveyard: list[SimulatedProcess] = []
+        self._killed_processes: list[SimulatedProcess] = []
         self._cuts: set[tuple[str, str]] = set()
         self._last_arrival: dict[tuple[str, str], float] = {}
-        self._on_death: dict[str, list[Callable[[SimulatedProcess], None]]] = {}
-        self._scratch_names = 0
+        self._kill_callbacks: dict[str, list[Callable[[SimulatedProcess], None]]] = {}
+        self._scratch_count = 0
 
     # Processes
 
@@ -59,14 +59,14 @@
         if not process.alive:
             return
         process.alive = False
-        self._graveyard.append(process)
+        self._killed_processes.append(process)
         self.note(f"{name} is killed")
-        for callback in self._on_death.pop(name, []):
+        for callback in self._kill_callbacks.pop(name, []):
             callback(process)
 
-    def on_death(self, name: str, callback: Callable[[SimulatedProcess], None]) -> None:
+    def on_kill(self, name: str, callback: Callable[[SimulatedProcess], None]) -> None:
         """Call back with the process of this name when it is killed."""
-        self._on_death.setdefault(name, []).append(callback)
+        self._kill_callbacks.setdefault(name, []).append(callback)
 
     def freeze(self, name: str) -> None:
         """Freeze a process."""
@@ -108,7 +108,7 @@
             return True
         return (source.name, target.name) in self._cuts
 
-    def send(self, source: SimulatedProcess, target: str, deliver: Deliver) -> None:
+    def send(self, source: SimulatedProcess, target: str, deliver: Delivery) -> None:
         """Deliver something to a process after the link's delay, unless it is lost.
 
         What goes from one process to another arrives in the order of its sending.
@@ -117,7 +117,7 @@
             self.transmit(source, target, deliver, in_flight_is_safe=False)
 
     def transmit(
-        self, source: SimulatedProcess, target: str, deliver: Deliver, in_flight_is_safe: bool
+        self, source: SimulatedProcess, target: str, deliver: Delivery, in_flight_is_safe: bool
     ) -> None:
         """Deliver something from a process, or from the machine that it died on.
 
@@ -126,11 +126,11 @@
         destination = self._processes.get(target)
         if destination is None or self.is_cut(source, destination) or self.loop.is_closed():
             return
-        delay = LOCAL_DELAY_SECONDS if source.zone == destination.zone else ZONE_DELAY_SECONDS
+        delay = LOCAL_DELAY_SECONDS if source.zone == destination.zone else CROSS_ZONE_DELAY_SECONDS
         arrival = self.loop.now + delay * self.random.uniform(1.0, 1.3)
         pair = (source.name, target)
         # Timers for the same moment fire in no certain order: keep them apart.
-        arrival = max(arrival, self._last_arrival.get(pair, 0.0) + ORDER_MARGIN_SECONDS)
+        arrival = max(arrival, self._last_arrival.get(pair, 0.0) + MIN_ARRIVAL_GAP_SECONDS)
         self._last_arrival[pair] = arrival
 
         def arrive() -> None:
@@ -152,7 +152,7 @@
 
     def wall_clock(self) -> float:
         """Return the time of day."""
-        return FIRST_WALL_CLOCK + self.loop.now
+        return WALL_CLOCK_START + self.loop.now
 
     def note(self, message: str) -> None:
         """Add a line to the trace."""
@@ -162,8 +162,8 @@
 
     def scratch_file(self) -> Path:
         """Return a new name in the scratch folder."""
-        self._scratch_names += 1
-        return self.scratch / f"{self._scratch_names}.sqlite"
+        self._scratch_count += 1
+        return self.scratch / f"{self._scratch_count}.sqlite"
 
     def run(self, scenario: Awaitable[Any]) -> Any:
         """Run the scenario to its end and clean up."""
@@ -172,19 +172,19 @@
         try:
             return self.loop.run_until_complete(scenario)
         finally:
-            self._discard()
+            self._shut_down()
 
     def _on_unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         # When the tasks of a dead process are collected is not part of a run.
         if "exception" in context:
             self.note(f"unhandled: {context['message']} {context['exception']!r}")
 
-    def _discard(self) -> None:
+    def _shut_down(self) -> None:
         """End all tasks without running any more of them than their cancellation."""
-        for process in [*self._processes.values(), *self._graveyard]:
+        for process in [*self._processes.values(), *self._killed_processes]:
             process.alive = True
             process.frozen = False
-            process.kept = []
+            process.deferred = []
         tasks = asyncio.all_tasks(self.loop)
         for task in tasks:
             task.cancel()
--- a/src/rowanlab/standin/directory.py
+++ b/src/rowanlab/standin/directory.py
@@ -21,25 +21,25 @@
 
 async def run_directory(settings: DirectorySettings) -> None:
     """Serve the list until a stop signal."""
-    shown = MachineList([])
+    served = MachineList([])
 
-    async def follow() -> None:
-        nonlocal shown
+    async def refresh() -> None:
+        nonlocal served
         while True:
             try:
-                truth = msgspec.json.decode(Path(settings.file).read_bytes(), type=MachineList)
+                current = msgspec.json.decode(Path(settings.file).read_bytes(), type=MachineList)
             except (OSError, msgspec.MsgspecError):
-                truth = shown
+                current = served
             await asyncio.sleep(settings.lag_seconds)
-            shown = truth
+            served = current
 
     async def machines(request: web.Request) -> web.Response:
-        return web.Response(body=msgspec.json.encode(shown), content_type="application/json")
+        return web.Response(body=msgspec.json.encode(served), content_type="application/json")
 
     application = web.Application()
     application.router.add_get("/machines", machines)
     runner = await serve_http(application, settings.listen)
-    task = asyncio.ensure_future(follow())
+    task = asyncio.ensure_future(refresh())
     await wait_for_stop_signal()
     task.cancel()
     await runner.cleanup()
--- a/src/rowanlab/standin/engine.py
+++ b/src/rowanlab/standin/engine.py
@@ -109,16 +109,16 @@
     except ValueError as error:
         raise BackendRefusedError(SYNTAX_ERROR_CODE, str(error)) from error
     except sqlite3.Error as error:
-        raise _refusal(error) from error
+        raise _to_backend_error(error) from error
     if cursor.description:
-        return _rows(cursor.description, rows)
+        return _to_result(cursor.description, rows)
     return StatementResult(
         affected_rows=max(0, cursor.rowcount),
         insert_id=cursor.lastrowid or 0 if sql.lstrip()[:6].upper() == "INSERT" else 0,
     )
 
 
-def _refusal(error: sqlite3.Error) -> BackendRefusedError:
+def _to_backend_error(error: sqlite3.Error) -> BackendRefusedError:
     message = str(error)
     if "UNIQUE constraint" in message:
         return BackendRefusedError(DUPLICATE_KEY_CODE, f"Duplicate entry: {message}")
@@ -131,7 +131,7 @@
     return BackendRefusedError(OTHER_ERROR_CODE, message)
 
 
-def _rows(description: Any, rows: list[Any]) -> StatementResult:
+def _to_result(description: Any, rows: list[Any]) -> StatementResult:
     columns = []
     for position, field in enumerate(description):
         code = _TYPE_CODES[-1][1]
--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -103,8 +103,8 @@
     refused: int = 0
 
 
-class _Due(msgspec.Struct, frozen=True):
-    at: float
+class _DelayedEntry(msgspec.Struct, frozen=True):
+    due_at: float
     entry: Entry
 
 
@@ -114,30 +114,30 @@
     def __init__(self, engine: Engine, faults: Faults) -> None:
         self.engine = engine
         self.executed = Position()
-        self.local: dict[int, int] = {}
-        self.committed_before: Callable[[int], list[Entry]] = lambda index: []
+        self.locally_committed: dict[int, int] = {}
+        self.committed_entries_before: Callable[[int], list[Entry]] = lambda index: []
         self._faults = faults
-        self._queue: deque[_Due] = deque()
+        self._queue: deque[_DelayedEntry] = deque()
         self._timer: asyncio.TimerHandle | None = None
 
     def apply(self, entry: Entry) -> object:
         """See :meth:`StateMachine.apply`."""
         now = asyncio.get_running_loop().time()
-        self._queue.append(_Due(now + self._faults.lag_seconds, entry))
-        self.run_due()
+        self._queue.append(_DelayedEntry(now + self._faults.lag_seconds, entry))
+        self.execute_due()
         return None
 
-    def run_due(self) -> None:
+    def execute_due(self) -> None:
         """Execute the queued entries that are due."""
         loop = asyncio.get_running_loop()
-        while self._queue and self._queue[0].at <= loop.time():
+        while self._queue and self._queue[0].due_at <= loop.time():
             self._execute(self._queue.popleft().entry)
         if self._queue and self._timer is None:
-            self._timer = loop.call_at(self._queue[0].at, self._on_timer)
+            self._timer = loop.call_at(self._queue[0].due_at, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
-        self.run_due()
+        self.execute_due()
 
     def drain(self) -> None:
         """Execute everything that is queued, due or not."""
@@ -145,10 +145,10 @@
             self._execute(self._queue.popleft().entry)
 
     def _execute(self, entry: Entry) -> None:
-        known_term = self.local.pop(entry.index, None)
+        known_term = self.locally_committed.pop(entry.index, None)
         if known_term is not None and known_term != entry.term:
             # Another primary's entry won: what was committed only here has to go.
-            self.rebuild(self.committed_before(entry.index))
+            self.rebuild(self.committed_entries_before(entry.index))
             known_term = None
         if known_term is None and entry.kind is EntryKind.COMMAND:
             self.engine.apply(msgspec.msgpack.decode(entry.data, type=list[str]))
@@ -157,7 +157,7 @@
     def rebuild(self, entries: list[Entry]) -> None:
         """Build the database anew from committed entries."""
         self.engine.reset()
-        self.local = {}
+        self.locally_committed = {}
         waiting = list(self._queue)
         self._queue.clear()
         for entry in entries:
@@ -214,7 +214,7 @@
         )
         self.node = self._create_node(identity)
         self.members = MembershipManager(self.node, settings.group)
-        self.machine.committed_before = lambda index: self.node.raft.log.entries_between(
+        self.machine.committed_entries_before = lambda index: self.node.raft.log.entries_between(
             1, index - 1
         )
         self.node.on_change = self._on_change
@@ -295,14 +295,14 @@
         if self.node.identity.node in raft.membership.addresses():
             self._admitted.set()
         if self._was_leader and not raft.is_leader:
-            self._demote()
+            self._discard_local_commits()
         self._was_leader = raft.is_leader
 
-    def _demote(self) -> None:
+    def _discard_local_commits(self) -> None:
         """Drop what was committed only here."""
         self.generation += 1
         self.engine.roll_back()
-        if self.machine.local:
+        if self.machine.locally_committed:
             self.machine.rebuild(self.node.raft.log.entries_between(1, self.node.applied_index))
 
     def count_new_work(self) -> None:
@@ -339,7 +339,7 @@
         except NotLeaderError as error:
             self.engine.roll_back()
             raise BackendRefusedError(READ_ONLY_CODE, str(error)) from error
-        self.machine.local[entry.index] = entry.term
+        self.machine.locally_committed[entry.index] = entry.term
         self.engine.commit()
         return Position(entry.term, entry.index)
 
--- a/src/rowanlab/standin/session.py
+++ b/src/rowanlab/standin/session.py
@@ -10,8 +10,8 @@
 
 _READ = re.compile(r"^\s*(?:SELECT|WITH|SHOW|VALUES|\()", re.IGNORECASE)
 _LOCKING = re.compile(r"\bFOR\s+(?:UPDATE|SHARE)\s*$", re.IGNORECASE)
-_IGNORED = re.compile(r"^\s*(?:SET|SAVEPOINT|RELEASE|ROLLBACK\s+TO|UNLOCK|LOCK)\b", re.IGNORECASE)
-_DEFINITION = re.compile(r"^\s*(?:CREATE|DROP|ALTER|TRUNCATE)\b", re.IGNORECASE)
+_NO_EFFECT = re.compile(r"^\s*(?:SET|SAVEPOINT|RELEASE|ROLLBACK\s+TO|UNLOCK|LOCK)\b", re.IGNORECASE)
+_DDL = re.compile(r"^\s*(?:CREATE|DROP|ALTER|TRUNCATE)\b", re.IGNORECASE)
 
 
 class MemberSession:
@@ -52,10 +52,10 @@
             return StatementResult()
         if first == "COMMIT":
             return await self._commit()
-        if first == "ROLLBACK" and not _IGNORED.match(sql):
+        if first == "ROLLBACK" and not _NO_EFFECT.match(sql):
             self.roll_back()
             return StatementResult()
-        if _IGNORED.match(sql):
+        if _NO_EFFECT.match(sql):
             return StatementResult()
         if _READ.match(sql) and not _LOCKING.search(sql):
             self._check_generation()
@@ -65,7 +65,7 @@
     async def _write(self, sql: str) -> StatementResult:
         member = self._member
         member.check_writable()
-        if _DEFINITION.match(sql) and self._in_transaction:
+        if _DDL.match(sql) and self._in_transaction:
             await self._commit()
         await self._lock()
         try:
--- a/tests/simulation/test_requests.py
+++ b/tests/simulation/test_requests.py
@@ -5,12 +5,12 @@
 
 from rowanlab.simulator.data_world import DataOptions, DataWorld
 from rowanlab.simulator.permissive import registry_without
-from rowanlab.simulator.world import FIRST_WALL_CLOCK, World
+from rowanlab.simulator.world import WALL_CLOCK_START, World
 from rowanrail.kernel.errors import NotRunError, RequestConflictError
 from rowanrail.kernel.events import silence
 from rowanrail.sql_proxy.writes import CLEANUP_INTERVAL_WRITES
 
-REQUEST_ID = f"{int(FIRST_WALL_CLOCK)}-request"
+REQUEST_ID = f"{int(WALL_CLOCK_START)}-request"
 INSERT = "INSERT INTO edits (operation) VALUES ('{}')"
 
 
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -70,24 +70,26 @@
         self.near = FakeMember("m2", False, "a")
         self.members = [self.primary, self.near, FakeMember("m3", False, "c")]
         self.gateways = {name: ZoneGateway(self, name) for name in GATEWAYS}
-        for name, one in self.gateways.items():
-            self.network.holders[name] = one.holder
+        for name, zone_gateway in self.gateways.items():
+            self.network.holders[name] = zone_gateway.holder
         self.announce(1)
         self.first, self.second, self.last = (self.gateways[name] for name in rank("db", GATEWAYS))
 
     def announce(self, revision: int) -> None:
         records = [member.record() for member in self.members]
         neighbours = [Neighbour(name, name) for name in GATEWAYS]
-        for one in self.gateways.values():
-            one.gateway.set_directory(Directory(revision, records, POPULATION, neighbours))
+        for zone_gateway in self.gateways.values():
+            zone_gateway.gateway.set_directory(Directory(revision, records, POPULATION, neighbours))
 
-    def kill(self, one: ZoneGateway) -> None:
+    def kill(self, zone_gateway: ZoneGateway) -> None:
         """End a gateway: its links break, and its address refuses."""
-        del self.network.holders[one.name]
+        del self.network.holders[zone_gateway.name]
         for link in self.network.links:
-            if one.name in link.ends:
+            if zone_gateway.name in link.ends:
                 link.disconnect("reset")
 
-    def open_connections(self, one: ZoneGateway) -> int:
+    def open_connections(self, zone_gateway: ZoneGateway) -> int:
         """Return how many connections to members a gateway has open."""
-        return sum(pool.connections.count for pool in one.gateway.services["db"].pools.values())
+        return sum(
+            pool.connections.count for pool in zone_gateway.gateway.services["db"].pools.values()
+        )
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -15,7 +15,7 @@
 
 Delay = Callable[[], float]
 
-LOOK_MS = 20.0  # between looks whether a silent end takes messages again
+SILENCE_POLL_MS = 20.0  # between looks whether a silent end takes messages again
 
 # Messages are copied through their encoding, so that the two ends share nothing.
 _encoder = msgspec.msgpack.Encoder()
@@ -69,9 +69,9 @@
         elif holder is None:
             link.lost("refused")
         else:
-            twin = SimulatedLink(self._network, self._owner, address, link)
-            link.opened(twin)
-            twin.serve(holder)
+            simulated = SimulatedLink(self._network, self._owner, address, link)
+            link.opened(simulated)
+            simulated.serve(holder)
 
 
 class SimulatedLink:
@@ -89,7 +89,7 @@
         self._served: ServedLink | None = None
         self._closed = False
         self._due = 0.0
-        self._held: deque[Callable[[], object]] = deque()
+        self._queued: deque[Callable[[], object]] = deque()
         network.links.append(self)
 
     @property
@@ -139,16 +139,16 @@
 
     def _arrive(self, arrive: Callable[[], object]) -> None:
         """Deliver a message, in the order in which all of the connection were sent."""
-        self._held.append(arrive)
-        if len(self._held) == 1:
-            self._deliver_held()
+        self._queued.append(arrive)
+        if len(self._queued) == 1:
+            self._deliver_queued()
 
-    def _deliver_held(self) -> None:
-        while self._held and not self._closed:
+    def _deliver_queued(self) -> None:
+        while self._queued and not self._closed:
             if self._network.is_silent(self._owner, self._address):
-                self._network.clock.call_in(LOOK_MS, self._deliver_held)
+                self._network.clock.call_in(SILENCE_POLL_MS, self._deliver_queued)
                 return
-            self._held.popleft()()
+            self._queued.popleft()()
 
     def _end_served(self) -> None:
         if self._served is not None:
--- a/tests/support/simulated_controls.py
+++ b/tests/support/simulated_controls.py
@@ -7,7 +7,7 @@
 
 from rowanlab.simulator.daemon import DurableDaemon
 from rowanlab.simulator.loop import SimulatedProcess
-from rowanlab.simulator.network import Served, SimulatedNetwork
+from rowanlab.simulator.network import EndpointRegistry, SimulatedNetwork
 from rowanlab.simulator.world import World
 from rowanrail.config.settings import CoordinatorSettings
 from rowanrail.coordination.failover_controller import Promoter, PromotionOutcome
@@ -50,14 +50,14 @@
 
     node: Coordinator
 
-    def __init__(self, world: World, served: Served, name: str, zone: str) -> None:
+    def __init__(self, world: World, endpoints: EndpointRegistry, name: str, zone: str) -> None:
         super().__init__(world, name, zone, world.random.uniform(*CLOCK_RATES))
         self.ports: tuple[MemberDriver, StatusReader, Promoter] = (
             _NoDriver(),
             _NoReader(),
             _NoPromoter(),
         )
-        self._served = served
+        self._endpoints = endpoints
 
     def start(self, bootstrap: bool) -> None:
         process = self._spawn()
@@ -78,9 +78,9 @@
         )
         self.node = Coordinator(
             settings,
-            SimulatedNetwork(self._world, process, self._served),
+            SimulatedNetwork(self._world, process, self._endpoints),
             self.disk,
-            self._randomness(),
+            self._new_random(),
             Registry(),
             DecisionLog(self.name, descriptor=-1, wall_clock=self._world.wall_clock),
             _NoFormat(),
@@ -93,9 +93,9 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        served = Served()
+        endpoints = EndpointRegistry()
         self.nodes = [
-            SimulatedControl(world, served, f"n{number}", f"z{number}")
+            SimulatedControl(world, endpoints, f"n{number}", f"z{number}")
             for number in range(1, NODES + 1)
         ]
 
