--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A fault soak of the programs on the platform, on real processes before stand-in members.
+"""Fault-injection soak test of the platform programs, as processes with stand-in members.
 
-``python -m tests.soak --seconds 120 --seed 7`` runs it; ``tests/soak/test_soak.py`` runs a
-short one. Only the soak starts and ends processes, and only its own.
+Run it with ``python -m tests.soak --seconds 120 --seeds 7``; ``tests/soak/test_soak.py`` is a
+short run. It starts and ends only its own processes.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m tests.soak --seconds 120 --seeds 7``; several seeds run one after the other."""
+"""Command line of the soak test; ``--seeds 1-7`` runs several seeds in sequence."""
 
 import asyncio
 import sys
@@ -28,10 +28,10 @@
         soak = Soak(seconds, seed, network, holders, beside)
         verdict = asyncio.run(soak.run())
         broken += bool(verdict.problems)
-        click.echo(f"seed {seed}, faults: {', '.join(soak.log)}")
+        click.echo(f"seed {seed}, faults: {', '.join(soak.fault_log)}")
         click.echo(f"seed {seed}, {verdict}")
         if beside is not None:
-            starts, others = soak.starts
+            starts, others = soak.start_counts
             click.echo(f"seed {seed}, {others} of {starts} starts of processes from {beside}")
     sys.exit(1 if broken else 0)
 
--- a/tests/soak/members.py
+++ b/tests/soak/members.py
@@ -1,4 +1,4 @@
-"""Members with slots and a queue of their own, whose work takes time."""
+"""Stand-in members with execution slots, a bounded queue and service times."""
 
 import asyncio
 import itertools
@@ -9,135 +9,137 @@
 from tests.soak.oracle import Execution
 from tests.support.line_member import Member, MemberConnection
 
-WORK_SECONDS = 0.004  # of a slot for a read, a write or a commit
-OPENING_SECONDS = 0.012  # of a slot for a new connection
-QUEUE = 32  # statements that wait for a slot; more are turned away
-SLOT_TAKERS = ("READ", "WRITE", "EXECUTE", "COMMIT")
-_numbers = itertools.count()  # of connections; the ids of objects are used again
+STATEMENT_SECONDS = 0.004  # slot time of a read, a write or a commit
+CONNECT_SECONDS = 0.012  # slot time of a new connection
+QUEUE_CAPACITY = 32  # queued statements; further ones fail with BUSY
+SLOT_COMMANDS = ("READ", "WRITE", "EXECUTE", "COMMIT")
+_connection_ids = itertools.count()  # unlike id(), never reused
 
 
 class SlottedMember(Member):
-    """Runs as many statements at a time as it has slots, in the order in which they came."""
-
-    def __init__(self, *arguments: Any) -> None:
-        super().__init__(*arguments)
-        self.usable = self.slots
-        self.slowness = 1.0
-        self.turned_away = 0
-        self.silent = False
-        # Connections with lines that have arrived; these run, also if their sender has gone.
-        self.pending: set[SlottedConnection] = set()
-        self._running = 0
-        self._waiting: deque[tuple[float, Callable[[], None]]] = deque()
-
-    def take_slot(self, seconds: float, done: Callable[[], None]) -> bool:
-        """Call ``done`` after the work; return False if the queue is full."""
-        if len(self._waiting) >= QUEUE:
-            self.turned_away += 1
+    """Runs statements in order of arrival, at most one per slot at a time."""
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.active_slots = self.slots
+        self.slowdown = 1.0
+        self.rejected = 0
+        self.paused = False
+        # Connections with unprocessed lines, which run even after the peer has disconnected.
+        self.pending_connections: set[SlottedConnection] = set()
+        self._running_count = 0
+        self._queue: deque[tuple[float, Callable[[], None]]] = deque()
+
+    def enqueue(self, seconds: float, done: Callable[[], None]) -> bool:
+        """Queue work that takes ``seconds`` and then calls ``done``; return False if full."""
+        if len(self._queue) >= QUEUE_CAPACITY:
+            self.rejected += 1
             return False
-        self._waiting.append((seconds, done))
-        self._go_on()
+        self._queue.append((seconds, done))
+        self._start_queued()
         return True
 
-    def speak_again(self) -> None:
-        """Take what has arrived while the member was silent."""
-        self.silent = False
-        for connection in list(self.pending):
-            connection.take_waiting()
+    def resume(self) -> None:
+        """Process the lines that arrived while the member was paused."""
+        self.paused = False
+        for connection in list(self.pending_connections):
+            connection.process_lines()
 
     def end_transactions(self) -> None:
         super().end_transactions()
-        for connection in self.pending:
+        for connection in self.pending_connections:
             connection.demoted = True
 
     def stop(self) -> None:
-        for connection in self.connections | self.pending:
-            connection.has_crashed = True
-        self.pending.clear()
+        for connection in self.connections | self.pending_connections:
+            connection.aborted = True
+        self.pending_connections.clear()
         super().stop()
 
-    def _go_on(self) -> None:
-        while self._waiting and self._running < self.usable:
-            seconds, done = self._waiting.popleft()
-            self._running += 1
+    def _start_queued(self) -> None:
+        while self._queue and self._running_count < self.active_slots:
+            seconds, done = self._queue.popleft()
+            self._running_count += 1
             loop = asyncio.get_running_loop()
-            loop.call_later(self.slowness * seconds, self._end, done)
+            loop.call_later(self.slowdown * seconds, self._finish, done)
 
-    def _end(self, done: Callable[[], None]) -> None:
-        self._running -= 1
+    def _finish(self, done: Callable[[], None]) -> None:
+        self._running_count -= 1
         done()
-        self._go_on()
+        self._start_queued()
 
 
 class SlottedConnection(MemberConnection):
-    """Takes one line after the other, each when its work is done."""
+    """Processes the lines of a connection in sequence, each after its service time."""
 
     def __init__(self, member: Member) -> None:
         super().__init__(member)
-        self._lines: deque[str] = deque()
-        self._is_at_work = False
-        self.has_crashed = False
-        self._has_counted = False  # the open transaction, against its tenant's limit
-        self._number = next(_numbers)
+        self._unprocessed: deque[str] = deque()
+        self._is_busy = False
+        self.aborted = False
+        self._transaction_counted = False  # whether the open transaction has been reported
+        self._connection_id = next(_connection_ids)
         self._shape = ""
 
     def handle_line(self, line: str) -> None:
-        self._lines.append(line)
-        self.member.pending.add(self)
-        self.take_waiting()
-
-    def take_waiting(self) -> None:
-        while self._lines and not self._is_at_work and not self.member.silent:
-            line = self._lines.popleft()
-            seconds = self._seconds(line)
+        self._unprocessed.append(line)
+        self.member.pending_connections.add(self)
+        self.process_lines()
+
+    def process_lines(self) -> None:
+        while self._unprocessed and not self._is_busy and not self.member.paused:
+            line = self._unprocessed.popleft()
+            seconds = self._service_seconds(line)
             if not seconds:
-                self._run(line)
+                self._execute(line)
                 continue
-            self._is_at_work = True
+            self._is_busy = True
             assert isinstance(self.member, SlottedMember)
-            if not self.member.take_slot(seconds, lambda line=line: self._done(line)):
-                self._is_at_work = False
-                self.ready(self.fail("BUSY")) if self.started else self._turn_away()
-        if not self._lines and not self._is_at_work:
-            self.member.pending.discard(self)
-
-    def _seconds(self, line: str) -> float:
-        """Return for how long a line takes a slot."""
+            if not self.member.enqueue(seconds, lambda line=line: self._complete(line)):
+                self._is_busy = False
+                self.ready(self.fail("BUSY")) if self.started else self._reject()
+        if not self._unprocessed and not self._is_busy:
+            self.member.pending_connections.discard(self)
+
+    def _service_seconds(self, line: str) -> float:
+        """Return the slot time of a line; 0 if it needs no slot."""
         if not self.started:
-            return OPENING_SECONDS
+            return CONNECT_SECONDS
         words = line.split(" ")[2:]
         if words and words[0] == "AFTER":
             words = words[2:]
-        return WORK_SECONDS if words and words[0] in SLOT_TAKERS else 0.0
+        return STATEMENT_SECONDS if words and words[0] in SLOT_COMMANDS else 0.0
 
-    def _turn_away(self) -> None:
+    def _reject(self) -> None:
         self.transport.write(f"ERROR BUSY {self.member.instance}\r\n".encode())
         self.transport.close()
 
-    def _done(self, line: str) -> None:
-        self._is_at_work = False
-        if not self.has_crashed:
-            self._run(line)
-            self.take_waiting()
+    def _complete(self, line: str) -> None:
+        self._is_busy = False
+        if not self.aborted:
+            self._execute(line)
+            self.process_lines()
 
-    def _run(self, line: str) -> None:
+    def _execute(self, line: str) -> None:
         super().handle_line(line)
 
     def run_begin(self, words: list[str]) -> list[str]:
-        self._has_counted = False
+        self._transaction_counted = False
         return super().run_begin(words)
 
     def run_read(self, words: list[str]) -> list[str]:
-        self._count()
+        self._count_operation()
         if self.state == "T" and not self.read_write:
-            self.member.group.read_in_transaction(Execution(self._number, self.values))
+            self.member.group.on_transaction_read(Execution(self._connection_id, self.values))
         return super().run_read(words)
 
     def run_write(self, words: list[str]) -> list[str]:
         lines = super().run_write(words)
         if not lines[0].startswith("ERROR"):
-            self._count()
-            self.member.group.wrote(words[1], Execution(self._number, self.values, self._shape))
+            self._count_operation()
+            self.member.group.on_write(
+                words[1], Execution(self._connection_id, self.values, self._shape)
+            )
         return lines
 
     def run_execute(self, words: list[str]) -> list[str]:
@@ -147,10 +149,10 @@
         finally:
             self._shape = ""
 
-    def _count(self) -> None:
-        if self.state != "T" or not self._has_counted:
+    def _count_operation(self) -> None:
+        if self.state != "T" or not self._transaction_counted:
             self.member.group.on_operation(self.tenant)
-        self._has_counted = True
+        self._transaction_counted = True
 
 
 SlottedMember.connection_type = SlottedConnection
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Clients and faults of one soak."""
+"""Client workload and fault injection of one soak run."""
 
 import asyncio
 import random
@@ -7,99 +7,97 @@
 from pathlib import Path
 
 from tests.soak.members import SlottedMember
-from tests.soak.oracle import TENANTS, Asked, Execution, Oracle, Verdict
+from tests.soak.oracle import TENANTS, Execution, Oracle, RequestedWrite, Verdict
 from tests.support.line_member import Group, Member
 from tests.support.platform_fleet import LineClient, PlatformFleet, configuration
 
-CONTROLS = 3
+CONTROL_NODES = 3
 PROXIES = 6
 CLIENTS = 12
-MAXIMUM_CONNECTIONS = 16  # so few that the gateways of a zone share
-FAULT_PAUSE = (0.5, 2.0)  # seconds
-OUTAGE = (0.3, 2.0)
-SILENCE = (0.2, 1.2)  # of a member
-SILENCE_PAUSE = (2.0, 6.0)
+MAXIMUM_CONNECTIONS = 16  # small enough that the gateways of a zone share connections
+FAULT_INTERVAL_SECONDS = (0.5, 2.0)
+OUTAGE_SECONDS = (0.3, 2.0)
+MEMBER_PAUSE_SECONDS = (0.2, 1.2)
+PAUSE_INTERVAL_SECONDS = (2.0, 6.0)
 RECOVERY_SECONDS = 6.0
 DATABASES = ("orders", "carts")
 REGIONS = {"a": "r1", "b": "r2"}
-IN_FORCE_SECONDS = 3.0  # after an acknowledgement, with two faults at a time
-REOPENED_SECONDS = 1.0  # a node tries its disk twice a second, and then hears the leader
-# Of each tenant, so that its three clients stay below it and a rush of six more does not.
+CONFIG_PROPAGATION_SECONDS = 3.0  # after an acknowledgement, with two concurrent faults
+DISK_RECOVERY_SECONDS = 1.0  # for a retry, every 0.5 s, and the catch-up with the leader
+# Limit of each tenant: its three clients stay below it, OVERLOAD_CLIENTS more exceed it.
 RATE_PER_SECOND, BURST = 150, 150
-RUSHING_CLIENTS = 6
-STATE_SHARE = 0.1  # of what clients ask: a session value, or a prepared name
-RUSH_SECONDS = (2.0, 5.0)
-SLOWNESS = 8.0  # factor on a member's work
-STATEMENT_SECONDS = 1.0  # the route's time-out
-HELD_SECONDS = (
-    1.5  # later than that after its time no answer may come; the test's own loop lags, too
-)
-WITHDRAWN_SECONDS = 5.0  # after it a key that was taken away must open no session
+OVERLOAD_CLIENTS = 6
+STATE_CHANGE_SHARE = 0.1  # share of requests that set a value or prepare a statement
+LOAD_FAULT_SECONDS = (2.0, 5.0)
+SLOWDOWN_FACTOR = 8.0  # on a member's service times
+ROUTE_TIMEOUT_SECONDS = 1.0  # timeout-ms of the routes
+LATE_ANSWER_SECONDS = 1.5  # tolerance beyond the timeout; the test's event loop may lag, too
+KEY_REVOCATION_SECONDS = 5.0  # after which a revoked key must not open a session
 
 
-class WatchedGroup(Group):
-    """A group that tells an oracle what it commits, and what a promotion undoes."""
+class ObservedGroup(Group):
+    """A group that reports statements, commits and the rollbacks of a promotion to an oracle."""
 
     oracle: Oracle
 
     def on_statement(self, tenant: str, key: str) -> None:
-        self.oracle.ran(tenant, key)
+        self.oracle.check_tenant(tenant, key)
 
-    def wrote(self, value: str, run: Execution) -> None:
-        self.oracle.wrote(value, run)
+    def on_write(self, value: str, execution: Execution) -> None:
+        self.oracle.check_write(value, execution)
 
-    def read_in_transaction(self, run: Execution) -> None:
-        self.oracle.read_in_transaction(run)
+    def on_transaction_read(self, execution: Execution) -> None:
+        self.oracle.check_transaction_read(execution)
 
     def on_operation(self, tenant: str) -> None:
-        self.oracle.began(tenant, asyncio.get_running_loop().time())
+        self.oracle.record_operation(tenant, asyncio.get_running_loop().time())
 
     def commit(self, writes: list[tuple[str, str]]) -> None:
-        self.oracle.committed(writes)
+        self.oracle.record_commit(writes)
         super().commit(writes)
 
     def promote(self, instance: str) -> None:
         member = self.members[instance]
         if not member.is_primary:
             for _, writes in self.primary.log[len(member.log) :]:
-                self.oracle.undone(writes)
+                self.oracle.record_rollback(writes)
         super().promote(instance)
 
 
 class SoakClient:
-    """One client with a key of its own: sessions one after the other, on any proxy."""
+    """A client with its own key that runs consecutive sessions on random proxies."""
 
-    def __init__(self, soak: "Soak", number: int, until: float = float("inf")) -> None:
+    def __init__(self, soak: "Soak", number: int, deadline: float = float("inf")) -> None:
         self.soak = soak
-        self.until = until
+        self.deadline = deadline
         self.host = ""
         self.random = random.Random(soak.seed * 1000 + number)
         self.key = f"k{number}"
         self.tenant = number % TENANTS
         self.acknowledged: list[str] = []
-        # Of a route that must see every commit all, else what this session had acknowledged.
-        self.must_see: list[str] = []
-        self.next = 0
-        # What the session under way has set, and the shape of what it has prepared as "w".
+        # On a primary route all acknowledged writes, else those acknowledged in this session.
+        self.expected_values: list[str] = []
+        self.last_value_number = 0
+        # Values set in the current session, and the shape of its prepared statement "w".
         self.values: dict[str, str] = {}
         self.shape = ""
-        # A third of the clients stay on a connection until it is lost.
-        self.stays = number % 3 == 0
+        # A third of the clients keep a connection until it is lost.
+        self.keeps_connection = number % 3 == 0
 
     @property
-    def over(self) -> bool:
-        return self.soak.over or asyncio.get_running_loop().time() > self.until
+    def is_over(self) -> bool:
+        return self.soak.is_over or asyncio.get_running_loop().time() > self.deadline
 
     async def run(self) -> None:
-        while not self.over:
+        while not self.is_over:
             self.host = self.random.choice(self.soak.fleet.proxy_hosts)
             client = LineClient(self.host)
             try:
                 database = self.random.choice(DATABASES)
-                key = self.soak.keys[self.tenant]
+                key = self.soak.api_keys[self.tenant]
                 if (await client.start(database, key)).startswith("READY"):
-                    self.must_see = self.acknowledged if database == "orders" else []
-                    await self.session(client)
+                    self.expected_values = self.acknowledged if database == "orders" else []
+                    await self.run_session(client)
             except (OSError, TimeoutError, EOFError, ValueError):
                 pass
             finally:
@@ -107,124 +105,126 @@
                     client.close()
             await asyncio.sleep(0.05)
 
-    def value(self) -> str:
-        self.next += 1
-        return f"{self.key}-{self.next}"
+    def next_value(self) -> str:
+        self.last_value_number += 1
+        return f"{self.key}-{self.last_value_number}"
 
-    async def session(self, client: LineClient) -> None:
+    async def run_session(self, client: LineClient) -> None:
         self.values, self.shape = {}, ""
         statements = self.random.randint(3, 30)
-        while self.stays or statements > 0:
+        while self.keeps_connection or statements > 0:
             statements -= 1
-            if self.over:
+            if self.is_over:
                 return
             draw = self.random.random()
-            if draw < STATE_SHARE:
+            if draw < STATE_CHANGE_SHARE:
                 await self.change_state(client)
             elif draw < 0.4:
                 await self.write(client)
             elif draw < 0.55:
                 await self.transaction(client)
             elif draw < 0.65:
-                await self.reading_transaction(client)
+                await self.read_only_transaction(client)
             else:
                 await self.read(client)
             await asyncio.sleep(self.random.uniform(0.0, 0.03))
 
-    async def ask(self, client: LineClient, text: str) -> list[str]:
-        """Return the lines of an answer; an empty one stands for no answer."""
+    async def query(self, client: LineClient, text: str) -> list[str]:
+        """Return the lines of an answer, or one empty line if there is none."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
             lines = await client.query(text) or [""]
         except (OSError, TimeoutError):
             return [""]
-        late = loop.time() - began - STATEMENT_SECONDS
-        if late > HELD_SECONDS and self.soak.is_left_alone(self.host, began):
-            self.soak.oracle.problem(f"HELD: {text} was answered {late:.1f} s after its time")
+        late = loop.time() - began - ROUTE_TIMEOUT_SECONDS
+        if late > LATE_ANSWER_SECONDS and self.soak.is_undisturbed(self.host, began):
+            self.soak.oracle.add_problem(f"HELD: {text} was answered {late:.1f} s after its time")
         return lines
 
     async def change_state(self, client: LineClient) -> None:
-        """Set a value, or prepare a write anew."""
+        """Set a session value or prepare a new write."""
         if self.random.random() < 0.5:
-            await self.set_value(client)
+            await self.set_session_value(client)
             return
-        shape = self.value()
-        await self.change(client, f"PREPARE w WRITE {shape}")
+        shape = self.next_value()
+        await self.change_session(client, f"PREPARE w WRITE {shape}")
         self.shape = shape
 
-    async def set_value(self, client: LineClient) -> None:
-        value = self.value()
-        await self.change(client, f"SET a {value}")
+    async def set_session_value(self, client: LineClient) -> None:
+        value = self.next_value()
+        await self.change_session(client, f"SET a {value}")
         self.values = {"a": value}
 
-    async def change(self, client: LineClient, text: str) -> None:
-        if not (await self.ask(client, text))[0].startswith("DONE"):
-            raise EOFError  # what the session has now can't be known
+    async def change_session(self, client: LineClient, text: str) -> None:
+        if not (await self.query(client, text))[0].startswith("DONE"):
+            raise EOFError  # the session's state is now unknown
 
-    def next_write(self, value: str, transaction: int = 0) -> str:
-        """Return a write, half of them by the prepared name, and tell the oracle of it."""
+    def build_write(self, value: str, transaction: int = 0) -> str:
+        """Return and record a write; half of them execute the prepared statement, if any."""
         shape = self.shape if self.random.random() < 0.5 else ""
-        self.soak.oracle.asked(value, Asked(dict(self.values), shape, transaction))
+        self.soak.oracle.record_request(
+            value, RequestedWrite(dict(self.values), shape, transaction)
+        )
         return f"EXECUTE w {self.key} {value}" if shape else f"WRITE {self.key} {value}"
 
     async def write(self, client: LineClient) -> None:
-        value = self.value()
-        lines = await self.ask(client, self.next_write(value))
-        self.note((value,), lines)
+        value = self.next_value()
+        lines = await self.query(client, self.build_write(value))
+        self.record_answer((value,), lines)
 
-    def note(self, values: tuple[str, ...], lines: list[str]) -> None:
-        self.soak.oracle.answered(values, lines[0])
+    def record_answer(self, values: tuple[str, ...], lines: list[str]) -> None:
+        self.soak.oracle.record_answer(values, lines[0])
         if lines[0].startswith("DONE"):
             self.acknowledged.extend(values)
-            if self.must_see is not self.acknowledged:
-                self.must_see.extend(values)
+            if self.expected_values is not self.acknowledged:
+                self.expected_values.extend(values)
         elif not lines[0]:
             raise EOFError
 
     async def read(self, client: LineClient) -> None:
-        must_see = list(self.must_see)
-        lines = await self.ask(client, f"READ {self.key}")
+        expected_values = list(self.expected_values)
+        lines = await self.query(client, f"READ {self.key}")
         if not lines[0]:
             raise EOFError
         if lines[0].startswith("ROW"):
-            self.soak.oracle.read(lines[0].partition(" ")[2], must_see)
+            self.soak.oracle.check_read(lines[0].partition(" ")[2], expected_values)
 
     async def transaction(self, client: LineClient) -> None:
-        values = (self.value(), self.value())
-        begun = await self.ask(client, "BEGIN")
+        values = (self.next_value(), self.next_value())
+        begun = await self.query(client, "BEGIN")
         if not begun[0].startswith("DONE"):
-            # A tenant at its limit: there is no transaction, and a write would stand alone.
+            # The tenant is at its limit. Without a transaction, a write would commit by itself.
             if not begun[0]:
                 raise EOFError
             return
-        self.soak.transactions += 1
-        transaction = self.soak.transactions
+        self.soak.transaction_count += 1
+        transaction = self.soak.transaction_count
         for value in values:
-            lines = await self.ask(client, self.next_write(value, transaction))
+            lines = await self.query(client, self.build_write(value, transaction))
             if not lines[0].startswith("DONE"):
-                # Its commit is never sent: whatever was said, nothing of it may be kept.
-                self.soak.oracle.answered(values, "ERROR ABORTED")
-                await self.ask(client, "ROLLBACK")
+                # COMMIT is never sent, so none of the writes may be committed, whatever the answer.
+                self.soak.oracle.record_answer(values, "ERROR ABORTED")
+                await self.query(client, "ROLLBACK")
                 if not lines[0]:
                     raise EOFError
                 return
-        self.note(values, await self.ask(client, "COMMIT"))
+        self.record_answer(values, await self.query(client, "COMMIT"))
 
-    async def reading_transaction(self, client: LineClient) -> None:
-        """Read in a transaction, under a value by which its reads are known where they run."""
-        await self.set_value(client)
+    async def read_only_transaction(self, client: LineClient) -> None:
+        """Read in a transaction, with a session value by which the oracle recognizes its reads."""
+        await self.set_session_value(client)
         for text in ("BEGIN READ", f"READ {self.key}", f"READ {self.key}", "COMMIT"):
-            lines = await self.ask(client, text)
+            lines = await self.query(client, text)
             if not lines[0]:
                 raise EOFError
             if lines[0].startswith("ERROR"):
-                await self.ask(client, "ROLLBACK")
+                await self.query(client, "ROLLBACK")
                 return
 
 
 class Soak:
-    """One run: a fleet, clients, and faults two at a time."""
+    """One run: a fleet, its clients and injected faults."""
 
     def __init__(
         self,
@@ -241,24 +241,24 @@
         self.seed = seed
         self.random = random.Random(seed)
         self.oracle = Oracle()
-        self.over = False
-        self.version = 2
-        self.accepted = 0
-        self.transactions = 0
-        self.keys = [f"secret-{number}-0" for number in range(TENANTS)]
-        self.log: list[str] = []
-        self.added: list[str] = []
-        self.clients = CLIENTS
-        self.ending: set[str] = set()
-        # By process: when a fault last had it in hand, on the loop's clock.
-        self.touched: dict[str, float] = {}
+        self.is_over = False
+        self.config_version = 2
+        self.accepted_version = 0
+        self.transaction_count = 0
+        self.api_keys = [f"secret-{number}-0" for number in range(TENANTS)]
+        self.fault_log: list[str] = []
+        self.added_databases: list[str] = []
+        self.client_count = CLIENTS
+        self.stopping: set[str] = set()
+        # Per host, the event loop's time at which the last fault on its process ended.
+        self.disturbed_at: dict[str, float] = {}
 
     async def run(self) -> Verdict:
         fleet = PlatformFleet(
-            CONTROLS,
+            CONTROL_NODES,
             PROXIES,
             zones=("a", "b"),
-            group=WatchedGroup("db"),
+            group=ObservedGroup("db"),
             regions=REGIONS,
             control_zones=("a", "b"),
             network=self.network,
@@ -266,71 +266,73 @@
             holders=self.holders,
             other_checkout=self.beside,
         )
-        assert isinstance(fleet.group, WatchedGroup)
+        assert isinstance(fleet.group, ObservedGroup)
         fleet.group.oracle = self.oracle
         self.fleet = fleet
         async with fleet:
-            await fleet.until(lambda: fleet.put(self._document()), 200)
-            await asyncio.sleep(1.0)  # until all gateways have it
+            await fleet.until(lambda: fleet.put(self._build_config()), 200)
+            await asyncio.sleep(1.0)  # until all gateways have the configuration
             clients = [asyncio.ensure_future(SoakClient(self, n).run()) for n in range(CLIENTS)]
             faults = [asyncio.ensure_future(self._cause_faults()) for _ in range(2)]
-            faults.append(asyncio.ensure_future(self._silence_members()))
+            faults.append(asyncio.ensure_future(self._pause_members()))
             await asyncio.sleep(self.seconds)
             for task in faults:
                 task.cancel()
             for ended in await asyncio.gather(*faults, return_exceptions=True):
                 if not isinstance(ended, asyncio.CancelledError):
-                    self.oracle.problem(f"faults ended before the run: {ended!r}")
-            await self._heal()
+                    self.oracle.add_problem(f"faults ended before the run: {ended!r}")
+            await self._clear_faults()
             before = self.oracle.verdict.acknowledged
             await asyncio.sleep(RECOVERY_SECONDS)
             if self.oracle.verdict.acknowledged == before:
-                self.oracle.problem("RECOVER: nothing was acknowledged after the faults")
-            self.over = True
+                self.oracle.add_problem("RECOVER: nothing was acknowledged after the faults")
+            self.is_over = True
             await asyncio.gather(*clients)
-            self.oracle.judge_limits(RATE_PER_SECOND, BURST)
-            self.forwarded = await self._forwarded()
-            self._look_for_keys()
-            await self._read_back()
-            self.oracle.judge_orders(fleet.platform.calls)
+            self.oracle.check_limits(RATE_PER_SECOND, BURST)
+            self.linked_proxies = await self._count_linked_proxies()
+            self._check_logs()
+            await self._check_config_versions()
+            self.oracle.check_promotions(fleet.platform.calls)
             held = {value for _, writes in fleet.group.primary.log for _, value in writes}
-            self.oracle.finish(held)
+            self.oracle.check_final_state(held)
         return self.oracle.verdict
 
-    def _document(self) -> dict[str, object]:
+    def _build_config(self) -> dict[str, object]:
         services = [{"name": "db", "max-conns": MAXIMUM_CONNECTIONS, "sync-replicas": 0}]
         tenants = [
             {"name": f"t{number}", "api-keys": [key], "rate-per-s": RATE_PER_SECOND, "burst": BURST}
-            for number, key in enumerate(self.keys)
+            for number, key in enumerate(self.api_keys)
         ]
-        document = configuration(self.version, services=services, tenants=tenants)
+        document = configuration(self.config_version, services=services, tenants=tenants)
         first = document["routes"][0]
-        document["routes"] += [{**first, "name": f"r-{d}", "host": d} for d in self.added]
+        document["routes"] += [{**first, "name": f"r-{d}", "host": d} for d in self.added_databases]
         return document
 
-    def _look_for_keys(self) -> None:
+    def _check_logs(self) -> None:
         for host in [*self.fleet.proxy_hosts, *self.fleet.control_hosts]:
             if "secret-" in self.fleet.log(host):
-                self.oracle.problem(f"SECRET: a key stands in the log of {host}")
+                self.oracle.add_problem(f"SECRET: a key stands in the log of {host}")
 
-    async def _read_back(self) -> None:
-        """Judge that the highest version that was accepted can be read at every control node."""
+    async def _check_config_versions(self) -> None:
+        """Check that every control node returns the highest accepted version or a later one."""
         for host in self.fleet.control_hosts:
             status, document = await self.fleet.get(host)
-            if status != 200 or document["version"] < self.accepted:
+            if status != 200 or document["version"] < self.accepted_version:
                 told = document["version"] if status == 200 else status
-                self.oracle.problem(f"CONFIG: {host} told {told}, {self.accepted} was accepted")
+                self.oracle.add_problem(
+                    f"CONFIG: {host} told {told}, {self.accepted_version} was accepted"
+                )
 
-    async def _forwarded(self) -> int:
-        """Return on how many proxies links to neighbours stand at the end."""
+    async def _count_linked_proxies(self) -> int:
+        """Return how many proxies have links to neighbours that are up."""
         count = 0
         for host in self.fleet.proxy_hosts:
             count += 'links{state="up"} 0.0' not in await self.fleet.metrics(host)
         return count
 
     @property
-    def starts(self) -> tuple[int, int]:
-        """Number of starts of processes, and how many of them were from the other checkout."""
+    def start_counts(self) -> tuple[int, int]:
+        """The number of process starts, in total and from the other checkout."""
         checkouts = [each for host in self.fleet.started.values() for each in host]
         return len(checkouts), checkouts.count(self.beside) if self.beside else 0
 
@@ -354,124 +356,126 @@
             self._small_member,
         ]
         while True:
-            await asyncio.sleep(self.random.uniform(*FAULT_PAUSE))
+            await asyncio.sleep(self.random.uniform(*FAULT_INTERVAL_SECONDS))
             kind = self.random.choice(kinds)
             self.oracle.verdict.faults += 1
-            self.log.append(kind.__name__)
+            self.fault_log.append(kind.__name__)
             await kind()  # type: ignore[misc]
 
     async def _rush(self) -> None:
-        """Have many more clients of one tenant come for a while."""
+        """Add many clients of one tenant for a while."""
         tenant = self.random.randrange(TENANTS)
-        until = asyncio.get_running_loop().time() + self.random.uniform(*RUSH_SECONDS)
-        rushing = []
-        for _ in range(RUSHING_CLIENTS):
-            self.clients += TENANTS  # numbers that differ by that are of one tenant
-            rushing.append(SoakClient(self, self.clients + tenant, until).run())
-        await asyncio.gather(*rushing)
+        deadline = asyncio.get_running_loop().time() + self.random.uniform(*LOAD_FAULT_SECONDS)
+        clients = []
+        for _ in range(OVERLOAD_CLIENTS):
+            self.client_count += TENANTS  # a number of the same tenant
+            clients.append(SoakClient(self, self.client_count + tenant, deadline).run())
+        await asyncio.gather(*clients)
 
     async def _slow_member(self) -> None:
-        """Have a member take many times as long for its work."""
+        """Multiply the service times of a member for a while."""
         member = self.random.choice(self.fleet.members)
         assert isinstance(member, SlottedMember)
-        member.slowness = SLOWNESS
-        await asyncio.sleep(self.random.uniform(*RUSH_SECONDS))
-        member.slowness = 1.0
+        member.slowdown = SLOWDOWN_FACTOR
+        await asyncio.sleep(self.random.uniform(*LOAD_FAULT_SECONDS))
+        member.slowdown = 1.0
 
     async def _small_member(self) -> None:
-        """Have a member run one statement at a time, though it announced more slots."""
+        """Limit a member to one statement at a time, below the slots that it announced."""
         member = self.random.choice(self.fleet.members)
         assert isinstance(member, SlottedMember)
-        member.usable = 1
-        await asyncio.sleep(self.random.uniform(*RUSH_SECONDS))
-        member.usable = member.slots
+        member.active_slots = 1
+        await asyncio.sleep(self.random.uniform(*LOAD_FAULT_SECONDS))
+        member.active_slots = member.slots
 
-    async def _silence_members(self) -> None:
-        """Have one member after the other take nothing for a while, though its connections stand.
+    async def _pause_members(self) -> None:
+        """Pause members one at a time: they accept connections and lines, but process nothing.
 
-        It draws apart from the other faults, so that these stay what they were for each seed.
+        Uses a random generator of its own, so that the other faults of a seed do not change.
         """
-        random_ = random.Random(f"silence {self.seed}")
+        rng = random.Random(f"silence {self.seed}")
         while True:
-            await asyncio.sleep(random_.uniform(*SILENCE_PAUSE))
-            member = random_.choice(self.fleet.members)
+            await asyncio.sleep(rng.uniform(*PAUSE_INTERVAL_SECONDS))
+            member = rng.choice(self.fleet.members)
             assert isinstance(member, SlottedMember)
-            member.silent = True
+            member.paused = True
             self.oracle.verdict.faults += 1
-            self.log.append(f"silence of {member.instance}")
+            self.fault_log.append(f"silence of {member.instance}")
             try:
-                await asyncio.sleep(random_.uniform(*SILENCE))
+                await asyncio.sleep(rng.uniform(*MEMBER_PAUSE_SECONDS))
             finally:
-                member.speak_again()
+                member.resume()
 
-    def is_left_alone(self, host: str, since: float) -> bool:
-        """Return whether no fault has had a process in hand since a moment."""
-        return host not in self.fleet.busy and self.touched.get(host, 0.0) < since
+    def is_undisturbed(self, host: str, since: float) -> bool:
+        """Return whether no fault has affected the process of ``host`` after ``since``."""
+        return host not in self.fleet.busy and self.disturbed_at.get(host, 0.0) < since
 
     async def _rotate_key(self) -> None:
-        """Take a tenant's key away and give it another; the old one must soon open nothing."""
+        """Replace a tenant's key and check that the revoked one no longer opens a session."""
         number = self.random.randrange(TENANTS)
-        old = self.keys[number]
-        self.version += 1
-        self.keys[number] = f"secret-{number}-{self.version}"
-        if not await self._put(self._document()):
+        old = self.api_keys[number]
+        self.config_version += 1
+        self.api_keys[number] = f"secret-{number}-{self.config_version}"
+        if not await self._put_config(self._build_config()):
             return  # no clear answer: the change may or may not be in force
-        await asyncio.sleep(WITHDRAWN_SECONDS)
-        host = self._free(self.fleet.proxy_hosts)
+        await asyncio.sleep(KEY_REVOCATION_SECONDS)
+        host = self._choose_available(self.fleet.proxy_hosts)
         client = LineClient(host)
         try:
             first = await client.start("orders", old) if host else ""
         except (OSError, TimeoutError):
-            return  # it was stopped meanwhile by another fault
+            return  # another fault has stopped or frozen the proxy
         finally:
             if hasattr(client, "writer"):
                 client.close()
         if first.startswith("READY"):
-            self.oracle.problem(f"CONFIG: a withdrawn key opened a session at {host}")
+            self.oracle.add_problem(f"CONFIG: a withdrawn key opened a session at {host}")
 
     async def _add_route(self) -> None:
-        """Add a route; after a while no proxy that was left alone may refuse it."""
-        self.version += 1
-        database = f"added-{self.version}"
-        self.added.append(database)
-        document = self._document()
+        """Add a route and check that every proxy without a fault meanwhile accepts it."""
+        self.config_version += 1
+        database = f"added-{self.config_version}"
+        self.added_databases.append(database)
+        document = self._build_config()
         began = asyncio.get_running_loop().time()
-        if not await self._put(document):
+        if not await self._put_config(document):
             return  # no clear answer: the change may or may not be in force
-        await asyncio.sleep(IN_FORCE_SECONDS)
+        await asyncio.sleep(CONFIG_PROPAGATION_SECONDS)
         for host in self.fleet.proxy_hosts:
-            if host in self.fleet.busy or self.touched.get(host, 0.0) >= began:
+            if host in self.fleet.busy or self.disturbed_at.get(host, 0.0) >= began:
                 continue
             client = LineClient(host)
             try:
-                first = await client.start(database, self.keys[0])
+                first = await client.start(database, self.api_keys[0])
             except (OSError, TimeoutError):
-                continue  # another fault has just taken it in hand
+                continue  # another fault has just stopped or frozen the proxy
             finally:
                 if hasattr(client, "writer"):
                     client.close()
             if "NODB" in first:
-                self.oracle.problem(f"CONFIG: {host} does not know {database} of {self.version}")
+                self.oracle.add_problem(
+                    f"CONFIG: {host} does not know {database} of {self.config_version}"
+                )
 
-    async def _put(self, document: dict[str, object]) -> bool:
+    async def _put_config(self, document: dict[str, object]) -> bool:
         hosts = self.fleet.control_hosts
         for host in [*hosts, *hosts, *hosts]:
             if await self.fleet.put(document, host) == 200:
-                self.accepted = max(self.accepted, int(str(document["version"])))
+                self.accepted_version = max(self.accepted_version, int(str(document["version"])))
                 return True
             await asyncio.sleep(0.5)
         return False
 
     async def _reload(self) -> None:
-        """Say to a few processes that their settings have changed, in quick succession."""
+        """Send SIGHUP to a few processes in quick succession."""
         for _ in range(self.random.randint(1, 4)):
-            host = self._free([*self.fleet.proxy_hosts, *self.fleet.control_hosts])
+            host = self._choose_available([*self.fleet.proxy_hosts, *self.fleet.control_hosts])
             if host:
                 self.fleet.processes[host].send_signal(signal.SIGHUP)
             await asyncio.sleep(self.random.uniform(0.0, 0.2))
 
     async def _fill_disk(self) -> None:
-        """Let the disk of a control node, often the leader, take no more bytes; add a route."""
+        """Add a route while the disk of a control node, often the leader, is full."""
         if any(host in self.fleet.busy for host in self.fleet.control_hosts):
             return
         host = self.random.choice(self.fleet.control_hosts)
@@ -483,38 +487,38 @@
                 await self._add_route()
             finally:
                 self.fleet.fill_disk(host, False)
-            await asyncio.sleep(REOPENED_SECONDS)
+            await asyncio.sleep(DISK_RECOVERY_SECONDS)
 
-    def _free(self, hosts: list[str]) -> str:
-        """Return a host whose process runs and that no other fault has in hand."""
+    def _choose_available(self, hosts: list[str]) -> str:
+        """Return a random host that no other fault affects, or "" if there is none."""
         running = [host for host in hosts if host not in self.fleet.busy]
         return self.random.choice(running) if running else ""
 
     async def _kill_proxy(self) -> None:
-        await self._end(self.fleet.proxy_hosts, signal.SIGKILL)
+        await self._stop_process(self.fleet.proxy_hosts, signal.SIGKILL)
 
     async def _stop_proxy(self) -> None:
-        await self._end(self.fleet.proxy_hosts, signal.SIGTERM)
+        await self._stop_process(self.fleet.proxy_hosts, signal.SIGTERM)
 
     async def _kill_control(self) -> None:
         if not any(host in self.fleet.busy for host in self.fleet.control_hosts):
-            await self._end(self.fleet.control_hosts, signal.SIGKILL)
+            await self._stop_process(self.fleet.control_hosts, signal.SIGKILL)
 
-    async def _end(self, hosts: list[str], how: signal.Signals) -> None:
-        host = self._free(hosts)
+    async def _stop_process(self, hosts: list[str], signal_: signal.Signals) -> None:
+        host = self._choose_available(hosts)
         if not host:
             return
         with self.fleet.mark_busy(host):
-            self.ending.add(host)
-            self.fleet.processes[host].send_signal(how)
-            await self._until_gone(host)
-            await asyncio.sleep(self.random.uniform(*OUTAGE))
+            self.stopping.add(host)
+            self.fleet.processes[host].send_signal(signal_)
+            await self._wait_for_exit(host)
+            await asyncio.sleep(self.random.uniform(*OUTAGE_SECONDS))
             self.fleet.restart(host)
-            self.ending.discard(host)
+            self.stopping.discard(host)
             await asyncio.sleep(1.0)
-            self._touch(host)
+            self._record_disturbance(host)
 
-    async def _until_gone(self, host: str) -> None:
+    async def _wait_for_exit(self, host: str) -> None:
         while self.fleet.processes[host].poll() is None:
             await asyncio.sleep(0.05)
 
@@ -526,25 +530,25 @@
             await self._freeze(self.fleet.control_hosts)
 
     async def _freeze(self, hosts: list[str]) -> None:
-        host = self._free(hosts)
+        host = self._choose_available(hosts)
         if not host:
             return
         with self.fleet.mark_busy(host):
             process = self.fleet.processes[host]
             process.send_signal(signal.SIGSTOP)
             try:
-                await asyncio.sleep(self.random.uniform(*OUTAGE))
+                await asyncio.sleep(self.random.uniform(*OUTAGE_SECONDS))
             finally:
                 process.send_signal(signal.SIGCONT)
-                self._touch(host)
+                self._record_disturbance(host)
 
-    def _touch(self, host: str) -> None:
-        self.touched[host] = asyncio.get_running_loop().time()
+    def _record_disturbance(self, host: str) -> None:
+        self.disturbed_at[host] = asyncio.get_running_loop().time()
 
     async def _crash_primary(self) -> None:
         primary = self.fleet.group.primary
         if any(member.instance in self.fleet.busy for member in self.fleet.members):
-            return  # the other two must not be without a third
+            return  # at most one member may be down at a time
         await self._crash(primary)
 
     async def _crash(self, member: Member) -> None:
@@ -553,7 +557,7 @@
             member.stop()
             await asyncio.sleep(3.0)
             if member.is_primary:
-                self.log.append(f"{member.instance} was not replaced within 3 s")
+                self.fault_log.append(f"{member.instance} was not replaced within 3 s")
             await member.start()
             del self.fleet.states[member.instance]
 
@@ -561,13 +565,13 @@
         replicas = [member for member in self.fleet.members if not member.is_primary]
         member = self.random.choice(replicas)
         member.replication_paused = True
-        await asyncio.sleep(self.random.uniform(*OUTAGE))
+        await asyncio.sleep(self.random.uniform(*OUTAGE_SECONDS))
         member.replication_paused = False
 
-    async def _heal(self) -> None:
+    async def _clear_faults(self) -> None:
         for host, process in list(self.fleet.processes.items()):
-            if host in self.ending:
-                await self._until_gone(host)  # it was told to stop, and its fault was cut short
+            if host in self.stopping:
+                await self._wait_for_exit(host)  # signalled by a fault that was cancelled
             if process.poll() is not None:
                 self.fleet.restart(host)
             else:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak in CI; ``python -m tests.soak`` runs long ones."""
+"""A short soak run for CI; ``python -m tests.soak`` runs longer ones."""
 
 import unittest
 
@@ -12,8 +12,8 @@
     async def test_every_rule_holds_under_faults(self):
         soak = Soak(SECONDS, SEED)
         verdict = await soak.run()
-        self.assertEqual(verdict.problems, [], soak.log)
+        self.assertEqual(verdict.problems, [], soak.fault_log)
         self.assertGreater(verdict.acknowledged, 100)
         self.assertGreater(verdict.reads, 100)
         self.assertGreater(verdict.faults, 3)
-        self.assertGreater(soak.forwarded, 0, "no gateway had a link to a neighbour")
+        self.assertGreater(soak.linked_proxies, 0, "no gateway had a link to a neighbour")
