--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -23,17 +23,17 @@
 def main(seconds: float, seeds: str, network: int, holders: str, beside: Path | None) -> None:
     """Run fault soaks and print a verdict of each; exit code 1 if a rule was broken."""
     first, _, last = seeds.partition("-")
-    broken = 0
+    failed_runs = 0
     for seed in range(int(first), int(last or first) + 1):
         soak = Soak(seconds, seed, network, holders, beside)
         verdict = asyncio.run(soak.run())
-        broken += bool(verdict.problems)
+        failed_runs += bool(verdict.problems)
         click.echo(f"seed {seed}, faults: {', '.join(soak.fault_log)}")
         click.echo(f"seed {seed}, {verdict}")
         if beside is not None:
             starts, others = soak.start_counts
             click.echo(f"seed {seed}, {others} of {starts} starts of processes from {beside}")
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if failed_runs else 0)
 
 
 main()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -273,7 +273,7 @@
             await fleet.until(lambda: fleet.put(self._build_config()), 200)
             await asyncio.sleep(1.0)  # until all gateways have the configuration
             clients = [asyncio.ensure_future(SoakClient(self, n).run()) for n in range(CLIENTS)]
-            faults = [asyncio.ensure_future(self._cause_faults()) for _ in range(2)]
+            faults = [asyncio.ensure_future(self._inject_faults()) for _ in range(2)]
             faults.append(asyncio.ensure_future(self._pause_members()))
             await asyncio.sleep(self.seconds)
             for task in faults:
@@ -293,8 +293,8 @@
             self._check_logs()
             await self._check_config_versions()
             self.oracle.check_promotions(fleet.platform.calls)
-            held = {value for _, writes in fleet.group.primary.log for _, value in writes}
-            self.oracle.check_final_state(held)
+            primary_values = {value for _, writes in fleet.group.primary.log for _, value in writes}
+            self.oracle.check_final_state(primary_values)
         return self.oracle.verdict
 
     def _build_config(self) -> dict[str, object]:
@@ -318,9 +318,9 @@
         for host in self.fleet.control_hosts:
             status, document = await self.fleet.get(host)
             if status != 200 or document["version"] < self.accepted_version:
-                told = document["version"] if status == 200 else status
+                returned = document["version"] if status == 200 else status
                 self.oracle.add_problem(
-                    f"CONFIG: {host} told {told}, {self.accepted_version} was accepted"
+                    f"CONFIG: {host} told {returned}, {self.accepted_version} was accepted"
                 )
 
     async def _count_linked_proxies(self) -> int:
@@ -338,7 +338,7 @@
 
     # Faults
 
-    async def _cause_faults(self) -> None:
+    async def _inject_faults(self) -> None:
         kinds: list[Callable[[], object]] = [
             self._kill_proxy,
             self._freeze_proxy,
