--- a/src/rowanrail/gateway/work/attempts.py
+++ b/src/rowanrail/gateway/work/attempts.py
@@ -1,7 +1,8 @@
 """Rules for the attempts of a statement at members: time limits, retries, and refusals.
 
 Pure functions on plain values; the suffix of a name gives its unit. A refusal in
-:data:`rowanrail.model.statements.NO_EFFECT_REFUSALS` is only returned for a statement that left no effect.
+:data:`rowanrail.model.statements.NO_EFFECT_REFUSALS` is only returned for a statement that left
+no effect.
 """
 
 import enum
