--- a/src/rowanrail/gateway/__init__.py
+++ b/src/rowanrail/gateway/__init__.py
@@ -1,8 +1,8 @@
-"""The proxy path for front ends that hand over typed statements.
+"""The proxy for front ends that pass typed statements.
 
-From a client down to a member: ``sessions`` take statements, ``work`` runs them, ``services``
-choose a member, ``pools`` hold its connections; ``relay`` has other gateways run them,
-``discovery`` follows the control nodes. ``gateway`` joins these, ``daemon`` is the process.
-Decisions are event driven and free of I/O: time comes from a scheduler, a member's answers from
-its driver, and no task or future is created for a statement.
+On the way from a client to a member, ``sessions`` accept statements, ``work`` executes them,
+``services`` choose a member and ``pools`` hold its connections; ``relay`` forwards statements to
+other gateways, and ``discovery`` polls the control nodes. ``gateway`` combines these, and
+``daemon`` is the process. Decisions are event driven and free of I/O: time comes from a scheduler,
+a member's answers come from its driver, and no task or future is created per statement.
 """
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -1,8 +1,8 @@
 """The gateway daemon: the proxy for typed statements as a process.
 
-For the command line of the platform, which reads the settings. Owns the parts of the process: they
-are made, wired, served and stopped here, each step a function. Relies on the plug-ins that the
-settings' protocol names, and on the running event loop.
+Started by the command line of the platform, which reads the settings. Builds, connects, starts and
+stops the components of the process in the running event loop; the settings' protocol selects the
+plug-ins.
 """
 
 import asyncio
@@ -48,45 +48,45 @@
 ReloadSettings = Callable[[], GatewaySettings | None]
 
 
-class ReadyApi:
-    """Tells whether new clients are welcome."""
+class ReadinessApi:
+    """HTTP endpoint that reports whether the gateway accepts new clients."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer the platform's probe."""
+        """Answer the platform's readiness probe."""
         if (request.method, request.path) != ("GET", READY_PATH):
             return error_response(404, f"ask GET {READY_PATH}")
         return HttpResponse(200 if self._gateway.is_ready else 503)
 
 
 @dataclass(frozen=True, slots=True)
-class GatewayParts:
-    """What one gateway process consists of.
+class GatewayComponents:
+    """The components of one gateway process.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Of the process.
+        Settings of the process.
     decisions : DecisionLog
-        Its log.
+        Log of the process.
     network : Network
-        To the control nodes.
+        Transport to the control nodes.
     neighbours, detours : Neighbours, Detours
-        The gateways of its group, and those of others.
+        Links to the gateways of its group and of other groups.
     gateway : Gateway
         Sessions and services.
     metering : Metering
-        Exchange of what tenants' clients ask for.
+        Exchange of tenants' demand with other gateways.
     holder, holder_server : Holder, TcpHolderServer
-        What runs here for other gateways, and where they connect.
+        Executor of other gateways' statements, and the server to which they connect.
     meter : LoadMeter
-        What is reported for the plan of holders; started only if there is one.
+        Meter of the load for the plan of holders; started only with planned holders.
     frontend : Frontend
-        Where clients connect.
-    follower : ControlPlaneClient
-        Follows the control nodes.
+        Server to which clients connect.
+    control_plane_client : ControlPlaneClient
+        Poller of the control nodes.
     """
 
     settings: GatewaySettings
@@ -100,35 +100,38 @@
     holder_server: TcpHolderServer
     meter: LoadMeter
     frontend: Frontend
-    follower: ControlPlaneClient
+    control_plane_client: ControlPlaneClient
 
     @property
     def is_planned(self) -> bool:
-        """Whether control nodes plan who holds connections."""
+        """Whether control nodes plan the holders of connections."""
         return self.settings.holders is Holders.PLANNED
 
 
 async def run_gateway(settings: GatewaySettings, reload_settings: ReloadSettings) -> None:
-    """Run a gateway until a stop signal, then stop as planned.
+    """Run a gateway until a stop signal, then stop gracefully.
 
-    :raises RowanrailError: if an address can't be used.
+    Raises
+    ------
+    RowanrailError
+        If an address can't be used.
     """
     os.set_blocking(1, False)
-    parts = make_parts(settings)
-    wire_parts(parts)
-    reload = partial(reload_control_nodes, parts, reload_settings)
+    components = build_components(settings)
+    connect_callbacks(components)
+    reload = partial(reload_control_nodes, components, reload_settings)
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
-    ready_server = await listen(parts)
-    start_parts(parts)
-    parts.decisions.note(
+    ready_server = await listen(components)
+    start_components(components)
+    components.decisions.note(
         GATEWAY_STARTED, name=settings.name, zone=settings.zone, listen=settings.listen
     )
     await wait_for_stop_signal()
-    await stop_parts(parts, ready_server)
+    await stop_components(components, ready_server)
 
 
-def make_parts(settings: GatewaySettings) -> GatewayParts:
-    """Make the parts of a gateway; none of them does anything yet."""
+def build_components(settings: GatewaySettings) -> GatewayComponents:
+    """Build the components of a gateway without starting them."""
     registry = Registry()
     loop = asyncio.get_running_loop()
     budget = settings.log_lines_per_second
@@ -146,7 +149,7 @@
     holder_server = TcpHolderServer(holder)
     meter = LoadMeter(clock, lambda: holder_server.unsent_bytes)
     assert peers.neighbours is not None and peers.detours is not None
-    return GatewayParts(
+    return GatewayComponents(
         settings,
         decisions,
         network,
@@ -198,13 +201,13 @@
     return Metering(settings.name, region, clock, neighbours, detours, access.quota, access.demand)
 
 
-def wire_parts(parts: GatewayParts) -> None:
-    """Have the parts tell each other what happens."""
-    parts.holder.on_region_report = parts.metering.forward_to_aggregator
-    if parts.is_planned:
-        parts.gateway.holdings.load_meter = parts.meter
-        parts.holder.on_statement = parts.gateway.holdings.note_held
-    parts.gateway.on_primary_change = parts.follower.report_now
+def connect_callbacks(components: GatewayComponents) -> None:
+    """Connect the callbacks between components."""
+    components.holder.on_region_report = components.metering.forward_to_aggregator
+    if components.is_planned:
+        components.gateway.holdings.load_meter = components.meter
+        components.holder.on_statement = components.gateway.holdings.note_held
+    components.gateway.on_primary_change = components.control_plane_client.report_now
 
 
 def _relay_address(settings: GatewaySettings) -> str:
@@ -212,7 +215,7 @@
 
 
 def make_report(settings: GatewaySettings, gateway: Gateway, meter: LoadMeter) -> GatewayReport:
-    """Return what the control nodes are told of this gateway."""
+    """Return the gateway's report to the control nodes."""
     return GatewayReport(
         settings.name,
         settings.zone,
@@ -223,63 +226,67 @@
     )
 
 
-def reload_control_nodes(parts: GatewayParts, reload_settings: ReloadSettings) -> None:
-    """Read the settings again, and take the list of control nodes from them."""
+def reload_control_nodes(components: GatewayComponents, reload_settings: ReloadSettings) -> None:
+    """Reload the settings, of which only the list of control nodes is applied."""
     loaded = reload_settings()
-    parts.decisions.note(GATEWAY_RELOADED, reason="SIGHUP", usable=loaded is not None)
+    components.decisions.note(GATEWAY_RELOADED, reason="SIGHUP", usable=loaded is not None)
     if loaded is not None:
-        parts.follower.set_seeds(rpc_addresses(loaded.control_nodes, loaded.rpc_port))
+        components.control_plane_client.set_seeds(
+            rpc_addresses(loaded.control_nodes, loaded.rpc_port)
+        )
 
 
-async def listen(parts: GatewayParts) -> HttpServer:
-    """Listen for the platform, other gateways, clients and readers of metrics, in this order.
+async def listen(components: GatewayComponents) -> HttpServer:
+    """Listen for readiness probes, other gateways, clients and metrics requests, in this order.
 
     Returns
     -------
     HttpServer
-        What answers the platform's probe.
+        Server of the readiness probe.
     """
-    settings = parts.settings
-    ready_server = await serve(settings.ready_listen, ReadyApi(parts.gateway).handle)
-    await parts.holder_server.start(_relay_address(settings))
-    await parts.frontend.start(settings.listen)
+    settings = components.settings
+    ready_server = await serve(settings.ready_listen, ReadinessApi(components.gateway).handle)
+    await components.holder_server.start(_relay_address(settings))
+    await components.frontend.start(settings.listen)
     if settings.metrics:
-        metrics = Metrics("rowanrail_gateway", partial(read_gauges, parts))
-        parts.gateway.outcomes.on_outcome = metrics.note_statement
-        parts.gateway.access.on_rejection = metrics.note_rejection
+        metrics = Metrics("rowanrail_gateway", partial(read_gauges, components))
+        components.gateway.outcomes.on_outcome = metrics.note_statement
+        components.gateway.access.on_rejection = metrics.note_rejection
         await serve_metrics(settings.listen.rpartition(":")[0], settings.metrics, metrics)
     return ready_server
 
 
-def read_gauges(parts: GatewayParts) -> list[Reading]:
-    """Return all that the process measures of itself."""
+def read_gauges(components: GatewayComponents) -> list[Reading]:
+    """Return all gauges of the process."""
     return [
-        *gauges(parts.gateway),
-        *directory_gauges(parts.follower),
-        *tenant_gauges(parts.gateway),
-        *relay_gauges(parts.neighbours, parts.holder, parts.detours),
-        log_gauge(parts.decisions),
+        *gauges(components.gateway),
+        *directory_gauges(components.control_plane_client),
+        *tenant_gauges(components.gateway),
+        *relay_gauges(components.neighbours, components.holder, components.detours),
+        log_gauge(components.decisions),
     ]
 
 
-def start_parts(parts: GatewayParts) -> None:
-    """Begin with what goes on by time: everything that others are told rests on it."""
-    parts.gateway.start()
-    parts.holder.start()
-    parts.metering.start()
-    if parts.is_planned:
-        parts.meter.start()
-    parts.follower.start()
+def start_components(components: GatewayComponents) -> None:
+    """Start the periodic work of the components."""
+    components.gateway.start()
+    components.holder.start()
+    components.metering.start()
+    if components.is_planned:
+        components.meter.start()
+    components.control_plane_client.start()
 
 
-async def stop_parts(parts: GatewayParts, ready_server: HttpServer) -> None:
-    """Stop as planned; the answer to the probe and the link to the control nodes end last."""
-    name, decisions = parts.settings.name, parts.decisions
-    decisions.note(GATEWAY_STOPPING, name=name, sessions=len(parts.gateway.sessions))
-    await stop_gracefully(parts.gateway, parts.frontend, parts.holder, parts.settings.stop_seconds)
-    parts.holder_server.close()
-    parts.follower.stop()
+async def stop_components(components: GatewayComponents, ready_server: HttpServer) -> None:
+    """Stop gracefully; the readiness probe and the control plane transport are closed last."""
+    name, decisions = components.settings.name, components.decisions
+    decisions.note(GATEWAY_STOPPING, name=name, sessions=len(components.gateway.sessions))
+    await stop_gracefully(
+        components.gateway, components.frontend, components.holder, components.settings.stop_seconds
+    )
+    components.holder_server.close()
+    components.control_plane_client.stop()
     ready_server.close()
-    await parts.network.close()
+    await components.network.close()
     decisions.note(GATEWAY_STOPPED, name=name)
     decisions.flush()
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -1,8 +1,7 @@
-"""The proxy's core for typed statements: routes in force, services, sessions, planned stops.
+"""The core of the proxy for typed statements: configuration, services and sessions.
 
-For the process, its front ends and other gateways. Owns the configuration and the directory in
-force, the services, the sessions, and the tick that lets time pass at services. Relies on the parts
-that it is given: a driver of members, a log, the other gateways.
+Used by the process, its front ends and other gateways. Keeps the current configuration and
+directory, the services and the sessions, and runs the periodic work of the services.
 """
 
 import functools
@@ -49,17 +48,16 @@
 from rowanrail.tenants.model import ClientIdentity, Tenants
 from rowanrail.tenants.quota_parameters import QuotaParameters
 
-TICK_SECONDS = 0.05  # a sixth of the shortest time that is watched, SAMPLE_TIMEOUT_SECONDS
-# Of them, between checks of services that nobody uses. 75 such services took 0.7 % of a core when
-# each was checked at every tick.
-TICKS_OF_IDLE = 10
-DEFAULT_IDLE_SECONDS = 60.0  # until the configuration says how long a transaction may be idle
-PROVE_SECONDS = 0.3  # for which another gateway waits for a sample
-START_WAIT_SECONDS = 1.2  # clients wait for the answer to their start for 2 s
+TICK_SECONDS = 0.05  # a sixth of the shortest timeout, SAMPLE_TIMEOUT_SECONDS
+# Unused services are processed once in so many ticks, to save CPU time.
+IDLE_SERVICE_TICKS = 10
+DEFAULT_IDLE_TRANSACTION_SECONDS = 60.0  # limit for idle transactions without a configuration
+SAMPLE_REQUEST_SECONDS = 0.3  # time limit for a sample that another gateway requests
+START_WAIT_SECONDS = 1.2  # for a configuration; clients time out after 2 s
 
 
 class Gateway:
-    """Sessions and services of one proxy."""
+    """The sessions and services of one proxy."""
 
     def __init__(
         self,
@@ -69,7 +67,7 @@
         decisions: DecisionLog,
         registry: Registry,
         peers: Peers = NO_PEERS,
-        quota_terms: QuotaParameters = QuotaParameters(),  # noqa: B008 - it is frozen
+        quota_parameters: QuotaParameters = QuotaParameters(),  # noqa: B008 - it is frozen
     ) -> None:
         self.clock = clock
         self.names = PreparedStatementNames()
@@ -85,16 +83,18 @@
         self._policies = GatewayPolicies.create(registry)
         self._timer: Timer | None = None
         self._ticks = 0
-        self._unconfigured: list[PendingSessionStart] = []
+        self._waiting_starts: list[PendingSessionStart] = []
         self._session_count = 0
-        self.access = AccessControl(Clock(clock), decisions, self._policies.key_check, quota_terms)
+        self.access = AccessControl(
+            Clock(clock), decisions, self._policies.key_check, quota_parameters
+        )
         self.outcomes = OutcomeRecorder(decisions, self.access)
         self.holdings = Holdings(self, peers, decisions)
         self.outcomes.on_trace = self.holdings.note_own
-        self._known = CurrentDirectory(peers)
+        self._directory = CurrentDirectory(peers)
         self._remote_admission = RemoteAdmission(Clock(clock))
         self._router = self._make_router()
-        self._follow_peers()
+        self._connect_peer_callbacks()
 
     def _make_router(self) -> WorkRouter:
         return WorkRouter(
@@ -107,13 +107,13 @@
             lambda: self.access.version,
         )
 
-    def _follow_peers(self) -> None:
-        """Learn what becomes of links to other gateways, and which detours are found."""
+    def _connect_peer_callbacks(self) -> None:
+        """Register callbacks for changes of links to other gateways and for found detours."""
         neighbours, detours = self._peers.neighbours, self._peers.detours
         if neighbours is not None:
-            neighbours.on_link = self._note_link
+            neighbours.on_link = self._on_link
         if detours is not None:
-            detours.on_detour_found = self._note_detour
+            detours.on_detour_found = self._on_detour_found
             detours.on_link_lost = self._remote_admission.forget
 
     @property
@@ -122,7 +122,7 @@
         return self._peers
 
     def start(self) -> None:
-        """Begin to watch the services."""
+        """Start the periodic work of the services."""
         self._timer = self.clock.call_later(TICK_SECONDS, self._tick)
 
     def _tick(self) -> None:
@@ -135,32 +135,34 @@
         self._timer = self.clock.call_later(TICK_SECONDS, self._tick)
 
     def _due_services(self) -> list[Service]:
-        """Return the services that are checked now: those in use, at times all."""
-        if self._ticks % TICKS_OF_IDLE:
+        """Return the services to process in this tick: those in use, or all."""
+        if self._ticks % IDLE_SERVICE_TICKS:
             return [service for service in self.services.values() if service.needs_tick]
         return list(self.services.values())
 
     @property
     def zone(self) -> str:
-        """The zone in which it stands."""
+        """The zone of this gateway."""
         return self._locality.zone
 
     @property
     def is_ready(self) -> bool:
-        """Whether new clients are welcome."""
-        return self.configuration is not None and self._known.has_members and not self.stopping
+        """Whether the gateway accepts new clients."""
+        return self.configuration is not None and self._directory.has_members and not self.stopping
 
     # Configuration and members
 
     def apply(
         self, configuration: RoutingConfiguration, replaces_provisional: bool = False
     ) -> bool:
-        """Put a configuration in force if its version is higher than the one in force.
+        """Apply a configuration of a higher version; return whether it was applied.
 
         With ``replaces_provisional`` a configuration of the same version is also applied.
         """
-        known = self.configuration
-        if known is not None and configuration.version < known.version + (not replaces_provisional):
+        current = self.configuration
+        if current is not None and configuration.version < current.version + (
+            not replaces_provisional
+        ):
             return False
         self.configuration = configuration
         self._set_services(configuration)
@@ -169,7 +171,7 @@
         self.holdings.apply_limits()
         self.access.set_configuration(configuration)
         self.access.deny_withdrawn(list(self.sessions))
-        waiting, self._unconfigured = self._unconfigured, []
+        waiting, self._waiting_starts = self._waiting_starts, []
         for start in waiting:
             start.run()
         self._decisions.note(
@@ -190,26 +192,26 @@
 
     def _new_service(self, name: str, spec: ServiceSpec) -> Service:
         service = Service(spec, self._locality, self._driver, self.clock, self._policies)
-        service.primary.on_alarm = functools.partial(self._note_primary, service)
+        service.primary.on_alarm = functools.partial(self._on_primary_change, service)
         service.primary.on_unavailable = functools.partial(self._router.ask_for_samples, service)
         note = functools.partial(log_weight_change, self._decisions, service)
         service.estimates.weights.on_change = note
-        service.set_population(self._known.population)
-        service.set_members(self._known.members(name))
+        service.set_population(self._directory.population)
+        service.set_members(self._directory.members(name))
         return service
 
     def when_configured(self, proceed: Callable[[], None]) -> None:
-        """Call ``proceed`` once there is a configuration, or after a while without one."""
+        """Call ``proceed`` once there is a configuration, or after ``START_WAIT_SECONDS``."""
         if self.configuration is not None:
             proceed()
             return
         waiting = PendingSessionStart(proceed)
-        self._unconfigured.append(waiting)
+        self._waiting_starts.append(waiting)
         self.clock.call_later(START_WAIT_SECONDS, waiting.run)
 
     def set_directory(self, directory: Directory) -> None:
-        """Know the members that announced themselves, and the gateways beside this one."""
-        if not self._known.update(directory, self.services):
+        """Apply a directory of members and other gateways unless the current one is newer."""
+        if not self._directory.update(directory, self.services):
             return
         self.access.quota.set_population(directory.population.gateways)
         self.holdings.set_population(directory.population)
@@ -226,28 +228,28 @@
         )
 
     def set_plan(self, plan: Plan) -> None:
-        """Know who holds services' connections by the control nodes' newest plan."""
+        """Apply the control nodes' newest plan of the holders of connections."""
         self.holdings.adopt_plan(plan)
 
-    def _note_link(self, peer: str, is_up: bool, reason: str) -> None:
+    def _on_link(self, peer: str, is_up: bool, reason: str) -> None:
         if not is_up:
             self._remote_admission.forget(peer)
         self._decisions.note(LINK_REGAINED if is_up else LINK_LOST, peer=peer, reason=reason)
 
-    def _note_primary(self, service: Service) -> None:
-        """Log that a primary was lost or found again, and have the control nodes told."""
+    def _on_primary_change(self, service: Service) -> None:
+        """Log the loss or return of a primary and have it reported to the control nodes."""
         log_primary_state(self._decisions, service.primary, self.clock.time())
         self.on_primary_change()
 
     def health(self) -> list[PrimaryHealth]:
-        """Return what this proxy sees of the primaries that it uses."""
+        """Return the health of the primaries that this proxy uses."""
         now = self.clock.time()
         return [primary_health_report(service.primary, now) for service in self.services.values()]
 
     # Sessions
 
     def open_session(self, database: str, key: str) -> Session | Answer:
-        """Open a session for a database with a client's API key, or say why there is none."""
+        """Open a session for a database with a client's API key, or return the refusal."""
         if self.configuration is None:
             return Answer(refusal=Refusal.BUSY, message="no configuration yet; retry in 1 s")
         if database not in self.configuration.routes:
@@ -261,16 +263,19 @@
         return session
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
+        """Return whether a neighbour's client may run statements.
+
+        See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`.
+        """
         return self.access.admits(database, identity, version)
 
     @property
     def demand(self) -> DemandAggregator:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.demand`."""
+        """Demand of other gateways' clients."""
         return self.access.demand
 
     def route(self, database: str, tenant: str) -> tuple[Route, StatementExecutor] | Answer:
-        """See :meth:`SessionHost.route`."""
+        """Return a database's route and the executor for a tenant, or the refusal."""
         if self.configuration is None:
             return self.access.refuse_unknown_database(database)
         route = self.configuration.routes.get(database)
@@ -280,47 +285,47 @@
         return route, self._router.work_for(self.services[route.service], tenant, local)
 
     def local_work(self, service: str, is_detour: bool = False) -> LocalExecutor | None:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.local_work`."""
-        known = self.services.get(service)
-        return None if known is None else self._router.local_work(known, is_detour)
+        """Return the executor for own connections, None if the service is not served here."""
+        target = self.services.get(service)
+        return None if target is None else self._router.local_work(target, is_detour)
 
-    def _note_detour(self, service: str, peer: str) -> None:
+    def _on_detour_found(self, service: str, peer: str) -> None:
         self._decisions.note(DETOUR_FOUND, service=service, peer=peer)
 
     def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.prove_primary`."""
-        known = self.services.get(service)
-        if known is None or known.primary.failing_since:
+        """Call ``give`` with a new sample of a service's primary, None if there is none in time."""
+        target = self.services.get(service)
+        if target is None or target.primary.failing_since:
             give(None)
             return
-        proof = PendingSample(known.primary, self.clock.time(), give)
-        self.clock.call_later(PROVE_SECONDS, proof.expire)
-        proof.request()
+        sample = PendingSample(target.primary, self.clock.time(), give)
+        self.clock.call_later(SAMPLE_REQUEST_SECONDS, sample.expire)
+        sample.request()
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.load`."""
-        known = self.services.get(service)
-        return None if known is None else measure_load(known, tenant, self.clock.time() * 1000)
+        """Return a service's load for a tenant's statements, None for an unknown service."""
+        target = self.services.get(service)
+        return None if target is None else measure_load(target, tenant, self.clock.time() * 1000)
 
     def idle_transaction_seconds(self) -> float:
-        """See :meth:`SessionHost.idle_transaction_seconds`."""
+        """Return how many seconds a transaction may be idle."""
         if self.configuration is None:
-            return DEFAULT_IDLE_SECONDS
+            return DEFAULT_IDLE_TRANSACTION_SECONDS
         return self.configuration.idle_transaction_seconds
 
     def session_closed(self, session: Session) -> None:
-        """See :meth:`SessionHost.session_closed`."""
+        """Remove a closed session."""
         self.sessions.pop(session, None)
 
-    # The planned stop
+    # Stopping
 
     def abort_transactions(self) -> None:
-        """End all transactions that are idle."""
+        """Abort all idle transactions."""
         for session in list(self.sessions):
             session.abort("the proxy is stopping")
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Close all sessions, services and links."""
         if self._timer is not None:
             self._timer.cancel()
         for session in list(self.sessions):
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -1,7 +1,6 @@
-"""What a gateway measures of itself at the moment when it is asked.
+"""Gauges of a gateway, read when metrics are requested.
 
-For the metrics of the process. Owns the names and labels of the gauges, which are an edge; relies
-on the properties of the gateway's parts.
+The names and labels are a public interface and must not change.
 """
 
 from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
@@ -15,12 +14,12 @@
 from rowanrail.kernel.metrics import Reading
 from rowanrail.members.primary import PrimaryTracker
 
-NO_AGE_SECONDS = -1.0  # shown where nothing was heard yet
-SHOWN_TENANTS = 100  # of a gateway; bounds its metrics where there are thousands
+NO_AGE_SECONDS = -1.0  # reported before the first value
+REPORTED_TENANTS = 100  # bounds the metrics of a gateway with thousands of tenants
 
 
 def gauges(gateway: Gateway) -> list[Reading]:
-    """Return sessions, versions, and for each service its members and its primary."""
+    """Return the gauges of sessions and versions, and of each service's members and primary."""
     version = gateway.configuration.version if gateway.configuration else 0
     readings: list[Reading] = [
         ("sessions", {}, len(gateway.sessions)),
@@ -74,7 +73,7 @@
 
 
 def _plan_gauges(gateway: Gateway) -> list[Reading]:
-    """Return the plan's number, and the shards that are held here by it, with their cause."""
+    """Return the gauges of the plan's number and of the shards that this gateway holds."""
     planned = gateway.holdings.planned
     if planned is None:
         return []
@@ -86,10 +85,10 @@
 
 
 def tenant_gauges(gateway: Gateway) -> list[Reading]:
-    """Return the largest tenants with their limits, and how much of the fleet is heard."""
+    """Return the gauges of the top tenants, and the share of gateways that report."""
     quota = gateway.access.quota
     readings: list[Reading] = [("quota_heard_share", {}, quota.reporting_share)]
-    for tenant in quota.top_tenants(SHOWN_TENANTS):
+    for tenant in quota.top_tenants(REPORTED_TENANTS):
         labels = {"tenant": tenant.name}
         readings.append(("tenant_limit", labels, tenant.limit))
         readings.append(("tenant_begun", labels, tenant.admitted))
@@ -98,9 +97,9 @@
     return readings
 
 
-def directory_gauges(follower: ControlPlaneClient) -> list[Reading]:
-    """Return how the directory came: whole, by difference, and by difference that differed."""
-    counts = follower.counts.items()
+def directory_gauges(client: ControlPlaneClient) -> list[Reading]:
+    """Return the numbers of full and incremental directory updates, and of mismatches."""
+    counts = client.counts.items()
     return [("directories_taken", {"kind": kind}, count) for kind, count in counts]
 
 
@@ -109,7 +108,7 @@
 
 
 def relay_gauges(neighbours: Neighbours, holder: Holder, detours: Detours) -> list[Reading]:
-    """Return the links to neighbours by state, what runs here for neighbours, and detours."""
+    """Return the gauges of links to neighbours, of work for neighbours, and of detours."""
     states = [link.state for link in neighbours.links]
     readings: list[Reading] = [
         ("links", {"state": state.value}, states.count(state)) for state in LinkState
--- a/src/rowanrail/gateway/planned_stop.py
+++ b/src/rowanrail/gateway/planned_stop.py
@@ -1,7 +1,6 @@
-"""The planned stop of a gateway: who may still come, what may still run, and until when.
+"""Graceful stop of a gateway in phases, as shares of the time that the platform allows.
 
-For the process. Owns the phases of a stop as shares of the time that it may take; relies on the
-platform to send no more clients to a process that does not call itself ready.
+Assumes that the platform stops sending clients to a process that is not ready.
 """
 
 import asyncio
@@ -13,36 +12,36 @@
 
 __all__ = ["StopPhase", "stop_gracefully", "stop_phase"]
 
-# Of the time to stop: until then clients still come that don't know better. Chosen.
-LEAVE_SHARE = 0.37
-ABORT_SHARE = 0.5  # of the time to stop: how long open transactions may go on; chosen
-END_SHARE = 0.75  # of the time to stop: when statements that still run are cut; chosen
-STOP_CHECK_SECONDS = 0.05  # between checks of what still runs
+# Shares of the stop time
+LEAVE_SHARE = 0.37  # during which new clients are accepted, until the platform stops sending them
+ABORT_SHARE = 0.5  # after which idle transactions are aborted
+END_SHARE = 0.75  # after which running statements are aborted
+STOP_CHECK_SECONDS = 0.05  # between checks for running work
 
 
 class StopPhase(enum.Enum):
-    """What a gateway that stops still does."""
+    """Phase of a graceful stop."""
 
-    LEAVING = "leaving"  # takes clients, calls itself not ready
-    FINISHING = "finishing"  # takes none; sessions end as soon as they are idle
-    ABORTING = "aborting"  # idle transactions are ended, too
-    OVER = "over"  # all is closed
+    LEAVING = "leaving"  # accepts clients but is not ready
+    FINISHING = "finishing"  # accepts no clients; sessions end once they are idle
+    ABORTING = "aborting"  # idle transactions are aborted
+    OVER = "over"  # everything is closed
 
 
 def stop_phase(passed_seconds: float, stop_seconds: float, is_busy: bool) -> StopPhase:
-    """Return what a gateway still does some time after its stop began.
+    """Return the phase of a stop.
 
-    Statements under way are finished for their clients as long as the time to stop allows, and
-    transactions get half of it: one that is ended is the client's to begin again elsewhere.
+    Running statements may finish within the stop time. Transactions get half of it; the client of
+    an aborted one can retry it at another gateway.
 
     Parameters
     ----------
     passed_seconds : float
-        Since the stop began.
+        Time since the stop began.
     stop_seconds : float
-        That the platform gives it.
+        Time that the platform allows for the stop.
     is_busy : bool
-        Whether any statement or transaction is under way here.
+        Whether any statement or transaction is in progress.
 
     Examples
     --------
@@ -63,7 +62,7 @@
 async def stop_gracefully(
     gateway: Gateway, frontend: Frontend, holder: Holder, stop_seconds: float
 ) -> None:
-    """Stop as planned: unwelcome first, then idle sessions, then transactions, then all."""
+    """Stop in phases: readiness first, then idle sessions, idle transactions, and the rest."""
     loop = asyncio.get_running_loop()
     begun_at = loop.time()
     gateway.stopping = True
--- a/src/rowanrail/gateway/policies.py
+++ b/src/rowanrail/gateway/policies.py
@@ -1,8 +1,7 @@
-"""Guards of the gateway, as plug-ins of kind ``gateway-guard``.
+"""Policies of the gateway, as plug-ins of kind ``gateway-guard``.
 
-For the gateway's parts, each of which asks its guard. Each class carries one guarantee, which the
-lab takes away to show that its checks find the loss. Relies on the registry for which class is
-used.
+Each class implements one guarantee. The lab replaces them with permissive versions to show that
+its checks detect the violation.
 """
 
 import msgspec
@@ -17,47 +16,47 @@
 
 @register("gateway-guard", "state-replay")
 class StateReplay:
-    """A connection has exactly the session's values before a statement runs on it."""
+    """Gives a connection exactly the session's values before a statement runs on it."""
 
     def commands(self, channel: Channel, session: SessionContext) -> list[Command]:
-        """Return what must run on the connection first."""
+        """Return the commands to run on the connection first."""
         return replay_session(channel, session)
 
 
 @register("gateway-guard", "link-outcome")
 class LinkOutcome:
-    """What was sent to a neighbour whose link was lost may have been run."""
+    """Treats work that was sent over a lost link as possibly done."""
 
     def refusal(self, may_be_kept: bool) -> Refusal:
-        """Return what the client is told.
+        """Return the refusal for the client.
 
         Parameters
         ----------
         may_be_kept : bool
-            Whether a write on its own, or the commit of one, was under way.
+            Whether an autocommit write, or the commit of a transaction, was in progress.
         """
         return Refusal.OUTCOME_UNKNOWN if may_be_kept else Refusal.ABORTED
 
 
 @register("gateway-guard", "key-check")
 class KeyCheck:
-    """A session runs statements only while its key is still the same tenant's."""
+    """Lets a session run statements only while its key belongs to the same tenant."""
 
     def is_same_identity(self, opened: ClientIdentity, known: ClientIdentity | None) -> bool:
-        """Return whether a session may go on.
+        """Return whether a session's key still has the identity of its start.
 
         Parameters
         ----------
         opened : ClientIdentity
-            Whose key it was when the session opened.
+            Identity of the key when the session opened.
         known : ClientIdentity or None
-            Whose it is by the configuration in force; None for nobody's.
+            Identity of the key in the current configuration; None if unknown.
         """
         return known == opened
 
 
 class GatewayPolicies(msgspec.Struct, frozen=True):
-    """The guards that one gateway uses."""
+    """The policies that one gateway uses."""
 
     leadership_proof: LeadershipProof
     state_replay: StateReplay
@@ -66,7 +65,7 @@
 
     @classmethod
     def create(cls, registry: Registry) -> "GatewayPolicies":
-        """Take the guards that are registered."""
+        """Create the registered policies."""
         return cls(
             registry.create("gateway-guard", "leadership-proof"),
             registry.create("gateway-guard", "state-replay"),
--- a/src/rowanrail/gateway/session_context.py
+++ b/src/rowanrail/gateway/session_context.py
@@ -1,7 +1,7 @@
-"""What a session set, and how a connection gets exactly that.
+"""State of a session, and the commands that give a connection the same state.
 
-For sessions, the kinds of work, and statements that are sent to other gateways. Owns a session's
-values, prepared names and floors. Relies on a channel to know what is set and prepared on it.
+Used by sessions, statement execution and forwarding. A channel knows which values and prepared
+statements it has.
 """
 
 from rowanrail.members.channel import Channel
@@ -11,11 +11,22 @@
 
 
 class SessionContext:
-    """What a session set: values and prepared names, which stand until it ends.
-
-    Its identity says on whose connections its statements run. ``rejections`` says how many times
-    running its client was rejected before what it runs now, and retries when it was told to;
-    ``is_retrying`` whether it goes before new arrivals for that.
+    """Values, prepared statements and identity of a session.
+
+    Attributes
+    ----------
+    identity : ClientIdentity
+        Tenant and key, which select the connections for its statements.
+    values : dict of str to str
+        Session variables.
+    prepared : dict of str to tuple of bool and str
+        Whether a prepared statement writes, and its text, by name.
+    floors : dict of str to Position
+        Position that reads must see, by service.
+    rejections : int
+        Number of consecutive rejections of the client, which retries when it was told to.
+    is_retrying : bool
+        Whether its statement has priority over new arrivals because of these rejections.
     """
 
     __slots__ = ("floors", "identity", "is_retrying", "prepared", "rejections", "values")
@@ -30,18 +41,21 @@
 
 
 class PreparedStatementNames:
-    """Names under which the proxy prepares shapes at members; one for each shape."""
+    """Names of the statements that the proxy prepares at members, one for each shape.
+
+    A shape is whether a statement writes, and its text.
+    """
 
     def __init__(self) -> None:
         self._names: dict[tuple[bool, str], str] = {}
 
     def name(self, shape: tuple[bool, str]) -> str:
-        """Return the proxy's own name of a shape."""
+        """Return the proxy's name of a shape."""
         return self._names.setdefault(shape, f"p{len(self._names) + 1}")
 
 
 def replay_session(channel: Channel, session: SessionContext) -> list[Command]:
-    """Return the commands that give a connection exactly the session's values."""
+    """Return the commands that set exactly the session's values on a connection."""
     commands: list[Command] = []
     wanted = session.values
     if channel.session_state_unknown or any(name not in wanted for name in channel.session_values):
@@ -57,7 +71,7 @@
 
 
 def replay_new_values(channel: Channel, session: SessionContext) -> list[Command]:
-    """Return the commands for values that the session set since its transaction began."""
+    """Return the commands for values set since the session's transaction began."""
     commands = []
     for name, value in session.values.items():
         if channel.session_values.get(name) != value:
@@ -67,7 +81,7 @@
 
 
 def is_write(statement: TypedStatement, session: SessionContext) -> bool:
-    """Return whether a statement writes; an EXECUTE does as it was prepared."""
+    """Return whether a statement writes; an EXECUTE writes if its statement was so prepared."""
     if statement.kind is StatementKind.EXECUTE:
         return session.prepared[statement.name][0]
     return statement.kind is StatementKind.WRITE
--- a/tests/gateway/test_idle_services.py
+++ b/tests/gateway/test_idle_services.py
@@ -3,7 +3,7 @@
 import unittest
 import unittest.mock
 
-from rowanrail.gateway.gateway import TICK_SECONDS, TICKS_OF_IDLE
+from rowanrail.gateway.gateway import IDLE_SERVICE_TICKS, TICK_SECONDS
 from rowanrail.gateway.services.service import IN_USE_SECONDS, Service
 from tests.support.gateway import PlayedGateway
 
@@ -29,7 +29,7 @@
 
     def test_an_unused_service_is_checked_rarely(self):
         self.make_idle()
-        rounds = 1.0 / (TICK_SECONDS * TICKS_OF_IDLE)
+        rounds = 1.0 / (TICK_SECONDS * IDLE_SERVICE_TICKS)
         self.assertLessEqual(self.count_ticks(1.0), rounds + 1)
 
     def test_a_service_in_use_is_checked_at_each_tick(self):
