--- a/src/rowanrail/gateway/events.py
+++ b/src/rowanrail/gateway/events.py
@@ -1,7 +1,7 @@
 """Log events of the gateway (numbers 300 to 399).
 
-For whatever logs a decision, and for the page of events that is made from them. Numbers, levels and
-fields are an edge: they stay. Relies on the catalogue, in which each number stands once.
+The page of events is generated from them. Operators' tools and ``rowanrail explain`` read the
+numbers, levels and fields, which must not change.
 """
 
 from rowanrail.kernel.catalogue import Level, define
@@ -10,146 +10,151 @@
     300,
     Level.INFO,
     "statement {request} succeeded",
-    "A read, write or commit was answered. Left out first when the budget is used up.",
+    "A read, write or commit succeeded. Omitted first when the budget of log lines is used up.",
 )
 REFUSED = define(
     301,
     Level.WARNING,
     "statement {request} was answered with {outcome}: {reason}",
-    "The fields say what decided it: the primary believed in, the age of its last sample, the "
-    "version.",
+    "The fields give the grounds: the assumed primary, the age of its last sample, the version.",
 )
 CONFIGURATION_TAKEN = define(
-    310, Level.INFO, "version {version} is in force", "The proxy took a newer configuration."
+    310,
+    Level.INFO,
+    "configuration version {version} is in force",
+    "A newer configuration was applied.",
 )
 MEMBERS_TAKEN = define(
     311,
     Level.INFO,
-    "members of revision {revision} are known",
-    "Members came, left, changed their role, or the gateways changed.",
+    "directory revision {revision} is in force",
+    "A member or gateway was added, removed or changed.",
 )
 CONTROL_LOST = define(
     312,
     Level.WARNING,
     "control node {peer} does not answer: {reason}",
-    "The proxy asks the next one and goes on with what is in force.",
+    "The gateway polls the next one and keeps its configuration and directory.",
 )
 CONTROL_REGAINED = define(
-    313, Level.INFO, "control node {peer} answers", "The proxy follows changes again."
+    313, Level.INFO, "control node {peer} answers", "The gateway receives changes again."
 )
 PRIMARY_LOST = define(
     314,
     Level.WARNING,
-    "the primary {instance} of {service} does not prove that it leads",
-    "All attempts have failed for a while. The control nodes are told, and may replace it.",
+    "the primary {instance} of {service} is lost: no sample proves its leadership",
+    "All attempts have failed for some time. The control nodes are informed and may replace it.",
 )
 PRIMARY_PROVED = define(
     315,
     Level.INFO,
-    "{instance} of {service} proved that it leads, at {position}",
-    "A primary was found again after it had been lost.",
+    "{instance} of {service} proved its leadership at {position}",
+    "A primary was found after the loss of a primary.",
 )
 LINK_LOST = define(
     316,
     Level.WARNING,
     "the link to gateway {peer} is lost: {reason}",
-    "Statements go to the next gateway of the zone that can hold connections.",
+    "Statements are forwarded to the next gateway of the zone that can hold connections.",
 )
 LINK_REGAINED = define(
-    317, Level.INFO, "gateway {peer} takes statements again", "A lost link stands again."
+    317, Level.INFO, "gateway {peer} accepts statements again", "A lost link is established again."
 )
 DETOUR_FOUND = define(
     318,
     Level.WARNING,
-    "gateway {peer} reaches the primary of {service}, which this one does not",
-    "Reads run here with floors from its samples; writes and transactions run on its connections.",
+    "gateway {peer} can reach the primary of {service}, this gateway can't",
+    "Reads run here with minimum positions from its samples; writes and transactions run on its "
+    "connections.",
 )
 PROVISIONAL_TAKEN = define(
     319,
     Level.INFO,
-    "version {version} is taken from what a majority of the control nodes holds",
-    "They know no leader yet. What is taken is provisional, until a leader is known.",
+    "provisional version {version} is in force, from the logs of a majority of the control nodes",
+    "The control nodes have no leader yet. A leader's reply replaces the provisional version.",
 )
 PLAN_TAKEN = define(
     355,
     Level.INFO,
-    "plan {number} names holders of {parts} parts",
-    "The control nodes planned who holds connections. The field `held` lists what is held here.",
+    "plan {number} assigns holders to {parts} parts",
+    "The control nodes planned the holders of connections. The field `held` lists the parts that "
+    "this gateway holds.",
 )
-# Above the level of answered statements, which use up a busy holder's budget of informative lines.
+# Warnings, since answered statements use up a busy holder's budget of informative lines.
 HOLDING_BEGUN = define(
     356,
     Level.WARNING,
-    "{part} is held here from plan {number} on: {cause}",
+    "this gateway holds {part} from plan {number}: {cause}",
     "For 2 s half of its share of the connections is opened; see event 445 for the figures.",
 )
 HOLDING_ENDED = define(
     357,
     Level.WARNING,
-    "{part} is held elsewhere from plan {number} on",
-    "What is under way is finished here; idle connections are closed.",
+    "another gateway holds {part} from plan {number}",
+    "Running statements and transactions finish here; idle connections are closed.",
 )
 GATEWAY_STARTED = define(
-    320, Level.INFO, "gateway {name} started in zone {zone}", "The process serves."
+    320, Level.INFO, "gateway {name} started in zone {zone}", "The process accepts clients."
 )
 GATEWAY_STOPPING = define(
     321,
     Level.INFO,
     "gateway {name} is stopping with {sessions} sessions",
-    "A planned stop began: the process no longer calls itself ready.",
+    "A graceful stop began: the process is no longer ready.",
 )
-GATEWAY_STOPPED = define(322, Level.INFO, "gateway {name} stopped", "A planned stop ended.")
+GATEWAY_STOPPED = define(322, Level.INFO, "gateway {name} stopped", "A graceful stop ended.")
 GATEWAY_RELOADED = define(
     323,
     Level.INFO,
-    "settings were read again: {reason}",
-    "The list of control nodes is taken; other settings need a restart.",
+    "settings were reloaded: {reason}",
+    "The list of control nodes is applied; other settings need a restart.",
 )
 KEY_UNKNOWN = define(
     330,
     Level.WARNING,
-    "a client of {database} named a key that no tenant holds",
-    "It was refused and its connection closed. The key itself is never logged.",
+    "a client of {database} sent a key of no tenant",
+    "The client was refused and its connection closed. The key itself is never logged.",
 )
 KEY_WITHDRAWN = define(
     331,
     Level.INFO,
     "the key of session {session} of tenant {tenant} was withdrawn",
-    "Version {version} no longer gives it to the tenant. A statement under way was answered.",
+    "Version {version} no longer assigns it to the tenant. A running statement was answered.",
 )
 ROUTE_MISSING = define(
     333,
     Level.WARNING,
     "version {version} has no route for {database}",
-    "The client was refused. If a newer version has the route, look at the control node that "
-    "this proxy follows, and how long ago that node said that it holds all that is committed.",
+    "The client was refused. If a newer version has the route, check the control node that this "
+    "gateway polls, and how long ago that node was last up to date.",
 )
 OVER_QUOTA = define(
     332,
     Level.WARNING,
-    "an operation of tenant {tenant} is beyond its limit",
-    "It was rejected at once and has not run. The fields give the limit, what began "
-    "and was asked for at all gateways, which part may begin, the age of these sums, and from "
-    "which share of the gateways they come; the others are assumed to run as much. Of a tenant's "
-    "operations the urgent ones begin first: `urgency` is the priority of its route.",
+    "an operation of tenant {tenant} exceeds its limit",
+    "It was rejected immediately and did not run. The fields give the limit, the operations that "
+    "were admitted and requested at all gateways, the fraction that is admitted, the age of these "
+    "totals, and the share of the gateways that they cover; the others are assumed to admit as "
+    "much. A tenant's urgent operations are admitted first: `urgency` is the priority of the "
+    "route.",
 )
 MEMBER_FELL = define(
     350,
     Level.WARNING,
-    "{instance} of {service} lost most of its weight: {reason}",
-    "Reads go elsewhere while others serve them. It gets its weight back by this gateway's own "
-    "probes, more slowly the more often it fell within half a minute.",
+    "the weight of {instance} of {service} is reduced: {reason}",
+    "Reads go to other members while these can serve them. Successful probes of this gateway "
+    "restore the weight, more slowly the more often it was reduced within half a minute.",
 )
 MEMBER_ROSE = define(
     351,
     Level.INFO,
-    "{instance} of {service} has its weight back",
-    "It answered probes; reads go there again.",
+    "the weight of {instance} of {service} is restored",
+    "It answered probes; reads are sent to it again.",
 )
 DIRECTORY_DIFFERS = define(
     360,
     Level.WARNING,
-    "changes from {peer} since revision {since} lead to another directory than its own",
-    "The gateway goes on with the one in force and asks for the whole at once. This is usual while "
-    "processes of different versions run beside each other; otherwise it is a fault.",
+    "the update from {peer} since revision {since} does not match its digest",
+    "The gateway keeps its directory and requests a full update immediately. This is expected "
+    "while processes of different versions run together; otherwise it is a fault.",
 )
