--- a/src/rowanrail/gateway/discovery/control_plane_client.py
+++ b/src/rowanrail/gateway/discovery/control_plane_client.py
@@ -31,9 +31,9 @@
 from rowanrail.gateway.discovery.provisional import ProvisionalDirectory, accepts_stale_reply
 from rowanrail.gateway.events import (
     CONTROL_LOST,
-    CONTROL_REGAINED,
-    DIRECTORY_DIFFERS,
-    PROVISIONAL_TAKEN,
+    CONTROL_RESTORED,
+    DIRECTORY_MISMATCH,
+    PROVISIONAL_APPLIED,
 )
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.access import AccessControl
@@ -228,7 +228,7 @@
         self._gateway.apply(parsed.unwrap())
         self._gateway.set_directory(members)
         self._decisions.note(
-            PROVISIONAL_TAKEN,
+            PROVISIONAL_APPLIED,
             version=directory.version,
             revision=directory.revision,
             held=latest.node,
@@ -264,7 +264,7 @@
         self._gateway.access.note_control_up_to_date(address)
         if self._is_lost:
             self._is_lost = False
-            self._decisions.note(CONTROL_REGAINED, peer=address)
+            self._decisions.note(CONTROL_RESTORED, peer=address)
         return True
 
     async def _call(self, address: str, wait_seconds: float) -> DirectoryReply:
@@ -321,7 +321,7 @@
             self._gateway.set_directory(directory)
         elif self._copy.is_inconsistent and not was_inconsistent:
             self._decisions.note(
-                DIRECTORY_DIFFERS,
+                DIRECTORY_MISMATCH,
                 peer=address,
                 since=self._copy.revision,
                 revision=reply.revision,
--- a/src/rowanrail/gateway/events.py
+++ b/src/rowanrail/gateway/events.py
@@ -18,13 +18,13 @@
     "statement {request} was answered with {outcome}: {reason}",
     "The fields give the grounds: the assumed primary, the age of its last sample, the version.",
 )
-CONFIGURATION_TAKEN = define(
+CONFIGURATION_APPLIED = define(
     310,
     Level.INFO,
     "configuration version {version} is in force",
     "A newer configuration was applied.",
 )
-MEMBERS_TAKEN = define(
+DIRECTORY_APPLIED = define(
     311,
     Level.INFO,
     "directory revision {revision} is in force",
@@ -36,7 +36,7 @@
     "control node {peer} does not answer: {reason}",
     "The gateway polls the next one and keeps its configuration and directory.",
 )
-CONTROL_REGAINED = define(
+CONTROL_RESTORED = define(
     313, Level.INFO, "control node {peer} answers", "The gateway receives changes again."
 )
 PRIMARY_LOST = define(
@@ -57,7 +57,7 @@
     "the link to gateway {peer} is lost: {reason}",
     "Statements are forwarded to the next gateway of the zone that can hold connections.",
 )
-LINK_REGAINED = define(
+LINK_RESTORED = define(
     317, Level.INFO, "gateway {peer} accepts statements again", "A lost link is established again."
 )
 DETOUR_FOUND = define(
@@ -67,7 +67,7 @@
     "Reads run here with minimum positions from its samples; writes and transactions run on its "
     "connections.",
 )
-PROVISIONAL_TAKEN = define(
+PROVISIONAL_APPLIED = define(
     319,
     Level.INFO,
     "provisional version {version} is in force, from the logs of a majority of the control nodes",
@@ -151,7 +151,7 @@
     "the weight of {instance} of {service} is restored",
     "It answered probes; reads are sent to it again.",
 )
-DIRECTORY_DIFFERS = define(
+DIRECTORY_MISMATCH = define(
     360,
     Level.WARNING,
     "the update from {peer} since revision {since} does not match its digest",
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -10,11 +10,11 @@
 from rowanrail.gateway.discovery.current_directory import CurrentDirectory
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.events import (
-    CONFIGURATION_TAKEN,
+    CONFIGURATION_APPLIED,
     DETOUR_FOUND,
+    DIRECTORY_APPLIED,
     LINK_LOST,
-    LINK_REGAINED,
-    MEMBERS_TAKEN,
+    LINK_RESTORED,
 )
 from rowanrail.gateway.policies import GatewayPolicies
 from rowanrail.gateway.relay.holdings import Holdings
@@ -175,7 +175,7 @@
         for start in waiting:
             start.run()
         self._decisions.note(
-            CONFIGURATION_TAKEN, version=configuration.version, routes=len(configuration.routes)
+            CONFIGURATION_APPLIED, version=configuration.version, routes=len(configuration.routes)
         )
         return True
 
@@ -217,7 +217,7 @@
         self.holdings.set_population(directory.population)
         records = directory.members
         self._decisions.note(
-            MEMBERS_TAKEN,
+            DIRECTORY_APPLIED,
             revision=directory.revision,
             members=len(records),
             leaving=sorted(record.instance for record in records if record.leaving),
@@ -234,7 +234,7 @@
     def _on_link(self, peer: str, is_up: bool, reason: str) -> None:
         if not is_up:
             self._remote_admission.forget(peer)
-        self._decisions.note(LINK_REGAINED if is_up else LINK_LOST, peer=peer, reason=reason)
+        self._decisions.note(LINK_RESTORED if is_up else LINK_LOST, peer=peer, reason=reason)
 
     def _on_primary_change(self, service: Service) -> None:
         """Log the loss or return of a primary and have it reported to the control nodes."""
--- a/src/rowanrail/model/__init__.py
+++ b/src/rowanrail/model/__init__.py
@@ -1,5 +1,4 @@
-"""Data that several packages share: positions, statements and answers, routes, members.
+"""Data types shared by several packages: positions, statements and answers, routes, members.
 
-Plain values without behaviour; nothing here does I/O or keeps state. Relies on ``tenants`` for
-the owners of keys.
+Plain values without I/O or state. Depends on ``tenants`` for the owners of keys.
 """
--- a/src/rowanrail/model/members.py
+++ b/src/rowanrail/model/members.py
@@ -1,31 +1,30 @@
-"""Members as they announced themselves, and the health of a primary as a gateway sees it.
+"""Records of announced members and of a primary's health as observed by a gateway.
 
-Owns the two records; ``MemberRecord`` is sent and stored with its field names, ``PrimaryHealth`` as
-an array. Relies on nothing.
+``MemberRecord`` is sent and stored with its field names, ``PrimaryHealth`` as an array.
 """
 
 import msgspec
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """A member as it announced itself; its field names are sent and stored.
+    """An announced member; the field names are sent and stored.
 
     Parameters
     ----------
     instance : str
-        Identity of one life of the member: another one after each start.
+        Unique identity of one run of the member, new after each start.
     service : str
-        Whose data it has.
+        Service whose data the member has.
     address : str
-        ``IP:port`` at which it takes connections.
+        ``IP:port`` at which it accepts connections.
     primary, leaving : bool
-        What it says of itself: that it leads, that it is about to stop.
+        Whether it reports to be the primary, and to be about to stop.
     slots : int
-        Statements that it runs at a time.
+        Number of statements that it runs concurrently.
     sequence : int
-        Rises with each announcement; a lower one came late.
+        Increases with each announcement; a lower one is outdated.
     cold_ms : int
-        Milliseconds for which it was still slow after its start when it was announced.
+        Remaining milliseconds of slowness after its start, at the announcement.
     """
 
     instance: str
@@ -40,16 +39,16 @@
 
 
 class PrimaryHealth(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway sees of a service's primary; ages in whole milliseconds.
+    """Health of a service's primary as observed by a gateway; ages in whole milliseconds.
 
     Parameters
     ----------
     instance : str
-        The member that it believes to lead; empty if it knows of none.
+        The assumed primary; empty if none is known.
     proved_ago_ms : int
-        Since the last proof that it leads; -1 if there was none.
+        Since the last proof of its leadership; -1 without one.
     failing_for_ms : int
-        For how long all attempts have failed; 0 if the last one succeeded.
+        For how long all attempts have failed; 0 after a success.
     """
 
     service: str
--- a/src/rowanrail/model/position.py
+++ b/src/rowanrail/model/position.py
@@ -1,13 +1,10 @@
-"""Positions in the log of a group of members.
-
-Owns the one type; sent and stored as an array. Relies on nothing.
-"""
+"""Positions in the replicated log of a group of members, sent and stored as arrays."""
 
 import msgspec
 
 
 class Position(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """A place in a group's log. Positions compare by term, then by index."""
+    """A position in a group's log, ordered by term, then by index."""
 
     term: int = 0
     index: int = 0
--- a/src/rowanrail/model/routing.py
+++ b/src/rowanrail/model/routing.py
@@ -1,7 +1,7 @@
-"""Routes, services and the numbered configuration that holds them.
+"""Routes, services and the versioned routing configuration.
 
-Owns the configuration in the product's own terms. Relies on ``tenants`` for the owners of keys;
-a plug-in of kind ``configuration-format`` reads the operator's document.
+A plug-in of kind ``configuration-format`` parses it from the operator's document. Depends on
+``tenants`` for the owners of keys.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class Consistency(enum.Enum):
-    """What a route's reads must see."""
+    """Consistency of a route's reads."""
 
     PRIMARY = "primary"
     BOUNDED = "bounded"
@@ -21,24 +21,24 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """How statements of one database run.
+    """Service and requirements of one database's statements.
 
     Parameters
     ----------
     database : str
-        What clients name when they open a session.
+        Name that clients give when they open a session.
     service : str
-        The group of members that has its data.
+        Group of members that has the data.
     timeout_seconds : float
-        Time within which each statement is answered.
+        Time limit for the answer to a statement.
     objective_seconds : float
-        Latency that an operation should stay within.
+        Target for the latency of an operation.
     staleness_seconds : float
-        How old a sample of the primary's position may be.
+        Maximum age of a sample of the primary's position.
     priority : int
         0 is the most urgent.
     takes_anybody : bool
-        Whether clients need no key.
+        Whether clients without a key are accepted.
     """
 
     name: str
@@ -53,14 +53,14 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True):
-    """A group of members as configured.
+    """Configuration of a group of members.
 
     Parameters
     ----------
     connections : int
-        How many connections a member takes from all gateways together.
+        Maximum number of connections to a member from all gateways together.
     acknowledging_replicas : int
-        Replicas that must hold a commit before its acknowledgement.
+        Number of replicas that must have a commit before it is acknowledged.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 
 class RoutingConfiguration(msgspec.Struct, frozen=True):
-    """A numbered configuration in the product's own terms.
+    """A version of the configuration.
 
     Parameters
     ----------
@@ -78,11 +78,11 @@
     services : dict of str to ServiceSpec
         By name.
     idle_transaction_seconds : float
-        A transaction that is idle for longer may be ended.
+        Time after which an idle transaction may be aborted.
     maximum_statement_bytes : int
-        Longer statements are refused.
+        Maximum length of a statement; longer ones are refused.
     tenants : Tenants or None
-        Whose keys are taken; None if clients need none.
+        Tenants with their keys; None if clients need no key.
     """
 
     version: int
@@ -94,13 +94,13 @@
 
 
 class ConfigurationFormat:
-    """Port: how a document of the operator becomes a :class:`RoutingConfiguration`.
+    """Port: parses the operator's document into a :class:`RoutingConfiguration`.
 
     Implementations register as plug-ins of kind ``configuration-format``.
     """
 
     def parse(self, document: bytes) -> Any:
-        """Read and check a document as a whole.
+        """Parse and validate a document.
 
         Returns
         -------
--- a/src/rowanrail/model/statements.py
+++ b/src/rowanrail/model/statements.py
@@ -1,4 +1,4 @@
-"""Statements, commands to members and answers, as front ends and drivers exchange them.
+"""Statements, commands to members, and answers, exchanged by front ends and drivers.
 
 Also defines :data:`NO_EFFECT_REFUSALS`: the refusals which guarantee that nothing of the attempt
 takes effect. Depends on :mod:`position`.
@@ -12,7 +12,7 @@
 
 
 class StatementKind(enum.Enum):
-    """What a client's statement is."""
+    """Kind of a client's statement."""
 
     BEGIN = "begin"
     BEGIN_READ = "begin-read"
@@ -27,18 +27,18 @@
 
 
 class TypedStatement(msgspec.Struct, gc=False):
-    """A client's statement with its kind; the text reaches the member untouched.
+    """A client's statement with its kind; the text is passed to the member unchanged.
 
     Parameters
     ----------
     request_id : str
-        The client's id of the statement.
+        Id that the client gave the statement.
     name : str
-        What SET, PREPARE, EXECUTE and CLOSE name.
+        Name in SET, PREPARE, EXECUTE and CLOSE.
     value : str
-        Value of SET, the statement of PREPARE, arguments of EXECUTE.
+        Value of SET, statement of PREPARE, arguments of EXECUTE.
     writes : bool
-        Whether a PREPARE is for writes.
+        Whether the statement of a PREPARE writes.
     """
 
     request_id: str
@@ -50,7 +50,7 @@
 
 
 class CommandKind(enum.Enum):
-    """What is asked of a member."""
+    """Kind of a command to a member."""
 
     STATEMENT = "statement"
     BEGIN = "begin"
@@ -66,16 +66,16 @@
 
 
 class Command(msgspec.Struct, gc=False):
-    """One command to a member.
+    """A command to a member.
 
     Parameters
     ----------
     text : str
         The client's text (STATEMENT), or the arguments of the command.
     request_id : str
-        The client's id; empty for the gateway's own commands.
+        Id from the client; empty for the gateway's own commands.
     floor : Position or None
-        Position that the member's log must hold, else it refuses.
+        Position that the member must have in its log; otherwise it refuses.
     """
 
     kind: CommandKind
@@ -85,9 +85,9 @@
 
 
 class Refusal(enum.Enum):
-    """Why a statement did not succeed.
+    """Reason why a statement did not succeed.
 
-    Only members of :data:`NO_EFFECT_REFUSALS` promise that nothing of the attempt is kept.
+    Only :data:`NO_EFFECT_REFUSALS` guarantee that the attempt has no effect.
     """
 
     BUSY = "busy"
@@ -121,7 +121,7 @@
 
 
 class SessionState(enum.Enum):
-    """Whether a session is in a transaction."""
+    """Transaction state of a session."""
 
     IDLE = "idle"
     TRANSACTION = "transaction"
@@ -129,22 +129,22 @@
 
 
 class Answer(msgspec.Struct, gc=False):
-    """The whole answer to one statement or command.
+    """The answer to one statement or command.
 
     Parameters
     ----------
     rows : list of bytes
-        Rows as the member gave them, undecoded.
+        Rows from the member, not decoded.
     signature : bytes
-        The member's mark on a success; empty if the gateway answered itself.
+        The member's signature of a success; empty if the gateway itself answered.
     refusal : Refusal or None
-        Why it did not succeed; None on a success.
+        Reason of a failure; None on a success.
     message : str
-        What goes with a refusal.
+        Explanation of a refusal.
     position : Position or None
         The member's log position after the statement.
     state : SessionState or None
-        The connection's state after it, as the member says; None if it is lost.
+        State of the connection, reported by the member; None if the connection is lost.
     """
 
     rows: list[bytes] = []
--- a/src/rowanrail/model/trace.py
+++ b/src/rowanrail/model/trace.py
@@ -1,28 +1,28 @@
-"""What is logged of a statement: how its answer came about, and why it was rejected.
+"""Records for the log of a statement: how it was executed, and why it was rejected.
 
-Owns the two records, which also travel between gateways, as arrays. Relies on nothing.
+The records are also sent between gateways, as arrays; their field names are log fields.
 """
 
 import msgspec
 
 
 class Rejection(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Why a statement was rejected, for the log; times in whole milliseconds.
+    """Why a statement was rejected; times in whole milliseconds.
 
     Parameters
     ----------
     cause : str
         A :class:`rowanrail.scheduling.admission.RejectionCause`.
     wait : int
-        Forecast until it could have been sent.
+        Forecast of the time until it could be sent.
     run : int
-        Forecast from then to its answer.
+        Forecast of the time from then to its answer.
     left : int
-        Until its time was over.
+        Remaining time until its time limit.
     urgency : int
         Priority of its route, 0 for the most urgent.
     return_in : int
-        After which its client was told to retry.
+        Retry-After that was sent to its client.
     """
 
     cause: str
@@ -34,20 +34,20 @@
 
 
 class Trace(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What decided about a statement, for the log; ages in seconds.
+    """How a statement was executed; ages in seconds.
 
     Parameters
     ----------
     stage : str
-        How far it came.
+        Last stage that it reached.
     attempts : int
-        At how many members, or neighbours, it was tried.
+        Number of members or neighbours at which it was attempted.
     sample_age : float or None
-        Age of the newest proof of the primary's position.
+        Age of the latest proof of the primary's position.
     via : str
-        The gateway whose connections it ran on, if that is another one.
+        The other gateway on whose connections it ran; empty if none.
     rejection : Rejection or None
-        Why it was rejected, if it was.
+        Reason of its rejection, if it was rejected.
     """
 
     service: str
