--- a/src/rowanrail/consensus/raft_state.py
+++ b/src/rowanrail/consensus/raft_state.py
@@ -1,7 +1,7 @@
-"""State of a node of the replicated log, and the transitions that all its inputs share.
+"""State of a Raft node and the transitions that its input handlers share.
 
-For :class:`Raft`, which adds what each message does. Owns term, vote, role and the effects that
-wait to be carried out; no I/O and no clock of its own.
+:class:`rowanrail.consensus.raft.Raft` adds the handlers. Times are seconds of the monotonic clock
+and are passed in by the caller.
 """
 
 import random
@@ -9,14 +9,21 @@
 from rowanrail.consensus.log import Log
 from rowanrail.consensus.messages import ConsensusMessage, Entry, HardState, Membership
 from rowanrail.consensus.policies import QuorumCheck
-from rowanrail.consensus.progress import BEFORE_START_SECONDS, PendingReads, ProgressTable
+from rowanrail.consensus.progress import NEVER_SECONDS, PendingReads, ProgressTable
 from rowanrail.consensus.raft_types import Effects, RaftConfig, Role
 
-FIRST_ELECTION_LEAST = 0.1  # share of the longest first wait that a node waits in any case
+MINIMUM_FIRST_ELECTION_SHARE = 0.1  # minimum first election timeout, as a share of the maximum
 
 
 class RaftState:
-    """Term, role, log and what is known of the other nodes; see :class:`raft.Raft`."""
+    """Term, vote, role, log and replication progress of a node.
+
+    :param config: timing of heartbeats and elections.
+    :param hard_state: last durable term and vote.
+    :param randomness: source of the random election timeouts.
+    :param quorum_check: rule by which a leader confirms its majority.
+    :param now: current monotonic time in seconds.
+    """
 
     def __init__(
         self,
@@ -34,7 +41,7 @@
         self.vote = hard_state.vote
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit = log.snapshot_index
+        self.commit_index = log.snapshot_index
         self.may_campaign = True
         self._config = config
         self._random = randomness
@@ -44,76 +51,75 @@
         self._votes: set[str] = set()
         self._progress = ProgressTable(node)
         self._reads = PendingReads()
-        self._heard_from_leader_at = BEFORE_START_SECONDS
-        self._current_at = BEFORE_START_SECONDS
+        self._leader_contact_at = NEVER_SECONDS
+        self._up_to_date_at = NEVER_SECONDS
         self._heartbeat_due = now
         self._quorum_due = now
         self._became_leader_at = now
-        self._election_due = self._next_election(now)
+        self._election_due = self._next_election_time(now)
         if config.first_election_seconds is not None:
-            share = randomness.uniform(FIRST_ELECTION_LEAST, 1.0)
+            share = randomness.uniform(MINIMUM_FIRST_ELECTION_SHARE, 1.0)
             self._election_due = now + config.first_election_seconds * share
 
-    # Views
+    # Queries
 
     @property
     def membership(self) -> Membership:
-        """The newest membership in the log, committed or not."""
+        """The latest membership in the log, committed or not."""
         return self.log.membership
 
     @property
     def is_leader(self) -> bool:
-        """Whether the node leads its term."""
+        """Whether the node is the leader of its term."""
         return self.role is Role.LEADER
 
     @property
     def is_established_leader(self) -> bool:
         """Whether the node leads and has committed an entry of its own term."""
-        return self.is_leader and self.log.term_of(self.commit) == self.term
+        return self.is_leader and self.log.term_at(self.commit_index) == self.term
 
-    def match_of(self, node: str) -> int:
-        """Return the last index that ``node`` is known to hold, as the leader sees it."""
-        return self._progress.match_of(node)
+    def match_index(self, node: str) -> int:
+        """Return the last index that the leader knows ``node`` to hold; 0 if unknown."""
+        return self._progress.match_index(node)
 
-    def answered_seconds_ago(self, node: str, now: float) -> float:
-        """Return how long ago ``node`` last answered the leader."""
-        return self._progress.answered_seconds_ago(node, now)
+    def seconds_since_reply(self, node: str, now: float) -> float:
+        """Return the seconds since ``node`` last replied to this leader; infinity if unknown."""
+        return self._progress.seconds_since_reply(node, now)
 
-    def heard_seconds_ago(self, now: float) -> float:
-        """Return how long ago this node last heard from a leader."""
-        return now - self._heard_from_leader_at
+    def seconds_since_leader_contact(self, now: float) -> float:
+        """Return the seconds since this node last received a message from a leader."""
+        return now - self._leader_contact_at
 
-    def current_seconds_ago(self, now: float) -> float:
-        """Return how long ago this node held all that the leader had committed.
+    def seconds_since_up_to_date(self, now: float) -> float:
+        """Return the seconds since this node was known to hold all committed entries.
 
-        A follower that hears the leader may still lack most of the log. A leader that has not
-        committed an entry of its own term does not know yet what is committed, so that nobody
-        who follows it does. A leader rests on the answers of a majority, as a follower on the
-        leader's word: without them another may lead already.
+        For a follower, that is when it last held everything up to the leader's commit index, if
+        the entry there is of the leader's term: before, the leader doesn't know what is committed.
+        For a leader, it is when a majority last replied, since otherwise another may lead already.
         """
         if self.is_established_leader:
-            return now - self._progress.quorum_answered_at(self.membership.voters, now)
-        return now - self._current_at
+            return now - self._progress.quorum_reply_time(self.membership.voters, now)
+        return now - self._up_to_date_at
 
-    def resume(self, index: int) -> None:
-        """Begin with the entries up to ``index`` committed and applied already."""
-        self.commit = index
+    def mark_applied(self, index: int) -> None:
+        """Treat the entries up to ``index`` as committed and applied, after a restart."""
+        self.commit_index = index
         self._applied = index
 
     def take_effects(self) -> Effects:
-        """Return and forget the effects that accumulated."""
+        """Return the accumulated effects and start a new collection."""
         self._collect_committed()
         effects = self._effects
         self._effects = Effects()
         return effects
 
     def next_due(self) -> float:
-        """Return the time at which :meth:`tick` has something to do."""
+        """Return the time in seconds at which ``tick`` is due."""
         return self._heartbeat_due if self.is_leader else self._election_due
 
     # Transitions
 
-    def _next_election(self, now: float) -> float:
+    def _next_election_time(self, now: float) -> float:
         repeated = self._config.repeated_election_seconds
         if repeated is not None and self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE):
             return now + repeated * self._random.uniform(0.3, 1.0)
@@ -126,8 +132,8 @@
         if term > self.term:
             self._set_term(term, "")
         if was_leader:
-            self._effects.failed_reads.extend(self._reads.take_all())
-        self._election_due = self._next_election(now)
+            self._effects.failed_reads.extend(self._reads.pop_all())
+        self._election_due = self._next_election_time(now)
 
     def _set_term(self, term: int, vote: str) -> None:
         self.term = term
@@ -139,10 +145,10 @@
         self._effects.append.extend(entries)
 
     def _collect_committed(self) -> None:
-        if self.commit > self._applied:
-            entries = self.log.between(self._applied + 1, self.commit)
+        if self.commit_index > self._applied:
+            entries = self.log.entries_between(self._applied + 1, self.commit_index)
             self._effects.committed.extend(entries)
-            self._applied = self.commit
+            self._applied = self.commit_index
 
     def _send(self, peer: str, outgoing: ConsensusMessage) -> None:
         self._effects.messages.append((peer, outgoing))
--- a/src/rowanrail/coordination/gauges.py
+++ b/src/rowanrail/coordination/gauges.py
@@ -1,18 +1,18 @@
 """Metrics of a control node, read when they are scraped."""
 
 from rowanrail.coordination.node import Coordinator
-from rowanrail.kernel.metrics import Reading
+from rowanrail.kernel.metrics import GaugeSample
 
 
-def gauges(node: Coordinator) -> list[Reading]:
+def gauges(node: Coordinator) -> list[GaugeSample]:
     """Return all readings: consensus, configuration, directory, plan and promotions."""
     raft = node.consensus.raft
     state = node.state
-    readings: list[Reading] = [
+    readings: list[GaugeSample] = [
         ("term", {}, raft.term),
         ("leader", {}, float(raft.is_leader)),
         ("current", {}, float(node.service.is_current)),
-        ("applied_index", {}, node.consensus.applied),
+        ("applied_index", {}, node.consensus.applied_index),
         ("log_entries", {}, raft.log.size),
         ("configuration_version", {}, state.version),
         ("directory_revision", {}, state.revision),
@@ -31,10 +31,10 @@
     return readings
 
 
-def _plan_gauges(node: Coordinator) -> list[Reading]:
+def _plan_gauges(node: Coordinator) -> list[GaugeSample]:
     """Return the plan's number, each holder's share, and the demand of each shard at the leader."""
     plan = node.state.plan
-    readings: list[Reading] = [("plan_number", {}, plan.number)]
+    readings: list[GaugeSample] = [("plan_number", {}, plan.number)]
     for group, shards in plan.groups.items():
         for key, shard in shards.items():
             for holding in shard.holdings:
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from rowanrail.config.settings import GatewaySettings, Holders, rpc_addresses
+from rowanrail.config.settings import GatewaySettings, HolderSelection, rpc_addresses
 from rowanrail.directory.health_filter import reportable_health
 from rowanrail.directory.messages import GatewayReport
 from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
@@ -38,7 +38,7 @@
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.http import HttpRequest, HttpResponse, HttpServer, error_response, serve
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
-from rowanrail.kernel.metrics import Metrics, Reading, log_gauge, serve_metrics
+from rowanrail.kernel.metrics import GaugeSample, Metrics, dropped_lines_gauge, serve_metrics
 from rowanrail.kernel.registry import Registry
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.rpc.network import Network
@@ -105,7 +105,7 @@
     @property
     def is_planned(self) -> bool:
         """Whether control nodes plan the holders of connections."""
-        return self.settings.holders is Holders.PLANNED
+        return self.settings.holders is HolderSelection.PLANNED
 
 
 async def run_gateway(settings: GatewaySettings, reload_settings: ReloadSettings) -> None:
@@ -180,7 +180,7 @@
 
 def _make_peers(settings: GatewaySettings, clock: Clock) -> Peers:
     planned = None
-    if settings.holders is Holders.PLANNED:
+    if settings.holders is HolderSelection.PLANNED:
         planned = PlannedHolders(settings.name, _region(settings), clock)
     return Peers(
         Neighbours(settings.name, clock, TcpLinkOpener()),
@@ -250,20 +250,20 @@
     await components.frontend.start(settings.listen)
     if settings.metrics:
         metrics = Metrics("rowanrail_gateway", partial(read_gauges, components))
-        components.gateway.outcomes.on_outcome = metrics.note_statement
-        components.gateway.access.on_rejection = metrics.note_rejection
+        components.gateway.outcomes.on_outcome = metrics.record_statement
+        components.gateway.access.on_rejection = metrics.record_rejection
         await serve_metrics(settings.listen.rpartition(":")[0], settings.metrics, metrics)
     return ready_server
 
 
-def read_gauges(components: GatewayComponents) -> list[Reading]:
+def read_gauges(components: GatewayComponents) -> list[GaugeSample]:
     """Return all gauges of the process."""
     return [
         *gauges(components.gateway),
         *directory_gauges(components.control_plane_client),
         *tenant_gauges(components.gateway),
         *relay_gauges(components.neighbours, components.holder, components.detours),
-        log_gauge(components.decisions),
+        dropped_lines_gauge(components.decisions),
     ]
 
 
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -303,7 +303,7 @@
         sample.request()
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
-        """Return a service's load for a tenant's statements, None for an unknown service."""
+        """Return a service's load for a tenant, None if unknown or if statements need not wait."""
         target = self.services.get(service)
         return None if target is None else measure_load(target, tenant, self.clock.time() * 1000)
 
--- a/src/rowanrail/sql_control/backup.py
+++ b/src/rowanrail/sql_control/backup.py
@@ -11,13 +11,13 @@
 
 from rowanrail.config.model import VersionedConfiguration
 from rowanrail.consensus.messages import EntryKind, HardState, Membership, Snapshot
-from rowanrail.consensus.storage import Identity, Storage, seal, unseal
+from rowanrail.consensus.storage import Identity, Storage, decode_checksummed, encode_checksummed
 from rowanrail.kernel.errors import StorageError
 from rowanrail.sql_control.policies import ExpectedVersion
 from rowanrail.sql_control.state import ConfigurationState
 
 BACKUP_FORMAT = 1  # of the file; another one is refused
-IDENTITY_BYTES = 6  # random ones in the id of a restored node; chosen
+NODE_ID_RANDOM_BYTES = 6  # random ones in the id of a restored node; chosen
 
 
 class Backup(msgspec.Struct, frozen=True):
@@ -43,14 +43,14 @@
 
     :raises StorageError: if the folder is empty or damaged.
     """
-    identity = storage.identity()
+    identity = storage.load_identity()
     if identity is None:
         raise StorageError("the folder is empty", step="backup")
     hard_state, log = storage.load()
     state = ConfigurationState(ExpectedVersion())
     if log.snapshot is not None:
         state.restore(log.snapshot.data)
-    for entry in log.between(log.snapshot_index + 1, log.last_index):
+    for entry in log.entries_between(log.snapshot_index + 1, log.last_index):
         if entry.kind is EntryKind.COMMAND:
             state.apply(entry)
     return Backup(
@@ -65,7 +65,7 @@
 
 def encode_backup(backup: Backup) -> bytes:
     """Return the bytes of a backup file."""
-    return seal(msgspec.msgpack.encode(backup))
+    return encode_checksummed(msgspec.msgpack.encode(backup))
 
 
 def decode_backup(data: bytes) -> Backup:
@@ -73,7 +73,7 @@
 
     :raises StorageError: if it is damaged or of another format.
     """
-    payload = unseal(data, 0)
+    payload = decode_checksummed(data, 0)
     if payload is None:
         raise StorageError("the backup's checksum does not match; use another one", step="restore")
     try:
@@ -117,7 +117,7 @@
         state.current = VersionedConfiguration(
             options.least_version + 1, current.configuration, current.drained
         )
-    node = f"{options.name}@{secrets.token_hex(IDENTITY_BYTES)}"
+    node = f"{options.name}@{secrets.token_hex(NODE_ID_RANDOM_BYTES)}"
     membership = Membership(voters={node: options.address})
     snapshot = Snapshot(backup.index, backup.term, membership, state.snapshot())
     storage.create(Identity(options.cluster, node), snapshot)
