--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -111,12 +111,12 @@
             async with asyncio.timeout(5.0):
                 while not self._has_applied_all(node):
                     await asyncio.sleep(0.001)
-                found = decoded_state(self.machine)
+                initial_state = decoded_state(self.machine)
                 results = [to_json_value(await node.propose(command)) for command in commands]
         finally:
             await node.stop()
             disk.close()
-        return found, results, decoded_state(self.machine)
+        return initial_state, results, decoded_state(self.machine)
 
     @staticmethod
     def _has_applied_all(node: ConsensusNode) -> bool:
@@ -154,15 +154,15 @@
 
     def test_folder_is_byte_identical_after_two_more_runs(self):
         expected = self.story["state"]
-        for life in self.story["lives"]:
-            received = [bytes.fromhex(data) for data in life["commands"]]
+        for golden_run in self.story["lives"]:
+            received = [bytes.fromhex(data) for data in golden_run["commands"]]
             commands = [make_decoder(self.command)(data) for data in received]
             node = NodeRun(self.folder, self.story, self.machine())
             encoded = [msgspec.msgpack.encode(command) for command in commands]
-            found, results, state = asyncio.run(node.run(encoded))
-            self.assertEqual(found, expected)
-            self.assertEqual(results, life["results"])
-            self.assertEqual(state, life["state"])
+            initial_state, results, state = asyncio.run(node.run(encoded))
+            self.assertEqual(initial_state, expected)
+            self.assertEqual(results, golden_run["results"])
+            self.assertEqual(state, golden_run["state"])
             expected = state
         self.assertEqual(folder_contents(self.folder), folder_contents(self.data / "after"))
 
@@ -199,9 +199,9 @@
 
     def test_a_backup_of_the_folder_has_the_same_bytes(self):
         backup = sql_backup.make_backup(Storage(FileDisk(self.folder)))
-        made = sql_backup.encode_backup(backup)
+        encoded = sql_backup.encode_backup(backup)
         golden = (self.data / "backup").read_bytes()
-        self.assertEqual(made.hex(), golden.hex())
+        self.assertEqual(encoded.hex(), golden.hex())
         self.assertEqual(sql_backup.decode_backup(golden), backup)
 
     def test_a_backup_is_restored_to_the_same_state(self):
