--- a/src/rowanrail/sql_control/daemon.py
+++ b/src/rowanrail/sql_control/daemon.py
@@ -1,8 +1,4 @@
-"""The control daemon: a control node as a process.
-
-Makes the ports (network, disk, operators' interface), runs the node until a stop signal. Owns
-nothing else.
-"""
+"""Control daemon: runs a control node on the real network and disk until a stop signal."""
 
 import random
 from pathlib import Path
@@ -15,7 +11,7 @@
 from rowanrail.kernel.lifecycle import wait_for_stop_signal
 from rowanrail.kernel.registry import Registry
 from rowanrail.kernel.web import serve_http
-from rowanrail.rpc.routed import RoutedNetwork
+from rowanrail.rpc.address_translation import AddressTranslatingNetwork
 from rowanrail.rpc.tcp import TcpNetwork
 from rowanrail.sql_control.events import CONTROL_STARTED, CONTROL_STOPPED
 from rowanrail.sql_control.http_api import OperatorApi
@@ -27,7 +23,7 @@
 
     :raises RowanrailError: if the folder or an address can't be used.
     """
-    network = RoutedNetwork(TcpNetwork(), settings.routes)
+    network = AddressTranslatingNetwork(TcpNetwork(), settings.routes)
     disk = FileDisk(Path(settings.data_folder))
     node = ControlNode(settings, network, disk, random.Random(), Registry())
     await node.start(bootstrap)
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -13,10 +13,10 @@
 from rowanrail.placement.hashed import Population, rank
 from rowanrail.placement.planned import PlannedHolders
 from tests.support.gateway import (
+    FakeClient,
+    FakeDriver,
+    FakeMember,
     ManualClock,
-    PlayedClient,
-    PlayedDriver,
-    PlayedMember,
     RecordingLog,
     routes,
 )
@@ -29,12 +29,12 @@
 class ZoneGateway:
     """One gateway of the zone, with the members as it reaches them."""
 
-    def __init__(self, zone: "PlayedZone", name: str) -> None:
+    def __init__(self, zone: "ZoneHarness", name: str) -> None:
         self.name = name
         self.clock = zone.clock
         self.decisions = RecordingLog(name, wall_clock=zone.clock.time)
         self.neighbours = Neighbours(name, zone.relay_clock, zone.network.opener(name))
-        driver = PlayedDriver(zone.members)
+        driver = FakeDriver(zone.members)
         self.gateway = Gateway(
             Locality("a"),
             driver,
@@ -49,45 +49,47 @@
         services = {"db": ServiceSpec("db", 30)}
         self.gateway.apply(RoutingConfiguration(1, routes(), services, 3.0))
 
-    def client(self, database: str) -> PlayedClient:
+    def client(self, database: str) -> FakeClient:
         session = self.gateway.open_session(database, "client")
         assert isinstance(session, Session)
-        return PlayedClient(self, session)
+        return FakeClient(self, session)
 
     def logs(self) -> list[str]:
         self.decisions.flush()
         return self.decisions.written.decode().splitlines()
 
 
-class PlayedZone:
+class ZoneHarness:
     """Three gateways; ``first`` holds the connections, ``second`` is next, ``last`` has clients."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
         self.relay_clock = Clock(self.clock)
         self.network = RelayNetwork(self.relay_clock)
-        self.primary = PlayedMember("m1", True, "b")
-        self.near = PlayedMember("m2", False, "a")
-        self.members = [self.primary, self.near, PlayedMember("m3", False, "c")]
+        self.primary = FakeMember("m1", True, "b")
+        self.near = FakeMember("m2", False, "a")
+        self.members = [self.primary, self.near, FakeMember("m3", False, "c")]
         self.gateways = {name: ZoneGateway(self, name) for name in GATEWAYS}
-        for name, one in self.gateways.items():
-            self.network.holders[name] = one.holder
+        for name, zone_gateway in self.gateways.items():
+            self.network.holders[name] = zone_gateway.holder
         self.announce(1)
         self.first, self.second, self.last = (self.gateways[name] for name in rank("db", GATEWAYS))
 
     def announce(self, revision: int) -> None:
         records = [member.record() for member in self.members]
         neighbours = [Neighbour(name, name) for name in GATEWAYS]
-        for one in self.gateways.values():
-            one.gateway.set_directory(Directory(revision, records, POPULATION, neighbours))
+        for zone_gateway in self.gateways.values():
+            zone_gateway.gateway.set_directory(Directory(revision, records, POPULATION, neighbours))
 
-    def kill(self, one: ZoneGateway) -> None:
+    def kill(self, zone_gateway: ZoneGateway) -> None:
         """End a gateway: its links break, and its address refuses."""
-        del self.network.holders[one.name]
-        for twin in self.network.links:
-            if one.name in twin.ends:
-                twin.break_off("reset")
+        del self.network.holders[zone_gateway.name]
+        for link in self.network.links:
+            if zone_gateway.name in link.ends:
+                link.disconnect("reset")
 
-    def opened_by(self, one: ZoneGateway) -> int:
+    def open_connections(self, zone_gateway: ZoneGateway) -> int:
         """Return how many connections to members a gateway has open."""
-        return sum(pool.connections.count for pool in one.gateway.services["db"].pools.values())
+        return sum(
+            pool.connections.count for pool in zone_gateway.gateway.services["db"].pools.values()
+        )
