--- a/tests/forms/texts.py
+++ b/tests/forms/texts.py
@@ -33,7 +33,7 @@
     "_fail",
     "_refuse",
     "abort",
-    "busy",
+    "busy_answer",
     "error_response",
     "fail",
     "format_table",
