--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -16,13 +16,13 @@
 from rowanrail.model.statements import Answer, Refusal
 from rowanrail.tenants.demand import DemandSummary
 from tests.gateway.test_tenants import TenantGateway
-from tests.support.gateway import PlayedGateway
-from tests.support.relay import PlayedZone
+from tests.support.gateway import GatewayHarness
+from tests.support.relay import ZoneHarness
 
 
 class ExplainTest(unittest.TestCase):
     def setUp(self):
-        self.played = PlayedGateway()
+        self.played = GatewayHarness()
 
     def diagnose(self, request, extra=()):
         return diagnose(request, read_lines([*self.played.logs(), *extra]).lines)
@@ -155,7 +155,7 @@
         self.assertRegex(diagnosis.cause, r"while it waited about \d+ ms still lay before it and")
 
     def test_rejected_by_the_load_that_the_holder_reported(self):
-        self.played = zone = PlayedZone()
+        self.played = zone = ZoneHarness()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.3)
         pool = zone.first.gateway.services["db"].pools["m1"]
@@ -167,7 +167,7 @@
         self.assertIn("so that it was not sent there", diagnosis.cause)
 
     def test_a_write_with_a_lost_connection_to_the_holder(self):
-        zone = PlayedZone()
+        zone = ZoneHarness()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.1)
         zone.primary.script = [None]
@@ -181,7 +181,7 @@
         self.assertTrue([line for line in diagnosis.around if line.event == LINK_LOST.number])
 
     def test_refused_while_no_gateway_of_the_zone_held_connections(self):
-        zone = PlayedZone()
+        zone = ZoneHarness()
         for one in (zone.first, zone.second):
             zone.network.frozen.add(one.name)
         client = zone.last.client("orders")
@@ -192,7 +192,7 @@
         self.assertEqual(diagnosis.promise, "nothing of it is kept; it may be sent again")
 
     def test_waiting_for_a_sample_at_the_holder_is_not_a_lost_link(self):
-        zone = PlayedZone()
+        zone = ZoneHarness()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.1)
         zone.primary.silent = True
@@ -204,7 +204,7 @@
         self.assertIn("it could not run: the primary of db was lost", diagnosis.cause)
 
     def test_the_holder_that_decided_is_named(self):
-        zone = PlayedZone()
+        zone = ZoneHarness()
         zone.primary.primary = False
         zone.last.client("orders").run("WRITE a 1", seconds=1.0)
         lines = read_lines([*zone.last.logs(), *zone.first.logs()]).lines
--- a/tests/forms/golden.py
+++ b/tests/forms/golden.py
@@ -1,4 +1,4 @@
-"""Checks of one type against golden bytes."""
+"""Base class of tests that compare types with golden encodings."""
 
 import json
 import unittest
@@ -9,54 +9,54 @@
 import msgspec
 from msgspec import inspect
 
-from tests.forms.form import differences, form_of, plain
+from tests.forms.schema import schema_differences, schema_of, to_json_value
 
-__all__ = ["DATA", "GoldenCase", "load"]
+__all__ = ["DATA_FOLDER", "GoldenTestCase", "load_golden"]
 
-DATA = Path(__file__).parent / "data"
+DATA_FOLDER = Path(__file__).parent / "data"
 
 Decode = Callable[[bytes], msgspec.Struct]
 Encode = Callable[[msgspec.Struct], bytes]
 
 
-def load(name: str) -> Any:
-    """Return a golden file's contents."""
-    return json.loads((DATA / name).read_text())
+def load_golden(name: str) -> Any:
+    """Return the contents of a golden file."""
+    return json.loads((DATA_FOLDER / name).read_text())
 
 
-class GoldenCase(unittest.TestCase):
-    """Holds types against what is written of them in a golden file."""
+class GoldenTestCase(unittest.TestCase):
+    """Compares types with their schemas and samples in a golden file."""
 
-    def hold(self, kind: Any, golden: Any, decode: Decode, encode: Encode) -> None:
-        """Hold one type: its form, and what golden bytes mean and become."""
-        self.assertEqual(differences(golden["form"], form_of(inspect.type_info(kind))), [])
+    def check_type(self, kind: Any, golden: Any, decode: Decode, encode: Encode) -> None:
+        """Check the schema of a type, and that its golden bytes round-trip."""
+        self.assertEqual(schema_differences(golden["form"], schema_of(inspect.type_info(kind))), [])
         for sample in golden["samples"]:
-            self.hold_bytes(sample["bytes"], sample["value"], sample["bytes"], decode, encode)
-        if "less" in golden:  # from a peer that leaves out what has a default
+            self.check_bytes(sample["bytes"], sample["value"], sample["bytes"], decode, encode)
+        if "less" in golden:  # from an older peer, without the fields that have a default
             less = golden["less"]
-            self.hold_bytes(less["received"], less["value"], less["bytes"], decode, encode)
-        if "more" in golden:  # from a peer of a later version, that says something unknown
+            self.check_bytes(less["received"], less["value"], less["bytes"], decode, encode)
+        if "more" in golden:  # from a newer peer, with an unknown field
             first = golden["samples"][0]
-            self.hold_bytes(golden["more"], first["value"], first["bytes"], decode, encode)
+            self.check_bytes(golden["more"], first["value"], first["bytes"], decode, encode)
 
-    def hold_bytes(
+    def check_bytes(
         self, received: str, value: Any, sent: str, decode: Decode, encode: Encode
     ) -> None:
-        """Hold that bytes are understood as a value, and that the value becomes bytes."""
+        """Check that bytes decode to a value, and that it encodes to the expected bytes."""
         decoded = decode(bytes.fromhex(received))
-        self.assertEqual(plain(decoded), value)
+        self.assertEqual(to_json_value(decoded), value)
         self.assertEqual(encode(decoded).hex(), sent)
 
-    def hold_union(self, union: Any, golden: dict[str, Any]) -> None:
-        """Hold all structs of a union, which are told apart by their tags."""
+    def check_union(self, union: Any, golden: dict[str, Any]) -> None:
+        """Check all structs of a tagged union."""
         kinds = {str(kind.__struct_config__.tag): kind for kind in union.__args__}
-        self.assertEqual(sorted(kinds), sorted(golden), "each tag needs golden samples")
+        self.assertEqual(sorted(kinds), sorted(golden), "every tag needs golden samples")
         for tag, kind in kinds.items():
             with self.subTest(tag):
-                self.hold(kind, golden[tag], decoder(union), msgspec.msgpack.encode)
+                self.check_type(kind, golden[tag], make_decoder(union), msgspec.msgpack.encode)
 
 
-def decoder(kind: Any) -> Decode:
-    """Return a function that decodes a type as the code does."""
+def make_decoder(kind: Any) -> Decode:
+    """Return the ``decode`` method of a MessagePack decoder of a type."""
     decode: Decode = msgspec.msgpack.Decoder(kind).decode
     return decode
--- a/tests/integration/test_control_folder.py
+++ b/tests/integration/test_control_folder.py
@@ -1,10 +1,10 @@
-"""A control node's folder: full, backed up, restored, and what a person sees of it."""
+"""A control node's data folder: full disk, backup, restore and their error messages."""
 
 import unittest
 
 import yaml
 
-from tests.support.control import SingleControl
+from tests.support.control import ControlNodeProcess
 from tests.support.fleet import run_command
 
 FILE_LIMIT_BYTES = 64 * 1024
@@ -12,7 +12,7 @@
 
 class ControlFolderTest(unittest.TestCase):
     def setUp(self):
-        self.control = SingleControl()
+        self.control = ControlNodeProcess()
         self.addCleanup(self.control.close)
 
     def version(self):
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -11,11 +11,11 @@
 from rowanrail.gateway.relay.serving import Holder, ServedLink
 from rowanrail.kernel.clock import Clock
 
-__all__ = ["RelayNetwork", "RelayOpener", "TwinLink"]
+__all__ = ["RelayNetwork", "RelayOpener", "SimulatedLink"]
 
 Delay = Callable[[], float]
 
-LOOK_MS = 20.0  # between looks whether a silent end takes messages again
+SILENCE_POLL_MS = 20.0  # between looks whether a silent end takes messages again
 
 # Messages are copied through their encoding, so that the two ends share nothing.
 _encoder = msgspec.msgpack.Encoder()
@@ -40,7 +40,7 @@
         self.holders: dict[str, Holder] = {}
         self.frozen: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
-        self.links: list[TwinLink] = []
+        self.links: list[SimulatedLink] = []
 
     def opener(self, owner: str) -> "RelayOpener":
         """Return the port through which one gateway opens its links."""
@@ -69,12 +69,12 @@
         elif holder is None:
             link.lost("refused")
         else:
-            twin = TwinLink(self._network, self._owner, address, link)
-            link.opened(twin)
-            twin.serve(holder)
+            simulated = SimulatedLink(self._network, self._owner, address, link)
+            link.opened(simulated)
+            simulated.serve(holder)
 
 
-class TwinLink:
+class SimulatedLink:
     """One connection: messages arrive in the order in which they were sent.
 
     A message that meets silence waits and arrives when the silence ends, as TCP has it,
@@ -89,7 +89,7 @@
         self._served: ServedLink | None = None
         self._closed = False
         self._due = 0.0
-        self._held: deque[Callable[[], object]] = deque()
+        self._queued: deque[Callable[[], object]] = deque()
         network.links.append(self)
 
     @property
@@ -117,7 +117,7 @@
             self._closed = True
             self._network.clock.call_in(self._network.delay(), self._end_served)
 
-    def break_off(self, reason: str) -> None:
+    def disconnect(self, reason: str) -> None:
         """End the connection at both ends."""
         if not self._closed:
             self._closed = True
@@ -139,16 +139,16 @@
 
     def _arrive(self, arrive: Callable[[], object]) -> None:
         """Deliver a message, in the order in which all of the connection were sent."""
-        self._held.append(arrive)
-        if len(self._held) == 1:
-            self._deliver_held()
+        self._queued.append(arrive)
+        if len(self._queued) == 1:
+            self._deliver_queued()
 
-    def _deliver_held(self) -> None:
-        while self._held and not self._closed:
+    def _deliver_queued(self) -> None:
+        while self._queued and not self._closed:
             if self._network.is_silent(self._owner, self._address):
-                self._network.clock.call_in(LOOK_MS, self._deliver_held)
+                self._network.clock.call_in(SILENCE_POLL_MS, self._deliver_queued)
                 return
-            self._held.popleft()()
+            self._queued.popleft()()
 
     def _end_served(self) -> None:
         if self._served is not None:
