--- a/src/rowanlab/simulator/__init__.py
+++ b/src/rowanlab/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Deterministic simulation in virtual time."""
+"""Deterministic simulation of the system in virtual time."""
--- a/src/rowanlab/simulator/backend.py
+++ b/src/rowanlab/simulator/backend.py
@@ -1,4 +1,4 @@
-"""Members of a database group in the simulator, and the driver that reaches them."""
+"""Simulated members of a database group, and the driver that connects to them."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,29 +27,36 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A member's refusal, on its way back."""
+    """A refusal by a member, as sent over a channel."""
 
     code: int
     message: str
 
 
 class SimulatedConnection(BackendConnection):
-    """A connection to a simulated member. Answers carry no ids, as on the wire."""
+    """A connection to a simulated member; as on the wire, answers carry no request ids."""
 
     def __init__(self, channel: Channel) -> None:
         self._channel = channel
 
     async def execute(self, sql: str) -> StatementResult:
-        """See :meth:`BackendConnection.execute`."""
+        """Run a statement and return the next answer.
+
+        :raises BackendRefusedError: if the member refuses the statement.
+        :raises BackendLostError: if the connection is lost.
+        """
         answer = await self._request(sql)
         if isinstance(answer, Refusal):
             raise BackendRefusedError(answer.code, answer.message, peer=self._channel.peer)
         if not isinstance(answer, StatementResult):
-            return StatementResult()  # somebody else's answer: whatever it says is taken
+            return StatementResult()  # the answer to another request: accepted as on the wire
         return answer
 
     async def status(self) -> MemberStatus:
-        """See :meth:`BackendConnection.status`."""
+        """Return the member's status.
+
+        :raises BackendLostError: if the connection is lost or the answer is not a status.
+        """
         answer = await self._request(STATUS_REQUEST)
         if not isinstance(answer, MemberStatus):
             raise BackendLostError("not a status", step="status", peer=self._channel.peer)
@@ -63,11 +70,11 @@
             raise BackendLostError(str(error), step="execute", peer=self._channel.peer) from error
 
     def is_clean(self) -> bool:
-        """See :meth:`BackendConnection.is_clean`."""
+        """Return whether no unread answer has arrived."""
         return not self._channel.has_unread()
 
     def close(self) -> None:
-        """See :meth:`BackendConnection.close`."""
+        """Close the channel."""
         self._channel.close()
 
 
@@ -81,7 +88,10 @@
     async def connect(
         self, address: str, user: str, password: str, database: str
     ) -> BackendConnection:
-        """See :meth:`BackendDriver.connect`."""
+        """Connect to a member.
+
+        :raises BackendConnectError: if the connection is refused.
+        """
         try:
             channel = await Channel.open(self._world, self._endpoints, address)
         except ChannelLostError as error:
@@ -91,7 +101,7 @@
 
 
 class _MemberChannel:
-    """One accepted connection at a member."""
+    """The member's side of one connection."""
 
     def __init__(self, member: "SimulatedMember") -> None:
         assert member.member is not None
@@ -117,7 +127,7 @@
 
 
 class SimulatedMember(DurableDaemon):
-    """A member across its restarts: its disk stays, its process changes."""
+    """A member whose disk persists across restarts of its process."""
 
     def __init__(
         self,
@@ -171,7 +181,7 @@
         self._endpoints.channels[self.address] = (self.name, lambda: _MemberChannel(self))
 
     def kill(self) -> None:
-        """Kill the process; what was not synced is lost."""
+        """Kill the process and discard unsynced data."""
         if self.member is not None:
             self.late_work += self.member.late_work
             self.member.late_work = 0
--- a/src/rowanlab/simulator/control_faults.py
+++ b/src/rowanlab/simulator/control_faults.py
@@ -1,4 +1,4 @@
-"""Faults on the control plane."""
+"""Fault injection into the control plane."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 
 
 class ControlFaults:
-    """Breaks control nodes, proxies and links, and mends them again."""
+    """Injects faults into control nodes, proxies and links, and repairs them."""
 
     def __init__(self, control: ControlWorld) -> None:
         self._control = control
@@ -16,23 +16,23 @@
         self.random = random.Random(control.world.random.getrandbits(64))
 
     def count_fault(self, fault: str) -> None:
-        """Count a fault."""
+        """Count a fault and add it to the trace."""
         self._world.fault_count += 1
         self._world.note(f"fault {fault}")
 
     async def pause(self, least_seconds: float, most_seconds: float) -> None:
-        """Wait for a random time."""
+        """Wait for a uniformly distributed time."""
         await asyncio.sleep(self.random.uniform(least_seconds, most_seconds))
 
     def pick_node(self) -> SimulatedControl:
-        """Return a node, the leader more often than others."""
+        """Return a random node, preferring the leader."""
         leader = self._control.leader()
         if leader is not None and self.random.random() < 0.5:
             return leader
         return self.random.choice(self._control.controls)
 
     async def wait_for_leader(self) -> SimulatedControl:
-        """Return the leader, as soon as there is one."""
+        """Wait until there is a leader and return it."""
         while (leader := self._control.leader()) is None:
             await asyncio.sleep(0.05)
         return leader
@@ -40,7 +40,7 @@
     # Single faults
 
     async def kill_node(self) -> None:
-        """Kill a node and start it again."""
+        """Kill a node and restart it."""
         node = self.pick_node()
         self.count_fault(f"kill {node.name}")
         node.kill()
@@ -48,7 +48,7 @@
         node.restart()
 
     async def freeze_node(self) -> None:
-        """Freeze a node for a while."""
+        """Freeze a node temporarily."""
         node = self.pick_node()
         self.count_fault(f"freeze {node.name}")
         self._world.freeze(node.name)
@@ -56,7 +56,7 @@
         self._world.thaw(node.name)
 
     async def cut_node(self) -> None:
-        """Cut a node off from the other nodes; proxies and operators still reach it."""
+        """Partition a node from the other nodes; proxies and operators still reach it."""
         node = self.pick_node()
         self.count_fault(f"cut {node.name}")
         self.isolate(node)
@@ -64,7 +64,7 @@
         self.rejoin(node)
 
     async def cut_zone(self) -> None:
-        """Cut a zone off, both ways or one way."""
+        """Partition a zone from the others, in both directions or one."""
         zones = self._control.zones
         zone = self.random.choice(zones)
         self.count_fault(f"cut zone {zone}")
@@ -78,7 +78,7 @@
             self._world.heal(*pair)
 
     async def kill_proxy(self) -> None:
-        """Kill a proxy and start it again."""
+        """Kill a proxy, restart it and wait until it has a configuration."""
         proxy = self.random.choice(self._control.proxies)
         self.count_fault(f"kill {proxy.name}")
         proxy.kill()
@@ -87,16 +87,16 @@
         while proxy.core is None or proxy.core.in_force.version == 0:
             await asyncio.sleep(0.05)
 
-    # Parts of scripted scenarios
+    # Steps of scripted scenarios
 
     def isolate(self, node: SimulatedControl) -> None:
-        """Cut a node off from the other nodes."""
+        """Partition a node from the other nodes."""
         for other in self._others(node):
             self._world.cut(node.name, other.name)
             self._world.cut(other.name, node.name)
 
     def rejoin(self, node: SimulatedControl) -> None:
-        """End that cut."""
+        """End the partition made by :meth:`isolate`."""
         for other in self._others(node):
             self._world.heal(node.name, other.name)
             self._world.heal(other.name, node.name)
@@ -107,14 +107,14 @@
     async def leader_and_followers(
         self,
     ) -> tuple[SimulatedControl, SimulatedControl, SimulatedControl]:
-        """Return the leader and the two others, in random order."""
+        """Return the leader, followed by the two other nodes in random order."""
         leader = await self.wait_for_leader()
         others = self._others(leader)
         self.random.shuffle(others)
         return leader, others[0], others[1]
 
     def heal_all(self) -> None:
-        """Mend everything."""
+        """Remove all cuts and restart all dead processes."""
         self._world.heal_all()
         for node in self._control.controls:
             if not self._world.process(node.name).alive:
--- a/src/rowanlab/simulator/control_scenarios.py
+++ b/src/rowanlab/simulator/control_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the control plane."""
+"""Scenarios of the control plane, and the guard that each depends on."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -26,7 +26,7 @@
 
 
 async def _config_durability(control: ControlWorld, faults: ControlFaults) -> None:
-    """Two faults at a time, on nodes, links and proxies."""
+    """Inject two concurrent faults into nodes, links and proxies."""
     nodes = [faults.kill_node, faults.kill_node, faults.freeze_node]
     others = [faults.cut_zone, faults.cut_node, faults.cut_node, faults.kill_proxy]
     await asyncio.gather(
@@ -35,12 +35,12 @@
 
 
 async def _operator_race(control: ControlWorld, faults: ControlFaults) -> None:
-    """Operators race while leaders die."""
+    """Kill and freeze nodes while operators make conflicting changes."""
     await _random_faults(control, faults, [faults.kill_node, faults.freeze_node])
 
 
 async def _silent_control(control: ControlWorld, faults: ControlFaults) -> None:
-    """The leader loses the other nodes; proxies and operators still reach it."""
+    """Partition the leader from the other nodes; proxies and operators still reach it."""
     for _ in range(3):
         leader = await faults.wait_for_leader()
         faults.count_fault(f"cut {leader.name}")
@@ -51,7 +51,7 @@
 
 
 async def _repair_then_loss(control: ControlWorld, faults: ControlFaults) -> None:
-    """A node loses its disk and starts again; then a second node is lost."""
+    """Restart a node with an empty disk, then lose a second node."""
     for _ in range(2):
         if faults.random.random() < 0.6:
             await _lose_disk_while_one_lags(faults)
@@ -103,7 +103,7 @@
 
 
 async def _restart_catch_up(control: ControlWorld, faults: ControlFaults) -> None:
-    """All nodes lose power at once; one comes back late, a zone's proxies later still."""
+    """Kill all nodes at once, one of which was behind; a proxy starts only after them."""
     _, late, _ = await faults.leader_and_followers()
     faults.count_fault(f"{late.name} stays away")
     late.kill()
--- a/src/rowanlab/simulator/control_world.py
+++ b/src/rowanlab/simulator/control_world.py
@@ -1,4 +1,4 @@
-"""A simulated control plane: three control nodes, proxies in their zones, and operators."""
+"""A simulated control plane: control nodes, proxies in their zones, and operators."""
 
 import asyncio
 import hashlib
@@ -25,8 +25,8 @@
 class ControlOptions(msgspec.Struct, frozen=True):
     """Size of a control-plane run.
 
-    :param nodes: number of control nodes, each in a zone of its own.
-    :param honours_sync: False takes the ``fsync`` guard away.
+    :param nodes: number of control nodes, each in its own zone.
+    :param honours_sync: whether the nodes' disks make synced data durable.
     """
 
     nodes: int = 3
@@ -38,7 +38,7 @@
 
 
 class ControlWorld:
-    """Control nodes, proxies and operators of one run."""
+    """The control nodes, proxies and operators of one run."""
 
     def __init__(self, world: World, registry: Registry, options: ControlOptions) -> None:
         self.world = world
@@ -92,7 +92,7 @@
         )
 
     async def start(self) -> None:
-        """Start everything, and apply the first configuration."""
+        """Start all processes and apply the initial configuration."""
         for control in self.controls:
             control.start(bootstrap=True)
         while self.leader() is None:
@@ -130,13 +130,13 @@
     # Proxies
 
     def start_proxy(self, proxy: SimulatedProxy) -> None:
-        """Start a proxy; its first version is judged against its zone's."""
+        """Start a proxy, whose first version is checked against those in force in its zone."""
         floor = self._zone_version(proxy)
         proxy.start(None)
         self._zone_floors[proxy.incarnation] = floor
 
     def _zone_version(self, starting: SimulatedProxy) -> int:
-        """Return the highest version in force at the zone's other proxies that run."""
+        """Return the highest version in force at the zone's other running proxies."""
         versions = [
             proxy.core.in_force.version
             for proxy in self.proxies
@@ -168,10 +168,10 @@
             if floor is not None:
                 self.oracle.check_first_version(proxy.incarnation, floor)
 
-    # The end
+    # Final checks
 
     async def judge(self) -> None:
-        """Judge the final history, the versions in force, and the logs."""
+        """Check the final history, the versions in force and the committed logs."""
         read = await self._read_final_configuration()
         if read is None:
             self.oracle.note_not_recovered("the configuration can't be read")
--- a/src/rowanlab/simulator/controls.py
+++ b/src/rowanlab/simulator/controls.py
@@ -1,4 +1,4 @@
-"""Control nodes and operators in the simulator."""
+"""Simulated control nodes and operators."""
 
 import asyncio
 import random
@@ -32,9 +32,9 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """An operator's error, on its way back.
+    """An error reply to an operator, as sent over a channel.
 
-    :param invalid: whether the request itself was refused, so that repeating is of no use.
+    :param invalid: whether the request itself is invalid, so that it must not be retried.
     """
 
     message: str
@@ -42,7 +42,7 @@
 
 
 class _OperatorChannel:
-    """One operator's connection at a control node."""
+    """The control node's side of an operator's connection."""
 
     def __init__(self, control: "SimulatedControl") -> None:
         self._control = control
@@ -57,11 +57,11 @@
             return ErrorReply(str(error), isinstance(error, InvalidRequestError))
 
     async def closed(self) -> None:
-        """Nothing to do."""
+        """Do nothing: requests are independent of the connection."""
 
 
 class SimulatedControl(DurableDaemon):
-    """A control node across its restarts: its disk stays, its process changes."""
+    """A control node whose disk persists across restarts of its process."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether the process runs and has opened its folder."""
+        """Whether the process runs and has opened its data folder."""
         return self._world.process(self.name).alive and hasattr(self.node, "service")
 
     def start(self, bootstrap: bool) -> None:
@@ -125,9 +125,11 @@
 
 
 class Operator:
-    """An operator who reads the configuration, changes it, and sends it until it is answered.
+    """An operator that repeatedly reads the configuration and changes one of its registers.
 
-    :param addresses: the control nodes' addresses for operators.
+    A register is the password hash of one user.
+
+    :param addresses: the addresses at which control nodes serve operators.
     """
 
     def __init__(
@@ -149,7 +151,7 @@
         self._changes = 0
 
     async def run(self, until: Callable[[], bool]) -> None:
-        """Make changes until ``until`` says so."""
+        """Make changes until ``until`` returns true."""
         while not until():
             read = await self.read()
             if read is not None:
@@ -157,7 +159,7 @@
             await asyncio.sleep(self._pause_seconds * self._random.uniform(0.5, 1.5))
 
     async def read(self) -> ReadReply | None:
-        """Read the configuration at a random node; None if that failed."""
+        """Read the configuration at a random node; return None on failure."""
         expected = self._oracle.newest()
         address = self._random.choice(self._addresses)
         reply = await self._request(address, ReadRequest())
@@ -167,7 +169,7 @@
         return reply
 
     async def change(self, read: ReadReply) -> None:
-        """Send a change against what was read, and repeat it until it is answered."""
+        """Send a change based on a read, and retry it until it is answered."""
         self._changes += 1
         register = f"u{self._random.randrange(REGISTER_COUNT)}"
         value = f"{self._random.getrandbits(160):040x}"
--- a/src/rowanlab/simulator/daemon.py
+++ b/src/rowanlab/simulator/daemon.py
@@ -1,4 +1,4 @@
-"""A process of the simulated system across its restarts."""
+"""Daemons of the simulated system, which live across restarts of their processes."""
 
 import asyncio
 import random
@@ -11,9 +11,9 @@
 
 
 class SimulatedDaemon:
-    """Starts and kills the process of one name.
+    """Starts and kills the processes of one daemon.
 
-    :param rate: how fast its clock runs, compared with true time.
+    :param rate: speed of its clock relative to simulated true time.
     """
 
     def __init__(self, world: World, name: str, zone: str, rate: float) -> None:
@@ -34,7 +34,7 @@
             self._world.note(f"{self.name} failed: {task.exception()!r}")
 
     def _new_random(self) -> random.Random:
-        """Return a source of random numbers of its own."""
+        """Return a new random generator, seeded by the world's."""
         return random.Random(self._world.random.getrandbits(64))
 
     def kill(self) -> None:
@@ -43,7 +43,7 @@
 
 
 class DurableDaemon(SimulatedDaemon):
-    """A daemon with a disk, which outlives its processes."""
+    """A daemon whose disk persists across restarts."""
 
     def __init__(
         self, world: World, name: str, zone: str, rate: float, honours_sync: bool = True
@@ -56,12 +56,12 @@
         raise NotImplementedError
 
     def kill(self) -> None:
-        """Kill the process; what was not synced is lost."""
+        """Kill the process and discard unsynced data."""
         super().kill()
         self.disk.crash()
 
     def restart(self, lose_disk: bool = False) -> None:
-        """Start again after a kill, perhaps with an empty disk."""
+        """Start the process again after a kill, optionally with an empty disk."""
         if lose_disk:
             self.disk.erase()
         self._world.note(f"{self.name} starts again{' with an empty disk' if lose_disk else ''}")
--- a/src/rowanlab/simulator/data_scenarios.py
+++ b/src/rowanlab/simulator/data_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the data path: what is done, and which guard each must be seen failing without."""
+"""Scenarios of the data path, and the guard that each depends on."""
 
 import asyncio
 
--- a/src/rowanlab/simulator/data_world.py
+++ b/src/rowanlab/simulator/data_world.py
@@ -1,4 +1,4 @@
-"""A simulated deployment of the data path: one group, proxies and callers in three zones."""
+"""A simulated data path: one database group, proxies and callers in three zones."""
 
 import asyncio
 import random
@@ -38,7 +38,7 @@
 
 
 class DataOptions(msgspec.Struct, frozen=True):
-    """Size and mix of a data-path run."""
+    """Size and workload of a data-path run."""
 
     callers: int = 5
     proxies: int = 2
@@ -49,7 +49,7 @@
 
 
 class DataWorld:
-    """Members, proxies and callers of one run."""
+    """The members, proxies and callers of one run."""
 
     def __init__(self, world: World, registry: Registry, seed: int, options: DataOptions) -> None:
         self.world = world
@@ -109,7 +109,7 @@
         return VersionedConfiguration(1, configuration)
 
     async def start(self) -> None:
-        """Start everything and wait until the group has a primary."""
+        """Start all processes, wait for a primary and create the tables."""
         for member in self.members:
             member.start(bootstrap=True)
         for proxy in self.proxies:
@@ -122,7 +122,7 @@
             self.start_caller(f"c{number + 1}", ZONES[number % len(ZONES)])
 
     def connectors(self) -> list[Connect]:
-        """Return how callers connect to each proxy."""
+        """Return a connect function for each proxy."""
 
         def to(proxy: SimulatedProxy) -> Connect:
             async def connect() -> SimulatedCaller:
@@ -133,7 +133,7 @@
         return [to(proxy) for proxy in self.proxies]
 
     def start_caller(self, name: str, zone: str) -> None:
-        """Start a caller's process. Its keys are its own, also apart from earlier starts."""
+        """Start a caller's process. Each start writes to keys of its own."""
         self._caller_starts += 1
         options = LoadOptions(
             callers=self.options.callers,
@@ -172,7 +172,7 @@
         return self.world.process(member.name).alive
 
     def all_voting(self) -> bool:
-        """Return whether every member runs and has its vote."""
+        """Return whether every member runs and is a voter."""
         for member in self.members:
             if not self.is_running(member) or member.member is None:
                 return False
@@ -183,7 +183,7 @@
         return True
 
     async def judge(self) -> None:
-        """Read the final contents as a new session and let the oracle judge them."""
+        """Pass the final contents, as read by a new session, to the oracle."""
         for member in self.members:
             late = member.late_work + (member.member.late_work if member.member else 0)
             self.oracle.note_late_work(member.name, late)
@@ -192,5 +192,5 @@
         self.oracle.judge(rows)
 
     def new_random(self) -> random.Random:
-        """Return a source of random choices for faults."""
+        """Return a new random generator, seeded by the world's."""
         return random.Random(self.world.random.getrandbits(64))
--- a/src/rowanlab/simulator/disk.py
+++ b/src/rowanlab/simulator/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: what was not synced is lost, in part, when its process is killed."""
+"""A simulated disk that loses unsynced data, at random, when its process is killed."""
 
 import random
 
@@ -7,9 +7,9 @@
 
 
 class SimulatedDisk(Disk):
-    """Files with a durable and a current state, and a folder with the same.
+    """Files and a folder, each with a current and a durable state.
 
-    :param honours_sync: False takes the guard away: syncs do nothing.
+    :param honours_sync: whether syncs make data durable; False disables ``Guard.FSYNC``.
     """
 
     def __init__(self, randomness: random.Random, honours_sync: bool = True) -> None:
@@ -21,17 +21,23 @@
         self._durable_names: set[str] = set()
 
     def list(self) -> list[str]:
-        """See :meth:`Disk.list`."""
+        """Return the names of all files, sorted."""
         return sorted(self._current)
 
     def read(self, name: str) -> bytes:
-        """See :meth:`Disk.read`."""
+        """Return the contents of a file.
+
+        :raises StorageError: if the file does not exist.
+        """
         if name not in self._current:
             raise StorageError("no such file", step="read", peer=name)
         return self._current[name]
 
     def append(self, name: str, data: bytes) -> None:
-        """See :meth:`Disk.append`. A full disk may still take a part of the data."""
+        """Append data to a file.
+
+        :raises StorageError: if the disk is full; a part of the data may have been written.
+        """
         if self.full and data:
             part = self._random.randrange(len(data))
             self._current[name] = self._current.get(name, b"") + data[:part]
@@ -39,7 +45,10 @@
         self._current[name] = self._current.get(name, b"") + data
 
     def replace(self, name: str, data: bytes) -> None:
-        """See :meth:`Disk.replace`."""
+        """Replace a file atomically and durably.
+
+        :raises StorageError: if the disk is full.
+        """
         if self.full:
             raise StorageError("the disk is full", step="replace", peer=name)
         self._current[name] = data
@@ -48,25 +57,25 @@
             self._durable_names.add(name)
 
     def truncate(self, name: str, length_bytes: int) -> None:
-        """See :meth:`Disk.truncate`."""
+        """Shorten a file."""
         self._current[name] = self._current[name][:length_bytes]
 
     def delete(self, name: str) -> None:
-        """See :meth:`Disk.delete`."""
+        """Delete a file if it exists."""
         self._current.pop(name, None)
 
     def sync_file(self, name: str) -> None:
-        """See :meth:`Disk.sync_file`."""
+        """Make the contents of a file durable."""
         if self._honours_sync:
             self._durable[name] = self._current[name]
 
     def sync_folder(self) -> None:
-        """See :meth:`Disk.sync_folder`."""
+        """Make the creation and deletion of files durable."""
         if self._honours_sync:
             self._durable_names = set(self._current)
 
     def crash(self) -> None:
-        """Lose what was not synced. Of an unsynced tail, a random part may survive."""
+        """Discard unsynced data. A random part of what was appended to a file may survive."""
         survived: dict[str, bytes] = {}
         for name in sorted(self._durable_names):
             durable = self._durable.get(name, b"")
@@ -79,7 +88,7 @@
         self._durable = dict(survived)
 
     def erase(self) -> None:
-        """Lose everything."""
+        """Erase all files."""
         self._current = {}
         self._durable = {}
         self._durable_names = set()
--- a/src/rowanlab/simulator/faults.py
+++ b/src/rowanlab/simulator/faults.py
@@ -1,4 +1,4 @@
-"""Faults on the data path: what is done to members, proxies, callers and links."""
+"""Fault injection into the data path: members, proxies, callers and links."""
 
 import asyncio
 import enum
@@ -12,7 +12,7 @@
 
 
 class FaultKind(enum.Enum):
-    """One kind of fault."""
+    """A kind of fault that can be injected."""
 
     KILL_PRIMARY = "kill-primary"
     KILL_REPLICA = "kill-replica"
@@ -32,17 +32,22 @@
 
 
 class FaultPlan(msgspec.Struct, frozen=True):
-    """Which faults, for how long, and how many at a time."""
+    """The faults of a run.
+
+    :param kinds: the kinds to choose from; repeated ones are chosen more often.
+    :param seconds: for how long faults are injected.
+    :param pause_seconds: bounds of the pause between faults.
+    """
 
     kinds: list[FaultKind]
     seconds: float = 4.0
     concurrent_faults: int = 1
     pause_seconds: tuple[float, float] = (0.2, 0.8)
-    recovery_seconds: float = 4.0  # longer than a late answer can hold its locks
+    recovery_seconds: float = 4.0  # longer than a delayed answer can hold locks
 
 
 class FaultInjector:
-    """Carries out a plan. What it breaks it mends, and at the end it heals everything."""
+    """Injects the faults of a plan, repairs each, and heals everything at the end."""
 
     def __init__(self, data: DataWorld, plan: FaultPlan) -> None:
         self._data = data
@@ -69,7 +74,7 @@
         }
 
     async def run(self) -> None:
-        """Inject faults, several workers at once, then heal everything."""
+        """Inject faults concurrently, then heal everything."""
         workers = [
             asyncio.ensure_future(self._inject_faults())
             for _ in range(self._plan.concurrent_faults)
@@ -124,7 +129,7 @@
         await self._kill(self._pick_member(primary=False))
 
     async def _lose_disk(self) -> None:
-        # The group itself survives one lost disk at a time; more is the platform's matter.
+        # The group is specified to survive only one lost disk at a time.
         if self._data.all_voting() and not self._busy:
             await self._kill(self._pick_member(primary=False), lose_disk=True)
             for _ in range(60):
@@ -149,7 +154,7 @@
         self._busy.discard(name)
 
     async def _cut_primary(self) -> None:
-        """Cut the primary off from the other members; some proxies still reach it."""
+        """Partition the primary from the other members; sometimes drop its traffic to a proxy."""
         member = self._pick_member(primary=True)
         if member is None:
             return
--- a/src/rowanlab/simulator/loop.py
+++ b/src/rowanlab/simulator/loop.py
@@ -1,8 +1,8 @@
-"""An asyncio loop in virtual time, with processes that can be frozen and killed.
+"""An asyncio event loop in virtual time, with processes that can be frozen and killed.
 
-Time jumps to the next timer as soon as nothing is ready. Every callback belongs to the
-simulated process in whose context it was scheduled: callbacks of a frozen process are
-kept until it thaws, those of a killed process are dropped, as SIGSTOP and SIGKILL do.
+Time advances to the next timer as soon as no callback is ready. Every callback belongs to
+the simulated process in whose context it was scheduled. Callbacks of a frozen process are
+deferred until it thaws, those of a killed process are dropped, as with SIGSTOP and SIGKILL.
 """
 
 import asyncio
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Any
 
-# A timer fires a little late, never early: code that waits for a time would wait again, for
-# a time too short to move the clock.
+# Timers fire late, never early: code woken early would wait again, for a time too short to
+# advance the floating-point clock.
 TIMER_MARGIN_SECONDS = 1e-6
 
 current_process: contextvars.ContextVar["SimulatedProcess | None"] = contextvars.ContextVar(
@@ -21,9 +21,9 @@
 
 
 class SimulatedProcess:
-    """One process of a simulated machine.
+    """A simulated operating-system process.
 
-    :param rate: how fast the process's clock runs, compared with true time.
+    :param rate: speed of the process's clock relative to simulated true time.
     """
 
     def __init__(self, name: str, zone: str, rate: float = 1.0) -> None:
@@ -38,7 +38,7 @@
         self.tasks: list[asyncio.Task[Any]] = []
 
     def thaw(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Go on, with everything that was kept."""
+        """Resume, and schedule the callbacks that were deferred."""
         self.frozen = False
         deferred, self.deferred = self.deferred, []
         for item in deferred:
@@ -46,7 +46,7 @@
 
 
 class _DeferredCallback:
-    """A callback that came due while its process was frozen; it can still be cancelled."""
+    """A callback that became due while its process was frozen; it can still be cancelled."""
 
     def __init__(
         self,
@@ -66,14 +66,17 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """A selector that never waits: it moves virtual time instead."""
+    """A selector that advances virtual time instead of waiting."""
 
     def __init__(self, advance: Callable[[float], None]) -> None:
         super().__init__()
         self._advance = advance
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Jump over the time that a real selector would wait."""
+        """Advance virtual time by the timeout, and report no events.
+
+        :raises RuntimeError: if there is no timer to advance to.
+        """
         if timeout is not None and timeout > 0:
             self._advance(timeout)
         elif timeout is None:
@@ -82,7 +85,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """See the module's description."""
+    """An event loop whose clock advances only when no callback is ready."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -92,7 +95,7 @@
         self.now += seconds
 
     def time(self) -> float:
-        """Return true time, or the process's own within a process."""
+        """Return the current process's clock, or true time outside of all processes."""
         process = current_process.get()
         return self.now * process.rate if process is not None else self.now
 
@@ -102,7 +105,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Schedule a callback for the process that it belongs to."""
+        """Schedule a callback for the process that owns its context."""
         process = _owning_process(context)
         if process is None:
             return super().call_soon(callback, *args, context=context)
@@ -117,7 +120,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Schedule a callback at the process's own time ``when``."""
+        """Schedule a callback at ``when`` on the clock of the process that owns its context."""
         process = _owning_process(context)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
@@ -130,7 +133,7 @@
 
 
 class _ProcessCallback:
-    """Runs a callback only while its process is alive, and not while it is frozen."""
+    """Drops a callback if its process is dead, and defers it if the process is frozen."""
 
     __slots__ = ("_arguments", "_callback", "_context", "_process", "handle")
 
--- a/src/rowanlab/simulator/network.py
+++ b/src/rowanlab/simulator/network.py
@@ -1,4 +1,4 @@
-"""The network port and the channels between callers, proxies and members, simulated."""
+"""The simulated network: calls between nodes, and channels between callers and servers."""
 
 import asyncio
 import collections
@@ -18,9 +18,9 @@
 
 
 class SimulatedNetwork(Network):
-    """Calls and notices of one process. Messages are encoded as on the wire.
+    """The network of one process. Messages are encoded and decoded as on the wire.
 
-    :param endpoints: shared by all processes: who serves which address.
+    :param endpoints: registry of served addresses, shared by all processes.
     """
 
     def __init__(
@@ -33,14 +33,17 @@
         self._next_call = 0
 
     async def serve(self, address: str, handler: Handler) -> Listener:
-        """See :meth:`Network.serve`."""
+        """Register the handler for an address."""
         self._endpoints.networks[address] = (self._process.name, self, handler)
         return _SimulatedListener(self._endpoints, address)
 
     async def call(
         self, address: str, request: msgspec.Struct, timeout_seconds: float
     ) -> msgspec.Struct:
-        """See :meth:`Network.call`."""
+        """Send a request and return its reply.
+
+        :raises TransportError: if the request is refused, fails or is not answered in time.
+        """
         self._next_call += 1
         call = self._next_call
         future: asyncio.Future[msgspec.Struct] = asyncio.get_running_loop().create_future()
@@ -62,7 +65,7 @@
         return reply
 
     def _is_refused(self, address: str) -> bool:
-        """Return whether the machine can be reached and its process is dead."""
+        """Return whether the machine is reachable but the serving process is dead."""
         endpoint = self._endpoints.networks.get(address)
         if endpoint is None:
             return False
@@ -70,7 +73,7 @@
         return not process.alive and not self._world.is_cut(self._process, process)
 
     def notify(self, address: str, notice: msgspec.Struct) -> None:
-        """See :meth:`Network.notify`."""
+        """Send a message that expects no reply."""
         self._transmit(address, encode_frame(FrameKind.NOTICE, 0, notice))
 
     def _transmit(self, address: str, frame: bytes) -> None:
@@ -107,7 +110,7 @@
             future.set_result(reply)
 
     async def close(self) -> None:
-        """See :meth:`Network.close`."""
+        """Do nothing: a simulated network holds no resources."""
 
 
 class _SimulatedListener(Listener):
@@ -120,7 +123,7 @@
 
 
 class ChannelServer(Protocol):
-    """One accepted channel at its server. ``reply`` sends answers that nobody asked for."""
+    """The server's side of an accepted channel. ``reply`` sends unsolicited answers."""
 
     reply: Callable[..., None] | None
 
@@ -128,11 +131,11 @@
         """Return the answer to a payload."""
 
     async def closed(self) -> None:
-        """The other end closed the channel."""
+        """Handle that the client closed the channel."""
 
 
 class EndpointRegistry:
-    """Who serves which address, for calls and for channels."""
+    """The processes that serve each address, for calls and for channels."""
 
     def __init__(self) -> None:
         self.networks: dict[str, tuple[str, SimulatedNetwork, Handler]] = {}
@@ -140,14 +143,14 @@
 
 
 class ChannelLostError(Exception):
-    """The other end is gone."""
+    """The channel's other end refused, reset or closed the connection."""
 
 
 class _Stream:
-    """One direction of a byte stream: all of it arrives, in order, or nothing after a gap.
+    """One direction of a byte stream, which delivers in order and without gaps.
 
-    What a cut holds up is sent again until the cut heals, as TCP does. What a process has
-    written its machine sends also after the process has ended; the reset comes after it.
+    Data that meets a cut is retransmitted until the cut heals, as in TCP. Data that a process
+    has written is delivered even after the process ends, followed by the reset.
     """
 
     def __init__(self, world: World, source: SimulatedProcess, target: str) -> None:
@@ -157,12 +160,12 @@
         self._unsent: collections.deque[Callable[[], None]] = collections.deque()
 
     def send(self, deliver: Callable[[], None]) -> None:
-        """Send something. A dead process sends nothing, also when its tasks are collected."""
+        """Send a message, unless the process is dead (its tasks may still be cleaned up)."""
         if self._source.alive:
             self._enqueue(deliver)
 
     def reset(self, deliver: Callable[[], None]) -> None:
-        """Send the reset of a process that has just died, after what it had written."""
+        """Send the reset of a process that has died, after the data that it had written."""
         self._enqueue(deliver)
 
     def _enqueue(self, deliver: Callable[[], None]) -> None:
@@ -181,7 +184,7 @@
 
 
 class Channel:
-    """A caller's end of a byte stream: requests out, answers in, both in order, no ids."""
+    """The client's end of a byte stream: requests and answers in order, without ids."""
 
     def __init__(self, world: World, process: SimulatedProcess, peer: str) -> None:
         self._world = world
@@ -195,9 +198,9 @@
 
     @classmethod
     async def open(cls, world: World, endpoints: EndpointRegistry, address: str) -> "Channel":
-        """Connect.
+        """Connect to an address.
 
-        :raises ChannelLostError: if nobody serves the address.
+        :raises ChannelLostError: if no running process serves the address.
         """
         process = current_process.get()
         assert process is not None
@@ -219,7 +222,9 @@
                 future.set_exception(ChannelLostError("connection refused"))
 
         def arrive() -> None:
-            if endpoints.channels.get(address) is not known:  # no longer served since
+            if (
+                endpoints.channels.get(address) is not known
+            ):  # the server stopped listening meanwhile
                 back.send(refuse)
                 return
             end = _ServerChannel(world, world.process(name), channel, accept(), back)
@@ -244,7 +249,7 @@
         self._answers.put_nowait(ChannelLostError("connection reset"))
 
     def has_unread(self) -> bool:
-        """Return whether an answer arrived that nobody asked for."""
+        """Return whether an answer has arrived that was not read."""
         return not self._answers.empty()
 
     def send(self, payload: Any) -> None:
@@ -259,7 +264,7 @@
         self._stream.send(lambda: end.arrive(payload))
 
     async def receive(self) -> Any:
-        """Return the next answer, whatever it answers.
+        """Return the next answer, whichever request it belongs to.
 
         :raises ChannelLostError: if the channel is lost.
         """
@@ -269,7 +274,7 @@
         return answer
 
     def close(self) -> None:
-        """Close; the server's end learns of it unless the link is cut."""
+        """Close the channel and notify the server's end."""
         if not self._closed:
             self._closed = True
             end = self._server
@@ -278,7 +283,7 @@
 
 
 class _ServerChannel:
-    """The server's end of a channel: handles requests one after the other."""
+    """The server's end of a channel, which handles requests sequentially."""
 
     def __init__(
         self,
@@ -313,7 +318,7 @@
         await self._server.closed()
 
     def reply(self, *answers: Any) -> None:
-        """Send one or more answers, which arrive together."""
+        """Send one or more answers, which arrive at the same time."""
         channel = self._channel
 
         def arrive() -> None:
--- a/src/rowanlab/simulator/permissive.py
+++ b/src/rowanlab/simulator/permissive.py
@@ -1,4 +1,4 @@
-"""Plug-ins without their guard: what a scenario puts in a guard's place to be seen failing."""
+"""Plug-ins that disable one guard, to show that a scenario fails without it."""
 
 import enum
 from collections.abc import Sequence
@@ -25,107 +25,107 @@
 
 
 class AlwaysFresh(Freshness):
-    """Every member is fresh enough."""
+    """Treats every member as fresh enough."""
 
     def is_fresh(self, committed: Position, floor: Position) -> bool:
-        """See the guard."""
+        """Return True, whatever the member has committed."""
         return True
 
 
 class AlwaysConfirmed(TermConfirmation):
-    """Every write is confirmed at once."""
+    """Confirms every write at once."""
 
     def is_confirmed(
         self, position: Position, statuses: Sequence[MemberStatus], members: int
     ) -> bool:
-        """See the guard."""
+        """Return True, whatever the members report."""
         return True
 
 
 class NoPinning(Pinning):
-    """Transactions change their connection between statements."""
+    """Lets a transaction change its connection between statements."""
 
     def keeps_connection(self) -> bool:
-        """See the guard."""
+        """Return False: a transaction is not pinned to its connection."""
         return False
 
 
 class AlwaysReusable(LateAnswerDiscard):
-    """A connection with a late answer is used again."""
+    """Reuses connections whose last answer is still outstanding."""
 
     def is_reusable(self, answered: bool) -> bool:
-        """See the guard."""
+        """Return True, also for an unanswered connection."""
         return True
 
 
 class AlwaysNotRun(OutcomeClassification):
-    """Whatever is lost counts as not run."""
+    """Classifies every lost statement as not run."""
 
     def connection_lost_error(
         self, message: str, *, sent: bool, retry_after_seconds: float, step: str, peer: str
     ) -> CallerError:
-        """See the guard."""
+        """Return a :class:`NotRunError`, also for a statement that was sent."""
         return NotRunError(message, retry_after_seconds=retry_after_seconds, step=step, peer=peer)
 
 
 class NoRequestRecord(RequestRecord):
-    """Request ids are not recorded."""
+    """Does not record request ids."""
 
     def records_requests(self) -> bool:
-        """See the guard."""
+        """Return False: repeated requests run again."""
         return False
 
 
 class AlwaysAcceptsWork(LeavingCheck):
-    """Leaving members get work."""
+    """Sends new work to members that are leaving."""
 
     def accepts_work(self, leaving: bool) -> bool:
-        """See the guard."""
+        """Return True, also for a leaving member."""
         return True
 
 
 class NoDrainWait(DrainWait):
-    """A planned stop waits for nothing."""
+    """Lets a planned stop interrupt requests and transactions."""
 
     def must_wait(self, busy: bool, in_transaction: bool) -> bool:
-        """See the guard."""
+        """Return False, also for a busy session."""
         return False
 
 
 class AnyExpectedVersion(ExpectedVersion):
-    """A change applies whatever it was made against."""
+    """Applies a change whichever version it is based on."""
 
     def matches(self, base_version: int, current_version: int) -> bool:
-        """See the guard."""
+        """Return True, also for an outdated base version."""
         return True
 
 
 class NonMonotonicVersions(VersionMonotonic):
-    """Any other version than the one in force is taken."""
+    """Accepts older versions as well as newer ones."""
 
     def accepts(self, in_force: int, offered: int) -> bool:
-        """See the guard."""
+        """Return whether the offered version differs from the one in force."""
         return offered != in_force
 
 
 class NoQuorumCheck(QuorumCheck):
-    """A leader needs nobody's answer."""
+    """Lets a leader go on without answers from a majority."""
 
     def has_quorum(self, answered: int, voters: int) -> bool:
-        """See the guard."""
+        """Return True, also if no voter has answered."""
         return True
 
 
 class IdentityReuse(LearnerFirst):
-    """A node with an empty folder goes on under its old identity, with its vote."""
+    """Lets a node that lost its disk keep its identity, and so its vote."""
 
     def new_node_id(self, name: str, random_id: str) -> str:
-        """See the guard."""
+        """Return the node's first identity instead of the fresh one."""
         return f"{name}@1"
 
 
 class Guard(enum.Enum):
-    """The guards that a scenario can take away."""
+    """The guards that a run can disable."""
 
     FRESHNESS = "freshness"
     TERM_CONFIRMATION = "term-confirmation"
@@ -164,7 +164,10 @@
 
 
 def registry_without(guard: Guard | None) -> Registry:
-    """Return the plug-ins of a run. ``fsync`` is no plug-in: the simulated disk leaves it out."""
+    """Return the plug-ins of a run with one guard disabled.
+
+    ``Guard.FSYNC`` changes no plug-in: the simulated disk ignores syncs instead.
+    """
     registry = Registry()
     if guard is not None and guard in _REPLACEMENTS:
         replacement = _REPLACEMENTS[guard]
--- a/src/rowanlab/simulator/proxies.py
+++ b/src/rowanlab/simulator/proxies.py
@@ -1,4 +1,4 @@
-"""Proxies and callers in the simulator."""
+"""Simulated proxies and callers."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,13 +26,13 @@
 
 
 class Statement(msgspec.Struct, frozen=True):
-    """A caller's statement."""
+    """A statement, as sent by a caller over a channel."""
 
     sql: str
 
 
 class CallerFailure(msgspec.Struct, frozen=True):
-    """A caller's error, on its way back."""
+    """A failed statement, as answered to a caller over a channel."""
 
     outcome: Outcome
     message: str
@@ -48,7 +48,7 @@
 
 
 class _SessionChannel:
-    """One caller's connection at a proxy."""
+    """The proxy's side of a caller's connection."""
 
     def __init__(self, proxy: "SimulatedProxy") -> None:
         self._proxy = proxy
@@ -57,7 +57,7 @@
         self._ended = False
 
     def announce_stop(self) -> None:
-        """Tell the caller between statements that the proxy stops."""
+        """Tell an idle caller that the proxy is stopping."""
         self._ended = True
         assert self.reply is not None
         self.reply(CallerFailure(Outcome.NOT_RUN, "this proxy is stopping", 0.1))
@@ -81,7 +81,7 @@
 
 
 class SimulatedProxy(SimulatedDaemon):
-    """A proxy across its restarts. It has no disk."""
+    """A proxy across restarts of its process; it has no disk."""
 
     def __init__(
         self,
@@ -108,11 +108,11 @@
 
     @property
     def incarnation(self) -> str:
-        """Which start of the proxy runs, or ran last."""
+        """Identifier of the current or last start of the proxy."""
         return f"{self.name}/{self._starts}"
 
     def start(self, configuration: VersionedConfiguration | None) -> None:
-        """Start the proxy's process, with a fixed configuration or with a watch for one."""
+        """Start the proxy's process, with a fixed configuration or one watched at control nodes."""
         self._starts += 1
         self.core = None
         self.stopping = False
@@ -167,7 +167,7 @@
         watch.start()
 
     async def stop(self, limit_seconds: float) -> None:
-        """Stop as planned."""
+        """Stop gracefully within ``limit_seconds``, then end the process."""
         assert self.core is not None
         self.stopping = True
         self._world.note(f"{self.name} stops as planned")
@@ -192,7 +192,7 @@
     ) -> "SimulatedCaller":
         """Connect to a proxy.
 
-        :raises CallError: if that fails; nothing ran.
+        :raises CallError: if the connection fails; its outcome is ``NOT_RUN``.
         """
         try:
             async with asyncio.timeout(CALLER_TIMEOUT_SECONDS):
@@ -204,7 +204,7 @@
     async def execute(self, sql: str) -> list[tuple[Any, ...]]:
         """Run a statement and return its rows.
 
-        :raises CallError: if it did not succeed.
+        :raises CallError: if the statement did not succeed.
         """
         stopped_before = self._proxy.stopping
         try:
@@ -221,7 +221,7 @@
         return [tuple(_value(value) for value in row) for row in answer.rows]
 
     def close(self) -> None:
-        """Close."""
+        """Close the connection."""
         self._channel.close()
 
 
--- a/src/rowanlab/simulator/report.py
+++ b/src/rowanlab/simulator/report.py
@@ -1,4 +1,4 @@
-"""Runs of many seeds of a scenario, and their summary."""
+"""Runs a scenario with many seeds and summarizes the results."""
 
 import time
 
@@ -12,7 +12,7 @@
 
 
 class SeedTask(msgspec.Struct, frozen=True):
-    """One seed to run."""
+    """One run of a scenario, with a seed."""
 
     scenario: str
     without: Guard | None
@@ -21,12 +21,12 @@
 
 
 class SimulationReport(msgspec.Struct):
-    """The summary of a scenario's seeds; the last line of ``rowanlab simulate``.
+    """The summary of all seeds of a scenario, printed as JSON by ``rowanlab simulate``.
 
-    :param violations: number of seeds with a broken guarantee or without recovery.
-    :param acknowledged: writes acknowledged, in all seeds.
-    :param acknowledged_after_heal: those of them after all faults had healed.
-    :param seconds: real time of the whole run.
+    :param violations: number of seeds that broke a guarantee or did not recover.
+    :param acknowledged: number of acknowledged writes.
+    :param acknowledged_after_heal: number of those after all faults had healed.
+    :param seconds: wall-clock time of the whole run.
     """
 
     scenario: str
@@ -42,7 +42,7 @@
     examples: list[str] = []
 
     def add(self, result: SeedResult) -> None:
-        """Count one seed."""
+        """Add the result of one seed."""
         verdict = result.verdict
         self.operations += verdict.operations
         self.acknowledged += verdict.acknowledged
@@ -59,7 +59,7 @@
 
 
 def run_seed(task: SeedTask) -> SeedResult:
-    """Run one seed, silently."""
+    """Run one seed with logging turned off."""
     silence()
     result = SCENARIOS[task.scenario].run(task.seed, task.without)
     if not task.keep_trace:
@@ -74,9 +74,9 @@
     last_seed: int,
     cores: int | None = None,
 ) -> SimulationReport:
-    """Run a scenario's seeds over all cores.
+    """Run a scenario with the seeds ``first_seed`` to ``last_seed``, both included.
 
-    :param first_seed: the first seed; ``last_seed`` is run too.
+    :param cores: number of worker processes; all usable cores by default.
     """
     began = time.monotonic()
     report = SimulationReport(
--- a/src/rowanlab/simulator/scenario.py
+++ b/src/rowanlab/simulator/scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario is, and how one seed of it is run."""
+"""The definition of a scenario, and the run of one of its seeds."""
 
 import asyncio
 import time
@@ -18,9 +18,10 @@
 
 
 class SeedResult(msgspec.Struct):
-    """What became of one seed.
+    """The result of one seed.
 
-    :param seconds: real time that it took.
+    :param acknowledged_after_heal: number of writes acknowledged after all faults had healed.
+    :param seconds: wall-clock time of the run.
     """
 
     seed: int
@@ -32,7 +33,7 @@
 
     @property
     def violated(self) -> bool:
-        """Whether a guarantee was broken, or the run did not recover."""
+        """Whether the run broke a guarantee or did not recover."""
         return self.verdict.violations > 0
 
 
@@ -40,7 +41,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """A scenario by name, with the guard that it must be seen failing without."""
+    """A named scenario, and the guard without which it must fail for some seed."""
 
     name: str
     guard: Guard | None
@@ -48,20 +49,20 @@
 
 
 class SimulationOracle(Protocol):
-    """An oracle, as far as the run of a seed needs it."""
+    """The part of an oracle that the run of a seed uses."""
 
     @property
     def verdict(self) -> AnyVerdict:
-        """The counts so far."""
+        """The counts collected so far."""
 
     def note_not_recovered(self, message: str) -> None:
-        """Note that the run could not go on."""
+        """Record that the run did not recover."""
 
 
 def run_world(
     world: World, seed: int, oracle: SimulationOracle, scenario: Callable[[], Awaitable[int]]
 ) -> SeedResult:
-    """Run a scenario in its world.
+    """Run a scenario in its world and return the oracle's verdict.
 
     :param scenario: returns the number of writes acknowledged after the faults had healed.
     """
@@ -75,7 +76,7 @@
     stop_observing = observe(lambda event, message: world.note(f"RR{event.number:04d} {message}"))
     try:
         after_heal = world.run(limited())
-    except Exception as error:  # a run that can't be judged is a violation, whatever the reason
+    except Exception as error:  # any failure of the run counts as a violation
         oracle.note_not_recovered(f"the run ended with {type(error).__name__}: {error}")
     finally:
         stop_observing()
--- a/src/rowanlab/simulator/scenarios.py
+++ b/src/rowanlab/simulator/scenarios.py
@@ -1,4 +1,4 @@
-"""All scenarios by name."""
+"""The registry of all scenarios by name."""
 
 from rowanlab.simulator.control_scenarios import CONTROL_SCENARIOS
 from rowanlab.simulator.data_scenarios import DATA_SCENARIOS
--- a/src/rowanlab/simulator/world.py
+++ b/src/rowanlab/simulator/world.py
@@ -1,4 +1,4 @@
-"""A simulated world: machines in zones, links between them, and faults."""
+"""The simulated environment: processes in zones, the links between them, and faults."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 
 class World:
-    """One simulated run, made of one seed."""
+    """The environment of one simulated run, determined by its seed."""
 
     def __init__(self, seed: int) -> None:
         self.loop = VirtualLoop()
@@ -36,7 +36,7 @@
     # Processes
 
     def spawn(self, name: str, zone: str, rate: float = 1.0) -> SimulatedProcess:
-        """Add a process; an earlier one of the same name must be dead."""
+        """Start a process; an earlier one of the same name must be dead."""
         process = SimulatedProcess(name, zone, rate)
         self._processes[name] = process
         return process
@@ -44,17 +44,17 @@
     def run_in(
         self, process: SimulatedProcess, work: Coroutine[Any, Any, Any]
     ) -> "asyncio.Task[Any]":
-        """Run a coroutine within a process."""
+        """Create a task that runs within a process."""
         task = self.loop.create_task(work, context=process.context)
         process.tasks.append(task)
         return task
 
     def process(self, name: str) -> SimulatedProcess:
-        """Return the newest process of a name."""
+        """Return the most recent process with this name."""
         return self._processes[name]
 
     def kill(self, name: str) -> None:
-        """Kill a process: nothing of it runs again."""
+        """Kill a process: none of its callbacks run any more."""
         process = self._processes[name]
         if not process.alive:
             return
@@ -65,16 +65,16 @@
             callback(process)
 
     def on_kill(self, name: str, callback: Callable[[SimulatedProcess], None]) -> None:
-        """Call back with the process of this name when it is killed."""
+        """Register a callback for the next kill of a process with this name."""
         self._kill_callbacks.setdefault(name, []).append(callback)
 
     def freeze(self, name: str) -> None:
-        """Freeze a process."""
+        """Freeze a process, as SIGSTOP does."""
         self._processes[name].frozen = True
         self.note(f"{name} freezes")
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process, as SIGCONT does."""
         process = self._processes[name]
         if process.frozen:
             process.thaw(self.loop)
@@ -83,17 +83,17 @@
     # Links
 
     def cut(self, source: str, target: str) -> None:
-        """Lose everything from one place (process or zone) to another, one way."""
+        """Drop all messages from one process or zone to another, in this direction only."""
         self._cuts.add((source, target))
         self.note(f"cut from {source} to {target}")
 
     def heal(self, source: str, target: str) -> None:
-        """End one cut."""
+        """Remove one cut."""
         self._cuts.discard((source, target))
         self.note(f"heal from {source} to {target}")
 
     def heal_all(self) -> None:
-        """Heal all cuts and thaw all processes."""
+        """Remove all cuts and thaw all frozen processes."""
         self._cuts.clear()
         self.note("all cuts heal")
         for name in sorted(self._processes):
@@ -109,9 +109,9 @@
         return (source.name, target.name) in self._cuts
 
     def send(self, source: SimulatedProcess, target: str, deliver: Delivery) -> None:
-        """Deliver something to a process after the link's delay, unless it is lost.
+        """Deliver a message to a process after the link's delay, unless a cut drops it.
 
-        What goes from one process to another arrives in the order of its sending.
+        Messages between two processes arrive in the order in which they were sent.
         """
         if source.alive:
             self.transmit(source, target, deliver, in_flight_is_safe=False)
@@ -119,9 +119,9 @@
     def transmit(
         self, source: SimulatedProcess, target: str, deliver: Delivery, in_flight_is_safe: bool
     ) -> None:
-        """Deliver something from a process, or from the machine that it died on.
+        """Deliver a message, also on behalf of a process that has died.
 
-        :param in_flight_is_safe: whether a cut spares what is under way already.
+        :param in_flight_is_safe: whether a cut made after sending leaves the message alone.
         """
         destination = self._processes.get(target)
         if destination is None or self.is_cut(source, destination) or self.loop.is_closed():
@@ -129,7 +129,7 @@
         delay = LOCAL_DELAY_SECONDS if source.zone == destination.zone else CROSS_ZONE_DELAY_SECONDS
         arrival = self.loop.now + delay * self.random.uniform(1.0, 1.3)
         pair = (source.name, target)
-        # Timers for the same moment fire in no certain order: keep them apart.
+        # Timers with equal times fire in no defined order.
         arrival = max(arrival, self._last_arrival.get(pair, 0.0) + MIN_ARRIVAL_GAP_SECONDS)
         self._last_arrival[pair] = arrival
 
@@ -141,32 +141,32 @@
         self.call_later(arrival - self.loop.now, arrive)
 
     def call_later(self, delay_seconds: float, callback: Callable[[], None]) -> None:
-        """Call back outside of all processes, in true time."""
+        """Schedule a callback outside of all processes, in true time."""
         token = current_process.set(None)
         try:
             self.loop.call_at(self.loop.now + delay_seconds, callback)
         finally:
             current_process.reset(token)
 
-    # Time and notes
+    # Time and trace
 
     def wall_clock(self) -> float:
-        """Return the time of day."""
+        """Return the simulated time of day, in seconds since the epoch."""
         return WALL_CLOCK_START + self.loop.now
 
     def note(self, message: str) -> None:
-        """Add a line to the trace."""
+        """Append a line to the trace."""
         process = current_process.get()
         name = process.name if process else "-"
         self.trace.append(f"{len(self.trace) + 1:6d} {self.loop.now:10.4f} {name:14} {message}")
 
     def scratch_file(self) -> Path:
-        """Return a new name in the scratch folder."""
+        """Return an unused path in the scratch folder."""
         self._scratch_count += 1
         return self.scratch / f"{self._scratch_count}.sqlite"
 
     def run(self, scenario: Awaitable[Any]) -> Any:
-        """Run the scenario to its end and clean up."""
+        """Run a scenario to completion and clean up."""
         asyncio.set_event_loop(self.loop)
         self.loop.set_exception_handler(self._on_unhandled)
         try:
@@ -175,12 +175,12 @@
             self._shut_down()
 
     def _on_unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        # When the tasks of a dead process are collected is not part of a run.
+        # A dead process's tasks are collected at no defined time: keep that out of the trace.
         if "exception" in context:
             self.note(f"unhandled: {context['message']} {context['exception']!r}")
 
     def _shut_down(self) -> None:
-        """End all tasks without running any more of them than their cancellation."""
+        """Cancel all tasks, close the loop and remove the scratch folder."""
         for process in [*self._processes.values(), *self._killed_processes]:
             process.alive = True
             process.frozen = False
