--- a/src/rowanlab/cli.py
+++ b/src/rowanlab/cli.py
@@ -30,7 +30,7 @@
 
 
 class _Commands(click.Group):
-    """A group whose errors are messages, not traces."""
+    """A group that prints product errors as messages instead of tracebacks."""
 
     def invoke(self, context: click.Context) -> Any:
         try:
@@ -125,7 +125,7 @@
 
 
 def _signal_command(name: str, number: signal.Signals, what: str) -> click.Command:
-    """Return the command that sends one signal to a process of a fleet."""
+    """Create the command that sends a signal to a process of a fleet."""
 
     @click.command(name, help=f"{what} ({number.name}).")
     @click.argument("name")
--- a/src/rowanlab/documents.py
+++ b/src/rowanlab/documents.py
@@ -1,4 +1,4 @@
-"""Reference pages made from the code: settings and log events."""
+"""Reference pages generated from the code: settings and log events."""
 
 import typing
 from pathlib import Path
@@ -46,7 +46,7 @@
 
 
 def render_events() -> str:
-    """Return the catalogue of log events."""
+    """Return the page that lists all log events."""
     lines = [
         "# Log events",
         "",
@@ -63,7 +63,7 @@
 
 
 def render_settings() -> str:
-    """Return the reference of the configuration and of the daemons' settings."""
+    """Return the reference page of the configuration and the daemons' settings."""
     lines = ["# Settings reference", "", _NOTE, "## Configuration (`rowanrail apply`)", ""]
     for kind in CONFIGURATION_TYPES:
         lines += _render_type(kind, model.FIELD_HELP)
@@ -105,6 +105,6 @@
 
 
 def write_documents(folder: Path) -> None:
-    """Write the pages into a folder."""
+    """Write the reference pages into a folder."""
     (folder / "EVENTS.md").write_text(render_events())
     (folder / "SETTINGS.md").write_text(render_settings())
--- a/src/rowanlab/fleet/__init__.py
+++ b/src/rowanlab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of a test fleet on one machine."""
+"""A test fleet of processes on one machine."""
--- a/src/rowanlab/fleet/faults.py
+++ b/src/rowanlab/fleet/faults.py
@@ -1,4 +1,4 @@
-"""Faults on a running fleet, by the names in fleet.json."""
+"""Fault injection into a running fleet, by the names in ``fleet.json``."""
 
 import os
 import signal
@@ -17,7 +17,7 @@
 def find(fleet: FleetFile, name: str) -> Process:
     """Return a process by name.
 
-    :raises RowanrailError: if there is none.
+    :raises RowanrailError: if there is no such process.
     """
     process = fleet.find(name)
     if process is None:
@@ -27,7 +27,10 @@
 
 
 def signal_process(fleet: FleetFile, name: str, number: signal.Signals) -> None:
-    """Send a signal to a process, by its id."""
+    """Send a signal to a process.
+
+    :raises RowanrailError: if the process does not exist or does not run.
+    """
     try:
         os.kill(find(fleet, name).pid, number)
     except ProcessLookupError as error:
@@ -35,7 +38,7 @@
 
 
 def cut(fleet: FleetFile, place: str, direction: Direction, is_cut: bool) -> None:
-    """Cut a process or a zone off from the other zones, or heal it."""
+    """Partition a process or zone from the other zones, or remove the partition."""
     if place not in fleet.zones():
         find(fleet, place)
     for forwarder in fleet.forwarders:
@@ -48,7 +51,7 @@
 
 
 def set_listed_state(folder: Path, name: str, state: str) -> None:
-    """Change a machine's state in the platform's list; the list shows it late."""
+    """Change a machine's state in the platform's list, which is served with a delay."""
     path = folder / "machines.json"
     listed = msgspec.json.decode(path.read_bytes(), type=MachineList)
     machines = [
--- a/src/rowanlab/fleet/forwarder.py
+++ b/src/rowanlab/fleet/forwarder.py
@@ -1,7 +1,7 @@
-"""Forwarders: TCP links with a delay, which can be cut in either direction.
+"""TCP forwarders that delay traffic and can cut either direction of a link.
 
-What is sent over a cut link is lost without a word. When the link heals, connections
-that lost bytes are closed, as the operating systems at both ends would do in time.
+Data sent over a cut link is dropped silently. When the link heals, connections that lost
+data are aborted, as the operating systems at both ends would do eventually.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class Link(msgspec.Struct, frozen=True):
-    """One link: from ``source`` to ``target`` (names), listening on ``listen``."""
+    """A link between two named processes: forwards from ``listen`` to ``address``."""
 
     source: str
     target: str
@@ -34,7 +34,7 @@
 
 
 class Direction(enum.Enum):
-    """Which direction of a place's traffic is cut."""
+    """The direction of traffic that is cut, as seen from the process or zone."""
 
     BOTH = "both"
     IN = "in"
@@ -43,7 +43,7 @@
 
 @message("CutRequest")
 class CutRequest(msgspec.Struct, frozen=True):
-    """Cut a place (process or zone) off from other zones, or heal it."""
+    """Request to cut a place (a process or zone) off from other zones, or to heal it."""
 
     place: str
     direction: Direction
@@ -51,7 +51,7 @@
 
 
 class LinkState:
-    """Whether the link's two directions are cut."""
+    """A link's connections, and the cuts of its two directions."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
@@ -60,7 +60,7 @@
         self.connections: set[_Endpoint] = set()
 
     def apply(self, request: CutRequest) -> None:
-        """Apply a cut, or heal it."""
+        """Cut or heal the link if the request's place is at one of its ends."""
         link = self.link
         outward = request.direction in (Direction.BOTH, Direction.OUT)
         inward = request.direction in (Direction.BOTH, Direction.IN)
@@ -149,7 +149,7 @@
 
     def _close_peer(self, peer: "_Endpoint") -> None:
         if self._state.forward_cuts or self._state.backward_cuts:
-            peer._data_lost = True  # the end of the connection is lost as well
+            peer._data_lost = True  # the end of the stream is lost as well
         else:
             peer.close()
 
@@ -158,7 +158,7 @@
             self._transport.close()
 
     def close_if_data_lost(self) -> None:
-        """Close both ends if bytes were lost."""
+        """Abort both ends if data was lost."""
         peer = self._peer
         if self._data_lost or (peer is not None and peer._data_lost):
             if peer is not None and peer._transport is not None:
@@ -168,7 +168,7 @@
 
 
 async def run_forwarder(settings: ForwarderSettings) -> None:
-    """Run the links until a stop signal."""
+    """Forward all links until a stop signal."""
     loop = asyncio.get_running_loop()
     states = [LinkState(link) for link in settings.links]
 
--- a/src/rowanlab/fleet/layout.py
+++ b/src/rowanlab/fleet/layout.py
@@ -1,7 +1,7 @@
 """Addresses and settings files of a test fleet.
 
-Every zone has its own loopback addresses: ``127.SUBNET.ZONE.x``. Links between zones,
-and from callers to proxies, go through forwarders.
+Every zone has its own loopback addresses, ``127.SUBNET.ZONE.x``. Links between zones, and
+from callers to proxies, go through forwarders.
 """
 
 import hashlib
@@ -32,7 +32,7 @@
 
 
 class Process(msgspec.Struct):
-    """One process of the fleet, as it stands in fleet.json."""
+    """A process of the fleet, as listed in ``fleet.json``."""
 
     name: str
     kind: str
@@ -46,7 +46,7 @@
 
 
 class GroupView(msgspec.Struct):
-    """One group in fleet.json."""
+    """A database group, as listed in ``fleet.json``."""
 
     name: str
     database: str
@@ -54,7 +54,7 @@
 
 
 class FleetFile(msgspec.Struct):
-    """Contents of fleet.json."""
+    """Contents of ``fleet.json``."""
 
     profile: str
     subnet: int
@@ -69,12 +69,12 @@
     configuration: str = ""
 
     def processes(self) -> list[Process]:
-        """Return all processes."""
+        """Return all processes in the order in which they are started."""
         members = [member for group in self.groups for member in group.members]
         return [*self.forwarders, self.directory, *members, *self.controls, *self.proxies]
 
     def find(self, name: str) -> Process | None:
-        """Return the process with this name."""
+        """Return the process with this name, or None."""
         return next((process for process in self.processes() if process.name == name), None)
 
     def zones(self) -> list[str]:
@@ -83,14 +83,14 @@
 
 
 class FleetOptions(msgspec.Struct, frozen=True):
-    """What differs from the profile."""
+    """Options of a fleet that are not part of its profile."""
 
     subnet: int
     groups: int = 3
 
 
 class _LinkAllocator:
-    """Collects the links of each zone's forwarder."""
+    """Allocates the links of each zone's forwarder."""
 
     def __init__(self, profile: Profile, options: FleetOptions) -> None:
         self._profile = profile
@@ -99,7 +99,7 @@
         self.by_zone: dict[str, list[Link]] = {}
 
     def route(self, source: str, source_zone: str, target: Process, address: str) -> str:
-        """Return the address at which ``source`` reaches ``address`` of ``target``."""
+        """Return the address at which ``source`` reaches ``address``, which ``target`` serves."""
         if source_zone == target.zone:
             return address
         delay = self._profile.zone_delay_seconds
@@ -126,12 +126,12 @@
 
 
 def zone_number(profile: Profile, zone: str) -> int:
-    """Return the number of a zone in the loopback addresses."""
+    """Return the third number of a zone's loopback addresses."""
     return 200 if zone == CALLER_ZONE else profile.zones.index(zone) + 1
 
 
 class Layout:
-    """Writes the settings of all processes below a folder."""
+    """Assigns addresses to all processes and writes their settings files."""
 
     def __init__(self, profile: Profile, options: FleetOptions, folder: Path) -> None:
         self._profile = profile
@@ -140,7 +140,7 @@
         self._links = _LinkAllocator(profile, options)
 
     def write(self) -> FleetFile:
-        """Write all settings and return the fleet."""
+        """Write all settings and return the contents of ``fleet.json``."""
         (self._folder / "settings").mkdir(parents=True, exist_ok=True)
         controls = self._controls()
         groups = self._groups()
--- a/src/rowanlab/fleet/profiles.py
+++ b/src/rowanlab/fleet/profiles.py
@@ -1,13 +1,17 @@
-"""The two deployments, in the sizes of the users' brief."""
+"""Profiles of the two deployments that the fleet reproduces."""
 
 import msgspec
 
 
 class Profile(msgspec.Struct, frozen=True):
-    """Sizes and delays of a deployment.
+    """Sizes and network delays of a deployment.
 
+    :param slots: statements that a member runs at a time.
+    :param connections: connections that a member accepts.
     :param zone_delay_seconds: one-way delay between zones.
     :param caller_delay_seconds: one-way delay between callers and their proxy.
+    :param connect_seconds: time that a member takes to accept a connection.
+    :param read_share: fraction of requests that are reads.
     """
 
     name: str
--- a/src/rowanlab/fleet/runner.py
+++ b/src/rowanlab/fleet/runner.py
@@ -1,4 +1,4 @@
-"""Starts, watches and stops the processes of a test fleet. Nothing else spawns processes."""
+"""Starts, monitors and stops the processes of a test fleet."""
 
 import asyncio
 import os
@@ -28,7 +28,10 @@
 
 
 def free_subnet(wanted: int) -> int:
-    """Return a loopback subnet that no other fleet uses, ``wanted`` if possible."""
+    """Return a loopback subnet that no other fleet uses, ``wanted`` if possible.
+
+    :raises RowanrailError: if all subnets are in use.
+    """
     for subnet in [wanted, *range(FIRST_SUBNET, LAST_SUBNET)]:
         try:
             with socket.socket() as probe:
@@ -40,7 +43,7 @@
 
 
 class Fleet:
-    """A running fleet."""
+    """The processes of a test fleet, with their settings in a folder."""
 
     def __init__(self, profile: Profile, options: FleetOptions, folder: Path) -> None:
         self.folder = folder
@@ -51,9 +54,9 @@
     # Processes
 
     def start(self) -> None:
-        """Start all processes of a new system, wait until they serve, and apply the files.
+        """Start all processes of a new system, and wait until they are ready.
 
-        :raises RowanrailError: if that does not happen in time.
+        :raises RowanrailError: if a process ends or is not ready in time.
         """
         for process in self.file.processes():
             self.spawn(process, bootstrap=True)
@@ -61,7 +64,7 @@
         self.wait_ready()
 
     def spawn(self, process: Process, bootstrap: bool = False) -> None:
-        """Start one process."""
+        """Start a process, with its output appended to its log file."""
         command = [*process.command]
         if bootstrap and process.kind in ("control", "member"):
             command.append("--bootstrap")
@@ -79,14 +82,17 @@
         process.pid = running.pid
 
     def save(self) -> None:
-        """Write fleet.json."""
+        """Write ``fleet.json`` atomically."""
         path = self.folder / FLEET_FILE
         temporary = path.with_suffix(".tmp")
         temporary.write_bytes(msgspec.json.format(msgspec.json.encode(self.file)))
         temporary.rename(path)
 
     def wait_ready(self) -> None:
-        """Wait until every process serves and the configuration is in force everywhere."""
+        """Wait until all processes listen, then apply the configuration to all zones.
+
+        :raises RowanrailError: if a process ends or the fleet is not ready in time.
+        """
         deadline = time.monotonic() + READY_SECONDS
         for process in self.file.processes():
             host, port = process.host, process.port
@@ -110,7 +116,11 @@
         return ControlClient(addresses, self.file.token)
 
     def apply(self, path: Path) -> int:
-        """Apply a configuration and return its version."""
+        """Apply a configuration and return its version.
+
+        :raises RowanrailError: if the configuration is invalid.
+        :raises ControlUnavailableError: if no control node accepts it in time.
+        """
         loaded = load_configuration(path)
         if isinstance(loaded, Failure):
             raise RowanrailError("; ".join(loaded.failure()), step="apply")
@@ -129,7 +139,10 @@
                 time.sleep(POLL_SECONDS)
 
     def wait_in_force(self, version: int, deadline: float) -> None:
-        """Wait until ``version`` is in force in every zone and every group has a primary."""
+        """Wait until ``version`` is in force in every zone and every group has a primary.
+
+        :raises RowanrailError: if that takes until after ``deadline``.
+        """
         zones = set(self.file.zones())
         while True:
             status = self.client().request("GET", "/v1/status").body
@@ -141,7 +154,10 @@
             time.sleep(POLL_SECONDS)
 
     def restart(self, name: str, lose_disk: bool = False) -> None:
-        """Start a process again that was killed, perhaps with an empty folder."""
+        """Restart a process that has ended, optionally with an empty data folder.
+
+        :raises RowanrailError: if the process still runs.
+        """
         process = self._find(name)
         running = self._running[name]
         if running.poll() is None:
@@ -152,13 +168,13 @@
         self.save()
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process and wait for its end."""
         running = self._running[self._find(name).name]
         running.kill()
         running.wait()
 
     def is_running(self, name: str) -> bool:
-        """Return whether a process runs (a frozen one does)."""
+        """Return whether a process runs; a frozen process does."""
         return self._running[name].poll() is None
 
     def signal(self, name: str, number: signal.Signals) -> None:
@@ -166,7 +182,7 @@
         os.kill(self._find(name).pid, number)
 
     def wait_exit(self, name: str, seconds: float) -> int:
-        """Return the exit code of a process that ends within ``seconds``."""
+        """Wait at most ``seconds`` for a process to end, and return its exit code."""
         return self._running[name].wait(seconds)
 
     def _find(self, name: str) -> Process:
@@ -176,7 +192,7 @@
         return process
 
     def stop(self) -> None:
-        """Stop all processes; what does not end is killed."""
+        """Terminate all processes, and kill those that do not end in time."""
         for process in reversed(self.file.processes()):
             running = self._running.get(process.name)
             if running is not None and running.poll() is None:
@@ -220,7 +236,7 @@
 def load_fleet(folder: Path) -> FleetFile:
     """Return the fleet that runs in ``folder``.
 
-    :raises RowanrailError: if there is none.
+    :raises RowanrailError: if ``fleet.json`` is missing or invalid.
     """
     try:
         return msgspec.json.decode((folder / FLEET_FILE).read_bytes(), type=FleetFile)
@@ -231,7 +247,7 @@
 
 
 async def call_process(address: str, request: msgspec.Struct) -> msgspec.Struct:
-    """Send one message to a process of the fleet."""
+    """Send one request to a process of the fleet and return its reply."""
     from rowanrail.rpc.tcp import TcpNetwork
 
     split_address(address)
@@ -243,5 +259,5 @@
 
 
 def send_request(address: str, request: msgspec.Struct) -> msgspec.Struct:
-    """Like :func:`call_process`, from synchronous code."""
+    """Run :func:`call_process` from synchronous code."""
     return asyncio.run(call_process(address, request))
--- a/src/rowanlab/fleet/workers.py
+++ b/src/rowanlab/fleet/workers.py
@@ -1,4 +1,4 @@
-"""Work spread over the machine's cores by processes of the lab."""
+"""Parallel work in processes of the laboratory."""
 
 import multiprocessing
 import os
@@ -11,7 +11,7 @@
 
 
 def usable_cores() -> int:
-    """Return how many cores this process may use."""
+    """Return the number of cores that this process may use."""
     return len(os.sched_getaffinity(0))
 
 
@@ -23,9 +23,9 @@
 ) -> Iterator[Result]:
     """Yield ``function(item)`` for each item, in order.
 
-    :param function: a function of a module, so that workers can import it.
-    :param cores: number of worker processes; with 1 the work is done in this process.
-    :param fresh: whether each item gets a process of its own, for example to measure memory.
+    :param function: a module-level function, which workers can import.
+    :param cores: number of worker processes; with 1 the items run in this process.
+    :param process_per_item: whether each item runs in a new process, to measure its memory.
     """
     if not process_per_item and (cores == 1 or len(items) == 1):
         yield from map(function, items)
--- a/src/rowanlab/load/__init__.py
+++ b/src/rowanlab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load, oracle and measurements."""
+"""Load generation, and the oracles that verify its results."""
--- a/src/rowanlab/load/commands.py
+++ b/src/rowanlab/load/commands.py
@@ -1,4 +1,4 @@
-"""The ``rowanlab`` commands that run a load on a fleet of their own."""
+"""The ``rowanlab`` commands that start a fleet and run a load on it."""
 
 import sys
 import tempfile
@@ -21,7 +21,7 @@
 
 
 def _in_folder(folder: Path | None, run: Callable[[Path], Any]) -> Any:
-    """Run in the folder that was asked for, or in a scratch folder."""
+    """Call ``run`` with the given folder, or with a temporary one."""
     with tempfile.TemporaryDirectory(prefix="rowanrail-lab-") as scratch:
         chosen = folder or Path(scratch)
         chosen.mkdir(parents=True, exist_ok=True)
--- a/src/rowanlab/load/control_oracle.py
+++ b/src/rowanlab/load/control_oracle.py
@@ -1,6 +1,6 @@
-"""The oracle of the control plane: what operators were told and what proxies had in force.
+"""The control-plane oracle, which checks changes, reads, versions in force and logs.
 
-It shares no code with the product.
+It shares no code with the product, so that a fault can't affect both.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class ChangeOutcome(enum.Enum):
-    """What an operator was told of a change."""
+    """The outcome of a change as reported to its operator."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -21,7 +21,7 @@
 
 
 class AttemptedChange(msgspec.Struct):
-    """One change as its operator sees it: ``register`` gets ``value``."""
+    """One change as its operator sees it: ``register`` is set to ``value``."""
 
     change_id: str
     register: str
@@ -32,14 +32,14 @@
 
 
 class FinalRevision(msgspec.Struct, frozen=True):
-    """One version in the history that the system shows at the end."""
+    """One version in the system's final history."""
 
     version: int
     change_id: str
 
 
 class ControlVerdict(msgspec.Struct):
-    """Counts of what went wrong, and of what was done."""
+    """Counts of operations by outcome, and of broken guarantees."""
 
     accepted: int = 0
     conflicts: int = 0
@@ -59,7 +59,7 @@
 
     @property
     def operations(self) -> int:
-        """Number of changes and reads that ended."""
+        """Number of completed changes and reads."""
         return self.accepted + self.conflicts + self.refused + self.unknown + self.reads
 
     @property
@@ -76,9 +76,9 @@
 
 
 class ControlOracle:
-    """Judges changes, reads, versions in force, leaders and logs.
+    """Checks changes, reads, versions in force, leaders and logs.
 
-    :param note: called with a line for everything that happens.
+    :param note: called with a line of text for each event.
     """
 
     def __init__(self, note: Callable[[str], None] = lambda message: None) -> None:
@@ -94,14 +94,14 @@
     # Operators
 
     def begin_change(self, change: AttemptedChange) -> None:
-        """Note that a change is about to be sent for the first time."""
+        """Record that a change is about to be sent for the first time."""
         self._changes[change.change_id] = change
         self._note(f"sends change {change.change_id} against {change.expected_version}")
 
     def end_change(
         self, change: AttemptedChange, outcome: ChangeOutcome, version: int = NO_VERSION
     ) -> None:
-        """Note what the operator was told."""
+        """Record the outcome that was reported to the operator."""
         change.outcome, change.version = outcome, version
         self._note(f"change {change.change_id} is {outcome.value} ({version})")
         if outcome is ChangeOutcome.CONFLICT:
@@ -130,11 +130,11 @@
         self._newest = max(self._newest, change.version)
 
     def newest(self) -> int:
-        """Return the newest accepted version: a read that begins now must see it."""
+        """Return the newest accepted version, which a read starting now must see."""
         return self._newest
 
     def end_read(self, expected: int, seen: int, where: str) -> None:
-        """Judge a read."""
+        """Check a read, which returned the version ``seen``."""
         self.verdict.reads += 1
         self._note(f"read at {where} saw {seen}, at least {expected} was due")
         if seen < expected:
@@ -144,14 +144,14 @@
     # Proxies and nodes
 
     def note_in_force(self, incarnation: str, version: int) -> None:
-        """Note that a version is in force at one start of a proxy."""
+        """Check that the version in force never decreases during one run of a proxy."""
         known = self._in_force.get(incarnation, 0)
         if version < known:
             self._record_regression(f"{incarnation} went back from {known} to {version}")
         self._in_force[incarnation] = version
 
     def check_first_version(self, incarnation: str, floor: int) -> None:
-        """Judge the first version of a proxy against what its zone had in force."""
+        """Check a proxy's first version against the one in force in its zone."""
         version = self._in_force[incarnation]
         if version < floor:
             self._record_regression(f"{incarnation} began with {version}, its zone had {floor}")
@@ -161,33 +161,33 @@
         self._record_violation(message)
 
     def note_leader(self, term: int, node: str) -> None:
-        """Note that a node leads in a term."""
+        """Check that a term has only one leader."""
         known = self._leaders.setdefault(term, node)
         if known != node:
             self.verdict.two_leaders += 1
             self._record_violation(f"{known} and {node} both lead in term {term}")
 
     def note_committed(self, index: int, entry: str, node: str) -> None:
-        """Note what a node holds as committed at an index."""
+        """Check that all nodes have committed the same entry at an index."""
         known = self._entries.setdefault(index, entry)
         if known != entry:
             self.verdict.logs_differ += 1
             self._record_violation(f"{node} holds another entry at {index}")
 
     def note_not_in_force(self, message: str) -> None:
-        """Note that a version did not come into force everywhere."""
+        """Record that a version did not come into force at all proxies."""
         self.verdict.not_in_force += 1
         self._record_violation(message)
 
     def note_not_recovered(self, message: str) -> None:
-        """Note that work did not go on after all faults had healed."""
+        """Record that the system did not recover after all faults had healed."""
         self.verdict.not_recovered += 1
         self._record_violation(message)
 
-    # The end
+    # Final checks
 
     def judge(self, history: list[FinalRevision], registers: dict[str, str]) -> None:
-        """Judge the final history and contents."""
+        """Check the final history and the final contents of the registers."""
         found = {revision.change_id: revision.version for revision in history}
         if len(found) != len(history):
             self.verdict.lost += 1
--- a/src/rowanlab/load/demo.py
+++ b/src/rowanlab/load/demo.py
@@ -1,4 +1,4 @@
-"""``rowanlab demo``: a short load with a primary killed midway, judged by the oracle."""
+"""The ``rowanlab demo`` command: a short load during which a primary is killed."""
 
 import asyncio
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 class DemoSummary(msgspec.Struct):
-    """What the demonstration measured."""
+    """The results of the demonstration."""
 
     verdict: Verdict
     replica_read_share: float
@@ -28,12 +28,12 @@
 
     @property
     def passed(self) -> bool:
-        """Whether nothing was lost, doubled, stale or mixed, and work went on."""
+        """Whether no guarantee was broken and writes were acknowledged."""
         return self.verdict.violations == 0 and self.verdict.acknowledged > 0
 
 
 def primary_of(fleet: Fleet, group: str) -> str:
-    """Return the name of a group's primary, as the proxies report it."""
+    """Return the name of a group's primary as reported by proxies, empty if there is none."""
     status = fleet.client().request("GET", "/v1/status").body
     best = ("", -1)
     for report in status["proxies"]:
@@ -45,7 +45,7 @@
 
 
 def replica_read_share(fleet: Fleet) -> float:
-    """Return the share of the reads that the rules allow which replicas served."""
+    """Return the fraction of reads that replicas served."""
     status = fleet.client().request("GET", "/v1/status").body
     replica = sum(report["replica_reads"] for report in status["proxies"])
     primary = sum(report["primary_reads"] for report in status["proxies"])
@@ -53,7 +53,7 @@
 
 
 async def run_demo(fleet: Fleet) -> DemoSummary:
-    """Run the load on a fleet that serves, and kill a primary midway."""
+    """Run the load on a running fleet, and kill a primary midway."""
     group = fleet.file.groups[0]
     options = LoadOptions(CALLERS, LOAD_SECONDS, BLUE_MAHOE.read_share, seed=1)
     load = RunningLoad(fleet.file, group.database, options)
@@ -69,7 +69,7 @@
 
 
 def demo(folder: Path) -> bool:
-    """Start a fleet, run the demonstration, print its summary; return whether it passed."""
+    """Start a fleet, run the demonstration, print a summary and return whether it passed."""
     options = FleetOptions(subnet=free_subnet(SUBNET), groups=1)
     fleet = Fleet(BLUE_MAHOE, options, folder)
     print("starting 3 control nodes, 3 proxies, 3 database members, links with delays ...")
--- a/src/rowanlab/load/driver.py
+++ b/src/rowanlab/load/driver.py
@@ -1,4 +1,4 @@
-"""A caller's connection through a real driver, with errors sorted into their kinds."""
+"""A caller's connection through a MySQL driver, with errors classified by outcome."""
 
 import asyncio
 import re
@@ -16,7 +16,11 @@
 
 
 class CallError(Exception):
-    """A statement that did not succeed."""
+    """A statement or connection attempt that failed.
+
+    :ivar connection_lost: whether the connection can't be used any more.
+    :ivar cut_by_stop: whether a planned stop of the proxy interrupted the statement.
+    """
 
     def __init__(self, outcome: Outcome, message: str, retry_after_seconds: float) -> None:
         super().__init__(message)
@@ -27,7 +31,7 @@
 
 
 class CallerConnection:
-    """One connection of a caller."""
+    """A caller's connection to a proxy."""
 
     def __init__(self, connection: Any) -> None:
         self._connection = connection
@@ -36,9 +40,9 @@
     async def open(
         cls, host: str, port: int, user: str, password: str, database: str
     ) -> "CallerConnection":
-        """Connect.
+        """Connect to a proxy.
 
-        :raises CallError: if that fails; nothing ran.
+        :raises CallError: if the connection fails; its outcome is ``NOT_RUN``.
         """
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
@@ -57,7 +61,7 @@
     async def execute(self, sql: str, timeout_seconds: float = 10.0) -> list[tuple[Any, ...]]:
         """Run a statement and return its rows.
 
-        :raises CallError: if it did not succeed.
+        :raises CallError: if the statement did not succeed.
         """
         try:
             async with asyncio.timeout(timeout_seconds):
@@ -90,5 +94,5 @@
         return CallError(Outcome.FAILED, f"{code} {message}", 0.0)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection without waiting."""
         self._connection.close()
--- a/src/rowanlab/load/oracle.py
+++ b/src/rowanlab/load/oracle.py
@@ -1,6 +1,6 @@
-"""The oracle: plain maps of what callers were told, judged against what the database holds.
+"""The data oracle, which checks the outcomes reported to callers against the database.
 
-It shares no code with the product.
+It shares no code with the product, so that a fault can't affect both.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller was told of a write."""
+    """The outcome of a write as reported to its caller."""
 
     ACKNOWLEDGED = "acknowledged"
     UNKNOWN = "unknown"
@@ -19,7 +19,11 @@
 
 
 class Write(msgspec.Struct):
-    """One write as its caller saw it. ``parts`` is the number of rows that it makes."""
+    """One write as its caller saw it.
+
+    :param number: position in the sequence of writes to ``key``, from 1.
+    :param parts: number of rows that the write inserts.
+    """
 
     operation: str
     key: str
@@ -29,7 +33,7 @@
 
 
 class Verdict(msgspec.Struct):
-    """Counts of what went wrong, and of what was done."""
+    """Counts of operations by outcome, and of broken guarantees."""
 
     acknowledged: int = 0
     unknown: int = 0
@@ -48,7 +52,7 @@
 
     @property
     def operations(self) -> int:
-        """Number of reads and writes that ended, whatever their outcome."""
+        """Number of completed reads and writes, whatever their outcome."""
         writes = self.acknowledged + self.unknown + self.not_run + self.failed
         return writes + self.reads
 
@@ -60,9 +64,11 @@
 
 
 class Oracle:
-    """Histories of keys and writes. Every key has one writer, whose numbers only grow.
+    """Records all writes and checks reads and the final contents against them.
+
+    Every key has a single writer, which numbers its writes in increasing order.
 
-    :param note: called with a line for everything that happens.
+    :param note: called with a line of text for each event.
     """
 
     def __init__(self, note: Callable[[str], None] = lambda message: None) -> None:
@@ -73,7 +79,7 @@
         self._attempted: dict[str, int] = {}
 
     def begin_write(self, operation: str, key: str, parts: int = 1) -> Write:
-        """Note that a write is about to be sent and return it with its number."""
+        """Record that a write is about to be sent, and return it with its number."""
         number = self._attempted.get(key, 0) + 1
         self._attempted[key] = number
         write = Write(operation, key, number, parts)
@@ -82,7 +88,7 @@
         return write
 
     def end_write(self, write: Write, outcome: Outcome) -> None:
-        """Note what the caller was told."""
+        """Record the outcome that was reported to the caller."""
         write.outcome = outcome
         self._note(f"{write.operation} is {outcome.value}")
         if outcome is Outcome.ACKNOWLEDGED:
@@ -97,7 +103,7 @@
             self.verdict.failed += 1
 
     def expected(self, key: str) -> int:
-        """Return the number that a read which begins now must at least see."""
+        """Return the lowest number that a read starting now may return."""
         return self._acknowledged.get(key, 0)
 
     def keys(self) -> list[str]:
@@ -105,7 +111,7 @@
         return sorted(self._attempted)
 
     def end_read(self, key: str, expected: int, seen: int, where: str) -> None:
-        """Judge a read: ``seen`` is the highest number that it returned for ``key``."""
+        """Check a read, which returned ``seen`` as the highest number of ``key``."""
         self.verdict.reads += 1
         self._note(f"read of {key} by {where} saw {seen}, at least {expected} was due")
         if seen < expected:
@@ -118,28 +124,28 @@
             self._record_violation(f"read of {key} by {where} saw {seen}, which nobody wrote")
 
     def note_mixed(self, message: str) -> None:
-        """Note that a caller got what belongs to another."""
+        """Record that a caller received another caller's data or a partial result."""
         self.verdict.mixed += 1
         self._record_violation(message)
 
     def note_interrupted_request(self, message: str) -> None:
-        """Note that a planned stop cut a request in flight."""
+        """Record that a planned stop interrupted a request."""
         self.verdict.cut_by_stop += 1
         self._record_violation(message)
 
     def note_late_work(self, member: str, count: int) -> None:
-        """Note that a member that is leaving got new work."""
+        """Record how much new work a leaving member received."""
         if count:
             self.verdict.late_work += count
             self._record_violation(f"{member} got {count} pieces of new work while leaving")
 
     def note_not_recovered(self, message: str) -> None:
-        """Note that work did not go on after all faults had healed."""
+        """Record that the system did not recover after all faults had healed."""
         self.verdict.not_recovered += 1
         self._record_violation(message)
 
     def judge(self, rows: dict[str, int]) -> Verdict:
-        """Judge the database's final contents: number of rows by operation."""
+        """Check the database's final contents, given as the number of rows by operation."""
         for write in self._writes.values():
             found = rows.get(write.operation, 0)
             if found > write.parts:
--- a/src/rowanlab/load/running.py
+++ b/src/rowanlab/load/running.py
@@ -1,4 +1,4 @@
-"""Callers on a fleet: started, watched, stopped and judged."""
+"""Runs callers against a fleet and verifies the result."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class RunningLoad:
-    """The load of one database of a fleet."""
+    """A running load on one database of a fleet."""
 
     def __init__(self, fleet: FleetFile, database: str, options: LoadOptions) -> None:
         self.oracle = Oracle()
@@ -36,17 +36,20 @@
         ]
 
     async def finish(self) -> Verdict:
-        """Let the callers end and judge what the database holds."""
+        """Stop the callers and return the verdict on the database's contents."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
         return self.oracle.judge(await count_rows_by_operation(self._connect))
 
     def acknowledged_times(self) -> list[float]:
-        """Return when writes were acknowledged, in order (loop time)."""
+        """Return the times of acknowledged writes, sorted, in event-loop time."""
         return sorted(at for caller in self.callers for at in caller.write_times.acknowledged)
 
     def longest_gap_seconds(self, since: float, until: float = float("inf")) -> float:
-        """Return the longest time without an acknowledged write, between two moments."""
+        """Return the longest time without an acknowledged write between two times.
+
+        A write acknowledged before ``since`` begins the first gap.
+        """
         times = self.acknowledged_times()
         before = max((at for at in times if at <= since), default=since)
         after = [at for at in times if since < at <= until]
--- a/src/rowanlab/load/torture.py
+++ b/src/rowanlab/load/torture.py
@@ -1,4 +1,4 @@
-"""``rowanlab torture``: a fleet under load with random kills, freezes, cuts and lags."""
+"""The ``rowanlab torture`` command: a load on a fleet with random faults."""
 
 import asyncio
 import random
@@ -27,10 +27,10 @@
 
 
 class TortureReport(msgspec.Struct):
-    """The last line of ``rowanlab torture``.
+    """The results, printed as JSON by ``rowanlab torture``.
 
-    :param failover_gap_ms: median over the primaries killed of the longest time without an
-        acknowledged write.
+    :param failover_gap_ms: longest time without an acknowledged write after a primary was
+        killed, as the median over all such kills.
     """
 
     profile: str
@@ -53,13 +53,13 @@
 
     @property
     def passed(self) -> bool:
-        """Whether no guarantee was broken, and work went on after the faults."""
+        """Whether no guarantee was broken and writes succeeded after the faults."""
         broken = self.lost + self.doubled + self.stale_reads + self.mixed + self.false_not_run
         return broken == 0 and self.acknowledged_after_heal > 0
 
 
 class FleetFaultInjector:
-    """Breaks one thing of a fleet at a time and mends it again."""
+    """Injects random faults into a fleet, one at a time, and repairs each."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.counts: dict[str, int] = {}
@@ -78,7 +78,7 @@
         }
 
     async def run(self, seconds: float) -> None:
-        """Inject faults for a time. The first is always a killed primary."""
+        """Inject faults for the given time, beginning with a killed primary."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         name = "kill-primary"
@@ -183,7 +183,7 @@
 
 
 def torture(profile: Profile, seconds: float, seed: int, folder: Path) -> TortureReport:
-    """Start a fleet, run the load under faults, and return what came of it."""
+    """Start a fleet, run the load under faults and return the report."""
     fleet = Fleet(profile, FleetOptions(subnet=free_subnet(SUBNET), groups=1), folder)
     try:
         fleet.start()
--- a/src/rowanlab/load/workload.py
+++ b/src/rowanlab/load/workload.py
@@ -1,8 +1,8 @@
-"""The load: callers that write, read and roam between proxies, watched by the oracle.
+"""Callers that write and read through several proxies, and report to the oracle.
 
-Each caller owns keys that only it writes. Its writes are inserts into ``edits``, so that
-a doubled or lost one shows. Reads go through the same connection, through another proxy
-with the session's token, or through a new connection without one.
+Each caller has keys that only it writes. Writes are inserts into the table ``edits``, so
+that lost and duplicated ones can be detected. Reads use the caller's connection, another
+connection with the session's token, or a new connection without a token.
 """
 
 import asyncio
@@ -30,9 +30,10 @@
 
 
 class LoadOptions(msgspec.Struct, frozen=True):
-    """Size of the load.
+    """Parameters of the load.
 
-    :param pause_seconds: pause between a caller's requests.
+    :param read_share: fraction of requests that are reads.
+    :param pause_seconds: mean pause between a caller's requests.
     """
 
     callers: int
@@ -43,34 +44,34 @@
 
 
 class WriteTimes:
-    """When writes were acknowledged, to find the gaps."""
+    """The times at which writes were acknowledged, in event-loop time."""
 
     def __init__(self) -> None:
         self.acknowledged: list[float] = []
 
     def note(self) -> None:
-        """Note an acknowledged write."""
+        """Record that a write was acknowledged now."""
         self.acknowledged.append(asyncio.get_running_loop().time())
 
 
 class SqlConnection(Protocol):
-    """A caller's connection: a real driver's, or a simulated one."""
+    """A caller's connection, through a driver or in the simulator."""
 
     async def execute(self, sql: str) -> list[tuple[Any, ...]]:
         """Run a statement and return its rows."""
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection without waiting."""
 
 
 Connect = Callable[[], Awaitable[SqlConnection]]
 
 
 class Caller:
-    """One caller with its own keys, connection and random choices.
+    """A caller with its own keys, connection and random generator.
 
-    :param connect: how to connect, for each proxy.
-    :param name: unique over the restarts of a caller: keys have one writer.
+    :param name: unique also among restarts of the caller, since each key has a single writer.
+    :param connect: a connect function for each proxy.
     """
 
     def __init__(
@@ -94,7 +95,7 @@
         self._reads = 0
 
     async def run(self, until: Callable[[], bool]) -> None:
-        """Send requests until ``until`` says so."""
+        """Send requests until ``until`` returns true."""
         while not until():
             is_read = self._random.random() < self._options.read_share
             try:
@@ -164,7 +165,7 @@
         self.write_times.note()
 
     async def _write_with_request_id(self, write: Write) -> None:
-        """Write with a request id, and repeat it until its outcome is known."""
+        """Write with a request id, and retry until the outcome is known."""
         sent = False
         for _ in range(MAX_RETRIES):
             try:
@@ -201,7 +202,7 @@
             await connection.execute("COMMIT")
         except CallError as error:
             if not committing:
-                # Nothing was committed, whatever became of the statement.
+                # Nothing was committed, whichever outcome the statement has.
                 error.outcome = Outcome.NOT_RUN
                 if not error.connection_lost:
                     await connection.execute("ROLLBACK")
@@ -249,7 +250,7 @@
 
 
 def connectors(fleet: FleetFile, database: str) -> list[Connect]:
-    """Return how to connect to each proxy of a fleet."""
+    """Return a connect function for each proxy of a fleet."""
 
     def connector_for(proxy: Process) -> Connect:
         async def connect() -> SqlConnection:
@@ -263,7 +264,7 @@
 
 
 async def create_tables(connect: Connect) -> None:
-    """Create the tables of the load."""
+    """Create the load's table and its index."""
     connection = await connect()
     await connection.execute(CREATE_EDITS)
     await connection.execute(CREATE_INDEX)
@@ -271,7 +272,10 @@
 
 
 async def count_rows_by_operation(connect: list[Connect]) -> dict[str, int]:
-    """Return the number of rows by operation, as a new session sees them."""
+    """Return the number of rows by operation, read by a new session.
+
+    :raises CallError: if all attempts fail.
+    """
     last_error: CallError | None = None
     for attempt in range(MAX_FINAL_READ_ATTEMPTS):
         try:
--- a/src/rowanlab/simulator/faults.py
+++ b/src/rowanlab/simulator/faults.py
@@ -129,7 +129,7 @@
         await self._kill(self._pick_member(primary=False))
 
     async def _lose_disk(self) -> None:
-        # The group is specified to survive only one lost disk at a time.
+        # A group is only required to survive one lost disk at a time.
         if self._data.all_voting() and not self._busy:
             await self._kill(self._pick_member(primary=False), lose_disk=True)
             for _ in range(60):
--- a/src/rowanlab/simulator/network.py
+++ b/src/rowanlab/simulator/network.py
@@ -222,9 +222,7 @@
                 future.set_exception(ChannelLostError("connection refused"))
 
         def arrive() -> None:
-            if (
-                endpoints.channels.get(address) is not known
-            ):  # the server stopped listening meanwhile
+            if endpoints.channels.get(address) is not known:  # no longer listening
                 back.send(refuse)
                 return
             end = _ServerChannel(world, world.process(name), channel, accept(), back)
--- a/src/rowanlab/standin/__init__.py
+++ b/src/rowanlab/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems."""
+"""Stand-ins for external systems: database members and the platform's machine list."""
--- a/src/rowanlab/standin/directory.py
+++ b/src/rowanlab/standin/directory.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's list of live and leaving machines. It lags on purpose."""
+"""A stand-in for the platform's list of machines, which shows changes with a delay."""
 
 import asyncio
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 class DirectorySettings(msgspec.Struct, frozen=True):
-    """Settings: the file with the truth, and how late it is shown."""
+    """Settings of the directory: the file with the current list, and the delay."""
 
     listen: str
     file: str
@@ -20,7 +20,7 @@
 
 
 async def run_directory(settings: DirectorySettings) -> None:
-    """Serve the list until a stop signal."""
+    """Serve the list over HTTP until a stop signal."""
     served = MachineList([])
 
     async def refresh() -> None:
--- a/src/rowanlab/standin/engine.py
+++ b/src/rowanlab/standin/engine.py
@@ -1,4 +1,4 @@
-"""The stand-in's database: sqlite3 with one writer, readers that see what is committed."""
+"""The database of a stand-in member: sqlite3 with one writer and one reader connection."""
 
 import datetime
 import decimal
@@ -49,7 +49,7 @@
 
 
 class Engine:
-    """One member's database."""
+    """The database of one member. Reads see only committed data."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -62,7 +62,7 @@
         self._reader = _connect(str(self._path))
 
     def reset(self) -> None:
-        """Empty the database."""
+        """Delete all data."""
         self.close()
         self._open()
 
@@ -72,21 +72,21 @@
         self._reader.close()
 
     def begin(self) -> None:
-        """Begin the one write transaction."""
+        """Begin the write transaction, of which there is only one at a time."""
         self._writer.execute("BEGIN IMMEDIATE")
 
     def commit(self) -> None:
-        """Commit the write transaction."""
+        """Commit the write transaction, if one is open."""
         if self._writer.in_transaction:
             self._writer.execute("COMMIT")
 
     def roll_back(self) -> None:
-        """Roll back the write transaction."""
+        """Roll back the write transaction, if one is open."""
         if self._writer.in_transaction:
             self._writer.execute("ROLLBACK")
 
     def apply(self, statements: list[str]) -> None:
-        """Run replicated statements as one transaction; an open one is rolled back."""
+        """Run replicated statements in one transaction, after rolling back an open one."""
         self.roll_back()
         self.begin()
         for statement in statements:
@@ -94,11 +94,17 @@
         self.commit()
 
     def write(self, sql: str) -> StatementResult:
-        """Run a statement within the write transaction."""
+        """Run a statement within the write transaction.
+
+        :raises BackendRefusedError: if the statement fails.
+        """
         return _run(self._writer, sql)
 
     def read(self, sql: str, in_write_transaction: bool) -> StatementResult:
-        """Run a read."""
+        """Run a read, within the write transaction or on committed data.
+
+        :raises BackendRefusedError: if the statement fails.
+        """
         return _run(self._writer if in_write_transaction else self._reader, sql)
 
 
--- a/src/rowanlab/standin/member.py
+++ b/src/rowanlab/standin/member.py
@@ -1,8 +1,8 @@
 """A stand-in member of a database group.
 
-The group's log is the product's own replicated log with other settings. The primary
-commits locally and may acknowledge before a majority has the entry, which is the worst
-that a real group does; and it does not step down when it is cut off.
+The group's log is the product's replicated log with other settings. As the worst case of a
+real group, the primary commits locally and may acknowledge an entry before a majority has
+it, and it does not step down when it loses contact with the majority.
 """
 
 import asyncio
@@ -62,7 +62,7 @@
 
 
 class Faults(msgspec.Struct):
-    """Faults that the lab can set while a member runs."""
+    """Faults that can be set while a member runs."""
 
     lag_seconds: float = 0.0
     answer_delay_seconds: float = 0.0
@@ -71,7 +71,7 @@
 
 @message("FaultRequest")
 class FaultRequest(msgspec.Struct, frozen=True):
-    """Set faults; None leaves one as it is."""
+    """Request to set faults; None leaves a fault unchanged."""
 
     lag_seconds: float | None = None
     answer_delay_seconds: float | None = None
@@ -80,7 +80,7 @@
 
 @message("FiguresRequest")
 class FiguresRequest(msgspec.Struct, frozen=True):
-    """Ask a member what it counted."""
+    """Request for a member's connection counts."""
 
 
 @message("MemberFigures")
@@ -96,7 +96,7 @@
 
 
 class ConnectionCounts(msgspec.Struct):
-    """Connections of callers (here: of proxies) at a member."""
+    """Counts of client connections, which proxies open, at a member."""
 
     now: int = 0
     peak: int = 0
@@ -109,7 +109,11 @@
 
 
 class MemberMachine(StateMachine):
-    """Applies the group's log to the engine, late if the member lags."""
+    """Applies the group's log to the engine, with a delay if the member lags.
+
+    :ivar locally_committed: terms, by index, of entries that the engine has committed before
+        the group has.
+    """
 
     def __init__(self, engine: Engine, faults: Faults) -> None:
         self.engine = engine
@@ -121,7 +125,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def apply(self, entry: Entry) -> object:
-        """See :meth:`StateMachine.apply`."""
+        """Queue a committed entry, and execute all entries that are due."""
         now = asyncio.get_running_loop().time()
         self._queue.append(_DelayedEntry(now + self._faults.lag_seconds, entry))
         self.execute_due()
@@ -140,14 +144,14 @@
         self.execute_due()
 
     def drain(self) -> None:
-        """Execute everything that is queued, due or not."""
+        """Execute all queued entries, whether due or not."""
         while self._queue:
             self._execute(self._queue.popleft().entry)
 
     def _execute(self, entry: Entry) -> None:
         known_term = self.locally_committed.pop(entry.index, None)
         if known_term is not None and known_term != entry.term:
-            # Another primary's entry won: what was committed only here has to go.
+            # Another primary's entry was committed: undo the local commits.
             self.rebuild(self.committed_entries_before(entry.index))
             known_term = None
         if known_term is None and entry.kind is EntryKind.COMMAND:
@@ -155,7 +159,7 @@
         self.executed = Position(entry.term, entry.index)
 
     def rebuild(self, entries: list[Entry]) -> None:
-        """Build the database anew from committed entries."""
+        """Rebuild the database from committed entries."""
         self.engine.reset()
         self.locally_committed = {}
         waiting = list(self._queue)
@@ -165,15 +169,15 @@
         self._queue.extend(due for due in waiting if due.entry.index > self.executed.index)
 
     def snapshot(self) -> bytes:
-        """Not used: the stand-in keeps its whole log."""
+        """Return no data: the stand-in keeps its whole log."""
         return b""
 
     def restore(self, data: bytes) -> None:
-        """Not used, see :meth:`snapshot`."""
+        """Do nothing, since there are no snapshots."""
 
 
 class Member:
-    """One member: log, engine, and the statements of its sessions."""
+    """One member: its log, its engine and the state shared by its sessions."""
 
     def __init__(
         self,
@@ -206,7 +210,7 @@
         self.late_work = 0
 
     async def start(self, bootstrap: bool) -> None:
-        """Open the folder and take part in the group."""
+        """Open the data folder and join the group."""
         settings = self.settings
         owner = NodeConfig(settings.group, settings.name, settings.nodes, settings.data_folder)
         identity = await open_data_folder(
@@ -244,7 +248,7 @@
         )
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop serving and close the database."""
         if self._joining is not None:
             self._joining.cancel()
         if self._listener is not None:
@@ -254,7 +258,10 @@
         self.engine.close()
 
     async def handle(self, request: msgspec.Struct) -> msgspec.Struct | None:
-        """Answer a message from another member or from the lab."""
+        """Handle a message from another member or from the laboratory.
+
+        :raises TransportError: if the message has an unknown type.
+        """
         if isinstance(request, CONSENSUS_MESSAGES):
             self.node.receive(request)
             return None
@@ -273,7 +280,7 @@
         raise TransportError(f"unexpected {type(request).__name__}", step="handle")
 
     def set_faults(self, request: FaultRequest) -> None:
-        """Set the faults that the request names."""
+        """Set the faults that are not None in the request."""
         for name in ("lag_seconds", "answer_delay_seconds", "leaving"):
             value = getattr(request, name)
             if value is not None:
@@ -282,7 +289,7 @@
             self._set_leaving(request.leaving)
 
     def _set_leaving(self, leaving: bool) -> None:
-        """Hand the primary's role over before leaving, as the platform does."""
+        """Mark the member as leaving or not; a leaving one steps down and can't be elected."""
         now = asyncio.get_running_loop().time()
         self.leaving_since = now if leaving else float("inf")
         self.node.raft.may_campaign = not leaving
@@ -299,19 +306,19 @@
         self._was_leader = raft.is_leader
 
     def _discard_local_commits(self) -> None:
-        """Drop what was committed only here."""
+        """Undo commits that the group has not confirmed."""
         self.generation += 1
         self.engine.roll_back()
         if self.machine.locally_committed:
             self.machine.rebuild(self.node.raft.log.entries_between(1, self.node.applied_index))
 
     def count_new_work(self) -> None:
-        """Count work that begins well after the member said that it is leaving."""
+        """Count work that begins after the grace period of a leaving member."""
         now = asyncio.get_running_loop().time()
         if now > self.leaving_since + LEAVING_GRACE_SECONDS:
             self.late_work += 1
 
-    # What sessions need
+    # Interface for sessions
 
     @property
     def is_writable(self) -> bool:
@@ -319,7 +326,7 @@
         return self.node.raft.is_established_leader
 
     def check_writable(self) -> None:
-        """Refuse a write on a replica.
+        """Check that the member accepts writes.
 
         :raises BackendRefusedError: if the member is not the primary.
         """
@@ -329,9 +336,9 @@
             )
 
     def commit(self, statements: list[str]) -> Position:
-        """Commit the write transaction locally and ship it.
+        """Commit the write transaction locally and append it to the log.
 
-        :raises BackendRefusedError: if the member is no primary any more.
+        :raises BackendRefusedError: if the member is no longer the primary.
         """
         self.machine.drain()
         try:
@@ -344,12 +351,12 @@
         return Position(entry.term, entry.index)
 
     def position(self) -> Position:
-        """Return the last position in the log, under the current term."""
+        """Return the position of the last entry in the log."""
         raft = self.node.raft
         return Position(raft.log.last_term, raft.log.last_index)
 
     def status(self) -> MemberStatus:
-        """Return what the member says of itself."""
+        """Return the member's status."""
         raft = self.node.raft
         role = MemberRole.REPLICA
         if self.node.identity.node not in raft.membership.voters:
--- a/src/rowanlab/standin/server.py
+++ b/src/rowanlab/standin/server.py
@@ -1,4 +1,4 @@
-"""A stand-in member as a process: the MySQL protocol, and the group's log over TCP."""
+"""A stand-in member as a process, which serves the MySQL protocol and the group's log."""
 
 import asyncio
 import random
@@ -114,7 +114,7 @@
 
 
 class MemberServer:
-    """Serves one member."""
+    """Serves one member over the MySQL protocol."""
 
     def __init__(self, member: Member) -> None:
         self.member = member
@@ -124,7 +124,7 @@
         )
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         host, port = split_address(self.member.settings.listen)
         await self._server.start_server(host=host, port=port, backlog=1024)
 
--- a/src/rowanlab/standin/session.py
+++ b/src/rowanlab/standin/session.py
@@ -1,4 +1,4 @@
-"""A session at a stand-in member: transactions, the write lock and the slots."""
+"""Sessions at a stand-in member: transactions, the write lock and slots."""
 
 import asyncio
 import re
@@ -15,7 +15,7 @@
 
 
 class MemberSession:
-    """One connection's state at a member."""
+    """The state of one connection to a member."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
@@ -32,7 +32,7 @@
     async def execute(self, sql: str) -> StatementResult:
         """Run a statement.
 
-        :raises BackendRefusedError: if it is refused.
+        :raises BackendRefusedError: if the statement is refused.
         """
         member = self._member
         if not self._in_transaction:
--- a/src/rowanlab/standin/translate.py
+++ b/src/rowanlab/standin/translate.py
@@ -1,6 +1,6 @@
-"""MySQL statements for sqlite3, as far as the stand-in members need them.
+"""Translation of MySQL statements to sqlite3, as far as stand-in members need it.
 
-Not covered: stored programs, most functions that only MySQL has, ``ON DUPLICATE KEY``.
+Stored programs, most MySQL-specific functions and ``ON DUPLICATE KEY`` are not supported.
 """
 
 import re
@@ -28,7 +28,7 @@
 
 @lru_cache(maxsize=5000)
 def to_sqlite(sql: str) -> str:
-    """Return the statement for sqlite3.
+    """Translate a statement to sqlite3.
 
     :raises ValueError: if it can't be translated.
     """
