--- a/tests/simulation/test_consistency.py
+++ b/tests/simulation/test_consistency.py
@@ -1,4 +1,4 @@
-"""The three consistency levels of a group, with replicas that lag."""
+"""Reads on lagging replicas must return what the group's consistency level promises."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 class ConsistencyTest(unittest.TestCase):
     def observe(self, consistency):
-        """Return what an older session reads just after another's write, and later."""
+        """Return what an existing session reads right after another's write, and later."""
         silence()
         world = World(1)
         options = DataOptions(callers=0, proxies=1, consistency=consistency)
@@ -44,10 +44,10 @@
 
         return world.run(started())
 
-    def test_strict_reads_see_what_anybody_was_told(self):
+    def test_strict_reads_see_all_acknowledged_writes(self):
         self.assertEqual(self.observe(GroupConsistency.STRICT), (b"1", b"1", b"1"))
 
-    def test_session_reads_may_miss_what_others_wrote_meanwhile(self):
+    def test_session_reads_may_miss_recent_writes_of_other_sessions(self):
         self.assertEqual(self.observe(GroupConsistency.SESSION), (b"0", b"1", b"1"))
 
     def test_bounded_reads_catch_up_within_their_bound(self):
--- a/tests/simulation/test_regressions.py
+++ b/tests/simulation/test_regressions.py
@@ -1,4 +1,4 @@
-"""Faults that the simulator found, each as a run of its own."""
+"""Regression tests for faults found by the simulator, each reproduced in one run."""
 
 import asyncio
 import unittest
@@ -40,7 +40,7 @@
                 self.world.cut(member.name, primary)
 
     def test_commit_is_confirmed_though_a_status_round_failed_at_its_beginning(self):
-        """The member's monitor forgot for a moment that it leads to the primary."""
+        """The monitor marks the primary as unreachable while the transaction leases it."""
 
         async def scenario(core):
             session = core.open_session("caller", "data")
@@ -62,7 +62,7 @@
         self.run_in_proxy(scenario)
 
     def test_transaction_does_not_begin_on_a_primary_older_than_the_session(self):
-        """All that the proxy still reaches is the old primary."""
+        """The proxy can only reach the old primary."""
 
         async def scenario(core):
             session = core.open_session("caller", "data")
@@ -110,7 +110,9 @@
         async def scenario(core):
             session = core.open_session("caller", "data")
             primary = self.data.primary()
-            for member in self.data.members:  # it does not learn that the others hold the write
+            for (
+                member
+            ) in self.data.members:  # the primary does not learn that the replicas hold the write
                 if member is not primary:
                     self.world.cut(member.name, primary.name)
             await session.execute("INSERT INTO edits (operation) VALUES ('x')", {})
@@ -147,13 +149,13 @@
         self.run_in_proxy(scenario)
 
     def change_limit(self, core):
-        held = core.in_force
-        limits = msgspec.structs.replace(held.configuration.groups[0].limits, queue_length=77)
-        group = msgspec.structs.replace(held.configuration.groups[0], limits=limits)
-        changed = msgspec.structs.replace(held.configuration, groups=[group])
-        core.apply(VersionedConfiguration(held.version + 1, changed))
+        current = core.in_force
+        limits = msgspec.structs.replace(current.configuration.groups[0].limits, queue_length=77)
+        group = msgspec.structs.replace(current.configuration.groups[0], limits=limits)
+        changed = msgspec.structs.replace(current.configuration, groups=[group])
+        core.apply(VersionedConfiguration(current.version + 1, changed))
 
-    def test_changed_limit_leaves_an_open_transaction_its_count(self):
+    def test_changed_limit_keeps_the_count_of_open_transactions_correct(self):
         async def scenario(core):
             session = core.open_session("caller", "data")
             await session.execute("BEGIN", {})
@@ -169,7 +171,7 @@
 
         self.run_in_proxy(scenario)
 
-    def test_changed_limit_cuts_no_running_statement(self):
+    def test_changed_limit_interrupts_no_running_statement(self):
         async def scenario(core):
             session = core.open_session("caller", "data")
             for member in self.data.members:
@@ -188,7 +190,7 @@
         self.run_in_proxy(scenario)
 
     def isolate_primary_and_proxy(self):
-        """The proxy reaches the primary and no other member; nor does the primary."""
+        """Partition the primary and the proxy together from the other members."""
         primary = self.data.primary().name
         for member in self.data.members:
             if member.name != primary:
--- a/tests/simulation/test_requests.py
+++ b/tests/simulation/test_requests.py
@@ -1,4 +1,4 @@
-"""Request ids through two proxies, and the limits of transactions."""
+"""A request id must run once across two proxies, and transaction limits must be enforced."""
 
 import asyncio
 import unittest
@@ -56,7 +56,7 @@
 
         self.run_scenario(scenario)
 
-    def test_two_at_once_through_two_proxies_run_once(self):
+    def test_concurrent_repeats_through_two_proxies_run_once(self):
         async def scenario():
             results = await asyncio.gather(
                 self.at(1, *self.recorded("x")), self.at(2, *self.recorded("x"))
@@ -66,7 +66,7 @@
 
         self.run_scenario(scenario)
 
-    def test_different_work_under_the_same_id_is_refused(self):
+    def test_a_different_statement_under_the_same_id_is_refused(self):
         async def scenario():
             await self.at(1, *self.recorded("x"))
             with self.assertRaises(RequestConflictError):
@@ -75,7 +75,7 @@
 
         self.run_scenario(scenario)
 
-    def test_records_past_the_horizon_are_removed(self):
+    def test_expired_records_are_removed(self):
         old = "INSERT INTO rowanrail_requests VALUES ('old', 'd', 'done', 1, 0, 1000)"
 
         async def scenario():
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario holds with its guard, is seen failing without it, and repeats to the byte."""
+"""Every scenario must pass with its guard, fail without it, and be deterministic."""
 
 import unittest
 
@@ -13,10 +13,10 @@
 
 
 class TestScenarios(unittest.TestCase):
-    """A few seeds of each scenario; ``rowanlab simulate`` runs more."""
+    """Runs a few seeds of each scenario; ``rowanlab simulate`` runs more."""
 
     holding: dict[str, list[SeedResult]]
-    unbroken: set[str]
+    passing_without_guard: set[str]
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -24,21 +24,23 @@
         cls.holding = {}
         for task, result in cls.run_tasks(tasks):
             cls.holding.setdefault(task.scenario, []).append(result)
-        cls.unbroken = {item.name for item in SCENARIOS.values() if item.guard is not None}
+        cls.passing_without_guard = {
+            item.name for item in SCENARIOS.values() if item.guard is not None
+        }
         for first in range(1, FAILING_SEEDS + 1, SEEDS_AT_A_TIME):
-            cls.break_scenarios(range(first, first + SEEDS_AT_A_TIME))
+            cls.run_without_guards(range(first, first + SEEDS_AT_A_TIME))
 
     @classmethod
-    def break_scenarios(cls, seeds: range) -> None:
-        """Run seeds without the guard, of the scenarios that have not failed yet."""
+    def run_without_guards(cls, seeds: range) -> None:
+        """Run seeds, without the guard, of the scenarios that have not failed yet."""
         tasks = [
             SeedTask(name, SCENARIOS[name].guard, seed)
-            for name in sorted(cls.unbroken)
+            for name in sorted(cls.passing_without_guard)
             for seed in seeds
         ]
         for task, result in cls.run_tasks(tasks):
             if result.violated:
-                cls.unbroken.discard(task.scenario)
+                cls.passing_without_guard.discard(task.scenario)
 
     @staticmethod
     def run_tasks(tasks: list[SeedTask]) -> list[tuple[SeedTask, SeedResult]]:
@@ -54,11 +56,11 @@
                     self.assertGreater(result.acknowledged_after_heal, 0)
 
     def test_fails_without_its_guard(self) -> None:
-        self.assertEqual(self.unbroken, set())
+        self.assertEqual(self.passing_without_guard, set())
 
 
 class TestRepeatability(unittest.TestCase):
-    """One seed gives one run, also in another process with other hash seeds."""
+    """Equal seeds must give equal traces, also in processes with other hash seeds."""
 
     def test_same_trace(self) -> None:
         for name in ("everything", "planned-stop"):
--- a/tests/support/closing_line.py
+++ b/tests/support/closing_line.py
@@ -1,4 +1,4 @@
-"""nose2 plug-in: a closing line with counts, and passing over the tests in KNOWN-RED.txt."""
+"""A nose2 plug-in that prints a summary line and tolerates the tests in KNOWN-RED.txt."""
 
 import sys
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the lines of KNOWN-RED.txt by the test that they name."""
+    """Return the lines of KNOWN-RED.txt by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
@@ -17,7 +17,7 @@
 
 
 class ClosingLine(Plugin):
-    """Counts outcomes. A test in KNOWN-RED.txt that fails is printed and passed over."""
+    """Counts outcomes, and reports failures listed in KNOWN-RED.txt as skipped."""
 
     configSection = "closing-line"
 
@@ -35,7 +35,7 @@
             event.reason = "known red"
             self.seen_red.append(self.red[name])
             failed = False
-        kept = self.outcomes.get(name, "passed")  # parts of a test count as the test
+        kept = self.outcomes.get(name, "passed")  # subtests count as their test
         if failed:
             kept = "failed"
         elif event.outcome == "skipped" and kept != "failed":
--- a/tests/support/control.py
+++ b/tests/support/control.py
@@ -1,4 +1,4 @@
-"""One control node as a process of its own, for trials that a fleet has no place for."""
+"""A control node as a separate process, for tests that need no fleet."""
 
 import resource
 import subprocess
@@ -16,7 +16,7 @@
 
 
 class ControlNodeProcess:
-    """Settings, folder and process of a control node that is alone in its system."""
+    """Settings, folder and process of the only control node of its cluster."""
 
     def __init__(self):
         self.scratch = tempfile.TemporaryDirectory(prefix="rowanrail-trial-")
@@ -43,7 +43,7 @@
         return path
 
     def start(self, *arguments, file_limit_bytes=resource.RLIM_INFINITY):
-        """Start the node; ``file_limit_bytes`` makes larger files fail, as a full disk does."""
+        """Start the node. Writes beyond ``file_limit_bytes`` fail, as on a full disk."""
 
         def limit():
             resource.setrlimit(resource.RLIMIT_FSIZE, (file_limit_bytes, resource.RLIM_INFINITY))
@@ -72,7 +72,7 @@
         return run_command(*arguments, ROWANRAIL_CONTROL=f"{self.host}:7080", ROWANRAIL_TOKEN=TOKEN)
 
     def configuration_file(self, number):
-        """Write a configuration whose changes are several kilobytes long."""
+        """Write a configuration that differs from others by several kilobytes."""
         users = [
             {"name": f"user{index}", "password_hash": f"{number * 1000 + index:040x}"}
             for index in range(100)
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -1,4 +1,4 @@
-"""A control node's state and the gateways that follow it, in virtual time: bytes and work."""
+"""Traffic and processor time of a control node and its gateways, in virtual time."""
 
 import asyncio
 import json
@@ -39,7 +39,7 @@
 
 @dataclass
 class PhaseCost:
-    """What one phase cost: bytes that a control node sent and took, processor time of all."""
+    """Cost of one phase: a control node's traffic, and the processor time of the simulation."""
 
     bytes_sent: int = 0
     bytes_received: int = 0
@@ -48,7 +48,7 @@
 
 @dataclass
 class FleetCosts:
-    """The phases of one run."""
+    """The costs of all phases of one run."""
 
     machines: int
     phases: dict[str, PhaseCost] = field(default_factory=dict)
@@ -65,7 +65,7 @@
 
 
 class FakeGateway:
-    """Keeps the last directory that it was told."""
+    """Keeps the last configuration version and directory that it received."""
 
     def __init__(self):
         self.access = self
@@ -83,7 +83,7 @@
 
 
 class CountingNetwork:
-    """Passes calls to a control node and counts their frames."""
+    """Passes calls to a control node and counts the bytes of their frames."""
 
     def __init__(self, service):
         self.service = service
@@ -99,11 +99,11 @@
 
 
 def document(version):
-    """Return a configuration of some routes, as the operator sends it."""
+    """Return a compressed configuration document."""
     routes = [
         {
-            "name": f"r-{hash_of(number)}",
-            "host": f"fiti{hash_of(number)}",
+            "name": f"r-{incompressible_word(number)}",
+            "host": f"fiti{incompressible_word(number)}",
             "path-prefix": "/",
             "kind": "read_your_writes",
             "timeout-ms": 1000 + version,
@@ -118,13 +118,13 @@
     return zlib.compress(json.dumps({"version": version, "routes": routes}).encode())
 
 
-def hash_of(number):
-    """Return a word that does not compress, the same in each run."""
+def incompressible_word(number):
+    """Return a deterministic word that does not compress well."""
     return f"{zlib.crc32(str(number).encode()):08x}"
 
 
 class ControlledFleet:
-    """Gateways before services whose number grows with the machines."""
+    """A control node, gateways, and services whose number is proportional to the machines."""
 
     def __init__(self, machines):
         self.costs = FleetCosts(machines)
@@ -140,7 +140,7 @@
         ]
         self.members = [
             MemberRecord(
-                f"i-{hash_of(1000 + n)}",
+                f"i-{incompressible_word(1000 + n)}",
                 f"db{n // MEMBERS_PER_SERVICE}",
                 f"10.128.{n // 250}.{n % 250}:8080",
                 f"z{n % ZONES}",
@@ -187,45 +187,47 @@
         self.network.cost.cpu_seconds = time.process_time() - began
 
     async def _start(self):
-        """Announce members and gateways as they come at a first start."""
+        """Announce all members and gateways, as at a first start."""
         self.apply(PutDocument(1, document(1)))
         for record in self.gateways:
             self._follow(record)
-        coming = [self.gateways[n :: int(START_SECONDS)] for n in range(int(START_SECONDS))]
+        batches = [self.gateways[n :: int(START_SECONDS)] for n in range(int(START_SECONDS))]
         steps = len(self.members)
         for number, record in enumerate(self.members):
-            if number % max(1, steps // int(START_SECONDS)) == 0 and coming:
-                self.apply(SetGateways(coming.pop(), []))
+            if number % max(1, steps // int(START_SECONDS)) == 0 and batches:
+                self.apply(SetGateways(batches.pop(), []))
             self.apply(Announce(record))
             await asyncio.sleep(START_SECONDS / steps)
-        for batch in coming:
+        for batch in batches:
             self.apply(SetGateways(batch, []))
 
     async def _restarts(self):
-        """Have members leave and others take their places, one each half a second."""
+        """Replace one member every half second."""
         self.replaced = int(CALM_SECONDS / 0.5)
         for number in range(self.replaced):
             before = self.members[number]
             self.apply(Announce(msgspec.structs.replace(before, leaving=True, sequence=9)))
             await asyncio.sleep(0.25)
-            after = msgspec.structs.replace(before, instance=f"i-{hash_of(9000 + number)}")
+            after = msgspec.structs.replace(
+                before, instance=f"i-{incompressible_word(9000 + number)}"
+            )
             self.apply(Announce(after))
             await asyncio.sleep(0.25)
 
-    async def _storm(self):
+    async def _configuration_burst(self):
         for version in range(2, 2 + STORM_VERSIONS):
             self.apply(PutDocument(version, document(version)))
             await asyncio.sleep(STORM_SECONDS / STORM_VERSIONS)
 
-    async def _calm(self):
+    async def _idle(self):
         pass
 
     async def run(self):
-        """Run all phases."""
+        """Run all phases and return their costs."""
         await self._phase("start", self._start(), START_SECONDS + 1.0)
-        await self._phase("calm", self._calm(), CALM_SECONDS)
+        await self._phase("calm", self._idle(), CALM_SECONDS)
         await self._phase("restarts", self._restarts(), CALM_SECONDS + 1.0)
-        await self._phase("storm", self._storm(), STORM_SECONDS + 1.0)
+        await self._phase("storm", self._configuration_burst(), STORM_SECONDS + 1.0)
         for _, watch in self.followers:
             watch.stop()
         await asyncio.sleep(0)
@@ -233,7 +235,7 @@
 
 
 def simulate_fleet(machines):
-    """Return a fleet after all its phases."""
+    """Run all phases of a fleet and return the fleet."""
     loop = VirtualLoop()
     fleet = ControlledFleet(machines)
     try:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet shared by the integration tests of a module."""
+"""A test fleet that the integration tests of a module share."""
 
 import subprocess
 import sys
@@ -36,7 +36,7 @@
         self._scratch.cleanup()
 
     def command(self, *arguments, **variables):
-        """Run the operators' command against the fleet's control nodes."""
+        """Run the ``rowanrail`` command against the fleet's control nodes."""
         controls = ",".join(f"{node.host}:{node.port}" for node in self.file.controls)
         environment = {
             "ROWANRAIL_CONTROL": controls,
@@ -58,12 +58,12 @@
 
 
 def wait_until(condition, seconds=20.0):
-    """Wait until ``condition()`` is true and return its value."""
+    """Wait until ``condition()`` returns a true value, and return it."""
     deadline = time.monotonic() + seconds
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > deadline:
-            raise AssertionError("the condition did not come true in time")
+            raise AssertionError("condition not met in time")
         time.sleep(0.02)
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway on a manual clock with members that a test plays by hand."""
+"""A gateway on a manual clock, with fake members that tests control."""
 
 import heapq
 from collections.abc import Callable
@@ -44,7 +44,7 @@
 
 
 class ManualClock:
-    """Time that passes only in :meth:`advance`."""
+    """A clock that advances only in :meth:`advance`, which runs the timers that are due."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -71,7 +71,7 @@
 
 
 class FakeMember:
-    """A member: answers by itself unless a test holds or scripts its answers."""
+    """A member that answers by default; tests can script or withhold its answers."""
 
     def __init__(self, instance: str, primary: bool, zone: str, slots: int = 3) -> None:
         self.instance = instance
@@ -99,7 +99,7 @@
         )
 
     def texts(self) -> list[str]:
-        """Return the clients' commands that reached this member."""
+        """Return the texts of the clients' commands that this member received."""
         return [command.text for _, command in self.ran if command.request_id]
 
     def open_transports(self) -> "list[FakeTransport]":
@@ -187,7 +187,7 @@
 
 
 class RecordingLog(DecisionLog):
-    """A decision log that is kept instead of written."""
+    """A decision log that keeps its lines in memory."""
 
     written = b""
 
@@ -197,7 +197,7 @@
 
 
 def routes(without: tuple[str, ...] = ()) -> dict[str, Route]:
-    """Return a route for each kind of read."""
+    """Return a route for each consistency level."""
     return {
         name: Route(name, name, "db", kind, 1.0, 0.5, 1.0, 1)
         for name, kind in DATABASES.items()
@@ -206,13 +206,13 @@
 
 
 class ClockOwner(Protocol):
-    """What clients are played on."""
+    """A gateway or harness with a manual clock."""
 
     clock: ManualClock
 
 
 class GatewayHarness:
-    """A gateway in zone a before one service with a primary and two replicas."""
+    """A gateway in zone a, and one service with a primary and two replicas."""
 
     def __init__(self, with_regions: bool = False, slots: int = 3) -> None:
         self.clock = ManualClock()
@@ -230,7 +230,7 @@
         self.announce(1)
 
     def logs(self) -> list[str]:
-        """Return the lines that the gateway has written."""
+        """Return the lines of the gateway's decision log."""
         self.decisions.flush()
         return self.decisions.written.decode().splitlines()
 
@@ -250,7 +250,7 @@
 
 
 class FakeClient:
-    """A client that runs statements on a session and keeps the answers."""
+    """A client that runs statements in a session and keeps the answers."""
 
     def __init__(self, owner: ClockOwner, session: Session) -> None:
         self.owner, self.session = owner, session
@@ -259,7 +259,7 @@
 
     @property
     def asked(self) -> int:
-        """Number of statements that were asked for."""
+        """Number of statements that were sent."""
         return self._number
 
     def ask(self, text: str) -> None:
@@ -267,7 +267,7 @@
         self.session.execute(statement(f"q{self._number}", text), self.answers.append)
 
     def run(self, text: str, seconds: float = 0.0) -> Answer:
-        """Run a statement that must be answered within ``seconds``."""
+        """Run a statement, which must be answered within ``seconds``, and return its answer."""
         known = len(self.answers)
         self.ask(text)
         if len(self.answers) == known:
--- a/tests/support/line_member.py
+++ b/tests/support/line_member.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the platform: members of a group on the line wire, and its promote call.
+"""Stand-ins for the platform: members that speak the line protocol, and its promote call.
 
-They follow the published protocol: slots are left out, the log, terms, roles, positions,
-``AFTER``, session values, prepared names and transactions are there.
+The members implement the published protocol, with log, terms, roles, positions, ``AFTER``,
+session values, prepared names and transactions, but without slots.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class Group:
-    """A service: one log, and members that hold a part of it."""
+    """A service, whose members replicate the log of its primary."""
 
     def __init__(self, name: str, lag_seconds: float = 0.005) -> None:
         self.name = name
@@ -36,10 +36,10 @@
                 )
 
     def on_statement(self, tenant: str, key: str) -> None:
-        """Hear for whom a read or write ran."""
+        """Handle that a member ran a read or write; does nothing by default."""
 
     def on_operation(self, tenant: str) -> None:
-        """Hear for whom an operation began: a single statement, or a transaction."""
+        """Handle that a statement or transaction of a tenant began; does nothing by default."""
 
     def promote(self, instance: str) -> None:
         member = self.members[instance]
@@ -55,7 +55,7 @@
 
 
 class Member:
-    """One member, listening on an address of its own."""
+    """One member, which listens on its own address."""
 
     connection_type: "type[MemberConnection]"
 
@@ -121,7 +121,7 @@
 
 
 class MemberConnection(asyncio.Protocol):
-    """One connection to a member."""
+    """The member's side of one connection."""
 
     def __init__(self, member: Member) -> None:
         self.member = member
@@ -263,7 +263,7 @@
 
 
 class Platform:
-    """The platform's promote call, with its fence."""
+    """The platform's promote call over HTTP, which refuses outdated fencing tokens."""
 
     def __init__(self, groups: list[Group]) -> None:
         self.groups = {group.name: group for group in groups}
--- a/tests/support/platform_fleet.py
+++ b/tests/support/platform_fleet.py
@@ -1,4 +1,4 @@
-"""The programs as processes on loopback addresses, before stand-in members."""
+"""The programs as processes on loopback addresses, with stand-in members."""
 
 import asyncio
 import contextlib
@@ -17,12 +17,12 @@
 from tests.support.line_member import Group, Member, Platform
 
 ROOT = Path(__file__).resolve().parents[2]
-CONTROL_PORT, RPC_PORT, FRONT_PORT, READY_PORT = 18701, 18702, 18703, 18704
+CONTROL_PORT, RPC_PORT, CLIENT_PORT, READY_PORT = 18701, 18702, 18703, 18704
 MEMBER_PORT, PROMOTE_PORT = 18705, 18706
 HEARTBEAT_SECONDS = 0.3
 LOG_TAIL_CHARS = 6000
 METRICS = "18707/metrics"
-KINDS = {
+KIND_BY_HOST = {
     "orders": "primary",
     "reports": "bounded_staleness",
     "carts": "read_your_writes",
@@ -30,7 +30,7 @@
 
 
 def configuration(version: int, **changes: Any) -> dict[str, Any]:
-    """Return a configuration document with a route for each kind of read."""
+    """Return a configuration document with a route for each consistency level."""
     routes = [
         {
             "name": f"r-{host}",
@@ -43,7 +43,7 @@
             "service": "db",
             "max-staleness-ms": 1000,
         }
-        for host, kind in KINDS.items()
+        for host, kind in KIND_BY_HOST.items()
     ]
     services = [{"name": "db", "max-conns": 40, "sync-replicas": 0}]
     limits = {"max-body-bytes": 262144, "idle-tx-ms": 3000}
@@ -52,11 +52,15 @@
 
 
 class PlatformFleet:
-    """``controls`` control nodes and ``proxies`` proxies, three members, one promote call.
-
-    :param other_checkout: the checkout from which every second process is started. Each zone gets
-        processes of both. A process that is started again comes from the other checkout the
-        first time, from the same one the second time, and so on.
+    """A fleet of control nodes, proxies, three stand-in members and the promote call.
+
+    :param controls: number of control nodes.
+    :param proxies: number of proxies.
+    :param network: second number of all addresses; fleets that run side by side need
+        different ones.
+    :param other_checkout: another checkout, from which every second process is started, such
+        that each zone has processes of both. Restarts of a process take its code from the
+        other checkout the first time, from the same one the second time, and so on.
     """
 
     def __init__(
@@ -74,7 +78,6 @@
     ) -> None:
         self.checkouts = [ROOT] if other_checkout is None else [ROOT, other_checkout]
         self.started: dict[str, list[Path]] = {}
-        # Fleets that run side by side differ in the second number of their addresses.
         self.promote_host = f"127.{network}.10.1"
         self.regions = regions or {}
         self.holders = holders
@@ -119,13 +122,14 @@
         return self
 
     async def _check_addresses(self) -> None:
-        """Make sure that nobody answers where the processes are to listen.
+        """Check that no other process listens on the fleet's addresses.
+
+        Processes left behind by a killed run would be taken for this fleet's own.
 
-        Processes that a killed run left behind would be taken for this fleet's own, which end at
-        once then; with a configuration of theirs, statements run for other tenants.
+        :raises RuntimeError: if an address is in use.
         """
         places = [(host, CONTROL_PORT) for host in self.control_hosts]
-        places += [(host, FRONT_PORT) for host in self.proxy_hosts]
+        places += [(host, CLIENT_PORT) for host in self.proxy_hosts]
         for host, port in places:
             try:
                 _, writer = await asyncio.open_connection(host, port)
@@ -168,7 +172,7 @@
 
     @contextlib.contextmanager
     def mark_busy(self, name: str) -> Iterator[None]:
-        """Mark a process or member as in the hands of one fault."""
+        """Mark a process or member as the target of a fault."""
         self.busy.add(name)
         try:
             yield
@@ -186,7 +190,7 @@
         lines = [
             f"name: proxy-{host}",
             f"zone: {zone}",
-            f"listen: {host}:{FRONT_PORT}",
+            f"listen: {host}:{CLIENT_PORT}",
             f"ready_listen: {host}:{READY_PORT}",
             "stop_seconds: 3",
             f"metrics: {METRICS}",
@@ -197,7 +201,7 @@
         self._start("proxy", host, lines, self._checkout(host, number, len(self.zones)))
 
     def _checkout(self, host: str, number: int, zones: int) -> Path:
-        """Return where the next start of a process takes its code from."""
+        """Return the checkout from which the next start of a process takes its code."""
         again = len(self.started.get(host, []))
         first = number + number // zones  # both checkouts in each zone
         return self.checkouts[(first + (again + 1) // 2) % len(self.checkouts)]
@@ -225,29 +229,29 @@
         self.processes[host].send_signal(signal.SIGTERM)
 
     def fill_disk(self, host: str, full: bool) -> None:
-        """Let no file of a process grow any more, or let them grow again.
+        """Make writes that extend a file of the process fail, or succeed again.
 
-        Its log is such a file as well: what it writes meanwhile is lost.
+        This includes its log file: lines written meanwhile are lost.
         """
         limit = 0 if full else resource.RLIM_INFINITY
         process = self.processes[host].pid
         resource.prlimit(process, resource.RLIMIT_FSIZE, (limit, resource.RLIM_INFINITY))
 
     async def leader(self) -> str:
-        """Return the control node that says it leads, empty if not exactly one does."""
+        """Return the control node that reports to be leader, empty if not exactly one does."""
         leaders = []
         for host in self.control_hosts:
             try:
                 if "rowanrail_control_leader 1.0" in await self.metrics(host):
                     leaders.append(host)
             except (aiohttp.ClientError, TimeoutError):
-                continue  # a process that does not answer leads nothing for long
+                continue  # a node that does not answer is not counted as leader
         return leaders[0] if len(leaders) == 1 else ""
 
     def log(self, host: str) -> str:
         return (self.folder / f"{host}.log").read_text()
 
-    # The outside
+    # External requests
 
     async def _send_heartbeats(self, member: Member) -> None:
         position = 0
@@ -295,7 +299,7 @@
             return 0
 
     async def until(self, ask: Any, wanted: Any, seconds: float = 15.0) -> None:
-        """Ask again and again until the answer is ``wanted``."""
+        """Call ``ask`` repeatedly until it returns ``wanted``."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
         while (answer := await ask()) != wanted:
@@ -310,14 +314,14 @@
 
 
 class LineClient:
-    """A client on the line wire."""
+    """A client that speaks the line protocol."""
 
     def __init__(self, host: str) -> None:
         self.host = host
         self.number = 0
 
     async def connect(self) -> None:
-        self.reader, self.writer = await asyncio.open_connection(self.host, FRONT_PORT)
+        self.reader, self.writer = await asyncio.open_connection(self.host, CLIENT_PORT)
 
     async def start(self, database: str, key: str = "tester") -> str:
         await self.connect()
@@ -329,7 +333,7 @@
         return data.decode().rstrip("\r\n")
 
     async def answer(self) -> list[str]:
-        """Return the lines of one answer, READY included; what there is if it closes."""
+        """Return the lines of one answer up to READY, or up to the end of the connection."""
         lines: list[str] = []
         while not lines or not lines[-1].startswith("READY"):
             line = await self.line()
--- a/tests/support/platform_path.py
+++ b/tests/support/platform_path.py
@@ -1,6 +1,6 @@
-"""Makes the translation to the users' platform importable for tests of it.
+"""Makes the folder ``platform`` importable when this module is imported.
 
-Its folder goes to the end of the path, since it shares its name with a module of Python's own.
+It is appended to the end of the path, since its name is also that of a standard module.
 """
 
 import sys
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,4 +1,4 @@
-"""Gateways of one zone that share one gateway's connections, on a manual clock."""
+"""Gateways of one zone that share the connections of a holder, on a manual clock."""
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
@@ -27,7 +27,7 @@
 
 
 class ZoneGateway:
-    """One gateway of the zone, with the members as it reaches them."""
+    """One gateway of the zone, with its connections to members and to other gateways."""
 
     def __init__(self, zone: "ZoneHarness", name: str) -> None:
         self.name = name
@@ -60,7 +60,7 @@
 
 
 class ZoneHarness:
-    """Three gateways; ``first`` holds the connections, ``second`` is next, ``last`` has clients."""
+    """Three gateways: the holder ``first``, its successor ``second``, and ``last`` for clients."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -82,14 +82,14 @@
             zone_gateway.gateway.set_directory(Directory(revision, records, POPULATION, neighbours))
 
     def kill(self, zone_gateway: ZoneGateway) -> None:
-        """End a gateway: its links break, and its address refuses."""
+        """Kill a gateway: its links break, and its address refuses connections."""
         del self.network.holders[zone_gateway.name]
         for link in self.network.links:
             if zone_gateway.name in link.ends:
                 link.disconnect("reset")
 
     def open_connections(self, zone_gateway: ZoneGateway) -> int:
-        """Return how many connections to members a gateway has open."""
+        """Return the number of open connections from a gateway to members."""
         return sum(
             pool.connections.count for pool in zone_gateway.gateway.services["db"].pools.values()
         )
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -1,4 +1,4 @@
-"""The in-process twin of the links between gateways, with delays, cuts and frozen holders."""
+"""In-process links between gateways, with delays, cuts and frozen holders."""
 
 from collections import deque
 from collections.abc import Callable
@@ -15,9 +15,9 @@
 
 Delay = Callable[[], float]
 
-SILENCE_POLL_MS = 20.0  # between looks whether a silent end takes messages again
+SILENCE_POLL_MS = 20.0  # interval at which blocked messages are retried
 
-# Messages are copied through their encoding, so that the two ends share nothing.
+# Messages are encoded and decoded so that the two ends share no objects.
 _encoder = msgspec.msgpack.Encoder()
 _gateway_decoder = msgspec.msgpack.Decoder(FromGateway)
 _holder_decoder = msgspec.msgpack.Decoder(FromHolder)
@@ -31,7 +31,7 @@
     clock : Clock
         Virtual time.
     delay : callable
-        Returns the milliseconds that the next message takes.
+        Returns the delay of the next message in milliseconds.
     """
 
     def __init__(self, clock: Clock, delay: Delay = lambda: 0.1) -> None:
@@ -43,11 +43,11 @@
         self.links: list[SimulatedLink] = []
 
     def opener(self, owner: str) -> "RelayOpener":
-        """Return the port through which one gateway opens its links."""
+        """Return the link opener of one gateway."""
         return RelayOpener(self, owner)
 
     def is_silent(self, owner: str, address: str) -> bool:
-        """Return whether nothing passes between a gateway and a holder."""
+        """Return whether no messages pass between a gateway and a holder."""
         return address in self.frozen or (owner, address) in self.cut
 
 
@@ -59,7 +59,7 @@
         self._owner = owner
 
     def open(self, address: str, link: Link) -> None:
-        """See :meth:`LinkOpener.open`."""
+        """Open a link to an address after a delay, and report the result to ``link``."""
         self._network.clock.call_in(self._network.delay(), self._open, address, link)
 
     def _open(self, address: str, link: Link) -> None:
@@ -75,10 +75,10 @@
 
 
 class SimulatedLink:
-    """One connection: messages arrive in the order in which they were sent.
+    """One connection, which delivers messages in the order in which they were sent.
 
-    A message that meets silence waits and arrives when the silence ends, as TCP has it,
-    unless the connection was closed meanwhile.
+    Messages to or from a frozen or cut-off holder are delivered when it is reachable again,
+    as in TCP, unless the connection was closed meanwhile.
     """
 
     def __init__(self, network: RelayNetwork, owner: str, address: str, link: Link) -> None:
@@ -94,31 +94,31 @@
 
     @property
     def link(self) -> Link:
-        """The gateway's end of it."""
+        """The gateway's end of the connection."""
         return self._link
 
     @property
     def ends(self) -> tuple[str, str]:
-        """Name of the gateway that opened it, and address of its holder."""
+        """Name of the gateway that opened the connection, and address of its holder."""
         return self._owner, self._address
 
     def serve(self, holder: Holder) -> None:
-        """Give the connection to its holder."""
+        """Have the holder accept the connection."""
         self._served = holder.accept(self._to_gateway)
 
     def send(self, message: FromGateway) -> None:
-        """See :meth:`rowanrail.gateway.relay.link.LinkPort.send`."""
+        """Send a message to the holder."""
         copy = _gateway_decoder.decode(_encoder.encode(message))
         self._deliver(lambda: self._to_holder(copy))
 
     def close(self) -> None:
-        """See :meth:`rowanrail.gateway.relay.link.LinkPort.close`."""
+        """Close the connection; the holder learns of it after the delay."""
         if not self._closed:
             self._closed = True
             self._network.clock.call_in(self._network.delay(), self._end_served)
 
     def disconnect(self, reason: str) -> None:
-        """End the connection at both ends."""
+        """Break the connection at both ends at once."""
         if not self._closed:
             self._closed = True
             self._end_served()
@@ -138,7 +138,7 @@
         self._network.clock.call_in(self._due - now, self._arrive, arrive)
 
     def _arrive(self, arrive: Callable[[], object]) -> None:
-        """Deliver a message, in the order in which all of the connection were sent."""
+        """Deliver a message after those that arrived before it."""
         self._queued.append(arrive)
         if len(self._queued) == 1:
             self._deliver_queued()
--- a/tests/support/simulated_controls.py
+++ b/tests/support/simulated_controls.py
@@ -1,4 +1,4 @@
-"""Control nodes for gateways in virtual time, with disks that can fail."""
+"""Simulated control nodes of gateways, with disks that can fail."""
 
 import asyncio
 from typing import Any
@@ -27,7 +27,7 @@
 
 class _NoDriver(MemberDriver):
     def open(self, address: str, service: str, instance: str, channel: Channel) -> None:
-        asyncio.get_running_loop().call_soon(channel.lost, "there are no members here")
+        asyncio.get_running_loop().call_soon(channel.lost, "no members are simulated")
 
 
 class _NoReader(StatusReader):
@@ -37,7 +37,7 @@
 
 class _NoFormat(ConfigurationFormat):
     def parse(self, document: bytes) -> Any:
-        return Failure(["documents are not looked into here"])
+        return Failure(["documents are not parsed"])
 
 
 class _NoPromoter(Promoter):
@@ -46,7 +46,7 @@
 
 
 class SimulatedControl(DurableDaemon):
-    """A control node across its restarts."""
+    """A control node whose disk persists across restarts of its process."""
 
     node: Coordinator
 
@@ -89,7 +89,7 @@
 
 
 class SimulatedControls:
-    """Three control nodes of one run, each in a zone of its own."""
+    """Three control nodes, each in its own zone."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -100,7 +100,7 @@
         ]
 
     async def start(self) -> None:
-        """Start all, and wait until each has opened its folder."""
+        """Start all nodes and wait until each has opened its data folder."""
         for control in self.nodes:
             control.start(bootstrap=True)
         while not all(hasattr(c, "node") and hasattr(c.node, "failover") for c in self.nodes):
--- a/tests/support/stubs.py
+++ b/tests/support/stubs.py
@@ -1,4 +1,4 @@
-"""Stubs: configurations of any size, and members that only answer status questions."""
+"""Generated configurations, and a stub driver that answers status queries."""
 
 from rowanrail.config.model import (
     Configuration,
@@ -22,9 +22,9 @@
 
 
 def configuration(groups: int, version: int = 1, queue_length: int = 200) -> VersionedConfiguration:
-    """Return a configuration with a number of groups, one user each.
+    """Return a configuration with ``groups`` groups and one user for each.
 
-    :param queue_length: a limit of the first group, for changes to change.
+    :param queue_length: a limit of the first group, by which configurations can differ.
     """
     specs = [_group(number, queue_length) for number in range(groups)]
     users = [
@@ -45,7 +45,7 @@
 
 
 class StubConnection(BackendConnection):
-    """Answers at once; the first member of each group is its primary."""
+    """A connection that answers at once; the first member of each group is its primary."""
 
     def __init__(self, driver: "StubDriver", address: str) -> None:
         self._driver = driver
@@ -53,24 +53,24 @@
         self._status = MemberStatus(role, 1, Position(1, 1), Position(1, 1), False, "stub")
 
     async def execute(self, sql: str) -> StatementResult:
-        """See :meth:`BackendConnection.execute`."""
+        """Return an empty result."""
         return StatementResult(position=Position(1, 1))
 
     async def status(self) -> MemberStatus:
-        """See :meth:`BackendConnection.status`."""
+        """Count the query and return a fixed status."""
         self._driver.status_count += 1
         return self._status
 
     def is_clean(self) -> bool:
-        """See :meth:`BackendConnection.is_clean`."""
+        """Return True."""
         return True
 
     def close(self) -> None:
-        """See :meth:`BackendConnection.close`."""
+        """Do nothing."""
 
 
 class StubDriver(BackendDriver):
-    """Connects to stub members and counts their status questions."""
+    """Connects to stub members and counts status queries."""
 
     def __init__(self) -> None:
         self.status_count = 0
@@ -78,5 +78,5 @@
     async def connect(
         self, address: str, user: str, password: str, database: str
     ) -> BackendConnection:
-        """See :meth:`BackendDriver.connect`."""
+        """Return a stub connection."""
         return StubConnection(self, address)
