--- a/tests/forms/test_stored.py
+++ b/tests/forms/test_stored.py
@@ -1,13 +1,11 @@
-"""Data folders of control nodes, held against folders that were written by an earlier version.
-
-How ``data`` was made: a script ran in a checkout of b0400eb, the code in use when these tests were
-written. ``stored.json`` holds samples of each type that stands in a folder, made like those of
-``messages.json`` (see ``test_messages``). For each kind of control node, ``before`` is the folder
-of a node that ran alone, took a snapshot each six entries, and was started again once; ``after``
-is the same folder after two more lives, whose commands, results and states stand in
-``story.json``. ``sql/backup`` is a backup of ``sql/before``. The tests live the same two lives with
-today's code: as its folder has the same bytes in the end, the earlier version reads what today's
-writes.
+"""Data folders of control nodes stay compatible with those that an earlier version wrote.
+
+``data`` was generated at revision b0400eb. ``stored.json`` has samples of each stored type, in the
+format of ``messages.json`` (see ``test_messages``). For each kind of control node, ``before`` is
+the folder of a single node that took a snapshot every six entries and restarted once, and ``after``
+is the same folder after two more runs, whose commands, results and states are in ``story.json``.
+``sql/backup`` is a backup of ``sql/before``. The tests repeat both runs and expect identical files,
+so that the earlier version can read what this one writes.
 """
 
 import asyncio
@@ -42,21 +40,21 @@
 from rowanrail.sql_control.messages import ChangeCommand
 from rowanrail.sql_control.policies import ExpectedVersion
 from rowanrail.sql_control.state import ConfigurationState
-from tests.forms.form import plain
-from tests.forms.golden import DATA, GoldenCase, decoder, load
+from tests.forms.golden import DATA_FOLDER, GoldenTestCase, load_golden, make_decoder
+from tests.forms.schema import to_json_value
 
-GOLDEN = load("stored.json")
-# Elections of a node that is alone are over at once; a snapshot each few entries.
+GOLDEN = load_golden("stored.json")
+# Short election timeouts, as the node is alone; a snapshot every six entries.
 OPTIONS = NodeOptions(RaftConfig(0.01, 0.02, first_election_seconds=0.005), snapshot_entries=6)
 
 
-class TypesTest(GoldenCase):
+class TypesTest(GoldenTestCase):
     def test_commands_of_gateways_control_nodes(self):
-        self.hold_union(Command, GOLDEN["log of the gateways' control nodes"])
+        self.check_union(Command, GOLDEN["log of the gateways' control nodes"])
 
     def test_command_of_sql_control_nodes(self):
         golden = GOLDEN["log of the SQL control nodes"]["change"]
-        self.hold(ChangeCommand, golden, decoder(ChangeCommand), msgspec.msgpack.encode)
+        self.check_type(ChangeCommand, golden, make_decoder(ChangeCommand), msgspec.msgpack.encode)
 
     def test_files(self):
         kinds = {
@@ -72,36 +70,38 @@
         self.assertEqual(sorted(kinds), sorted(GOLDEN["files"]))
         for name, kind in kinds.items():
             with self.subTest(name):
-                self.hold(kind, GOLDEN["files"][name], decoder(kind), msgspec.msgpack.encode)
+                self.check_type(
+                    kind, GOLDEN["files"][name], make_decoder(kind), msgspec.msgpack.encode
+                )
 
 
-def contents(folder: Path) -> dict[str, str]:
-    """Return the files of a folder, in hex."""
+def folder_contents(folder: Path) -> dict[str, str]:
+    """Return the contents of a folder's files in hex, by name."""
     return {path.name: path.read_bytes().hex() for path in sorted(folder.iterdir())}
 
 
-def state_of(machine: StateMachine) -> Any:
-    """Return a state machine's whole state, as its snapshot would have it."""
-    return plain(msgspec.msgpack.decode(machine.snapshot()))
+def decoded_state(machine: StateMachine) -> Any:
+    """Return the state of a state machine, decoded from a snapshot."""
+    return to_json_value(msgspec.msgpack.decode(machine.snapshot()))
 
 
-class Life:
-    """One run of a control node that is alone, on a folder."""
+class NodeRun:
+    """One run of a single control node on a data folder."""
 
     def __init__(self, folder: Path, story: Any, machine: StateMachine) -> None:
         self.folder = folder
         self.machine = machine
         name = story["node"]
-        self.owner = NodeConfig(story["cluster"], name, [NodeAddress(name, name)])
+        self.config = NodeConfig(story["cluster"], name, [NodeAddress(name, name)])
 
-    async def live(self, commands: list[bytes]) -> tuple[Any, list[Any], Any]:
-        """Return the state that was found, the results of commands, and the state after them."""
+    async def run(self, commands: list[bytes]) -> tuple[Any, list[Any], Any]:
+        """Return the state at the start, the results of the commands, and the state after them."""
         disk = FileDisk(self.folder)
         storage = Storage(disk)
         network = mock.Mock()
         learner_first = policies.LearnerFirst()
         identity = await open_data_folder(
-            self.owner, storage, network, random.Random(0), learner_first, bootstrap=False
+            self.config, storage, network, random.Random(0), learner_first, bootstrap=False
         )
         node = ConsensusNode(
             identity, storage, network, self.machine, OPTIONS, random.Random(0), Registry()
@@ -109,34 +109,34 @@
         node.start()
         try:
             async with asyncio.timeout(5.0):
-                while not self._has_all(node):
+                while not self._has_applied_all(node):
                     await asyncio.sleep(0.001)
-                found = state_of(self.machine)
-                results = [plain(await node.propose(command)) for command in commands]
+                initial_state = decoded_state(self.machine)
+                results = [to_json_value(await node.propose(command)) for command in commands]
         finally:
             await node.stop()
             disk.close()
-        return found, results, state_of(self.machine)
+        return initial_state, results, decoded_state(self.machine)
 
     @staticmethod
-    def _has_all(node: ConsensusNode) -> bool:
+    def _has_applied_all(node: ConsensusNode) -> bool:
         return node.raft.is_established_leader and node.applied_index == node.raft.log.last_index
 
 
-class FolderCases(GoldenCase):
-    """Opens a folder that was written earlier, and lives on in it."""
+class DataFolderTestCase(GoldenTestCase):
+    """Opens a folder that an earlier version wrote, and continues to write to it."""
 
     kind = ""
     command: Any = None
-    index = 0  # of the snapshot, after which entries follow in the log
+    index = 0  # last index of the snapshot in ``before``; the log continues after it
 
     def machine(self) -> StateMachine:
         """Return an empty state machine."""
         raise NotImplementedError
 
     def setUp(self) -> None:
-        self.data = DATA / self.kind
-        self.story = load(f"{self.kind}/story.json")
+        self.data = DATA_FOLDER / self.kind
+        self.story = load_golden(f"{self.kind}/story.json")
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
         self.folder = Path(scratch.name) / "folder"
@@ -146,23 +146,27 @@
         _, log = Storage(FileDisk(self.folder)).load()
         self.assertEqual(log.snapshot_index, self.index)
         self.assertGreater(log.last_index, self.index + 1)
-        self.assertEqual(contents(self.folder), contents(self.data / "before"), "only read")
+        self.assertEqual(
+            folder_contents(self.folder),
+            folder_contents(self.data / "before"),
+            "reading must not change files",
+        )
 
-    def test_what_is_written_in_two_more_lives_has_the_same_bytes(self):
+    def test_folder_is_byte_identical_after_two_more_runs(self):
         expected = self.story["state"]
-        for life in self.story["lives"]:
-            received = [bytes.fromhex(data) for data in life["commands"]]
-            commands = [decoder(self.command)(data) for data in received]
-            node = Life(self.folder, self.story, self.machine())
+        for golden_run in self.story["lives"]:
+            received = [bytes.fromhex(data) for data in golden_run["commands"]]
+            commands = [make_decoder(self.command)(data) for data in received]
+            node = NodeRun(self.folder, self.story, self.machine())
             encoded = [msgspec.msgpack.encode(command) for command in commands]
-            found, results, state = asyncio.run(node.live(encoded))
-            self.assertEqual(found, expected)
-            self.assertEqual(results, life["results"])
-            self.assertEqual(state, life["state"])
+            initial_state, results, state = asyncio.run(node.run(encoded))
+            self.assertEqual(initial_state, expected)
+            self.assertEqual(results, golden_run["results"])
+            self.assertEqual(state, golden_run["state"])
             expected = state
-        self.assertEqual(contents(self.folder), contents(self.data / "after"))
+        self.assertEqual(folder_contents(self.folder), folder_contents(self.data / "after"))
 
-    def test_all_files_are_read_and_written_alike(self):
+    def test_every_file_round_trips_to_the_same_bytes(self):
         for name, kind in {
             "identity": Identity,
             "hard-state": HardState,
@@ -170,13 +174,13 @@
         }.items():
             for folder in ("before", "after"):
                 data = (self.data / folder / name).read_bytes()
-                value = decoder(kind)(data[8:])
+                value = make_decoder(kind)(data[8:])
                 self.assertEqual(
                     encode_checksummed(msgspec.msgpack.encode(value)), data, f"{folder}/{name}"
                 )
 
 
-class GatewaysFolderTest(FolderCases):
+class GatewaysFolderTest(DataFolderTestCase):
     kind, command, index = "gateways", Command, 13
 
     def machine(self) -> StateMachine:
@@ -187,7 +191,7 @@
         self.assertEqual(identity, Identity(CLUSTER, f"{self.story['node']}@1"))
 
 
-class SqlFolderTest(FolderCases):
+class SqlFolderTest(DataFolderTestCase):
     kind, command, index = "sql", ChangeCommand, 7
 
     def machine(self) -> StateMachine:
@@ -195,9 +199,9 @@
 
     def test_a_backup_of_the_folder_has_the_same_bytes(self):
         backup = sql_backup.make_backup(Storage(FileDisk(self.folder)))
-        made = sql_backup.encode_backup(backup)
+        encoded = sql_backup.encode_backup(backup)
         golden = (self.data / "backup").read_bytes()
-        self.assertEqual(made.hex(), golden.hex())
+        self.assertEqual(encoded.hex(), golden.hex())
         self.assertEqual(sql_backup.decode_backup(golden), backup)
 
     def test_a_backup_is_restored_to_the_same_state(self):
@@ -209,11 +213,11 @@
         machine = self.machine()
         assert log.snapshot is not None
         machine.restore(log.snapshot.data)
-        self.assertEqual(state_of(machine), self.story["state"])
+        self.assertEqual(decoded_state(machine), self.story["state"])
         self.assertEqual(version, self.story["state"]["current"]["version"])
 
 
-del FolderCases  # has tests, but no folder of its own
+del DataFolderTestCase  # the base class has tests, but no folder
 
 
 if __name__ == "__main__":
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""What a member's heartbeat becomes in the product's own terms."""
+"""Conversion of a member's heartbeat to its record."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 from rowanrail_platform.control_api import Heartbeat
 
-PLAIN = {
+HEARTBEAT = {
     "service": "db",
     "addr": "10.0.0.9:8080",
     "zone": "a",
@@ -19,13 +19,13 @@
 
 class HeartbeatTest(unittest.TestCase):
     def record(self, **fields):
-        body = msgspec.json.encode(PLAIN | fields)
-        return msgspec.json.decode(body, type=Heartbeat).record("i-1")
+        body = msgspec.json.encode(HEARTBEAT | fields)
+        return msgspec.json.decode(body, type=Heartbeat).to_member_record("i-1")
 
-    def test_a_member_tells_how_long_it_stays_slow(self):
+    def test_cold_time_is_rounded_to_milliseconds(self):
         self.assertEqual(self.record(**{"cold-ms": 3200}).cold_ms, 3200)
         self.assertEqual(self.record(**{"cold-ms": 3200.4}).cold_ms, 3200)
 
-    def test_one_that_does_not_tell_is_warm(self):
+    def test_cold_time_defaults_to_zero(self):
         self.assertEqual(self.record().cold_ms, 0)
         self.assertEqual(self.record(**{"cold-ms": -5}).cold_ms, 0)
