--- a/src/rowanlab/fleet/runner.py
+++ b/src/rowanlab/fleet/runner.py
@@ -19,9 +19,9 @@
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.rpc.tcp import split_address
 
-READY_SECONDS = 40.0
+READY_TIMEOUT_SECONDS = 40.0
 POLL_SECONDS = 0.05
-STOP_SECONDS = 5.0
+STOP_TIMEOUT_SECONDS = 5.0
 FIRST_SUBNET = 20
 LAST_SUBNET = 250
 FLEET_FILE = "fleet.json"
@@ -93,7 +93,7 @@
 
         :raises RowanrailError: if a process ends or the fleet is not ready in time.
         """
-        deadline = time.monotonic() + READY_SECONDS
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
         for process in self.file.processes():
             host, port = process.host, process.port
             while not _is_listening(host, port):
@@ -128,7 +128,7 @@
             "change_id": f"fleet-{time.time_ns()}",
             "configuration": msgspec.to_builtins(loaded.unwrap()),
         }
-        deadline = time.monotonic() + READY_SECONDS
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
         while True:
             try:
                 answer = self.client().request("POST", "/v1/configuration", body)
@@ -198,7 +198,7 @@
             if running is not None and running.poll() is None:
                 os.kill(running.pid, signal.SIGCONT)
                 running.terminate()
-        deadline = time.monotonic() + STOP_SECONDS
+        deadline = time.monotonic() + STOP_TIMEOUT_SECONDS
         for running in self._running.values():
             try:
                 running.wait(max(0.0, deadline - time.monotonic()))
--- a/src/rowanlab/load/control_oracle.py
+++ b/src/rowanlab/load/control_oracle.py
@@ -83,7 +83,7 @@
 
     def __init__(self, note: Callable[[str], None] = lambda message: None) -> None:
         self.verdict = ControlVerdict()
-        self._note = note
+        self._trace = note
         self._changes: dict[str, AttemptedChange] = {}
         self._by_version: dict[int, AttemptedChange] = {}
         self._newest = 0
@@ -96,14 +96,14 @@
     def begin_change(self, change: AttemptedChange) -> None:
         """Record that a change is about to be sent for the first time."""
         self._changes[change.change_id] = change
-        self._note(f"sends change {change.change_id} against {change.expected_version}")
+        self._trace(f"sends change {change.change_id} against {change.expected_version}")
 
     def end_change(
         self, change: AttemptedChange, outcome: ChangeOutcome, version: int = NO_VERSION
     ) -> None:
         """Record the outcome that was reported to the operator."""
         change.outcome, change.version = outcome, version
-        self._note(f"change {change.change_id} is {outcome.value} ({version})")
+        self._trace(f"change {change.change_id} is {outcome.value} ({version})")
         if outcome is ChangeOutcome.CONFLICT:
             self.verdict.conflicts += 1
         elif outcome is ChangeOutcome.REFUSED:
@@ -136,7 +136,7 @@
     def end_read(self, expected: int, seen: int, where: str) -> None:
         """Check a read, which returned the version ``seen``."""
         self.verdict.reads += 1
-        self._note(f"read at {where} saw {seen}, at least {expected} was due")
+        self._trace(f"read at {where} saw {seen}, at least {expected} was due")
         if seen < expected:
             self.verdict.stale_reads += 1
             self._record_violation(f"stale read at {where}: saw {seen}, expected {expected}")
@@ -218,6 +218,6 @@
             self._record_violation(f"{change.change_id} was refused and is version {version}")
 
     def _record_violation(self, message: str) -> None:
-        self._note(f"VIOLATION: {message}")
+        self._trace(f"VIOLATION: {message}")
         if len(self.verdict.examples) < 20:
             self.verdict.examples.append(message)
--- a/src/rowanlab/load/oracle.py
+++ b/src/rowanlab/load/oracle.py
@@ -73,7 +73,7 @@
 
     def __init__(self, note: Callable[[str], None] = lambda message: None) -> None:
         self.verdict = Verdict()
-        self._note = note
+        self._trace = note
         self._writes: dict[str, Write] = {}
         self._acknowledged: dict[str, int] = {}
         self._attempted: dict[str, int] = {}
@@ -84,13 +84,13 @@
         self._attempted[key] = number
         write = Write(operation, key, number, parts)
         self._writes[operation] = write
-        self._note(f"sends {operation} as number {number} of {key}")
+        self._trace(f"sends {operation} as number {number} of {key}")
         return write
 
     def end_write(self, write: Write, outcome: Outcome) -> None:
         """Record the outcome that was reported to the caller."""
         write.outcome = outcome
-        self._note(f"{write.operation} is {outcome.value}")
+        self._trace(f"{write.operation} is {outcome.value}")
         if outcome is Outcome.ACKNOWLEDGED:
             self.verdict.acknowledged += 1
             known = self._acknowledged.get(write.key, 0)
@@ -113,7 +113,7 @@
     def end_read(self, key: str, expected: int, seen: int, where: str) -> None:
         """Check a read, which returned ``seen`` as the highest number of ``key``."""
         self.verdict.reads += 1
-        self._note(f"read of {key} by {where} saw {seen}, at least {expected} was due")
+        self._trace(f"read of {key} by {where} saw {seen}, at least {expected} was due")
         if seen < expected:
             self.verdict.stale_reads += 1
             self._record_violation(
@@ -166,6 +166,6 @@
         return self.verdict
 
     def _record_violation(self, message: str) -> None:
-        self._note(f"VIOLATION: {message}")
+        self._trace(f"VIOLATION: {message}")
         if len(self.verdict.examples) < 20:
             self.verdict.examples.append(message)
--- a/src/rowanlab/simulator/control_scenarios.py
+++ b/src/rowanlab/simulator/control_scenarios.py
@@ -104,11 +104,11 @@
 
 async def _restart_catch_up(control: ControlWorld, faults: ControlFaults) -> None:
     """Kill all nodes at once, one of which was behind; a proxy starts only after them."""
-    _, late, _ = await faults.leader_and_followers()
-    faults.count_fault(f"{late.name} stays away")
-    late.kill()
-    away = faults.random.choice(control.proxies)
-    away.kill()
+    _, late_node, _ = await faults.leader_and_followers()
+    faults.count_fault(f"{late_node.name} stays away")
+    late_node.kill()
+    late_proxy = faults.random.choice(control.proxies)
+    late_proxy.kill()
     await faults.pause(2.0, 3.0)
     faults.count_fault("all nodes lose power")
     for node in control.controls:
@@ -117,7 +117,7 @@
     for node in control.controls:
         node.restart()
     await faults.pause(0.5, 1.0)
-    control.start_proxy(away)
+    control.start_proxy(late_proxy)
 
 
 async def _run(control: ControlWorld, script: Script) -> int:
--- a/src/rowanlab/simulator/disk.py
+++ b/src/rowanlab/simulator/disk.py
@@ -82,8 +82,8 @@
             current = self._current.get(name, b"")
             survived[name] = durable
             if current.startswith(durable) and len(current) > len(durable):
-                kept = self._random.randint(0, len(current) - len(durable))
-                survived[name] = current[: len(durable) + kept]
+                kept_bytes = self._random.randint(0, len(current) - len(durable))
+                survived[name] = current[: len(durable) + kept_bytes]
         self._current = dict(survived)
         self._durable = dict(survived)
 
--- a/src/rowanlab/simulator/report.py
+++ b/src/rowanlab/simulator/report.py
@@ -78,12 +78,12 @@
 
     :param cores: number of worker processes; all usable cores by default.
     """
-    began = time.monotonic()
+    started = time.monotonic()
     report = SimulationReport(
         scenario, without.value if without else None, f"{first_seed}-{last_seed}"
     )
     tasks = [SeedTask(scenario, without, seed) for seed in range(first_seed, last_seed + 1)]
     for result in map_over_cores(run_seed, tasks, cores or usable_cores()):
         report.add(result)
-    report.seconds = round(time.monotonic() - began, 2)
+    report.seconds = round(time.monotonic() - started, 2)
     return report
--- a/src/rowanlab/simulator/scenario.py
+++ b/src/rowanlab/simulator/scenario.py
@@ -66,7 +66,7 @@
 
     :param scenario: returns the number of writes acknowledged after the faults had healed.
     """
-    began = time.monotonic()
+    started = time.monotonic()
     after_heal = 0
 
     async def limited() -> int:
@@ -86,5 +86,5 @@
         faults=world.fault_count,
         acknowledged_after_heal=after_heal,
         trace=world.trace,
-        seconds=time.monotonic() - began,
+        seconds=time.monotonic() - started,
     )
--- a/tests/support/closing_line.py
+++ b/tests/support/closing_line.py
@@ -35,12 +35,12 @@
             event.reason = "known red"
             self.seen_red.append(self.red[name])
             failed = False
-        kept = self.outcomes.get(name, "passed")  # subtests count as their test
+        recorded = self.outcomes.get(name, "passed")  # subtests count as their test
         if failed:
-            kept = "failed"
-        elif event.outcome == "skipped" and kept != "failed":
-            kept = "skipped"
-        self.outcomes[name] = kept
+            recorded = "failed"
+        elif event.outcome == "skipped" and recorded != "failed":
+            recorded = "skipped"
+        self.outcomes[name] = recorded
 
     def afterSummaryReport(self, event: Event) -> None:
         for line in self.seen_red:
--- a/tests/support/control_cost.py
+++ b/tests/support/control_cost.py
@@ -164,7 +164,7 @@
     def _follow(self, record):
         gateway = FakeGateway()
         health = [PrimaryHealth(f"db{n}", "", -1, 0) for n in range(self.services)]
-        watch = ControlPlaneClient(
+        client = ControlPlaneClient(
             gateway,
             self.network,
             ["c1:1"],
@@ -175,16 +175,16 @@
             NullLog(),
             Locality(record.zone),
         )
-        watch.start()
-        self.followers.append((gateway, watch))
+        client.start()
+        self.followers.append((gateway, client))
 
     async def _phase(self, name, playing, seconds):
         self.network.cost = self.costs.phases[name] = PhaseCost()
-        began = time.process_time()
+        started = time.process_time()
         playing = asyncio.ensure_future(playing)
         await asyncio.sleep(seconds)
         await playing
-        self.network.cost.cpu_seconds = time.process_time() - began
+        self.network.cost.cpu_seconds = time.process_time() - started
 
     async def _start(self):
         """Announce all members and gateways, as at a first start."""
@@ -228,8 +228,8 @@
         await self._phase("calm", self._idle(), CALM_SECONDS)
         await self._phase("restarts", self._restarts(), CALM_SECONDS + 1.0)
         await self._phase("storm", self._configuration_burst(), STORM_SECONDS + 1.0)
-        for _, watch in self.followers:
-            watch.stop()
+        for _, client in self.followers:
+            client.stop()
         await asyncio.sleep(0)
         return self.costs
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -103,7 +103,7 @@
         return [command.text for _, command in self.ran if command.request_id]
 
     def open_transports(self) -> "list[FakeTransport]":
-        return [wire for wire in self.transports if not wire.closed]
+        return [transport for transport in self.transports if not transport.closed]
 
 
 class FakeTransport(ChannelTransport):
@@ -181,9 +181,9 @@
         elif member.refuse_start is not None:
             channel.refused(member.refuse_start, "refused")
         elif not member.silent:
-            wire = FakeTransport(member, channel)
-            member.transports.append(wire)
-            channel.opened(wire, member.position)
+            transport = FakeTransport(member, channel)
+            member.transports.append(transport)
+            channel.opened(transport, member.position)
 
 
 class RecordingLog(DecisionLog):
