--- a/src/rowanrail/explain/causes.py
+++ b/src/rowanrail/explain/causes.py
@@ -113,7 +113,7 @@
 
 def _no_connection_message(evidence: Evidence) -> str:
     text = (
-        f"{evidence.member} of {evidence.service} had no connection free in time "
+        f"{evidence.member} of {evidence.service} had no free connection in time "
         f"({evidence.reason})"
     )
     return f"{text}: {evidence.rejection}" if evidence.rejection else text
@@ -132,7 +132,7 @@
         "rowanrail.gateway.relay.forwarding_rules.without_holder",
         lambda evidence: evidence.stage == Stage.WAITS_FOR_HOLDER.value and not evidence.rejection,
         lambda evidence: (
-            f"no gateway of its zone held connections to {evidence.service} in time "
+            f"no gateway in its zone held connections to {evidence.service} in time "
             f"({evidence.reason})"
         ),
     ),
@@ -145,7 +145,8 @@
             and evidence.stage == Stage.SENT.value
         ),
         lambda evidence: (
-            f"it was sent to gateway {evidence.via}, whose link was lost ({evidence.reason})"
+            f"it was forwarded to gateway {evidence.via} and the connection to that gateway was "
+            f"lost ({evidence.reason})"
         ),
     ),
     CauseRule(
@@ -153,7 +154,8 @@
         "rowanrail.gateway.policies.KeyCheck.is_same_identity",
         lambda evidence: evidence.outcome == Refusal.DENIED.value,
         lambda evidence: (
-            f"its key is no longer tenant {evidence.fields.get('tenant')}'s ({evidence.reason})"
+            f"its key no longer belongs to tenant {evidence.fields.get('tenant')} "
+            f"({evidence.reason})"
         ),
     ),
     CauseRule(
@@ -173,7 +175,7 @@
         f"{_WORK}.attempts.step_after_read",
         lambda evidence: evidence.outcome == Refusal.BEHIND.value,
         lambda evidence: (
-            f"the log of {evidence.member} lacked the position that the read must see"
+            f"the log of {evidence.member} had not reached the position that the read requires"
             f"{evidence.primary_failure}"
         ),
     ),
@@ -182,7 +184,7 @@
         f"{_WORK}.attempts.refusal_without_answer",
         lambda evidence: evidence.outcome == Refusal.OUTCOME_UNKNOWN.value,
         lambda evidence: (
-            f"it was sent to {evidence.member} and its answer did not come ({evidence.reason})"
+            f"it was sent to {evidence.member} and no answer was received ({evidence.reason})"
             f"{evidence.primary_failure}"
         ),
     ),
@@ -207,7 +209,7 @@
             evidence.stage == Stage.SENT.value and evidence.outcome == Refusal.BUSY.value
         ),
         lambda evidence: (
-            f"{evidence.member} of {evidence.service} had too much to do and refused it"
+            f"{evidence.member} of {evidence.service} was overloaded and refused it"
             f"{evidence.primary_failure}"
         ),
     ),
@@ -253,7 +255,10 @@
             continue
         control, age_ms = line.fields.get("control"), line.fields.get("heard_ms")
         if age_ms is not None:
-            return f"{cause}; control node {control} had called it the newest {age_ms} ms before"
+            return (
+                f"{cause}; control node {control} had confirmed {age_ms} ms earlier that it was "
+                "the newest version"
+            )
     return cause
 
 
@@ -273,9 +278,10 @@
             continue
         limit = line.fields
         return (
-            f"tenant {limit.get('tenant')} may begin {limit.get('limit')} operations in a window; "
-            f"{limit.get('fleet')} had begun at all gateways and {limit.get('asked')} were asked "
-            f"for in a second, as known {limit.get('age_ms')} ms before"
+            f"tenant {limit.get('tenant')} is limited to {limit.get('limit')} operations per "
+            f"window; the reporting gateways admitted {limit.get('fleet')} in the last window and "
+            f"received {limit.get('asked')} in the last second, according to totals that were "
+            f"{limit.get('age_ms')} ms old"
         )
     return ""
 
@@ -294,15 +300,18 @@
     service = statement.fields.get("service", "?")
     text = f": the primary of {service} was lost"
     if failing_seconds:
-        text += f" (for {failing_seconds} s at {statement.fields.get('via') or 'this proxy'})"
+        text += (
+            f" (failing for {failing_seconds} s as seen by "
+            f"{statement.fields.get('via') or 'the answering proxy'})"
+        )
     if promotions:
         promotion = promotions[-1].fields
         offset = promotions[-1].time - statement.time
         text += (
-            f"; {promotion.get('instance')} was promoted under token {promotion.get('token')}, "
+            f"; {promotion.get('instance')} was promoted with token {promotion.get('token')}, "
             f"{abs(offset):.1f} s {'after' if offset > 0 else 'before'} the answer, "
             f"because {promotion.get('reason')}"
         )
     else:
-        text += "; no order to replace it is in these logs"
+        text += "; these logs contain no decision to replace it"
     return text
--- a/src/rowanrail/explain/diagnosis.py
+++ b/src/rowanrail/explain/diagnosis.py
@@ -80,8 +80,11 @@
 
 def _request_not_found(lines: list[LogLine]) -> str:
     if not lines:
-        return "there is no line to read; name the logs of the proxies"
-    return "no line names this request; perhaps it is in another process's log, or was left out"
+        return "no log lines were read; pass the log files of the proxies"
+    return (
+        "no log line names this request; its line may be in the log of another process, or may "
+        "have been dropped"
+    )
 
 
 _NOT_RETRYABLE = (
@@ -119,10 +122,10 @@
     refusals = {refusal.value: refusal for refusal in Refusal}
     refusal = refusals.get(outcome)
     if refusal in NO_EFFECT_REFUSALS:
-        return "nothing of it is kept; it may be sent again"
+        return "it had no effect and may be retried"
     if refusal in _NOT_RETRYABLE:
-        return "it did not run; sending it again will not help"
-    return "nothing: it may or may not have run"
+        return "it did not run; retrying will not help"
+    return "none: it may or may not have run"
 
 
 def _missing_information(lines: list[LogLine], statement: LogLine | None = None) -> list[str]:
@@ -135,5 +138,8 @@
         dropped = [line for line in dropped if line.process == statement.process]
     other = sum(int(line.fields.get("other", 0)) for line in dropped)
     if other:
-        missing.append(f"{other} lines beside informative ones were left out by the budget")
+        missing.append(
+            f"{other} lines above the informational level were dropped, because the log exceeded "
+            "its rate limit or buffer"
+        )
     return missing
--- a/src/rowanrail/explain/rejections.py
+++ b/src/rowanrail/explain/rejections.py
@@ -34,25 +34,28 @@
     RejectionCause.OVERLOADED.value: RejectionRule(
         f"{_ADMISSION}.decide_on_arrival",
         lambda wait, run, left, peer: (
-            f"when it came about {wait} ms of waiting lay before it and {left} ms were left"
+            f"on arrival its estimated wait was {wait} ms and {left} ms remained until its deadline"
         ),
     ),
     RejectionCause.PAST_DEADLINE.value: RejectionRule(
         f"{_ADMISSION}.decide_while_waiting",
         lambda wait, run, left, peer: (
-            f"while it waited about {wait} ms still lay before it and {left} ms were left"
+            f"while it was queued its estimated remaining wait was {wait} ms and {left} ms "
+            "remained until its deadline"
         ),
     ),
     RejectionCause.HOLDER_OVERLOADED.value: RejectionRule(
         f"{_ADMISSION}.decide_forwarding",
         lambda wait, run, left, peer: (
-            f"{peer} had told of a line of {wait} ms or more, so that it was not sent there"
+            f"the load that {peer} reported implied a wait of at least {wait} ms, so it was not "
+            "forwarded"
         ),
     ),
     RejectionCause.ROUND_TRIP_TOO_LONG.value: RejectionRule(
         f"{_ADMISSION}.decide_forwarding",
         lambda wait, run, left, peer: (
-            f"{left} ms were left and the way to {peer} and back takes up to {run} ms"
+            f"{left} ms remained until its deadline and the round trip to {peer} takes up to "
+            f"{run} ms"
         ),
     ),
 }
@@ -68,8 +71,12 @@
 
     Examples
     --------
-    >>> describe_rejection({"cause": "way-too-long", "run": 80, "left": 60, "return_in": 100})
-    '60 ms were left and the way to its holder and back takes up to 80 ms; told to return in 0.10 s'
+    >>> fields = {"cause": "way-too-long", "run": 80, "left": 60, "return_in": 100}
+    >>> reason, retry = describe_rejection(fields).split("; ")
+    >>> reason
+    '60 ms remained until its deadline and the round trip to its holder takes up to 80 ms'
+    >>> retry
+    'the client was told to retry after 0.10 s'
     >>> describe_rejection({"stage": "sent"})
     ''
     """
@@ -78,4 +85,4 @@
         return ""
     wait, run, left = fields.get("wait", "?"), fields.get("run", "?"), fields.get("left", "?")
     text = rule.message(wait, run, left, fields.get("via") or "its holder")
-    return f"{text}; told to return in {fields.get('return_in', 0) / 1000:.2f} s"
+    return f"{text}; the client was told to retry after {fields.get('return_in', 0) / 1000:.2f} s"
