--- a/src/rowanrail/cli/backup.py
+++ b/src/rowanrail/cli/backup.py
@@ -21,7 +21,7 @@
 @click.argument("folder", metavar="DIR", type=click.Path(exists=True, file_okay=False))
 @click.argument("file", metavar="FILE")
 def backup(folder: str, file: str) -> None:
-    """Write the state of a control node's data folder to a file. The folder stays as it is."""
+    """Write the state of a control node's data folder to FILE, without changing the folder."""
     target = Path(file)
     if target.exists():
         fail([f"{file}: exists already; name a new file"], ExitCode.USAGE)
@@ -40,8 +40,8 @@
 @click.option("--cluster", required=True, help="Name of the system, as in its settings.")
 @click.option("--name", required=True, help="Name of the node that will own the folder.")
 @click.option("--address", required=True, help="The node's `rpc_listen`, as in `nodes`.")
-@click.option("--least-version", default=0, help="Highest version that any proxy has in force.")
-@click.option("--confirm", default="", help="The system's name again; see below.")
+@click.option("--least-version", default=0, help="Highest version in force at any proxy.")
+@click.option("--confirm", default="", help="The system's name again, as confirmation.")
 def restore(
     file: str,
     folder: str,
@@ -51,10 +51,11 @@
     least_version: int,
     confirm: str,
 ) -> None:
-    """Make a new data folder, of one node, from a backup.
+    """Create the data folder of a one-node system from a backup.
 
-    Only for when the majority's disks are gone for good. Whatever was accepted after the
-    backup is lost, and no node of the old system may ever start again with its old folder.
+    Use it only if the disks of a majority of the nodes are permanently lost. Changes accepted
+    after the backup are lost, and no node of the old system may ever start again with its old
+    folder.
     """
     if confirm != cluster:
         fail(
--- a/src/rowanrail/cli/explain.py
+++ b/src/rowanrail/cli/explain.py
@@ -24,13 +24,20 @@
 @click.command("explain")
 @click.argument("request")
 @click.argument("files", nargs=-1, type=click.Path(allow_dash=True))
-@click.option("--since", type=float, default=0.0, help="Only lines from this time (seconds).")
-@click.option("--member", help="Only lines that name this member, beside the request's own.")
-@click.option("--event", type=int, help="Only lines of this event, beside the request's own.")
-@click.option("--around", type=float, default=CONTEXT_SECONDS, help="Seconds shown around it.")
-@click.option("--json", "as_json", is_flag=True, help="Print the story as JSON.")
+@click.option(
+    "--since", type=float, default=0.0, help="Read only lines since this Unix time, in seconds."
+)
+@click.option("--member", help="Show only related lines that name this member.")
+@click.option("--event", type=int, help="Show only related lines with this event number.")
+@click.option(
+    "--around",
+    type=float,
+    default=CONTEXT_SECONDS,
+    help="Show related lines up to this many seconds before the request and after its answer.",
+)
+@click.option("--json", "as_json", is_flag=True, help="Print the diagnosis as JSON.")
 def explain(request: str, files: tuple[str, ...], **options: Any) -> None:
-    """Print what became of REQUEST, its cause first, from the logs in FILES (- or none: stdin)."""
+    """Diagnose REQUEST from the decision logs in FILES (standard input if none, or for -)."""
     with tempfile.TemporaryFile("w+", errors="replace") as spool:
         sources: list[Source] = [
             _StandardInput(sys.stdin, spool) if name == "-" else _LogFile(Path(name))
--- a/src/rowanrail/cli/inspect.py
+++ b/src/rowanrail/cli/inspect.py
@@ -75,7 +75,7 @@
 @click.argument("folder", metavar="DIR")
 @click.option("--output", type=click.Choice([item.value for item in OutputFormat]), default="table")
 def inspect_folder(folder: str, output: str) -> None:
-    """Show what a control node's data folder holds. The node should be stopped."""
+    """Show the contents of a control node's data folder. The node should be stopped."""
     if not Path(folder).is_dir():
         fail([f"{folder}: no such folder"], ExitCode.USAGE)
     try:
--- a/src/rowanrail/cli/inspect_load.py
+++ b/src/rowanrail/cli/inspect_load.py
@@ -42,7 +42,7 @@
 def inspect_load(sources: tuple[str, ...], output: str) -> None:
     """Show the load of the fleet from the metrics of its gateways.
 
-    SOURCE: `IP:PORT/PATH` of a gateway's metrics (setting `metrics`), or a file with such a text.
+    SOURCE: `IP:PORT/PATH` of a gateway's metrics (setting `metrics`), or a file that contains them.
     """
     gateways: list[list[Sample]] = []
     unreachable: list[str] = []
--- a/src/rowanrail/cli/main.py
+++ b/src/rowanrail/cli/main.py
@@ -57,7 +57,7 @@
 @click.option("--listen", help="Overrides `listen`.")
 @click.option("--admin-listen", help="Overrides `admin_listen`.")
 def proxy(path: str, **overrides: Any) -> None:
-    """Run a proxy until SIGTERM, which is a planned stop."""
+    """Run a proxy until SIGTERM, which stops it gracefully."""
     from rowanrail.mysql import backend as _backend_plugin  # noqa: F401
     from rowanrail.mysql import frontend as _frontend_plugin  # noqa: F401
     from rowanrail.sql_proxy.daemon import run_proxy
@@ -69,7 +69,9 @@
 
 @main.command()
 @click.option("--config", "path", required=True, help="Settings file.")
-@click.option("--bootstrap", is_flag=True, help="First start of a new system. Never use it again.")
+@click.option(
+    "--bootstrap", is_flag=True, help="Create a new system; only for its first start, never again."
+)
 @click.option("--name", help="Overrides `name`.")
 @click.option("--zone", help="Overrides `zone`.")
 @click.option("--data-folder", help="Overrides `data_folder`.")
--- a/src/rowanrail/cli/operator.py
+++ b/src/rowanrail/cli/operator.py
@@ -84,10 +84,12 @@
 
 
 @click.command()
-@click.option("-f", "--file", "path", required=True, help="File, or folder of *.yaml files.")
+@click.option(
+    "-f", "--file", "path", required=True, help="Configuration file, or folder of *.yaml files."
+)
 @operator_options
 def diff(context: OperatorContext, path: str) -> None:
-    """Show what applying FILE would change. Exits 0 if nothing, 1 if something would."""
+    """Show the changes that applying a file would make. Exits with 1 if there are any, else 0."""
     body = {"change_id": "diff", "configuration": _load_configuration(path)}
     answer = context.request("POST", "/v1/diff", body)
     changes = answer.body["changes"]
@@ -96,11 +98,13 @@
 
 
 @click.command()
-@click.option("-f", "--file", "path", required=True, help="File, or folder of *.yaml files.")
-@click.option("--expect-version", type=int, help="Refuse unless this version is in force.")
-@click.option("--change-id", help="Id of this change; a resend with the same id is safe.")
+@click.option(
+    "-f", "--file", "path", required=True, help="Configuration file, or folder of *.yaml files."
+)
+@click.option("--expect-version", type=int, help="Apply only if this version is in force.")
+@click.option("--change-id", help="Id of this change; retrying with the same id is safe.")
 @click.option("--wait", is_flag=True, help="Wait until the version is in force in every zone.")
-@click.option("--wait-seconds", default=30.0, show_default=True, help="Longest wait.")
+@click.option("--wait-seconds", default=30.0, show_default=True, help="Maximum wait, in seconds.")
 @operator_options
 def apply(
     context: OperatorContext,
@@ -110,7 +114,7 @@
     wait: bool,
     wait_seconds: float,
 ) -> None:
-    """Apply a configuration as a whole. Exits 3 if another change was first."""
+    """Apply a configuration atomically. Exits with 3 if it conflicts with another change."""
     body = {
         "change_id": change_id or str(uuid.uuid4()),
         "expected_version": expect_version,
@@ -193,10 +197,10 @@
 
 @click.command()
 @click.argument("version", type=int)
-@click.option("--change-id", help="Id of this change; a resend with the same id is safe.")
+@click.option("--change-id", help="Id of this change; retrying with the same id is safe.")
 @operator_options
 def rollback(context: OperatorContext, version: int, change_id: str | None) -> None:
-    """Make the contents of an earlier VERSION a new version."""
+    """Apply the contents of an earlier VERSION as a new version."""
     body = {"change_id": change_id or str(uuid.uuid4()), "version": version}
     _submit(context, "/v1/rollback", body)
 
@@ -260,7 +264,7 @@
 @click.argument("members", nargs=-1, required=True, metavar="GROUP/MEMBER...")
 @operator_options
 def drain(context: OperatorContext, members: tuple[str, ...]) -> None:
-    """Give members no new work."""
+    """Stop sending new work to members."""
     _drain(context, members, True)
 
 
@@ -268,13 +272,13 @@
 @click.argument("members", nargs=-1, required=True, metavar="GROUP/MEMBER...")
 @operator_options
 def undrain(context: OperatorContext, members: tuple[str, ...]) -> None:
-    """End the drain of members."""
+    """Send new work to drained members again."""
     _drain(context, members, False)
 
 
 @click.group()
 def member() -> None:
-    """Control nodes: list them, see how one is added, remove one."""
+    """List or remove control nodes, or wait until a new one can vote."""
 
 
 def _show_nodes(context: OperatorContext, body: Any) -> None:
@@ -304,7 +308,7 @@
 @click.argument("name")
 @operator_options
 def member_remove(context: OperatorContext, name: str) -> None:
-    """Remove a control node that is gone for good."""
+    """Remove a control node that is permanently lost."""
     _show_nodes(context, context.request("DELETE", f"/v1/nodes/{name}").body)
 
 
@@ -312,7 +316,7 @@
 @click.argument("name")
 @operator_options
 def member_add(context: OperatorContext, name: str) -> None:
-    """Wait until the new control node NAME, started with an empty folder, has its vote."""
+    """Wait until the new control node NAME, started with an empty folder, can vote."""
     for _ in range(MAXIMUM_VOTE_POLLS):
         body = context.request("GET", "/v1/nodes").body
         if any(node["name"] == name and node["voter"] for node in body["nodes"]):
