--- a/src/rowanrail/gateway/discovery/current_directory.py
+++ b/src/rowanrail/gateway/discovery/current_directory.py
@@ -9,7 +9,7 @@
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.services.service import Service
 from rowanrail.model.members import MemberRecord
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 
 __all__ = ["CurrentDirectory"]
 
@@ -38,7 +38,7 @@
         return bool(self._members)
 
     @property
-    def population(self) -> Population:
+    def population(self) -> FleetSize:
         """Numbers of gateways and zones that share the members' connections."""
         return self._directory.population
 
@@ -55,7 +55,7 @@
         self._set_gateways(before, directory)
         if directory.population != before.population:
             for service in services.values():
-                service.set_population(directory.population)
+                service.set_fleet_size(directory.population)
         self._set_members(directory.members, services)
         return True
 
--- a/src/rowanrail/gateway/discovery/directory.py
+++ b/src/rowanrail/gateway/discovery/directory.py
@@ -7,7 +7,7 @@
 
 from rowanrail.gateway.relay.neighbours import Neighbour
 from rowanrail.model.members import MemberRecord
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 
 __all__ = ["Directory"]
 
@@ -22,7 +22,7 @@
         Index of the last change in the control nodes' log.
     members : list of MemberRecord
         All announced members.
-    population : Population
+    population : FleetSize
         Numbers of gateways and zones that share the members' connections.
     neighbours : list of Neighbour
         Gateways of the same group that accept statements.
@@ -32,6 +32,6 @@
 
     revision: int
     members: list[MemberRecord]
-    population: Population = Population()
+    population: FleetSize = FleetSize()
     neighbours: list[Neighbour] = field(default_factory=list)
     remote_gateways: dict[str, list[Neighbour]] = field(default_factory=dict)
--- a/src/rowanrail/gateway/discovery/directory_copy.py
+++ b/src/rowanrail/gateway/discovery/directory_copy.py
@@ -15,7 +15,7 @@
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.relay.neighbours import Neighbour
 from rowanrail.model.members import MemberRecord
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 
 __all__ = ["DirectoryCopy"]
 
@@ -171,7 +171,7 @@
         return combined_digest(self._members.digest, self._neighbours.digest, self._others.digest)
 
     def _directory(self, reply: DirectoryReply) -> Directory:
-        population = Population(reply.gateways, reply.zones, self._is_regional)
+        population = FleetSize(reply.gateways, reply.zones, self._is_regional)
         members = list(self._members.values())
         own_group = [gateway for listed in self._own_group.listed.values() for gateway in listed]
         others = self._other_groups.listed
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -194,7 +194,7 @@
         service.primary.on_unavailable = functools.partial(self._router.ask_for_samples, service)
         note = functools.partial(log_weight_change, self._decisions, service)
         service.estimates.weights.on_change = note
-        service.set_population(self._known.population)
+        service.set_fleet_size(self._known.population)
         service.set_members(self._known.members(name))
         return service
 
@@ -212,7 +212,7 @@
         if not self._known.update(directory, self.services):
             return
         self.access.quota.set_population(directory.population.gateways)
-        self.holdings.set_population(directory.population)
+        self.holdings.set_fleet_size(directory.population)
         records = directory.members
         self._decisions.note(
             MEMBERS_TAKEN,
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -15,7 +15,7 @@
 from rowanrail.gateway.services.service import Service
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.trace import Trace
-from rowanrail.placement.hashed import Population, Shard, even_share, rank, shards_of
+from rowanrail.placement.hashed import FleetSize, Shard, even_share, rank, shards_of
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.plan import Plan
 
@@ -54,7 +54,7 @@
         self._detours = detours
         self._planned = planned
         self._decisions = decisions
-        self._population = Population()
+        self._fleet_size = FleetSize()
         self._is_handing_over = False
         self.load_meter: LoadMeter | None = None
         if planned is not None and neighbours is not None:
@@ -106,7 +106,7 @@
         assert self._neighbours is not None
         name = self._neighbours.name
         is_first = rank(key, [*self._neighbours.names, name])[0] == name
-        return even_share(self._population) if is_first else 0.0
+        return even_share(self._fleet_size) if is_first else 0.0
 
     def _log_changes(self, before: Iterable[str], planned: PlannedHolders, plan: Plan) -> None:
         held = planned.held
@@ -125,9 +125,9 @@
         for key in sorted(set(before) - set(held)):
             self._decisions.note(HOLDING_ENDED, number=plan.number, part=key)
 
-    def set_population(self, population: Population) -> None:
+    def set_fleet_size(self, fleet_size: FleetSize) -> None:
         """Set the number of gateways that share connections, and update limits."""
-        self._population = population
+        self._fleet_size = fleet_size
         self.apply_limits()
 
     def apply_limits(self) -> None:
--- a/src/rowanrail/gateway/services/service.py
+++ b/src/rowanrail/gateway/services/service.py
@@ -23,7 +23,7 @@
 from rowanrail.members.primary import PrimaryTracker
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.routing import ServiceSpec
-from rowanrail.placement.hashed import Population, Shard
+from rowanrail.placement.hashed import FleetSize, Shard
 from rowanrail.placement.planned import Allowance
 from rowanrail.scheduling.choice import choose_member
 from rowanrail.scheduling.queue import tenant_weight
@@ -108,9 +108,9 @@
         self.share = replace(self.share, connections=spec.connections)
         self._apply_limit()
 
-    def set_population(self, population: Population) -> None:
+    def set_fleet_size(self, fleet_size: FleetSize) -> None:
         """Set how many gateways share the members' connections."""
-        self.share = replace(self.share, population=population)
+        self.share = replace(self.share, fleet_size=fleet_size)
         self.primary.monitor_seconds = monitor_seconds(self.share.samplers)
         self._apply_limit()
 
--- a/src/rowanrail/gateway/services/service_share.py
+++ b/src/rowanrail/gateway/services/service_share.py
@@ -10,7 +10,7 @@
 from rowanrail.placement.hashed import (
     ASSUMED_GATEWAYS,
     SHARDS,
-    Population,
+    FleetSize,
     Shard,
     connection_limit,
     even_share,
@@ -32,7 +32,7 @@
     ----------
     connections : int
         Connections that one member accepts from all gateways together.
-    population : Population
+    fleet_size : FleetSize
         The gateways that share them.
     shards : frozenset of Shard
         Shards of the service whose statements are routed to this gateway.
@@ -41,29 +41,29 @@
 
     Examples
     --------
-    >>> single = ServiceShare(40, Population(1, 1))
+    >>> single = ServiceShare(40, FleetSize(1, 1))
     >>> single.limit(is_near=True), single.holders(is_near=True)
     (37, 1)
-    >>> regions = Population(58, 3, is_regional=True)
+    >>> regions = FleetSize(58, 3, is_regional=True)
     >>> region = ServiceShare(32, regions, frozenset({Shard("a", 0)}))
     >>> region.limit(is_near=True), region.limit(is_near=False), region.holders(is_near=True)
     (6, 2, 3)
     """
 
     connections: int
-    population: Population = Population()
+    fleet_size: FleetSize = FleetSize()
     shards: frozenset[Shard] = field(default=frozenset())
     allowance: Allowance | None = None
 
     @property
     def is_shared(self) -> bool:
         """Whether one gateway of each zone holds the zone's connections for the others."""
-        return is_shared(self.connections, self.population)
+        return is_shared(self.connections, self.fleet_size)
 
     @property
     def is_regional(self) -> bool:
         """Whether the gateways of each region hold the connections to its members."""
-        return self.population.is_regional and self.is_shared
+        return self.fleet_size.is_regional and self.is_shared
 
     @property
     def is_planned(self) -> bool:
@@ -78,7 +78,7 @@
     @property
     def samplers(self) -> int:
         """Number of gateways that sample the primary: all, or one for each zone."""
-        return self.population.zones if self.is_shared else self.population.gateways
+        return self.fleet_size.zones if self.is_shared else self.fleet_size.gateways
 
     def limit(self, is_near: bool) -> int:
         """Return how many connections this gateway may open to one member.
@@ -90,9 +90,9 @@
         """
         if self.allowance is not None and self.is_shared:
             share, samplers = self._planned_share(self.allowance), self.allowance.samplers
-            return planned_limit(self.connections, self.population, share, samplers, is_near)
+            return planned_limit(self.connections, self.fleet_size, share, samplers, is_near)
         shards = max(1, len(self.shards))
-        return connection_limit(self.connections, self.population, is_near, shards)
+        return connection_limit(self.connections, self.fleet_size, is_near, shards)
 
     def _planned_share(self, allowance: Allowance) -> float:
         """Return the share by a plan, plus an even share for each shard taken over from others.
@@ -100,20 +100,20 @@
         Gateways that follow another plan may still forward to a gateway without a share, so it
         keeps a reduced one to finish its work.
         """
-        even = even_share(self.population)
+        even = even_share(self.fleet_size)
         share = allowance.share + even * len(self.shards - allowance.shards)
         return share or even * HANDOVER_SHARE_FACTOR
 
     def holders(self, is_near: bool) -> int:
         """Return how many gateways are assumed to use a member as much as this one does."""
         if not self.is_shared:
-            return self.population.gateways or ASSUMED_GATEWAYS
+            return self.fleet_size.gateways or ASSUMED_GATEWAYS
         if self.allowance is not None and (is_near or not self.is_regional):
             return max(1, round(1 / self._planned_share(self.allowance)))
         if not self.is_regional:
-            return self.population.zones
+            return self.fleet_size.zones
         near = math.ceil(SHARDS / max(1, len(self.shards)))
-        return near if is_near else SHARDS * self.population.zones
+        return near if is_near else SHARDS * self.fleet_size.zones
 
     def keeps_idle(self, service: str, tenant: str) -> bool:
         """Return whether idle connections of a tenant are kept for its next statement.
--- a/src/rowanrail/placement/hashed.py
+++ b/src/rowanrail/placement/hashed.py
@@ -15,7 +15,7 @@
     "DEMAND_AGGREGATOR",
     "MINIMUM_CONNECTIONS",
     "SHARDS",
-    "Population",
+    "FleetSize",
     "Shard",
     "connection_limit",
     "even_share",
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Population:
+class FleetSize:
     """The number of gateways, and of the zones or regions that they are in.
 
     Parameters
@@ -109,32 +109,32 @@
     return [Shard(service, number) for number in range(SHARDS)]
 
 
-def is_shared(connections: int, population: Population) -> bool:
+def is_shared(connections: int, fleet_size: FleetSize) -> bool:
     """Return whether gateways share a holder's connections instead of opening their own.
 
     Parameters
     ----------
     connections : int
         Connections that one member accepts from all gateways together.
-    population : Population
+    fleet_size : FleetSize
         The gateways among which they are divided.
 
     Examples
     --------
-    >>> is_shared(40, Population(7, 3))
+    >>> is_shared(40, FleetSize(7, 3))
     False
-    >>> is_shared(40, Population(72, 6))
+    >>> is_shared(40, FleetSize(72, 6))
     True
     """
-    if population.gateways <= population.zones:
+    if fleet_size.gateways <= fleet_size.zones:
         return False  # no gateway has a neighbour to share with
-    if population.is_regional:
+    if fleet_size.is_regional:
         return True  # connections belong to tenants, so fewer holders open fewer of them
-    return (connections - RESERVED_CONNECTIONS) // population.gateways < MIN_OWN_CONNECTIONS
+    return (connections - RESERVED_CONNECTIONS) // fleet_size.gateways < MIN_OWN_CONNECTIONS
 
 
 def connection_limit(
-    connections: int, population: Population, is_near: bool = True, shards: int = 1
+    connections: int, fleet_size: FleetSize, is_near: bool = True, shards: int = 1
 ) -> int:
     """Return how many connections a gateway may open to one member without a plan.
 
@@ -146,7 +146,7 @@
     ----------
     connections : int
         Connections that one member accepts from all gateways together.
-    population : Population
+    fleet_size : FleetSize
         The gateways among which they are divided.
     is_near : bool
         Whether the member is in the gateway's own region.
@@ -155,44 +155,44 @@
 
     Examples
     --------
-    >>> connection_limit(40, Population(7, 3))
+    >>> connection_limit(40, FleetSize(7, 3))
     8
-    >>> connection_limit(40, Population(1, 1))
+    >>> connection_limit(40, FleetSize(1, 1))
     37
-    >>> connection_limit(40, Population(72, 6))
+    >>> connection_limit(40, FleetSize(72, 6))
     5
-    >>> region = Population(58, 3, is_regional=True)
+    >>> region = FleetSize(58, 3, is_regional=True)
     >>> [connection_limit(32, region, is_near=True, shards=n) for n in (1, 2, 3)]
     [6, 12, 17]
     >>> connection_limit(32, region, is_near=False)
     2
     """
     available = connections - RESERVED_CONNECTIONS
-    if population.is_regional and is_shared(connections, population):
-        others = population.zones - 1
+    if fleet_size.is_regional and is_shared(connections, fleet_size):
+        others = fleet_size.zones - 1
         local = available - SUCCESSOR_CONNECTIONS - others * SHARDS  # for samples
         share = math.ceil(local * min(shards, SHARDS) / SHARDS)
         return max(MINIMUM_CONNECTIONS, share) if is_near else REMOTE_CONNECTIONS
-    if is_shared(connections, population):
-        zones = max(1, population.zones)
+    if is_shared(connections, fleet_size):
+        zones = max(1, fleet_size.zones)
         return max(MINIMUM_CONNECTIONS, available // zones - 1)
-    share = available // (population.gateways or ASSUMED_GATEWAYS)
+    share = available // (fleet_size.gateways or ASSUMED_GATEWAYS)
     return min(available, max(MINIMUM_CONNECTIONS, DEMAND_FACTOR * (share - 1)))
 
 
-def even_share(population: Population) -> float:
+def even_share(fleet_size: FleetSize) -> float:
     """Return each holder's share of a member's connections without a plan.
 
     Examples
     --------
-    >>> even_share(Population(84, 4)), even_share(Population(90, 3, is_regional=True)) == 1 / SHARDS
+    >>> even_share(FleetSize(84, 4)), even_share(FleetSize(90, 3, is_regional=True)) == 1 / SHARDS
     (0.25, True)
     """
-    return 1 / SHARDS if population.is_regional else 1 / max(1, population.zones)
+    return 1 / SHARDS if fleet_size.is_regional else 1 / max(1, fleet_size.zones)
 
 
 def planned_limit(
-    connections: int, population: Population, share: float, samplers: int, is_near: bool = True
+    connections: int, fleet_size: FleetSize, share: float, samplers: int, is_near: bool = True
 ) -> int:
     """Return how many connections a gateway may open to one member by a plan.
 
@@ -200,7 +200,7 @@
     ----------
     connections : int
         Connections that one member accepts from all gateways together.
-    population : Population
+    fleet_size : FleetSize
         The gateways among which they are divided.
     share : float
         The gateway's share of the connections, between 0 and 1.
@@ -212,17 +212,17 @@
 
     Examples
     --------
-    >>> zones = Population(103, 6)
+    >>> zones = FleetSize(103, 6)
     >>> [planned_limit(79, zones, share, samplers=6) for share in (1 / 6, 0.25, 0.0)]
     [11, 17, 2]
-    >>> region = Population(86, 3, is_regional=True)
+    >>> region = FleetSize(86, 3, is_regional=True)
     >>> planned_limit(56, region, 0.5, samplers=6), planned_limit(56, region, 0.5, 6, is_near=False)
     (20, 2)
     """
-    if population.is_regional and not is_near:
+    if fleet_size.is_regional and not is_near:
         return REMOTE_CONNECTIONS
     divided = connections - RESERVED_CONNECTIONS - samplers
-    if population.is_regional:
+    if fleet_size.is_regional:
         divided -= SUCCESSOR_CONNECTIONS
     return max(MINIMUM_CONNECTIONS, int(divided * share + ROUNDING_TOLERANCE))
 
--- a/tests/gateway/test_choice_of_member.py
+++ b/tests/gateway/test_choice_of_member.py
@@ -7,7 +7,7 @@
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.model.position import Position
 from rowanrail.model.statements import Answer, Refusal, SessionState
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 from tests.support.gateway import GatewayHarness
 
 BUSY_ANSWER = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
@@ -70,7 +70,7 @@
         self.played.driver.members["m4:1"] = fresh
         records = [member.record() for member in self.played.members]
         records[1] = msgspec.structs.replace(records[1], cold_ms=4000)
-        self.played.gateway.set_directory(Directory(2, records, Population(3, 3)))
+        self.played.gateway.set_directory(Directory(2, records, FleetSize(3, 3)))
         known = len(fresh.texts())
         self.client.run("READ a", seconds=0.1)
         self.assertEqual(len(fresh.texts()), known)
--- a/tests/gateway/test_current_directory.py
+++ b/tests/gateway/test_current_directory.py
@@ -7,11 +7,11 @@
 from rowanrail.gateway.relay.neighbours import Neighbour
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.model.members import MemberRecord
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 
 NEIGHBOURS = [Neighbour("g1", "g1:1"), Neighbour("g2", "g2:1")]
 REMOTE_GATEWAYS = {"b": [Neighbour("g3", "g3:1")]}
-POPULATION = Population(3, 2)
+FLEET_SIZE = FleetSize(3, 2)
 
 
 class FakePrimary:
@@ -26,8 +26,8 @@
     def set_members(self, records):
         self.updates.append([record.instance for record in records])
 
-    def set_population(self, population):
-        self.updates.append(population)
+    def set_fleet_size(self, fleet_size):
+        self.updates.append(fleet_size)
 
 
 class RecordingGateways:
@@ -56,7 +56,7 @@
             service.updates.clear()
 
     def apply(
-        self, revision, members=(), neighbours=None, remote_gateways=None, population=POPULATION
+        self, revision, members=(), neighbours=None, remote_gateways=None, population=FLEET_SIZE
     ):
         members = [*self.members, *members]
         directory = Directory(
@@ -95,7 +95,7 @@
         self.assertEqual((self.neighbours.updates, self.detours.updates), (1, 2))
 
     def test_the_number_of_gateways_updates_all_services(self):
-        more = Population(4, 2)
+        more = FleetSize(4, 2)
         self.apply(2, population=more)
         self.assertEqual(self.service_updates(), [[more], [more]])
 
--- a/tests/gateway/test_samples.py
+++ b/tests/gateway/test_samples.py
@@ -9,7 +9,7 @@
 from rowanrail.members.samples import HISTORY_SECONDS, SampleHistory
 from rowanrail.model.position import Position
 from rowanrail.model.statements import CommandKind
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 from tests.support.gateway import GatewayHarness
 
 
@@ -55,7 +55,7 @@
         played = GatewayHarness()
         played.configure(2, connections=820)
         records = [member.record() for member in played.members]
-        played.gateway.set_directory(Directory(2, records, Population(gateways, 6)))
+        played.gateway.set_directory(Directory(2, records, FleetSize(gateways, 6)))
         played.client("orders").run("WRITE a 1")
         return played
 
--- a/tests/gateway/test_service_share.py
+++ b/tests/gateway/test_service_share.py
@@ -4,22 +4,22 @@
 from dataclasses import replace
 
 from rowanrail.gateway.services.service_share import ServiceShare
-from rowanrail.placement.hashed import ASSUMED_GATEWAYS, SHARDS, Population, Shard, connection_limit
+from rowanrail.placement.hashed import ASSUMED_GATEWAYS, SHARDS, FleetSize, Shard, connection_limit
 from rowanrail.placement.planned import HANDOVER_SHARE_FACTOR, Allowance
 
 SHARD = Shard("db", 0)
-ZONES = Population(72, 6)
-REGIONS = Population(58, 3, is_regional=True)
+ZONES = FleetSize(72, 6)
+REGIONS = FleetSize(58, 3, is_regional=True)
 
 
 class ServiceShareTest(unittest.TestCase):
     def test_until_the_directory_is_known_a_number_of_gateways_is_assumed(self):
         share = ServiceShare(40)
         self.assertEqual(share.holders(is_near=True), ASSUMED_GATEWAYS)
-        self.assertEqual(share.limit(is_near=True), connection_limit(40, Population()))
+        self.assertEqual(share.limit(is_near=True), connection_limit(40, FleetSize()))
 
     def test_unshared_connections_count_each_gateway_as_holder_and_sampler(self):
-        share = ServiceShare(40, Population(7, 3))
+        share = ServiceShare(40, FleetSize(7, 3))
         self.assertFalse(share.is_shared)
         self.assertEqual((share.holders(True), share.samplers), (7, 7))
 
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -12,7 +12,7 @@
     Refusal,
     SessionState,
 )
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 from rowanrail.scheduling.queue import QueueEntry
 from tests.support.gateway import GatewayHarness
 
@@ -254,7 +254,7 @@
         played.primary.primary, played.far.primary = False, True
         records = [member.record() for member in played.members]
         played.primary.primary, played.far.primary = True, False
-        played.gateway.set_directory(Directory(2, records, Population(3, 3)))
+        played.gateway.set_directory(Directory(2, records, FleetSize(3, 3)))
         self.assertEqual(played.gateway.services["db"].primary.presumed_primary, "m1")
         self.assertIsNone(client.run("WRITE b 2", seconds=0.1).refusal)
 
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -15,7 +15,7 @@
 from rowanrail.model.position import Position
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Answer, Refusal
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 from tests.support.gateway import (
     FakeClient,
     FakeDriver,
@@ -88,7 +88,7 @@
         records = [member.record() for member in self.members]
         for name, zone in self.zones.items():
             others = {other: [Neighbour(other, other)] for other in self.zones if other != name}
-            zone.gateway.set_directory(Directory(1, records, Population(3, 3), [], others))
+            zone.gateway.set_directory(Directory(1, records, FleetSize(3, 3), [], others))
         self.cut = self.zones["z2"]
         self.cut.client("orders").run("WRITE a 1", seconds=0.1)
         self.members[1].position = self.primary.position
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -5,7 +5,7 @@
 from rowanrail.gateway.relay.load_meter import LOOP_CHECK_MS, WINDOW_MS, LoadMeter
 from rowanrail.kernel.clock import Clock
 from rowanrail.model.statements import Refusal
-from rowanrail.placement.hashed import Population, Shard, even_share, planned_limit
+from rowanrail.placement.hashed import FleetSize, Shard, even_share, planned_limit
 from rowanrail.placement.planned import HANDOVER_MS, PlannedHolders
 from rowanrail.scheduling.plan import NO_PLAN, Holding, Plan, PlanCause, ShardPlan
 from tests.support.gateway import ManualClock
@@ -125,7 +125,7 @@
         self.assertEqual(whole, [10, 10, 10])
 
     def test_both_stay_within_what_the_zone_may_open(self):
-        even = planned_limit(CONNECTIONS, Population(60, 6), even_share(Population(60, 6)), 6)
+        even = planned_limit(CONNECTIONS, FleetSize(60, 6), even_share(FleetSize(60, 6)), 6)
         self.all_ask()
         for number, holder in enumerate((self.zone.last, self.zone.first, self.zone.last), 1):
             self.zone.set_plan(plan(number, holder.name))
@@ -297,12 +297,12 @@
     def test_all_holders_of_a_plan_stay_within_a_members_limit(self):
         for connections in (40, 56, 79):
             for shares in ([1 / 6] * 6, [0.5, 0.1, 0.1, 0.1, 0.1, 0.1]):
-                zones = Population(103, 6)
+                zones = FleetSize(103, 6)
                 limits = [planned_limit(connections, zones, s, len(shares)) for s in shares]
                 self.assertLessEqual(sum(limits) + len(shares) + 3, connections)
 
     def test_a_regions_holders_leave_room_for_samples_and_who_takes_over(self):
-        region = Population(86, 3, is_regional=True)
+        region = FleetSize(86, 3, is_regional=True)
         limits = [planned_limit(56, region, share, samplers=6) for share in (0.6, 0.2, 0.2)]
         self.assertLessEqual(sum(limits) + 3 + 6 + 6, 56)
 
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -15,7 +15,7 @@
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Refusal
-from rowanrail.placement.hashed import DEMAND_AGGREGATOR, Population, Shard, rank
+from rowanrail.placement.hashed import DEMAND_AGGREGATOR, FleetSize, Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.relay.test_detours import CutDriver
@@ -32,7 +32,7 @@
 REGIONS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 GATEWAYS = {"ga1": "a1", "ga2": "a2", "gb1": "b1", "gb2": "b2"}
 SHARD_OF_A = Shard.of("db", "a")
-POPULATION = Population(4, 2, is_regional=True)
+FLEET_SIZE = FleetSize(4, 2, is_regional=True)
 
 
 def configuration(version, keys, **limits):
@@ -98,7 +98,7 @@
         for name, one in self.gateways.items():
             region = REGIONS[GATEWAYS[name]]
             others = {r: listed for r, listed in in_region.items() if r != region}
-            one.gateway.set_directory(Directory(1, records, POPULATION, in_region[region], others))
+            one.gateway.set_directory(Directory(1, records, FLEET_SIZE, in_region[region], others))
         self.holder = self.gateways[rank(SHARD_OF_A.key, ["gb1", "gb2"])[0]]
         self.sender = self.gateways[rank(SHARD_OF_A.key, ["ga1", "ga2"])[0]]
         self.clock.advance(0.5)
--- a/tests/relay/test_remote_replicas.py
+++ b/tests/relay/test_remote_replicas.py
@@ -6,7 +6,7 @@
 from rowanrail.gateway.relay.neighbours import Neighbour
 from rowanrail.gateway.services.member_estimates import ReadRequirements
 from rowanrail.model.statements import Answer, Refusal, SessionState
-from tests.relay.test_regions import GATEWAYS, POPULATION, REGIONS, Regions
+from tests.relay.test_regions import FLEET_SIZE, GATEWAYS, REGIONS, Regions
 from tests.support.gateway import FakeMember
 
 FULL = Answer(refusal=Refusal.BUSY, state=SessionState.IDLE)
@@ -29,7 +29,7 @@
                 for group in ("a", "b")
             }
             own = groups.pop(region)
-            one.gateway.set_directory(Directory(2, records, POPULATION, own, groups))
+            one.gateway.set_directory(Directory(2, records, FLEET_SIZE, own, groups))
         world.clock.advance(0.5)
         self.client = world.client("reports")
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -23,7 +23,7 @@
     StatementKind,
     TypedStatement,
 )
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 
 DATABASES = {
     "orders": Consistency.PRIMARY,
@@ -241,7 +241,7 @@
 
     def announce(self, revision: int, leaving: tuple[str, ...] = ()) -> None:
         records = [member.record(member.instance in leaving) for member in self.members]
-        self.gateway.set_directory(Directory(revision, records, Population(3, 3)))
+        self.gateway.set_directory(Directory(revision, records, FleetSize(3, 3)))
 
     def client(self, database: str) -> "FakeClient":
         session = self.gateway.open_session(database, "client")
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -10,7 +10,7 @@
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
-from rowanrail.placement.hashed import Population, rank
+from rowanrail.placement.hashed import FleetSize, rank
 from rowanrail.placement.planned import PlannedHolders
 from tests.support.gateway import (
     FakeClient,
@@ -23,7 +23,7 @@
 from tests.support.relay_network import RelayNetwork
 
 GATEWAYS = ("g1", "g2", "g3")
-POPULATION = Population(60, 6)
+FLEET_SIZE = FleetSize(60, 6)
 
 
 class ZoneGateway:
@@ -79,7 +79,7 @@
         records = [member.record() for member in self.members]
         neighbours = [Neighbour(name, name) for name in GATEWAYS]
         for zone_gateway in self.gateways.values():
-            zone_gateway.gateway.set_directory(Directory(revision, records, POPULATION, neighbours))
+            zone_gateway.gateway.set_directory(Directory(revision, records, FLEET_SIZE, neighbours))
 
     def kill(self, zone_gateway: ZoneGateway) -> None:
         """End a gateway: its links break, and its address refuses."""
