--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -25,9 +25,9 @@
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.gauges import directory_gauges, gauges, relay_gauges, tenant_gauges
 from rowanrail.gateway.planned_stop import stop_gracefully
+from rowanrail.gateway.relay.demand_exchange import DemandExchange
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.load_meter import LoadMeter
-from rowanrail.gateway.relay.metering import Metering
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.relay.serving import Holder
@@ -77,7 +77,7 @@
         The gateways of its group, and those of others.
     gateway : Gateway
         Sessions and services.
-    metering : Metering
+    metering : DemandExchange
         Exchange of what tenants' clients ask for.
     holder, holder_server : Holder, TcpHolderServer
         What runs here for other gateways, and where they connect.
@@ -95,7 +95,7 @@
     neighbours: Neighbours
     detours: Detours
     gateway: Gateway
-    metering: Metering
+    metering: DemandExchange
     holder: Holder
     holder_server: TcpHolderServer
     meter: LoadMeter
@@ -192,10 +192,12 @@
     neighbours: Neighbours,
     detours: Detours,
     gateway: Gateway,
-) -> Metering:
+) -> DemandExchange:
     access = gateway.access
     region = _region(settings)
-    return Metering(settings.name, region, clock, neighbours, detours, access.quota, access.demand)
+    return DemandExchange(
+        settings.name, region, clock, neighbours, detours, access.quota, access.demand
+    )
 
 
 def wire_parts(parts: GatewayParts) -> None:
--- a/src/rowanrail/gateway/relay/metering.py
+++ b/src/rowanrail/gateway/relay/demand_exchange.py
@@ -24,7 +24,7 @@
 from rowanrail.tenants.quota import QuotaLimiter
 from rowanrail.tenants.tenant_counters import REPORT_INTERVAL_MS
 
-__all__ = ["Metering"]
+__all__ = ["DemandExchange"]
 
 # Interval between checks for a burst, which is reported early. A burst of four times a limit uses
 # up the tolerance beyond it in 0.3 s; two regions learn of it after two checks and 40 ms.
@@ -32,7 +32,7 @@
 INCARNATION_BYTES = 4  # two incarnations within 8 s collide with probability 1 in 4e9
 
 
-class Metering:
+class DemandExchange:
     """Reports this gateway's demand, and sums that of its region if it is the aggregator.
 
     Parameters
@@ -47,9 +47,9 @@
         The gateways of the region.
     detours : Detours
         Gateways of other regions.
-    guard : QuotaLimiter
+    limiter : QuotaLimiter
         Counts the demand at this gateway, and enforces quotas.
-    book : DemandAggregator
+    aggregator : DemandAggregator
         Sums the reports of other gateways.
     """
 
@@ -60,16 +60,16 @@
         clock: Clock,
         neighbours: Neighbours,
         detours: Detours,
-        guard: QuotaLimiter,
-        book: DemandAggregator,
+        limiter: QuotaLimiter,
+        aggregator: DemandAggregator,
     ) -> None:
         self._incarnation = f"{name} {secrets.token_hex(INCARNATION_BYTES)}"
         self._region = region
         self._clock = clock
         self._neighbours = neighbours
         self._detours = detours
-        self._guard = guard
-        self._book = book
+        self._limiter = limiter
+        self._aggregator = aggregator
         self._due_at = clock.now + REPORT_INTERVAL_MS
 
     def start(self) -> None:
@@ -78,23 +78,25 @@
 
     def _tick(self) -> None:
         is_due = self._clock.now >= self._due_at
-        if self._guard.has_limits and (is_due or self._guard.has_burst or self._book.has_burst):
+        if self._limiter.has_limits and (
+            is_due or self._limiter.has_burst or self._aggregator.has_burst
+        ):
             self._due_at = self._clock.now + REPORT_INTERVAL_MS
-            self._report(is_early=self._guard.has_burst)
+            self._report(is_early=self._limiter.has_burst)
         self._clock.call_in(BURST_CHECK_MS, self._tick)
 
     def _report(self, is_early: bool) -> None:
-        report = msgspec.structs.replace(self._guard.report(), is_early=is_early)
+        report = msgspec.structs.replace(self._limiter.report(), is_early=is_early)
         match self._neighbours.hashed_holder(DEMAND_AGGREGATOR):
             case HeldLocally():
-                self._book.record_gateway(self._incarnation, report)
-                self._guard.set_fleet_totals(self._book.fleet_totals())
+                self._aggregator.record_gateway(self._incarnation, report)
+                self._limiter.set_fleet_totals(self._aggregator.fleet_totals())
                 self._report_to_regions()
             case HeldRemotely(link=link):
                 message = DemandReport(link.next_call_id(), self._incarnation, report)
                 link.request(message, self._on_outcome, may_persist=False)
             case NoHolder():
-                pass  # the guard sees by the age of its data that no aggregator is reached
+                pass  # the limiter sees by the age of its data that no aggregator is reached
 
     def forward_to_aggregator(self, message: DemandReport) -> None:
         """Forward another region's report to the aggregator of this region.
@@ -114,10 +116,10 @@
 
     def _on_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Counted):
-            self._guard.set_fleet_totals(outcome.fleet)
+            self._limiter.set_fleet_totals(outcome.fleet)
 
     def _report_to_regions(self) -> None:
-        report = self._book.take_region_totals()
+        report = self._aggregator.take_region_totals()
         for group in self._detours.groups:
             holder = self._detours.hashed_holder_in(group, DEMAND_AGGREGATOR)
             if isinstance(holder, HeldRemotely):
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -245,13 +245,13 @@
         self._holder.host.prove_primary(service, give)
 
     def _add_demand(self, message: DemandReport) -> None:
-        book = self._holder.host.demand
+        aggregator = self._holder.host.demand
         if message.is_region:
-            book.record_region(message.sender, message.report)
+            aggregator.record_region(message.sender, message.report)
             self._holder.on_region_report(message)
         else:
-            book.record_gateway(message.sender, message.report)
-        fleet = book.fleet_totals()
+            aggregator.record_gateway(message.sender, message.report)
+        fleet = aggregator.fleet_totals()
         asked = message.report.tenants
         named = {tenant: total for tenant, total in fleet.tenants.items() if tenant in asked}
         self.send(
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -1,11 +1,11 @@
-"""Regions that share connections: remote holders, tenants' connections and keys, metering."""
+"""Regions that share connections: remote holders, tenants' connections and keys, demand."""
 
 import unittest
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.relay.demand_exchange import DemandExchange
 from rowanrail.gateway.relay.detours import Detours
-from rowanrail.gateway.relay.metering import Metering
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.relay.serving import Holder
@@ -59,7 +59,7 @@
             Registry(),
             Peers(neighbours, detours, PlannedHolders(name, REGIONS[zone], clock)),
         )
-        self.metering = Metering(
+        self.demand_exchange = DemandExchange(
             name,
             REGIONS[zone],
             clock,
@@ -69,9 +69,9 @@
             self.gateway.access.demand,
         )
         self.gateway.start()
-        self.metering.start()
+        self.demand_exchange.start()
         holder = world.network.holders[name] = Holder(self.gateway, clock)
-        holder.on_region_report = self.metering.forward_to_aggregator
+        holder.on_region_report = self.demand_exchange.forward_to_aggregator
 
     def client(self, database, key="key-of-a"):
         session = self.gateway.open_session(database, key)
@@ -253,7 +253,7 @@
         self.assertIsNone(answer.refusal, answer)
 
 
-class MeteringTest(unittest.TestCase):
+class DemandExchangeTest(unittest.TestCase):
     def setUp(self):
         self.world = Regions()
         self.world.configure(2, {"key-of-a": "a", "key-of-b": "b"}, rate=100.0, burst=100.0)
--- a/tests/tenants/test_quota.py
+++ b/tests/tenants/test_quota.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from rowanrail.gateway.relay.metering import BURST_CHECK_MS
+from rowanrail.gateway.relay.demand_exchange import BURST_CHECK_MS
 from rowanrail.kernel.clock import Clock
 from rowanrail.tenants.demand import (
     GATEWAY_REPORT_TTL_MS,
