--- a/src/rowanrail/gateway/relay/demand_exchange.py
+++ b/src/rowanrail/gateway/relay/demand_exchange.py
@@ -15,7 +15,7 @@
 
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.holder_choice import HeldLocally, HeldRemotely, NoHolder
-from rowanrail.gateway.relay.link import Counted, Outcome
+from rowanrail.gateway.relay.link import Outcome, TotalsReceived
 from rowanrail.gateway.relay.messages import DemandReport
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.kernel.clock import Clock
@@ -115,7 +115,7 @@
             link.request(forwarded, lambda outcome: None, may_persist=False)
 
     def _on_outcome(self, outcome: Outcome) -> None:
-        if isinstance(outcome, Counted):
+        if isinstance(outcome, TotalsReceived):
             self._limiter.set_fleet_totals(outcome.fleet)
 
     def _report_to_regions(self) -> None:
--- a/src/rowanrail/gateway/relay/detours.py
+++ b/src/rowanrail/gateway/relay/detours.py
@@ -18,7 +18,7 @@
     NoHolder,
     choose_holder,
 )
-from rowanrail.gateway.relay.link import Counted, Lost, NotRun, Outcome, Replied, Sampled
+from rowanrail.gateway.relay.link import Lost, NotRun, Outcome, Replied, Sampled, TotalsReceived
 from rowanrail.gateway.relay.messages import SampleRequest
 from rowanrail.gateway.relay.neighbours import LinkManager, LinkOpener, Neighbour
 from rowanrail.kernel.clock import Clock
@@ -142,7 +142,7 @@
                     if self._reachability.note_reachable(service, name, self._clock.now):
                         self.on_detour_found(service, name)
                     on_sample(asked_at, instance, position)
-                case NotRun() | Lost() | Replied() | Counted():
+                case NotRun() | Lost() | Replied() | TotalsReceived():
                     self._reachability.note_unreachable(service, name)
 
         link.request(SampleRequest(link.next_call_id(), service), on_outcome)
--- a/src/rowanrail/gateway/relay/forwarding.py
+++ b/src/rowanrail/gateway/relay/forwarding.py
@@ -15,7 +15,15 @@
     after_not_served,
     after_timeout,
 )
-from rowanrail.gateway.relay.link import Counted, Link, Lost, NotRun, Outcome, Replied, Sampled
+from rowanrail.gateway.relay.link import (
+    Link,
+    Lost,
+    NotRun,
+    Outcome,
+    Replied,
+    Sampled,
+    TotalsReceived,
+)
 from rowanrail.gateway.relay.messages import Rollback
 from rowanrail.gateway.session_context import SessionContext, is_write
 from rowanrail.gateway.work.attempts import SentRequest
@@ -95,7 +103,7 @@
             case Lost(reason=reason):
                 self._call_id = 0
                 self._apply_decision(after_link_loss(self._sent_kind), reason)
-            case Sampled() | Counted():
+            case Sampled() | TotalsReceived():
                 pass  # answers to other requests
 
     def _on_timeout(self) -> None:
@@ -178,7 +186,7 @@
                 self._call_id = 0
                 self._end_at_holder()
                 self._apply_decision(after_link_loss(self._sent_kind), reason)
-            case Sampled() | Counted():
+            case Sampled() | TotalsReceived():
                 pass  # answers to other requests
 
     def _on_timeout(self) -> None:
--- a/src/rowanrail/gateway/relay/link.py
+++ b/src/rowanrail/gateway/relay/link.py
@@ -31,7 +31,7 @@
 from rowanrail.tenants.demand import DemandSummary
 
 __all__ = [
-    "Counted",
+    "TotalsReceived",
     "Link",
     "LinkPort",
     "LinkState",
@@ -46,7 +46,7 @@
 
 
 class LinkPort(Protocol):
-    """Port: the transport connection of a link."""
+    """Interface: the transport connection of a link."""
 
     def send(self, message: FromGateway) -> None:
         """Send a message."""
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The neighbour did not run the call and can't."""
+    """The call did not run: the link was not open, or the neighbour does not serve it."""
 
     reason: str
 
@@ -87,20 +87,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Sampled:
-    """The neighbour returned a new sample of a primary."""
+    """The neighbour answered a sample request with a new sample of a primary."""
 
     instance: str
     position: Position
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
-    """The neighbour returned the fleet's demand by tenant."""
+class TotalsReceived:
+    """The neighbour answered a demand report with the demand of the whole fleet."""
 
     fleet: DemandSummary
 
 
-Outcome = Replied | NotRun | Lost | Sampled | Counted
+Outcome = Replied | NotRun | Lost | Sampled | TotalsReceived
 OnOutcome = Callable[[Outcome], None]
 
 
@@ -262,7 +262,7 @@
             case SampleReply(call=call, instance=instance, position=position):
                 self._resolve(call, Sampled(instance, position))
             case DemandTotals(call=call, fleet=fleet):
-                self._resolve(call, Counted(fleet))
+                self._resolve(call, TotalsReceived(fleet))
             case Leaving():
                 if self._state is LinkState.UP:
                     self._state = LinkState.LEAVING
--- a/src/rowanrail/gateway/relay/messages.py
+++ b/src/rowanrail/gateway/relay/messages.py
@@ -167,7 +167,7 @@
 
 
 class NotServed(msgspec.Struct, tag=12, array_like=True, frozen=True, gc=False):
-    """The call did not run and can't run at this gateway."""
+    """Answer of a gateway that does not serve a call; the call did not run and will not."""
 
     call: int
     reason: str
