--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -205,7 +205,7 @@
     parts.holder.on_region_report = parts.metering.forward_to_aggregator
     if parts.is_planned:
         parts.gateway.holdings.load_meter = parts.meter
-        parts.holder.on_statement = parts.gateway.holdings.note_held
+        parts.holder.on_statement = parts.gateway.holdings.note_held_statement
     parts.gateway.on_primary_change = parts.follower.report_now
 
 
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -90,7 +90,7 @@
         self.access = AccessControl(Clock(clock), decisions, self._policies.key_check, quota_terms)
         self.outcomes = OutcomeRecorder(decisions, self.access)
         self.holdings = Holdings(self, peers, decisions)
-        self.outcomes.on_trace = self.holdings.note_own
+        self.outcomes.on_trace = self.holdings.note_client_statement
         self._known = CurrentDirectory(peers)
         self._remote_admission = RemoteAdmission(Clock(clock))
         self._router = self._make_router()
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -23,7 +23,7 @@
 
 
 class HoldingsHost(Protocol):
-    """Port: the state of the gateway that holdings need."""
+    """Interface: the state of the gateway that holdings need."""
 
     stopping: bool
     services: dict[str, Service]
@@ -67,18 +67,18 @@
         """The plan; None if holders are chosen by rendezvous hashing only."""
         return self._planned
 
-    def note_held(self, shard: Shard) -> None:
-        """Count a statement that another gateway sent to this one."""
+    def note_held_statement(self, shard: Shard) -> None:
+        """Count a statement that another gateway sent to this holder."""
         if self.load_meter is not None and self._is_shared(shard.service):
-            self.load_meter.note_held(shard)
+            self.load_meter.note_held_statement(shard)
 
-    def note_own(self, tenant: str, trace: Trace | None) -> None:
+    def note_client_statement(self, tenant: str, trace: Trace | None) -> None:
         """Count a statement of this gateway's client, also as held if it ran at this gateway."""
         if self.load_meter is None or trace is None or not self._is_shared(trace.service):
             return
-        self.load_meter.note_own()
+        self.load_meter.note_client_statement()
         if not trace.via:
-            self.load_meter.note_held(Shard.of(trace.service, tenant))
+            self.load_meter.note_held_statement(Shard.of(trace.service, tenant))
 
     def _is_shared(self, name: str) -> bool:
         service = self._host.services.get(name)
--- a/src/rowanrail/gateway/relay/load_meter.py
+++ b/src/rowanrail/gateway/relay/load_meter.py
@@ -59,14 +59,14 @@
         self._window_began = self._clock.now
         self._check_later()
 
-    def note_held(self, shard: Shard) -> None:
+    def note_held_statement(self, shard: Shard) -> None:
         """Count a statement that this gateway runs as a holder."""
         key = shard.key
         self._shards[key] += 1
         if shard.tenant:
             self._tenants.setdefault(key, Counter())[shard.tenant] += 1
 
-    def note_own(self) -> None:
+    def note_client_statement(self) -> None:
         """Count a statement of a client of this gateway."""
         self._client_statements += 1
 
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -321,8 +321,8 @@
     def test_a_window_is_reported_for_a_limited_time(self):
         self.assertIsNone(self.meter.latest)
         for _ in range(10):
-            self.meter.note_held(Shard("db"))
-            self.meter.note_own()
+            self.meter.note_held_statement(Shard("db"))
+            self.meter.note_client_statement()
         report = self.end_window()
         self.assertEqual(
             (report.own_count, [(p.key, p.count) for p in report.shards]), (10, [("db", 10)])
@@ -333,11 +333,11 @@
     def test_it_reports_the_largest_shards_and_their_largest_tenant(self):
         for number in range(12):
             for _ in range(number + 1):
-                self.meter.note_held(Shard(f"db{number}"))
+                self.meter.note_held_statement(Shard(f"db{number}"))
         for tenant in ("a", "b", "b"):
             shard = Shard.of("db", tenant)
             for _ in range(50):
-                self.meter.note_held(shard)
+                self.meter.note_held_statement(shard)
         report = self.end_window()
         self.assertEqual(len(report.shards), 8)
         self.assertIn("b", [shard.tenant for shard in report.shards])
