--- a/src/rowanrail/gateway/relay/remote_holder_locator.py
+++ b/src/rowanrail/gateway/relay/remote_holder_locator.py
@@ -1,4 +1,4 @@
-"""Placement of work at the holder in the region of a member.
+"""Locates the gateway of a member's region that holds its connections.
 
 A connection belongs to one tenant, so that many holders with few connections each would have to
 open them again and again. The gateways of a member's own region hold nearly all its connections,
@@ -16,10 +16,10 @@
 from rowanrail.gateway.relay.link import Link
 from rowanrail.placement.hashed import Shard
 
-__all__ = ["RemoteHolder"]
+__all__ = ["RemoteHolderLocator"]
 
 
-class RemoteHolder:
+class RemoteHolderLocator:
     """Locates the holder in a member's region for one statement or transaction.
 
     A second lookup means that nothing ran there, perhaps because the holder does not reach the
--- a/src/rowanrail/gateway/relay/work_routing.py
+++ b/src/rowanrail/gateway/relay/work_routing.py
@@ -26,7 +26,7 @@
 from rowanrail.gateway.relay.holder_choice import HeldLocally, HeldRemotely
 from rowanrail.gateway.relay.peers import Peers
 from rowanrail.gateway.relay.remote_admission import RemoteAdmission
-from rowanrail.gateway.relay.remote_holder import RemoteHolder
+from rowanrail.gateway.relay.remote_holder_locator import RemoteHolderLocator
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.services.service import Service
 from rowanrail.gateway.session_context import PreparedStatementNames
@@ -145,7 +145,7 @@
         shard = Shard.of(service.spec.name, tenant)
         if not isinstance(self._detours.holder_in(region, shard), HeldRemotely):
             return None
-        return self._forwarded(RemoteHolder(self._detours, region), service, is_detour=True)
+        return self._forwarded(RemoteHolderLocator(self._detours, region), service, is_detour=True)
 
     def _find_detour(self, service: Service) -> ForwardedWork | None:
         """Return work at a gateway that reaches a service's primary, None if none is known."""
