--- a/src/rowanrail/gateway/relay/forwarded_call.py
+++ b/src/rowanrail/gateway/relay/forwarded_call.py
@@ -55,7 +55,7 @@
 
 
 class HolderLocator(Protocol):
-    """Port: locates the gateway that runs a service's statements."""
+    """Interface: locates the gateway that runs a service's statements."""
 
     def locate_holder(self, shard: Shard) -> HolderLocation:
         """Return the gateway that now runs the statements of a shard."""
--- a/src/rowanrail/gateway/relay/neighbours.py
+++ b/src/rowanrail/gateway/relay/neighbours.py
@@ -38,7 +38,7 @@
 
 
 class LinkOpener(ABC):
-    """Port: opens the transport connection of a link.
+    """Interface: opens the transport connection of a link.
 
     Implementations call ``link.opened``, then ``link.receive`` for each message and ``link.lost``
     at the end; only ``link.lost`` if the connection can't be opened.
