--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -30,8 +30,8 @@
 from rowanrail.gateway.relay.load_meter import LoadMeter
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.peers import Peers
-from rowanrail.gateway.relay.serving import Holder
-from rowanrail.gateway.relay.transport import TcpHolderServer, TcpLinkOpener
+from rowanrail.gateway.relay.serving import LinkServer
+from rowanrail.gateway.relay.transport import TcpLinkOpener, TcpLinkServer
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.frontend import Frontend
 from rowanrail.kernel.clock import Clock
@@ -79,7 +79,7 @@
         Sessions and services.
     metering : DemandExchange
         Exchange of what tenants' clients ask for.
-    holder, holder_server : Holder, TcpHolderServer
+    holder, holder_server : LinkServer, TcpLinkServer
         What runs here for other gateways, and where they connect.
     meter : LoadMeter
         What is reported for the plan of holders; started only if there is one.
@@ -96,8 +96,8 @@
     detours: Detours
     gateway: Gateway
     metering: DemandExchange
-    holder: Holder
-    holder_server: TcpHolderServer
+    holder: LinkServer
+    holder_server: TcpLinkServer
     meter: LoadMeter
     frontend: Frontend
     follower: ControlPlaneClient
@@ -142,8 +142,8 @@
         settings.quota_window_seconds * 1000, settings.quota_excess, settings.quota_slack
     )
     gateway = Gateway(locality, driver, loop, decisions, registry, peers, terms)
-    holder = Holder(gateway, clock)
-    holder_server = TcpHolderServer(holder)
+    holder = LinkServer(gateway, clock)
+    holder_server = TcpLinkServer(holder)
     meter = LoadMeter(clock, lambda: holder_server.unsent_bytes)
     assert peers.neighbours is not None and peers.detours is not None
     return GatewayParts(
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -261,12 +261,12 @@
         return session
 
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`."""
+        """See :meth:`rowanrail.gateway.relay.serving.LinkServerHost.admits`."""
         return self.access.admits(database, identity, version)
 
     @property
     def demand(self) -> DemandAggregator:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.demand`."""
+        """See :meth:`rowanrail.gateway.relay.serving.LinkServerHost.demand`."""
         return self.access.demand
 
     def route(self, database: str, tenant: str) -> tuple[Route, StatementExecutor] | Answer:
@@ -280,7 +280,7 @@
         return route, self._router.work_for(self.services[route.service], tenant, local)
 
     def local_work(self, service: str, is_detour: bool = False) -> LocalExecutor | None:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.local_work`."""
+        """See :meth:`rowanrail.gateway.relay.serving.LinkServerHost.local_work`."""
         known = self.services.get(service)
         return None if known is None else self._router.local_work(known, is_detour)
 
@@ -288,7 +288,7 @@
         self._decisions.note(DETOUR_FOUND, service=service, peer=peer)
 
     def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.prove_primary`."""
+        """See :meth:`rowanrail.gateway.relay.serving.LinkServerHost.prove_primary`."""
         known = self.services.get(service)
         if known is None or known.primary.failing_since:
             give(None)
@@ -298,7 +298,7 @@
         proof.request()
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
-        """See :meth:`rowanrail.gateway.relay.serving.HolderHost.load`."""
+        """See :meth:`rowanrail.gateway.relay.serving.LinkServerHost.load`."""
         known = self.services.get(service)
         return None if known is None else measure_load(known, tenant, self.clock.time() * 1000)
 
--- a/src/rowanrail/gateway/gauges.py
+++ b/src/rowanrail/gateway/gauges.py
@@ -10,7 +10,7 @@
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.link import LinkState
 from rowanrail.gateway.relay.neighbours import Neighbours
-from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.relay.serving import LinkServer
 from rowanrail.gateway.services.member_estimates import MemberEstimates
 from rowanrail.kernel.metrics import GaugeSample
 from rowanrail.members.primary import PrimaryTracker
@@ -108,7 +108,7 @@
     return NO_AGE_SECONDS if age is None else age / 1000
 
 
-def relay_gauges(neighbours: Neighbours, holder: Holder, detours: Detours) -> list[GaugeSample]:
+def relay_gauges(neighbours: Neighbours, holder: LinkServer, detours: Detours) -> list[GaugeSample]:
     """Return the links to neighbours by state, what runs here for neighbours, and detours."""
     states = [link.state for link in neighbours.links]
     readings: list[GaugeSample] = [
--- a/src/rowanrail/gateway/planned_stop.py
+++ b/src/rowanrail/gateway/planned_stop.py
@@ -8,7 +8,7 @@
 import enum
 
 from rowanrail.gateway.gateway import Gateway
-from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.relay.serving import LinkServer
 from rowanrail.gateway.sessions.frontend import Frontend
 
 __all__ = ["StopPhase", "stop_gracefully", "stop_phase"]
@@ -61,7 +61,7 @@
 
 
 async def stop_gracefully(
-    gateway: Gateway, frontend: Frontend, holder: Holder, stop_seconds: float
+    gateway: Gateway, frontend: Frontend, holder: LinkServer, stop_seconds: float
 ) -> None:
     """Stop as planned: unwelcome first, then idle sessions, then transactions, then all."""
     loop = asyncio.get_running_loop()
@@ -84,5 +84,5 @@
     gateway.close()
 
 
-def _is_busy(frontend: Frontend, holder: Holder) -> bool:
+def _is_busy(frontend: Frontend, holder: LinkServer) -> bool:
     return bool(frontend.busy_sessions() or holder.running_statements or holder.open_transactions)
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -47,7 +47,7 @@
 from rowanrail.tenants.demand import DemandAggregator, DemandSummary
 from rowanrail.tenants.model import ClientIdentity
 
-__all__ = ["Holder", "HolderHost", "ServedLink"]
+__all__ = ["LinkServer", "LinkServerHost", "ServedLink"]
 
 IDLE_MARGIN_MS = 1000.0  # the client's gateway ends an idle transaction this much earlier
 IDLE_CHECK_MS = 1000.0  # interval between checks for idle transactions
@@ -55,8 +55,8 @@
 Send = Callable[[FromHolder], None]
 
 
-class HolderHost(Protocol):
-    """Port: what a holder needs of its gateway."""
+class LinkServerHost(Protocol):
+    """Interface: what the server of neighbours' links needs of its gateway."""
 
     @property
     def stopping(self) -> bool:
@@ -113,12 +113,12 @@
     session: SessionContext = field(default_factory=SessionContext)
 
 
-class Holder:
-    """Serves the links of all neighbours.
+class LinkServer:
+    """Serves the links of all neighbours: runs the statements that they forward to this holder.
 
     Parameters
     ----------
-    host : HolderHost
+    host : LinkServerHost
         The gateway.
     clock : Clock
         Time and timers.
@@ -131,7 +131,7 @@
         Called with each demand report of another region.
     """
 
-    def __init__(self, host: HolderHost, clock: Clock) -> None:
+    def __init__(self, host: LinkServerHost, clock: Clock) -> None:
         self.host = host
         self.clock = clock
         self.load_reporter = LoadReporter(clock, host.load)
@@ -187,15 +187,15 @@
 
     Parameters
     ----------
-    holder : Holder
-        The holder to which it belongs.
+    link_server : LinkServer
+        The server to which it belongs.
     send : callable
         Sends a message to the neighbour.
     """
 
-    def __init__(self, holder: Holder, send: Send) -> None:
+    def __init__(self, link_server: LinkServer, send: Send) -> None:
         self.send = send
-        self._holder = holder
+        self._link_server = link_server
         self._singles: dict[int, _SingleStatement] = {}
         self._transactions: dict[int, _Transaction] = {}
 
@@ -212,7 +212,7 @@
     def receive(self, message: FromGateway) -> None:
         """Handle a message of the neighbour."""
         if isinstance(message, RunStatement):
-            self._holder.on_statement(Shard.of(message.service, message.tenant))
+            self._link_server.on_statement(Shard.of(message.service, message.tenant))
         match message:
             case RunStatement():
                 self._run(message)
@@ -229,7 +229,7 @@
 
     def lost(self) -> None:
         """Handle the end of the connection: cancel its statements, roll back its transactions."""
-        self._holder.forget(self)
+        self._link_server.forget(self)
         for call in list(self._singles):
             self._drop(call)
         for number in list(self._transactions):
@@ -242,13 +242,13 @@
             else:
                 self.send(SampleReply(call, sample.instance, sample.position))
 
-        self._holder.host.prove_primary(service, give)
+        self._link_server.host.prove_primary(service, give)
 
     def _add_demand(self, message: DemandReport) -> None:
-        aggregator = self._holder.host.demand
+        aggregator = self._link_server.host.demand
         if message.is_region:
             aggregator.record_region(message.sender, message.report)
-            self._holder.on_region_report(message)
+            self._link_server.on_region_report(message)
         else:
             aggregator.record_gateway(message.sender, message.report)
         fleet = aggregator.fleet_totals()
@@ -263,7 +263,7 @@
     def _run(self, run: RunStatement) -> None:
         is_open = run.transaction in self._transactions
         begins = run.begins or not run.transaction
-        match decide_arrival(is_open, begins, self._admits(run), self._holder.host.stopping):
+        match decide_arrival(is_open, begins, self._admits(run), self._link_server.host.stopping):
             case ArrivalDecision.RUN if is_open:
                 self._run_in_transaction(self._transactions[run.transaction], run)
             case ArrivalDecision.RUN:
@@ -278,11 +278,11 @@
 
     def _admits(self, run: RunStatement) -> bool:
         identity = ClientIdentity(run.tenant, run.key)
-        return self._holder.host.admits(run.database, identity, run.version)
+        return self._link_server.host.admits(run.database, identity, run.version)
 
     def _begin(self, run: RunStatement) -> None:
         """Start a single statement or a transaction, if its service is served here."""
-        work = self._holder.host.local_work(run.service, run.is_detour)
+        work = self._link_server.host.local_work(run.service, run.is_detour)
         if work is None:
             self.send(NotServed(run.call, f"it does not serve {run.service} now"))
         elif run.transaction:
@@ -309,7 +309,7 @@
         single = self._singles.pop(run.call, None)
         if single is not None:
             floor = single.session.floors.get(run.service)
-            load = self._holder.load_reporter.report(run.service, run.tenant)
+            load = self._link_server.load_reporter.report(run.service, run.tenant)
             doubts = single.local.reduced_weights()
             self.send(build_reply(run, answer, floor, single.work.trace(), load, doubts))
 
@@ -325,12 +325,12 @@
         if transaction is None or transaction.call != run.call:
             return
         transaction.call = 0
-        transaction.idle_since = self._holder.clock.now
+        transaction.idle_since = self._link_server.clock.now
         if answer.refusal is not None or run.kind.value == "commit":
             del self._transactions[run.transaction]
             transaction.work.end()
         floor = transaction.session.floors.get(run.service)
-        load = self._holder.load_reporter.report(run.service, run.tenant)
+        load = self._link_server.load_reporter.report(run.service, run.tenant)
         doubts = transaction.local.reduced_weights()
         self.send(build_reply(run, answer, floor, transaction.work.trace(), load, doubts))
 
--- a/src/rowanrail/gateway/relay/transport.py
+++ b/src/rowanrail/gateway/relay/transport.py
@@ -12,11 +12,11 @@
 from rowanrail.gateway.relay.link import Link, LinkState
 from rowanrail.gateway.relay.messages import FromGateway, FromHolder
 from rowanrail.gateway.relay.neighbours import LinkOpener
-from rowanrail.gateway.relay.serving import Holder, ServedLink
+from rowanrail.gateway.relay.serving import LinkServer, ServedLink
 from rowanrail.kernel.lifecycle import listen_error
 from rowanrail.kernel.sockets import set_tcp_timeouts
 
-__all__ = ["TcpHolderServer", "TcpLinkOpener"]
+__all__ = ["TcpLinkServer", "TcpLinkOpener"]
 
 LINK_CONNECT_SECONDS = 0.4  # eight round trips between regions; work goes elsewhere meanwhile
 MAX_LINK_FRAME_BYTES = 2 * 1024 * 1024  # a statement of 1 MiB and its metadata
@@ -145,16 +145,16 @@
 class _HolderProtocol(_Framed):
     """The holder's end of a link."""
 
-    def __init__(self, server: "TcpHolderServer", holder: Holder) -> None:
+    def __init__(self, server: "TcpLinkServer", link_server: LinkServer) -> None:
         super().__init__()
         self._server = server
-        self._holder = holder
+        self._link_server = link_server
         self._served: ServedLink | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self._server.connections.add(self)
-        self._served = self._holder.accept(self.write)
+        self._served = self._link_server.accept(self.write)
 
     def take(self, frame: bytes) -> None:
         if self._served is not None:
@@ -166,18 +166,18 @@
             self._served.lost()
 
 
-class TcpHolderServer:
-    """Accepts the links of neighbours.
+class TcpLinkServer:
+    """Accepts the TCP connections of neighbours, on which a :class:`LinkServer` serves links.
 
     Parameters
     ----------
-    holder : Holder
+    link_server : LinkServer
         Serves the links.
     """
 
-    def __init__(self, holder: Holder) -> None:
+    def __init__(self, link_server: LinkServer) -> None:
         self.connections: set[_HolderProtocol] = set()
-        self._holder = holder
+        self._link_server = link_server
         self._server: asyncio.Server | None = None
 
     @property
@@ -197,7 +197,7 @@
         loop = asyncio.get_running_loop()
         try:
             self._server = await loop.create_server(
-                lambda: _HolderProtocol(self, self._holder), host, int(port)
+                lambda: _HolderProtocol(self, self._link_server), host, int(port)
             )
         except OSError as error:
             raise listen_error(address, error) from error
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -7,7 +7,7 @@
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.peers import Peers
-from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.relay.serving import LinkServer
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
@@ -62,7 +62,7 @@
         )
         self.gateway.start()
         self.gateway.apply(RoutingConfiguration(1, routes(), {"db": ServiceSpec("db", 30)}, 3.0))
-        world.network.holders[name] = Holder(self.gateway, relay_clock)
+        world.network.holders[name] = LinkServer(self.gateway, relay_clock)
 
     def client(self, database):
         session = self.gateway.open_session(database, "client")
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -8,7 +8,7 @@
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.peers import Peers
-from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.relay.serving import LinkServer
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
@@ -70,7 +70,7 @@
         )
         self.gateway.start()
         self.demand_exchange.start()
-        holder = world.network.holders[name] = Holder(self.gateway, clock)
+        holder = world.network.holders[name] = LinkServer(self.gateway, clock)
         holder.on_region_report = self.demand_exchange.forward_to_aggregator
 
     def client(self, database, key="key-of-a"):
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -4,7 +4,7 @@
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.peers import Peers
-from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.relay.serving import LinkServer
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
@@ -43,7 +43,7 @@
             Registry(),
             Peers(self.neighbours, planned=PlannedHolders(name, "a", zone.relay_clock)),
         )
-        self.holder = Holder(self.gateway, zone.relay_clock)
+        self.holder = LinkServer(self.gateway, zone.relay_clock)
         self.gateway.start()
         self.holder.start()
         services = {"db": ServiceSpec("db", 30)}
--- a/tests/support/relay_network.py
+++ b/tests/support/relay_network.py
@@ -8,7 +8,7 @@
 from rowanrail.gateway.relay.link import Link
 from rowanrail.gateway.relay.messages import FromGateway, FromHolder
 from rowanrail.gateway.relay.neighbours import LinkOpener
-from rowanrail.gateway.relay.serving import Holder, ServedLink
+from rowanrail.gateway.relay.serving import LinkServer, ServedLink
 from rowanrail.kernel.clock import Clock
 
 __all__ = ["RelayNetwork", "RelayOpener", "SimulatedLink"]
@@ -37,7 +37,7 @@
     def __init__(self, clock: Clock, delay: Delay = lambda: 0.1) -> None:
         self.clock = clock
         self.delay = delay
-        self.holders: dict[str, Holder] = {}
+        self.holders: dict[str, LinkServer] = {}
         self.frozen: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
         self.links: list[SimulatedLink] = []
@@ -102,9 +102,9 @@
         """Name of the gateway that opened it, and address of its holder."""
         return self._owner, self._address
 
-    def serve(self, holder: Holder) -> None:
+    def serve(self, link_server: LinkServer) -> None:
         """Give the connection to its holder."""
-        self._served = holder.accept(self._to_gateway)
+        self._served = link_server.accept(self._to_gateway)
 
     def send(self, message: FromGateway) -> None:
         """See :meth:`rowanrail.gateway.relay.link.LinkPort.send`."""
