--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -287,13 +287,15 @@
     def _note_detour(self, service: str, peer: str) -> None:
         self._decisions.note(DETOUR_FOUND, service=service, peer=peer)
 
-    def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
-        """See :meth:`rowanrail.gateway.relay.serving.LinkServerHost.prove_primary`."""
+    def sample_primary(
+        self, service: str, on_sample: Callable[[PositionSample | None], None]
+    ) -> None:
+        """See :meth:`rowanrail.gateway.relay.serving.LinkServerHost.sample_primary`."""
         known = self.services.get(service)
         if known is None or known.primary.failing_since:
-            give(None)
+            on_sample(None)
             return
-        proof = PendingSample(known.primary, self.clock.time(), give)
+        proof = PendingSample(known.primary, self.clock.time(), on_sample)
         self.clock.call_later(PROVE_SECONDS, proof.expire)
         proof.request()
 
--- a/src/rowanrail/gateway/relay/serving.py
+++ b/src/rowanrail/gateway/relay/serving.py
@@ -85,8 +85,13 @@
             Version of the configuration by which the neighbour accepted the client's key.
         """
 
-    def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
-        """Call ``give`` with a new sample of a service's primary, None if there is none in time."""
+    def sample_primary(
+        self, service: str, on_sample: Callable[[PositionSample | None], None]
+    ) -> None:
+        """Sample a service's primary, and call ``on_sample`` with the result.
+
+        It is called with None if no sample is taken in time.
+        """
 
     def load(self, service: str, tenant: str) -> ServiceLoad | None:
         """Return a service's load for a tenant's statements, None if they need not wait."""
@@ -236,13 +241,13 @@
             self._end(number)
 
     def _report_sample(self, call: int, service: str) -> None:
-        def give(sample: PositionSample | None) -> None:
+        def on_sample(sample: PositionSample | None) -> None:
             if sample is None:
                 self.send(NotServed(call, f"it does not reach the primary of {service}"))
             else:
                 self.send(SampleReply(call, sample.instance, sample.position))
 
-        self._link_server.host.prove_primary(service, give)
+        self._link_server.host.sample_primary(service, on_sample)
 
     def _add_demand(self, message: DemandReport) -> None:
         aggregator = self._link_server.host.demand
