--- a/src/rowanrail/coordination/failover_controller.py
+++ b/src/rowanrail/coordination/failover_controller.py
@@ -28,7 +28,7 @@
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.kernel.errors import RowanrailError
 from rowanrail.members.channel import MemberDriver
-from rowanrail.members.leadership import LeadershipProof
+from rowanrail.members.leadership import LeadershipVerifier
 from rowanrail.members.primary import PrimaryTracker
 from rowanrail.members.primary_health import primary_health_report
 from rowanrail.model.members import MemberRecord
@@ -78,7 +78,7 @@
         Sends promotion orders.
     decisions : DecisionLog
         Writes the log lines.
-    proof : LeadershipProof
+    verifier : LeadershipVerifier
         Rule by which a sample proves that a member leads.
     acknowledging_replicas : callable
         Returns how many replicas of a service must hold a commit before it is acknowledged.
@@ -92,7 +92,7 @@
         reader: StatusReader,
         promoter: Promoter,
         decisions: DecisionLog,
-        proof: LeadershipProof,
+        verifier: LeadershipVerifier,
         acknowledging_replicas: Callable[[str], int] = lambda service: 0,
     ) -> None:
         self._node = node
@@ -101,7 +101,7 @@
         self._queries = StatusQueries(driver, reader)
         self._promoter = promoter
         self._decisions = decisions
-        self._proof = proof
+        self._verifier = verifier
         self._acknowledging_replicas = acknowledging_replicas
         self._trackers: dict[str, PrimaryTracker] = {}
         self._attempts: dict[str, _PromotionAttempt] = {}
@@ -177,7 +177,7 @@
         for name in services:
             if name not in self._trackers:
                 loop = asyncio.get_running_loop()
-                self._trackers[name] = PrimaryTracker(name, self._driver, loop, self._proof)
+                self._trackers[name] = PrimaryTracker(name, self._driver, loop, self._verifier)
             self._trackers[name].set_members(self._members(name))
 
     # Deciding
--- a/src/rowanrail/gateway/policies.py
+++ b/src/rowanrail/gateway/policies.py
@@ -10,7 +10,7 @@
 from rowanrail.gateway.session_context import SessionContext, replay_session
 from rowanrail.kernel.registry import Registry, register
 from rowanrail.members.channel import Channel
-from rowanrail.members.leadership import LeadershipProof
+from rowanrail.members.leadership import LeadershipVerifier
 from rowanrail.model.statements import Command, Refusal
 from rowanrail.tenants.model import ClientIdentity
 
@@ -59,7 +59,7 @@
 class GatewayPolicies(msgspec.Struct, frozen=True):
     """The guards that one gateway uses."""
 
-    leadership_proof: LeadershipProof
+    leadership_proof: LeadershipVerifier
     state_replay: StateReplay
     link_outcome: LinkOutcome
     key_check: KeyCheck
--- a/src/rowanrail/members/leadership.py
+++ b/src/rowanrail/members/leadership.py
@@ -1,4 +1,4 @@
-"""Decides which answers prove that a member is primary.
+"""Verification that a member answered as primary.
 
 A stateless plug-in of kind ``gateway-guard``, called by
 :class:`rowanrail.members.primary.PrimaryTracker` for each sample. It relies on members to refuse a
@@ -10,9 +10,9 @@
 
 
 @register("gateway-guard", "leadership-proof")
-class LeadershipProof:
-    """Accepts a position as a sample only if the member ran the BEGIN as primary."""
+class LeadershipVerifier:
+    """Decides from the answer to a plain BEGIN whether a member is primary."""
 
     def is_proof(self, answer: Answer) -> bool:
-        """Return whether the answer to a plain BEGIN proves that the member is primary."""
+        """Return whether the member ran the BEGIN, which only a primary does."""
         return answer.refusal is None
--- a/src/rowanrail/members/monitor_interval.py
+++ b/src/rowanrail/members/monitor_interval.py
@@ -1,6 +1,7 @@
-"""Interval at which a gateway samples a primary that nothing else proves.
+"""Interval at which a gateway samples a primary that it uses.
 
-It grows with the number of gateways, so that a primary answers samples at a bounded rate.
+A write or commit that the primary accepts replaces a sample. The interval grows with the
+number of gateways, so that a primary answers samples at a bounded rate.
 """
 
 __all__ = ["MONITOR_SECONDS", "monitor_seconds"]
@@ -11,7 +12,7 @@
 
 
 def monitor_seconds(gateways: int) -> float:
-    """Return the time without a proof after which each of ``gateways`` samples the primary.
+    """Return how long after the last proof of leadership each gateway samples the primary.
 
     Examples
     --------
--- a/src/rowanrail/members/primary.py
+++ b/src/rowanrail/members/primary.py
@@ -14,7 +14,7 @@
 
 from rowanrail.kernel.clock import Scheduler
 from rowanrail.members.channel import MemberDriver
-from rowanrail.members.leadership import LeadershipProof
+from rowanrail.members.leadership import LeadershipVerifier
 from rowanrail.members.monitor_interval import MONITOR_SECONDS
 from rowanrail.members.primary_state import PrimaryState
 from rowanrail.members.sampler import MemberSampler
@@ -44,7 +44,7 @@
         Opens connections for samples.
     scheduler : Scheduler
         Monotonic clock in seconds.
-    proof : LeadershipProof
+    verifier : LeadershipVerifier
         Decides which answers prove that a member is primary.
 
     Attributes
@@ -60,7 +60,7 @@
     """
 
     def __init__(
-        self, service: str, driver: MemberDriver, scheduler: Scheduler, proof: LeadershipProof
+        self, service: str, driver: MemberDriver, scheduler: Scheduler, verifier: LeadershipVerifier
     ) -> None:
         self.service = service
         self.state = PrimaryState()
@@ -70,7 +70,7 @@
         self.on_unavailable: Callable[[], None] = lambda: None
         self.monitor_seconds = MONITOR_SECONDS
         self.history = SampleHistory()  # of the newest term
-        self._proof = proof
+        self._verifier = verifier
         self._scheduler = scheduler
         self._sampler = MemberSampler(self.state, self, driver, scheduler)
         self._waiting = PositionWaiters()
@@ -135,7 +135,17 @@
     # Proofs
 
     def note_proof(self, instance: str, asked_at: float, position: Position | None) -> None:
-        """Record that ``instance`` was primary when it answered a request of ``asked_at``."""
+        """Record a proof of leadership: an answer that only a primary gives.
+
+        Parameters
+        ----------
+        instance : str
+            The member that answered.
+        asked_at : float
+            When the request was sent, in seconds; the member was primary at some time since then.
+        position : Position or None
+            The position in its answer; an answer without one is ignored.
+        """
         if position is None:
             return
         if not self.history.add(asked_at, position, instance):
@@ -162,7 +172,7 @@
 
     def note_begin_answer(self, instance: str, asked_at: float, answer: Answer) -> None:
         """Process a member's answer to a plain BEGIN."""
-        if self._proof.is_proof(answer):
+        if self._verifier.is_proof(answer):
             self.note_proof(instance, asked_at, answer.position)
         elif answer.refusal is Refusal.NOT_PRIMARY:
             self.note_not_primary(instance)
--- a/src/rowanrail/members/primary_state.py
+++ b/src/rowanrail/members/primary_state.py
@@ -108,7 +108,7 @@
     # After a proof, in this order
 
     def note_proof(self, now: float) -> None:
-        """Note that some member proved to be primary."""
+        """Record the time of an answer that only a primary gives."""
         self.proved_at = now
 
     def clear_failure(self) -> bool:
