--- a/src/rowanrail/coordination/changes.py
+++ b/src/rowanrail/coordination/changes.py
@@ -72,5 +72,5 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether gateways are notified at once; see :mod:`rowanrail.coordination.change_batch`."""
+        """Whether gateways are notified at once; see :mod:`change_batcher`."""
         return any(step.is_urgent for step in self.members)
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -1,6 +1,6 @@
 """Long polls of gateways for the configuration, the directory and the plan.
 
-Owns the waiting polls. Relies on :mod:`change_batch` for when a change is sent, on
+Owns the waiting polls. Relies on :mod:`change_batcher` for when a change is sent, on
 :mod:`directory_updates` for its encoding, and on the consensus node for whether the state is
 current.
 """
@@ -12,7 +12,7 @@
 
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.coordination.change_batch import ChangeBatch
+from rowanrail.coordination.change_batcher import ChangeBatcher
 from rowanrail.coordination.directory_updates import UpdateCache, UpdateCounts, full_update
 from rowanrail.coordination.replay import LogReplay
 from rowanrail.coordination.state import CoordinationState
@@ -70,7 +70,7 @@
         self._state = state
         self._zone = zone
         self._now = now
-        self._batch = ChangeBatch(Clock(_LoopTimers(now)), self.notice_change)
+        self._batcher = ChangeBatcher(Clock(_LoopTimers(now)), self.notice_change)
         self._updates = UpdateCache(state)
         self._replay = LogReplay(state)
         self._replayed_updates = UpdateCache(state)
@@ -92,9 +92,9 @@
 
     def notice_change(self) -> None:
         """Wake the waiting polls if something changed that gateways need to know."""
-        self._batch.update(self._state.revision, self._state.urgent_revision)
+        self._batcher.update(self._state.revision, self._state.urgent_revision)
         state = self._state
-        seen = (state.version, self._batch.released, state.plan.number, self.is_current)
+        seen = (state.version, self._batcher.notified_revision, state.plan.number, self.is_current)
         if seen != self._notified:
             self._notified = seen
             self._changed.set()
@@ -155,7 +155,7 @@
         return (
             self._needs_full(request)
             or self._state.version > request.known_version
-            or self._batch.released > request.known_revision
+            or self._batcher.notified_revision > request.known_revision
             or self._has_newer_plan(request)
         )
 
--- a/tests/coordination/test_change_batch.py
+++ b/tests/coordination/test_change_batcher.py
@@ -7,7 +7,7 @@
 
 from rowanrail.cluster.policies import VersionMonotonic
 from rowanrail.consensus.messages import Entry, EntryKind
-from rowanrail.coordination.change_batch import BATCH_DELAY_MS, ChangeBatch
+from rowanrail.coordination.change_batcher import BATCH_DELAY_MS, ChangeBatcher
 from rowanrail.coordination.commands import Announce, PutDocument, Remove, SetGateways
 from rowanrail.coordination.policies import FencingToken, IncarnationCheck
 from rowanrail.coordination.service import CoordinationService
@@ -22,35 +22,35 @@
 IMMEDIATE_SECONDS = 0.1
 
 
-class ChangeBatchTest(unittest.TestCase):
+class ChangeBatcherTest(unittest.TestCase):
     def setUp(self):
         self.time = ManualClock()
         self.released = []
-        self.batch = ChangeBatch(Clock(self.time), self._record_release)
+        self.batcher = ChangeBatcher(Clock(self.time), self._record_release)
 
     def _record_release(self):
-        self.released.append((round(self.time.now * 1000), self.batch.released))
+        self.released.append((round(self.time.now * 1000), self.batcher.notified_revision))
 
     def test_changes_that_can_wait_are_released_together_after_the_delay(self):
         started = self.time.now
         for revision in range(1, 11):
-            self.batch.update(revision, 0)
+            self.batcher.update(revision, 0)
             self.time.advance(0.02)
-        self.assertEqual(self.batch.released, 0)
+        self.assertEqual(self.batcher.notified_revision, 0)
         self.time.advance(1.0)
         self.assertEqual(self.released, [(round(started * 1000 + BATCH_DELAY_MS), 10)])
 
     def test_an_urgent_change_releases_all_waiting_changes(self):
-        self.batch.update(1, 0)
-        self.batch.update(2, 2)
-        self.assertEqual(self.batch.released, 2)
+        self.batcher.update(1, 0)
+        self.batcher.update(2, 2)
+        self.assertEqual(self.batcher.notified_revision, 2)
         self.time.advance(1.0)
         self.assertEqual(self.released, [])
 
     def test_the_released_revision_never_exceeds_that_of_a_restored_state(self):
-        self.batch.update(9, 9)
-        self.batch.update(4, 4)
-        self.assertEqual(self.batch.released, 4)
+        self.batcher.update(9, 9)
+        self.batcher.update(4, 4)
+        self.assertEqual(self.batcher.notified_revision, 4)
 
 
 def member(instance, sequence=1, **changes):
