--- a/src/rowanrail/coordination/failover.py
+++ b/src/rowanrail/coordination/failover.py
@@ -13,10 +13,10 @@
 from rowanrail.model.members import MemberRecord, PrimaryHealth
 from rowanrail.model.position import Position
 
-MIN_FAILING_SECONDS = 0.25  # a shorter failure at a vantage point doesn't count
+MIN_FAILING_SECONDS = 0.25  # a shorter failure at an observer doesn't count
 MAX_REPORT_AGE_SECONDS = 2.5  # gateways report every second
 MAX_PROOF_AGE_SECONDS = 1.8  # exceeds the report interval (1 s) and a sampling interval (0.6 s)
-# All failing vantage points must fail for this long to overrule a minority that succeeds.
+# All failing observers must fail for this long to overrule a minority that succeeds.
 OVERRULE_MINORITY_SECONDS = 0.7
 HEARTBEAT_SILENCE_SECONDS = 0.3  # a primary with a newer heartbeat is alive
 PROMOTION_TIMEOUT_SECONDS = 2.5  # until an accepted promotion without effect is ordered again
@@ -44,7 +44,7 @@
 
 
 class ReportView(msgspec.Struct, frozen=True):
-    """What one vantage point reports of the primary; ages in seconds.
+    """What one observer reports of the primary; ages in seconds.
 
     :param proved_ago: time since its last proof that the primary serves; negative without one.
     :param failing_for: for how long the primary has failed; 0 if it doesn't.
@@ -59,7 +59,7 @@
 
 
 def report_view(source: str, health: PrimaryHealth, age: float) -> ReportView:
-    """Return the view for a report that a vantage point made ``age`` seconds ago."""
+    """Return the view for a report that an observer made ``age`` seconds ago."""
     proved_ago = health.proved_ago_ms / 1000 if health.proved_ago_ms >= 0 else -1.0
     return ReportView(source, health.instance, proved_ago, health.failing_for_ms / 1000, age)
 
@@ -80,7 +80,7 @@
 
     :param attempt: the last promotion; None if there was none.
     :param holding_for: for how many seconds this node has been the established leader.
-    :param vantage_points: number of gateways, plus one for the leader.
+    :param observer_count: number of gateways, plus one for the leader.
     :param acknowledging_replicas: number of replicas that must hold a commit before it is
         acknowledged.
     :param statuses_fresh: whether the members were just asked for their statuses.
@@ -91,7 +91,7 @@
     reports: list[ReportView]
     attempt: AttemptView | None
     holding_for: float
-    vantage_points: int = 1
+    observer_count: int = 1
     acknowledging_replicas: int = 0
     statuses_fresh: bool = False
 
@@ -163,7 +163,7 @@
         for report in live
         if report.failing_for >= MIN_FAILING_SECONDS and report.instance in primaries | {""}
     ]
-    if len(failing) < min(2, view.vantage_points):
+    if len(failing) < min(2, view.observer_count):
         return ""
     shortest = min(report.failing_for + report.age for report in failing)
     # A proof from before the others' failures doesn't contradict them.
--- a/tests/coordination/test_failover.py
+++ b/tests/coordination/test_failover.py
@@ -55,7 +55,7 @@
             )
         )
 
-    def test_a_primary_that_all_vantage_points_lost_is_replaced_by_the_replica_with_the_longest_log(
+    def test_a_primary_that_all_observers_lost_is_replaced_by_the_replica_with_the_longest_log(
         self,
     ):
         decision = self.decide([failing("g1"), failing("g2"), failing("leader")])
@@ -70,10 +70,10 @@
         decision = self.decide([failing("leader"), serving("g1"), serving("g2", age=1.0)])
         self.assertIs(decision.action, Action.WAIT)
 
-    def test_one_vantage_point_is_not_enough_where_others_are_silent(self):
+    def test_one_observer_is_not_enough_where_others_are_silent(self):
         self.assertIs(self.decide([failing("leader")]).action, Action.WAIT)
 
-    def test_one_vantage_point_decides_where_there_is_no_other(self):
+    def test_one_observer_decides_where_there_is_no_other(self):
         self.assertIs(self.decide([failing("leader")], points=1).action, Action.PROMOTE)
 
     def test_a_gateway_that_reports_now_and_then_still_counts_as_served(self):
