--- a/src/rowanrail/gateway/services/member_estimates.py
+++ b/src/rowanrail/gateway/services/member_estimates.py
@@ -79,7 +79,7 @@
             self._warm_ups[name] = warm_ups.get(name) or WarmUp(record.cold_ms, now)
             self._lags[name] = lags.get(name) or LagEstimate()
         instances = set(self._lags)
-        self._times.keep(instances)
+        self._times.retain_only(instances)
         self.weights.set_members(instances)
         for gone in self._sent_remote.keys() - instances:
             del self._sent_remote[gone]
--- a/src/rowanrail/gateway/services/member_weights.py
+++ b/src/rowanrail/gateway/services/member_weights.py
@@ -42,7 +42,7 @@
     def set_members(self, instances: set[str]) -> None:
         """Replace the members; discard the weights of those that are gone."""
         self._weights = {name: self._weights.get(name) or MemberWeight() for name in instances}
-        self._reported.keep(instances)
+        self._reported.retain_only(instances)
 
     def local_weight(self, instance: str) -> WeightStatus:
         """Return a member's weight according to this gateway alone."""
--- a/src/rowanrail/scheduling/reported_weights.py
+++ b/src/rowanrail/scheduling/reported_weights.py
@@ -56,7 +56,7 @@
         decay = math.exp((report.heard_at - now) / REPORTED_DECAY_MS)
         return 1.0 - REPORTED_TRUST * (1.0 - report.weight) * decay
 
-    def keep(self, instances: set[str]) -> None:
+    def retain_only(self, instances: set[str]) -> None:
         """Drop the reports of all other members."""
         self._reports = {
             name: report for name, report in self._reports.items() if name in instances
--- a/src/rowanrail/scheduling/run_times.py
+++ b/src/rowanrail/scheduling/run_times.py
@@ -97,7 +97,7 @@
         delay = self._delays.get(instance)
         return 0.0 if delay is None else delay.at(now)
 
-    def keep(self, instances: set[str]) -> None:
+    def retain_only(self, instances: set[str]) -> None:
         """Drop the figures of all other members."""
         self._delays = {name: kept for name, kept in self._delays.items() if name in instances}
         self._baselines = {
--- a/tests/scheduling/test_choice.py
+++ b/tests/scheduling/test_choice.py
@@ -142,7 +142,7 @@
 
     def test_members_that_left_are_dropped(self):
         self.note(28)
-        self.times.keep({"m2"})
+        self.times.retain_only({"m2"})
         self.assertIsNone(self.times.baseline("m1", "k"))
 
 
