--- a/src/rowanrail/cli/client.py
+++ b/src/rowanrail/cli/client.py
@@ -30,8 +30,8 @@
 class ControlClient:
     """Sends requests to the first control node that answers."""
 
-    def __init__(self, controls: list[str], token: str) -> None:
-        self._controls = controls
+    def __init__(self, control_nodes: list[str], token: str) -> None:
+        self._control_nodes = control_nodes
         self._token = token
 
     def request(self, method: str, path: str, body: Any = None) -> ControlAnswer:
@@ -51,7 +51,7 @@
         headers = {"Authorization": f"Bearer {self._token}"}
         data = msgspec.json.encode(body) if body is not None else None
         async with aiohttp.ClientSession(timeout=timeout, headers=headers) as session:
-            for control in self._controls:
+            for control in self._control_nodes:
                 try:
                     url = f"http://{control}{path}"
                     async with session.request(method, url, data=data) as response:
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -22,7 +22,7 @@
     DirectoryRequest,
     LoggedDirectoryReply,
     LoggedDirectoryRequest,
-    controls_checksum,
+    control_nodes_checksum,
 )
 from rowanrail.kernel.clock import Clock, Timer
 
@@ -76,7 +76,7 @@
         self._replayed_updates = UpdateCache(state)
         self._membership: Membership | None = None
         self._addresses: list[str] = []
-        self._controls_checksum = 0
+        self._control_nodes_checksum = 0
         self._changed = asyncio.Event()
         self._notified = (0, 0, 0, False)
 
@@ -187,14 +187,14 @@
         plan = state.plan if self._has_newer_plan(request) else None
         return msgspec.structs.replace(reply, plan=plan)
 
-    def _controls(self, known: int) -> list[str]:
+    def _control_nodes(self, known: int) -> list[str]:
         """Return the addresses of all control nodes, none if the gateway knows them."""
         membership = self._node.raft.membership
         if self._membership is not membership:
             self._membership = membership
             self._addresses = sorted(membership.addresses().values())
-            self._controls_checksum = controls_checksum(self._addresses)
-        return [] if known == self._controls_checksum else self._addresses
+            self._control_nodes_checksum = control_nodes_checksum(self._addresses)
+        return [] if known == self._control_nodes_checksum else self._addresses
 
     def _base_reply(
         self,
@@ -212,7 +212,7 @@
             gateways=len(state.gateways),
             zones=state.groups,
             neighbours=[],
-            controls=self._controls(known_controls_checksum),
+            controls=self._control_nodes(known_controls_checksum),
             zone=self._zone,
             update=update,
         )
--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -103,7 +103,7 @@
     wants_full : bool
         Whether it needs a full update, of its own revision or a later one.
     known_controls_checksum : int
-        See :func:`controls_checksum`.
+        See :func:`control_nodes_checksum`.
     known_plan : int or None
         Number of the gateway's plan of holders, None if its settings select ``hashed``.
     """
@@ -118,9 +118,9 @@
     known_plan: int | None = None
 
 
-def controls_checksum(controls: list[str]) -> int:
+def control_nodes_checksum(addresses: list[str]) -> int:
     """Return the checksum that tells which control nodes a gateway knows; 0 for none."""
-    return zlib.crc32(" ".join(controls).encode())
+    return zlib.crc32(" ".join(addresses).encode())
 
 
 @message("DirectoryReply")
--- a/src/rowanrail/gateway/discovery/control_node_selector.py
+++ b/src/rowanrail/gateway/discovery/control_node_selector.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from rowanrail.directory.messages import controls_checksum
+from rowanrail.directory.messages import control_nodes_checksum
 from rowanrail.gateway.services.locality import Locality
 
 __all__ = ["ControlNodeSelector"]
@@ -69,7 +69,7 @@
         """Set the addresses of the log's membership; an empty list is ignored."""
         if not reported:
             return
-        self._known_checksum = controls_checksum(list(reported))
+        self._known_checksum = control_nodes_checksum(list(reported))
         wanted = dict.fromkeys([*reported, *self._seeds])
         kept = [address for address in self._addresses if address in wanted]
         self._addresses = kept + [address for address in wanted if address not in kept]
--- a/src/rowanrail/sql_proxy/config_watch.py
+++ b/src/rowanrail/sql_proxy/config_watch.py
@@ -54,13 +54,13 @@
         self,
         core: ConfigurationHolder,
         network: Network,
-        controls: list[str],
+        control_nodes: list[str],
         peers: list[str],
         make_report: Callable[[], ProxyReport],
     ) -> None:
         self._core = core
         self._network = network
-        self._controls = controls
+        self._control_nodes = control_nodes
         self._peers = peers
         self._make_report = make_report
         self._next_control = 0
@@ -94,7 +94,7 @@
         """Apply a confirmed version, or the highest version of control nodes and other proxies."""
         while self._core.in_force.version == 0:
             replies = await asyncio.gather(
-                *(self._query(address, 0.0) for address in self._controls)
+                *(self._query(address, 0.0) for address in self._control_nodes)
             )
             answered = [reply for reply in replies if reply is not None]
             newest = newest_confirmed(answered)
@@ -134,7 +134,7 @@
 
     async def poll_once(self) -> bool:
         """Poll one control node for a newer version; return whether it answered."""
-        address = self._controls[self._next_control % len(self._controls)]
+        address = self._control_nodes[self._next_control % len(self._control_nodes)]
         reply = await self._query(address, LONG_POLL_SECONDS)
         if reply is None:
             self._next_control += 1
--- a/tests/forms/test_derived.py
+++ b/tests/forms/test_derived.py
@@ -7,7 +7,7 @@
 
 from rowanrail.config.model import Configuration, SiteSpec, UserSpec, VersionedConfiguration
 from rowanrail.directory.digests import RecordKind, combined_digest, record_hash
-from rowanrail.directory.messages import DirectoryUpdate, GatewayRecord, controls_checksum
+from rowanrail.directory.messages import DirectoryUpdate, GatewayRecord, control_nodes_checksum
 from rowanrail.directory.update_encoding import decode_update
 from rowanrail.model.members import MemberRecord
 from rowanrail.model.position import Position
@@ -37,7 +37,7 @@
         self.assertEqual(gateways.hex(), "b17b2c34428bd2ccfac1d6c15397016d")
 
     def test_checksum_of_control_node_addresses(self):
-        self.assertEqual(controls_checksum(["a:1", "b:2"]), 2400326235)
+        self.assertEqual(control_nodes_checksum(["a:1", "b:2"]), 2400326235)
 
     def test_encoded_directory_update(self):
         update = DirectoryUpdate(7, b"\1" * 16, [MEMBER], ["i-9"], [GATEWAY])
--- a/tests/gateway/test_control_node_selector.py
+++ b/tests/gateway/test_control_node_selector.py
@@ -3,7 +3,11 @@
 import unittest
 import zlib
 
-from rowanrail.directory.messages import DirectoryReply, LoggedDirectoryReply, controls_checksum
+from rowanrail.directory.messages import (
+    DirectoryReply,
+    LoggedDirectoryReply,
+    control_nodes_checksum,
+)
 from rowanrail.gateway.discovery.control_node_selector import ControlNodeSelector
 from rowanrail.gateway.discovery.provisional import (
     STALE_REPLY_AFTER_SECONDS,
@@ -39,12 +43,12 @@
         self.assertEqual(self.selector.addresses, ["n1", "n2", "n3", "n4"])
         self.selector.set_reported(["n5"])
         self.assertEqual(self.selector.addresses, ["n1", "n2", "n3", "n5"])
-        self.assertEqual(self.selector.known_checksum, controls_checksum(["n5"]))
+        self.assertEqual(self.selector.known_checksum, control_nodes_checksum(["n5"]))
 
     def test_an_empty_report_changes_nothing(self):
         self.selector.set_reported(["n1", "n4"])
         self.selector.set_reported([])
-        self.assertEqual(self.selector.known_checksum, controls_checksum(["n1", "n4"]))
+        self.assertEqual(self.selector.known_checksum, control_nodes_checksum(["n1", "n4"]))
         self.assertIn("n4", self.selector.addresses)
 
     def test_changed_seeds_reset_the_checksum(self):
--- a/tests/gateway/test_control_plane_client.py
+++ b/tests/gateway/test_control_plane_client.py
@@ -11,7 +11,7 @@
     GatewayReport,
     LoggedDirectoryReply,
     LoggedDirectoryRequest,
-    controls_checksum,
+    control_nodes_checksum,
 )
 from rowanrail.gateway.discovery.control_plane_client import ControlPlaneClient
 from rowanrail.gateway.discovery.provisional import latest_log_of_majority
@@ -170,7 +170,9 @@
         async def answer(request):
             self.checksums.append(request.known_controls_checksum)
             controls = (
-                [] if request.known_controls_checksum == controls_checksum(reported) else reported
+                []
+                if request.known_controls_checksum == control_nodes_checksum(reported)
+                else reported
             )
             return DirectoryReply(True, 7, b"", 3, None, 1, 1, [], controls, "a1")
 
@@ -184,7 +186,7 @@
         self.set_reported(["n1", "n2", "n3"])
         self.assertEqual(await self.poll(), ["n1", "n2", "n3"])
         self.assertEqual(await self.poll(), ["n1", "n2", "n3"])
-        self.assertEqual(self.checksums, [0, controls_checksum(["n1", "n2", "n3"])])
+        self.assertEqual(self.checksums, [0, control_nodes_checksum(["n1", "n2", "n3"])])
 
     async def test_a_changed_list_is_sent_again(self):
         self.set_reported(["n1", "n2"])
