--- a/src/rowanrail/cli/explain.py
+++ b/src/rowanrail/cli/explain.py
@@ -24,13 +24,20 @@
 @click.command("explain")
 @click.argument("request")
 @click.argument("files", nargs=-1, type=click.Path(allow_dash=True))
-@click.option("--since", type=float, default=0.0, help="Only lines from this time (seconds).")
-@click.option("--member", help="Only lines that name this member, beside the request's own.")
-@click.option("--event", type=int, help="Only lines of this event, beside the request's own.")
-@click.option("--around", type=float, default=CONTEXT_SECONDS, help="Seconds shown around it.")
-@click.option("--json", "as_json", is_flag=True, help="Print the story as JSON.")
+@click.option(
+    "--since", type=float, default=0.0, help="Read only lines since this Unix time, in seconds."
+)
+@click.option("--member", help="Show only related lines that name this member.")
+@click.option("--event", type=int, help="Show only related lines with this event number.")
+@click.option(
+    "--around",
+    type=float,
+    default=CONTEXT_SECONDS,
+    help="Show related lines up to this many seconds before the request and after its answer.",
+)
+@click.option("--json", "as_json", is_flag=True, help="Print the diagnosis as JSON.")
 def explain(request: str, files: tuple[str, ...], **options: Any) -> None:
-    """Print what became of REQUEST, its cause first, from the logs in FILES (- or none: stdin)."""
+    """Diagnose REQUEST from the decision logs in FILES (standard input if none, or for -)."""
     with tempfile.TemporaryFile("w+", errors="replace") as spool:
         sources: list[Source] = [
             _StandardInput(sys.stdin, spool) if name == "-" else _LogFile(Path(name))
@@ -60,7 +67,12 @@
             with self._path.open(errors="replace") as file:
                 yield from file
         except OSError as error:
-            fail([f"{self._path}: can't be read: {error.strerror}; check the name and its rights"])
+            fail(
+                [
+                    f"{self._path}: can't be read: {error.strerror}; check the path and its "
+                    "permissions"
+                ]
+            )
 
 
 class _StandardInput:
@@ -107,11 +119,11 @@
 def _print_diagnosis(diagnosis: Diagnosis, damaged: int) -> None:
     click.echo(f"request {diagnosis.request}: {diagnosis.outcome}")
     click.echo(f"cause: {diagnosis.cause}")
-    click.echo(f"promise to the client: {diagnosis.promise}")
+    click.echo(f"guarantee to the client: {diagnosis.promise}")
     for gap in diagnosis.missing:
         click.echo(f"missing: {gap}")
     if damaged:
-        click.echo(f"missing: {damaged} lines could not be read")
+        click.echo(f"missing: {damaged} lines could not be parsed")
     if not diagnosis.statements:
         return
     answered_at = diagnosis.statements[-1].time
@@ -120,4 +132,4 @@
         offset = line.time - answered_at
         click.echo(f"  {offset:+8.3f}  {line.process:<24} RR{line.event:04d} {line.text}")
     decided = {k: v for k, v in diagnosis.statements[-1].fields.items() if v not in ("", None)}
-    click.echo("decided by: " + ", ".join(f"{k}={v}" for k, v in decided.items()))
+    click.echo("fields of the answer: " + ", ".join(f"{k}={v}" for k, v in decided.items()))
