--- a/src/rowanrail/coordination/failover.py
+++ b/src/rowanrail/coordination/failover.py
@@ -80,7 +80,7 @@
 
     :param attempt: the last promotion; None if there was none.
     :param holding_for: for how many seconds this node has been the established leader.
-    :param observer_count: number of gateways, plus one for the leader.
+    :param vantage_points: number of observers: all gateways, and the leader.
     :param acknowledging_replicas: number of replicas that must hold a commit before it is
         acknowledged.
     :param statuses_fresh: whether the members were just asked for their statuses.
@@ -91,7 +91,7 @@
     reports: list[ReportView]
     attempt: AttemptView | None
     holding_for: float
-    observer_count: int = 1
+    vantage_points: int = 1
     acknowledging_replicas: int = 0
     statuses_fresh: bool = False
 
@@ -163,7 +163,7 @@
         for report in live
         if report.failing_for >= MIN_FAILING_SECONDS and report.instance in primaries | {""}
     ]
-    if len(failing) < min(2, view.observer_count):
+    if len(failing) < min(2, view.vantage_points):
         return ""
     shortest = min(report.failing_for + report.age for report in failing)
     # A proof from before the others' failures doesn't contradict them.
