--- a/src/rowanrail/cli/load_view.py
+++ b/src/rowanrail/cli/load_view.py
@@ -86,7 +86,10 @@
 
 
 class RefusalCount(msgspec.Struct):
-    """Number of refused statements by kind, outcome and the last stage they reached."""
+    """Number of statements that failed with one outcome.
+
+    Counted by the kind of statement, the outcome, and the last processing stage it reached.
+    """
 
     kind: str
     outcome: str
--- a/src/rowanrail/consensus/errors.py
+++ b/src/rowanrail/consensus/errors.py
@@ -6,7 +6,10 @@
 
 
 class NotLeaderError(RowanrailError):
-    """The node does not lead, or can't confirm that it does.
+    """A request failed because the node does not lead, or can't confirm that it does.
+
+    The caller may retry at the leader. :class:`rowanrail.consensus.raft_types.NotLeader` is the
+    state machine's own exception.
 
     ``leader`` is the leader's address, empty if unknown.
     """
--- a/src/rowanrail/consensus/raft_types.py
+++ b/src/rowanrail/consensus/raft_types.py
@@ -57,7 +57,11 @@
 
 
 class NotLeader(Exception):
-    """The node does not lead, or has not committed an entry of its term yet."""
+    """The state machine rejects an input: it does not lead, or has not committed in its term.
+
+    :class:`rowanrail.consensus.node.ConsensusNode` turns it into
+    :class:`rowanrail.consensus.errors.NotLeaderError`, which names the leader.
+    """
 
 
 class MembershipChangeInProgress(Exception):
--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -113,7 +113,7 @@
         return self._reply(request)
 
     async def answer_logged_directory(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Return the state after the whole log, committed or not.
+        """Return the directory after all entries of this node's log, also uncommitted ones.
 
         Gateways use it to start without a leader; see
         :mod:`rowanrail.gateway.discovery.provisional`.
--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -168,7 +168,9 @@
 
 @message("HeldRequest")
 class LoggedDirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Request the state after a node's whole log, committed or not, for a starting gateway.
+    """Request the directory after all entries of a node's log, also uncommitted ones.
+
+    Lets a gateway start while the control nodes have no leader.
 
     Parameters
     ----------
@@ -184,7 +186,7 @@
 
 @message("HeldReply")
 class LoggedDirectoryReply(msgspec.Struct, frozen=True, array_like=True):
-    """The state after a control node's whole log, whether or not there is a leader.
+    """The directory after all entries of a control node's log, also uncommitted ones.
 
     Parameters
     ----------
--- a/src/rowanrail/gateway/pools/queued_request.py
+++ b/src/rowanrail/gateway/pools/queued_request.py
@@ -18,7 +18,9 @@
 
 
 class QueuedRequest:
-    """A statement's request for a connection, rechecked while it waits.
+    """A statement's request for a connection, with a timer that rechecks its deadline.
+
+    It queues one :class:`Waiter` in the pool.
 
     Parameters
     ----------
--- a/src/rowanrail/gateway/pools/wait_queue.py
+++ b/src/rowanrail/gateway/pools/wait_queue.py
@@ -12,7 +12,7 @@
 
 
 class WaitQueue(WorkQueue[Waiter]):
-    """The wait queue of one pool."""
+    """The queue of one pool: a :class:`WorkQueue` of :class:`Waiter` that can refuse and expire."""
 
     def longest_wait(self, now: float) -> float:
         """Return how long the oldest request has waited, in milliseconds."""
--- a/src/rowanrail/gateway/pools/waiter.py
+++ b/src/rowanrail/gateway/pools/waiter.py
@@ -1,4 +1,4 @@
-"""A request for a connection to one member, in the pool's queue.
+"""A request for a connection to one member, the item of a pool's queue.
 
 Made for a statement (:mod:`rowanrail.gateway.pools.queued_request`) or a sample
 (:mod:`rowanrail.gateway.pools.pool_lease`).
@@ -14,7 +14,9 @@
 
 
 class Waiter:
-    """A request for a connection.
+    """A request for a connection: an item of a pool's :class:`WaitQueue`.
+
+    It has callbacks but no timer; :class:`QueuedRequest` adds the deadline checks of a statement.
 
     Parameters
     ----------
--- a/src/rowanrail/gateway/sessions/frontend.py
+++ b/src/rowanrail/gateway/sessions/frontend.py
@@ -7,7 +7,10 @@
 
 
 class Frontend(ABC):
-    """Accepts clients of one protocol; constructed with the gateway as its argument."""
+    """Interface: a server for clients of one protocol.
+
+    Its constructor takes the gateway.
+    """
 
     @abstractmethod
     async def start(self, address: str) -> None:
--- a/src/rowanrail/gateway/sessions/session.py
+++ b/src/rowanrail/gateway/sessions/session.py
@@ -31,7 +31,7 @@
 
 
 class SessionAccess(Protocol):
-    """Port: limits of tenants, and priority of clients that retry after a rejection."""
+    """Interface: limits of tenants, and priority of clients that retry after a rejection."""
 
     def refuse_over_quota(self, session: "Session") -> Answer | None:
         """Count an operation of a session's tenant, or return its refusal if over the limit."""
@@ -44,7 +44,7 @@
 
 
 class SessionOutcomes(Protocol):
-    """Port: records the outcome of each statement in the log and in metrics."""
+    """Interface: records the outcome of each statement in the log and in metrics."""
 
     def note(
         self,
@@ -58,7 +58,7 @@
 
 
 class SessionHost(Protocol):
-    """Port: the gateway of a session."""
+    """Interface: the gateway of a session."""
 
     clock: Scheduler
 
--- a/src/rowanrail/kernel/decisions.py
+++ b/src/rowanrail/kernel/decisions.py
@@ -1,4 +1,4 @@
-"""The decision log: structured, rate-limited log lines, written without blocking.
+"""The structured log of a process, with a rate limit, written without blocking.
 
 Each line is a JSON object with time, event number, level and fields. Lines are buffered and written
 by :meth:`DecisionLog.flush`; lines beyond the size of the buffer or the rate limit are dropped,
@@ -30,7 +30,7 @@
 
 
 class DecisionLog:
-    """Writes structured, rate-limited log lines to a non-blocking file descriptor."""
+    """The structured log of a process: rate-limited lines, written without blocking."""
 
     def __init__(
         self,
--- a/src/rowanrail/mysql/frontend.py
+++ b/src/rowanrail/mysql/frontend.py
@@ -122,7 +122,7 @@
 
 @register("frontend", "mysql")
 class MysqlFrontend:
-    """Listens for clients and runs their statements in the core."""
+    """MySQL server: accepts clients and passes their statements to the proxy core."""
 
     def __init__(self, core: ProxyCore) -> None:
         self._core = core
--- a/src/rowanrail/scheduling/entry.py
+++ b/src/rowanrail/scheduling/entry.py
@@ -1,4 +1,4 @@
-"""A statement that waits for room at a member: its urgency, deadline and tenant.
+"""What determines an item's position in a member's queue: urgency, tenant and deadline.
 
 Values and functions without state.
 """
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueEntry:
-    """A statement that waits for room at one member.
+    """The urgency, tenant and deadline by which a queue orders an item; a plain value.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
 
 
 class Queued(Protocol):
-    """An item of a queue."""
+    """Interface: an item of a :class:`rowanrail.scheduling.queue.WorkQueue`, with its entry."""
 
     @property
     def entry(self) -> QueueEntry:
--- a/src/rowanrail/scheduling/queue.py
+++ b/src/rowanrail/scheduling/queue.py
@@ -89,7 +89,7 @@
 
 
 class WorkQueue(Generic[Waiting]):
-    """Queue of the statements that wait at one member.
+    """Ordering of the items that wait at one member; does not notify or expire them.
 
     Samples run first, since all reads depend on them. Then comes the most urgent class; within it
     the tenant that has had least of its share, and among its entries the earliest deadline.
--- a/src/rowanrail/scheduling/reported_weights.py
+++ b/src/rowanrail/scheduling/reported_weights.py
@@ -57,7 +57,7 @@
         return 1.0 - REPORTED_TRUST * (1.0 - report.weight) * decay
 
     def retain_only(self, instances: set[str]) -> None:
-        """Drop the reports of all other members."""
+        """Discard the reports about all members but these."""
         self._reports = {
             name: report for name, report in self._reports.items() if name in instances
         }
--- a/src/rowanrail/scheduling/run_times.py
+++ b/src/rowanrail/scheduling/run_times.py
@@ -98,7 +98,7 @@
         return 0.0 if delay is None else delay.at(now)
 
     def retain_only(self, instances: set[str]) -> None:
-        """Drop the figures of all other members."""
+        """Discard the run times of all members but these."""
         self._delays = {name: kept for name, kept in self._delays.items() if name in instances}
         self._baselines = {
             name: kept for name, kept in self._baselines.items() if name in instances
