--- a/src/rowanrail/coordination/watches.py
+++ b/src/rowanrail/coordination/watches.py
@@ -1,6 +1,6 @@
 """Long polls of gateways for the configuration, the directory and the plan.
 
-Owns the waiting polls. Relies on :mod:`change_batch` for when a change is sent, on
+Owns the waiting polls. Relies on :mod:`change_batcher` for when a change is sent, on
 :mod:`directory_updates` for its encoding, and on the consensus node for whether the state is
 current.
 """
@@ -12,7 +12,7 @@
 
 from rowanrail.consensus.messages import Membership
 from rowanrail.consensus.node import ConsensusNode
-from rowanrail.coordination.change_batch import ChangeBatch
+from rowanrail.coordination.change_batcher import ChangeBatcher
 from rowanrail.coordination.directory_updates import UpdateCache, UpdateCounts, full_update
 from rowanrail.coordination.replay import LogReplay
 from rowanrail.coordination.state import CoordinationState
@@ -22,7 +22,7 @@
     DirectoryRequest,
     LoggedDirectoryReply,
     LoggedDirectoryRequest,
-    controls_checksum,
+    control_nodes_checksum,
 )
 from rowanrail.kernel.clock import Clock, Timer
 
@@ -70,13 +70,13 @@
         self._state = state
         self._zone = zone
         self._now = now
-        self._batch = ChangeBatch(Clock(_LoopTimers(now)), self.notice_change)
+        self._batcher = ChangeBatcher(Clock(_LoopTimers(now)), self.notice_change)
         self._updates = UpdateCache(state)
         self._replay = LogReplay(state)
         self._replayed_updates = UpdateCache(state)
         self._membership: Membership | None = None
         self._addresses: list[str] = []
-        self._controls_checksum = 0
+        self._control_nodes_checksum = 0
         self._changed = asyncio.Event()
         self._notified = (0, 0, 0, False)
 
@@ -92,9 +92,9 @@
 
     def notice_change(self) -> None:
         """Wake the waiting polls if something changed that gateways need to know."""
-        self._batch.update(self._state.revision, self._state.urgent_revision)
+        self._batcher.update(self._state.revision, self._state.urgent_revision)
         state = self._state
-        seen = (state.version, self._batch.released, state.plan.number, self.is_current)
+        seen = (state.version, self._batcher.notified_revision, state.plan.number, self.is_current)
         if seen != self._notified:
             self._notified = seen
             self._changed.set()
@@ -113,7 +113,7 @@
         return self._reply(request)
 
     async def answer_logged_directory(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Return the state after the whole log, committed or not.
+        """Return the directory after all entries of this node's log, also uncommitted ones.
 
         Gateways use it to start without a leader; see
         :mod:`rowanrail.gateway.discovery.provisional`.
@@ -155,7 +155,7 @@
         return (
             self._needs_full(request)
             or self._state.version > request.known_version
-            or self._batch.released > request.known_revision
+            or self._batcher.notified_revision > request.known_revision
             or self._has_newer_plan(request)
         )
 
@@ -187,14 +187,14 @@
         plan = state.plan if self._has_newer_plan(request) else None
         return msgspec.structs.replace(reply, plan=plan)
 
-    def _controls(self, known: int) -> list[str]:
+    def _control_nodes(self, known: int) -> list[str]:
         """Return the addresses of all control nodes, none if the gateway knows them."""
         membership = self._node.raft.membership
         if self._membership is not membership:
             self._membership = membership
             self._addresses = sorted(membership.addresses().values())
-            self._controls_checksum = controls_checksum(self._addresses)
-        return [] if known == self._controls_checksum else self._addresses
+            self._control_nodes_checksum = control_nodes_checksum(self._addresses)
+        return [] if known == self._control_nodes_checksum else self._addresses
 
     def _base_reply(
         self,
@@ -212,7 +212,7 @@
             gateways=len(state.gateways),
             zones=state.groups,
             neighbours=[],
-            controls=self._controls(known_controls_checksum),
+            controls=self._control_nodes(known_controls_checksum),
             zone=self._zone,
             update=update,
         )
--- a/src/rowanrail/directory/messages.py
+++ b/src/rowanrail/directory/messages.py
@@ -103,7 +103,7 @@
     wants_full : bool
         Whether it needs a full update, of its own revision or a later one.
     known_controls_checksum : int
-        See :func:`controls_checksum`.
+        See :func:`control_nodes_checksum`.
     known_plan : int or None
         Number of the gateway's plan of holders, None if its settings select ``hashed``.
     """
@@ -118,9 +118,9 @@
     known_plan: int | None = None
 
 
-def controls_checksum(controls: list[str]) -> int:
+def control_nodes_checksum(addresses: list[str]) -> int:
     """Return the checksum that tells which control nodes a gateway knows; 0 for none."""
-    return zlib.crc32(" ".join(controls).encode())
+    return zlib.crc32(" ".join(addresses).encode())
 
 
 @message("DirectoryReply")
@@ -168,7 +168,9 @@
 
 @message("HeldRequest")
 class LoggedDirectoryRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Request the state after a node's whole log, committed or not, for a starting gateway.
+    """Request the directory after all entries of a node's log, also uncommitted ones.
+
+    Lets a gateway start while the control nodes have no leader.
 
     Parameters
     ----------
@@ -184,7 +186,7 @@
 
 @message("HeldReply")
 class LoggedDirectoryReply(msgspec.Struct, frozen=True, array_like=True):
-    """The state after a control node's whole log, whether or not there is a leader.
+    """The directory after all entries of a control node's log, also uncommitted ones.
 
     Parameters
     ----------
--- a/src/rowanrail/gateway/daemon.py
+++ b/src/rowanrail/gateway/daemon.py
@@ -25,13 +25,13 @@
 from rowanrail.gateway.gateway import Gateway
 from rowanrail.gateway.gauges import directory_gauges, gauges, relay_gauges, tenant_gauges
 from rowanrail.gateway.planned_stop import stop_gracefully
+from rowanrail.gateway.relay.demand_exchange import DemandExchange
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.load_meter import LoadMeter
-from rowanrail.gateway.relay.metering import Metering
 from rowanrail.gateway.relay.neighbours import Neighbours
 from rowanrail.gateway.relay.peers import Peers
-from rowanrail.gateway.relay.serving import Holder
-from rowanrail.gateway.relay.transport import TcpHolderServer, TcpLinkOpener
+from rowanrail.gateway.relay.serving import LinkServer
+from rowanrail.gateway.relay.transport import TcpLinkOpener, TcpLinkServer
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.frontend import Frontend
 from rowanrail.kernel.clock import Clock
@@ -77,9 +77,9 @@
         Links to the gateways of its group and of other groups.
     gateway : Gateway
         Sessions and services.
-    metering : Metering
+    metering : DemandExchange
         Exchange of tenants' demand with other gateways.
-    holder, holder_server : Holder, TcpHolderServer
+    holder, holder_server : LinkServer, TcpLinkServer
         Executor of other gateways' statements, and the server to which they connect.
     meter : LoadMeter
         Meter of the load for the plan of holders; started only with planned holders.
@@ -95,9 +95,9 @@
     neighbours: Neighbours
     detours: Detours
     gateway: Gateway
-    metering: Metering
-    holder: Holder
-    holder_server: TcpHolderServer
+    metering: DemandExchange
+    holder: LinkServer
+    holder_server: TcpLinkServer
     meter: LoadMeter
     frontend: Frontend
     control_plane_client: ControlPlaneClient
@@ -145,8 +145,8 @@
         settings.quota_window_seconds * 1000, settings.quota_excess, settings.quota_slack
     )
     gateway = Gateway(locality, driver, loop, decisions, registry, peers, terms)
-    holder = Holder(gateway, clock)
-    holder_server = TcpHolderServer(holder)
+    holder = LinkServer(gateway, clock)
+    holder_server = TcpLinkServer(holder)
     meter = LoadMeter(clock, lambda: holder_server.unsent_bytes)
     assert peers.neighbours is not None and peers.detours is not None
     return GatewayComponents(
@@ -195,10 +195,12 @@
     neighbours: Neighbours,
     detours: Detours,
     gateway: Gateway,
-) -> Metering:
+) -> DemandExchange:
     access = gateway.access
     region = _region(settings)
-    return Metering(settings.name, region, clock, neighbours, detours, access.quota, access.demand)
+    return DemandExchange(
+        settings.name, region, clock, neighbours, detours, access.quota, access.demand
+    )
 
 
 def connect_callbacks(components: GatewayComponents) -> None:
@@ -206,7 +208,7 @@
     components.holder.on_region_report = components.metering.forward_to_aggregator
     if components.is_planned:
         components.gateway.holdings.load_meter = components.meter
-        components.holder.on_statement = components.gateway.holdings.note_held
+        components.holder.on_statement = components.gateway.holdings.note_held_statement
     components.gateway.on_primary_change = components.control_plane_client.report_now
 
 
--- a/src/rowanrail/gateway/gateway.py
+++ b/src/rowanrail/gateway/gateway.py
@@ -90,7 +90,7 @@
         )
         self.outcomes = OutcomeRecorder(decisions, self.access)
         self.holdings = Holdings(self, peers, decisions)
-        self.outcomes.on_trace = self.holdings.note_own
+        self.outcomes.on_trace = self.holdings.note_client_statement
         self._directory = CurrentDirectory(peers)
         self._remote_admission = RemoteAdmission(Clock(clock))
         self._router = self._make_router()
@@ -196,7 +196,7 @@
         service.primary.on_unavailable = functools.partial(self._router.ask_for_samples, service)
         note = functools.partial(log_weight_change, self._decisions, service)
         service.estimates.weights.on_change = note
-        service.set_population(self._directory.population)
+        service.set_fleet_size(self._directory.population)
         service.set_members(self._directory.members(name))
         return service
 
@@ -214,7 +214,7 @@
         if not self._directory.update(directory, self.services):
             return
         self.access.quota.set_population(directory.population.gateways)
-        self.holdings.set_population(directory.population)
+        self.holdings.set_fleet_size(directory.population)
         records = directory.members
         self._decisions.note(
             DIRECTORY_APPLIED,
@@ -265,7 +265,7 @@
     def admits(self, database: str, identity: ClientIdentity, version: int) -> bool:
         """Return whether a neighbour's client may run statements.
 
-        See :meth:`rowanrail.gateway.relay.serving.HolderHost.admits`.
+        See :meth:`rowanrail.gateway.relay.serving.LinkServerHost.admits`.
         """
         return self.access.admits(database, identity, version)
 
@@ -292,13 +292,15 @@
     def _on_detour_found(self, service: str, peer: str) -> None:
         self._decisions.note(DETOUR_FOUND, service=service, peer=peer)
 
-    def prove_primary(self, service: str, give: Callable[[PositionSample | None], None]) -> None:
-        """Call ``give`` with a new sample of a service's primary, None if there is none in time."""
+    def sample_primary(
+        self, service: str, on_sample: Callable[[PositionSample | None], None]
+    ) -> None:
+        """Sample a service's primary and call ``on_sample``, with None if none comes in time."""
         target = self.services.get(service)
         if target is None or target.primary.failing_since:
-            give(None)
+            on_sample(None)
             return
-        sample = PendingSample(target.primary, self.clock.time(), give)
+        sample = PendingSample(target.primary, self.clock.time(), on_sample)
         self.clock.call_later(SAMPLE_REQUEST_SECONDS, sample.expire)
         sample.request()
 
--- a/src/rowanrail/gateway/relay/holdings.py
+++ b/src/rowanrail/gateway/relay/holdings.py
@@ -15,7 +15,7 @@
 from rowanrail.gateway.services.service import Service
 from rowanrail.kernel.decisions import DecisionLog
 from rowanrail.model.trace import Trace
-from rowanrail.placement.hashed import Population, Shard, even_share, rank, shards_of
+from rowanrail.placement.hashed import FleetSize, Shard, even_share, rank, shards_of
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.scheduling.plan import Plan
 
@@ -23,7 +23,7 @@
 
 
 class HoldingsHost(Protocol):
-    """Port: the state of the gateway that holdings need."""
+    """Interface: the state of the gateway that holdings need."""
 
     stopping: bool
     services: dict[str, Service]
@@ -54,7 +54,7 @@
         self._detours = detours
         self._planned = planned
         self._decisions = decisions
-        self._population = Population()
+        self._fleet_size = FleetSize()
         self._is_handing_over = False
         self.load_meter: LoadMeter | None = None
         if planned is not None and neighbours is not None:
@@ -67,18 +67,18 @@
         """The plan; None if holders are chosen by rendezvous hashing only."""
         return self._planned
 
-    def note_held(self, shard: Shard) -> None:
-        """Count a statement that another gateway sent to this one."""
+    def note_held_statement(self, shard: Shard) -> None:
+        """Count a statement that another gateway sent to this holder."""
         if self.load_meter is not None and self._is_shared(shard.service):
-            self.load_meter.note_held(shard)
+            self.load_meter.note_held_statement(shard)
 
-    def note_own(self, tenant: str, trace: Trace | None) -> None:
+    def note_client_statement(self, tenant: str, trace: Trace | None) -> None:
         """Count a statement of this gateway's client, also as held if it ran at this gateway."""
         if self.load_meter is None or trace is None or not self._is_shared(trace.service):
             return
-        self.load_meter.note_own()
+        self.load_meter.note_client_statement()
         if not trace.via:
-            self.load_meter.note_held(Shard.of(trace.service, tenant))
+            self.load_meter.note_held_statement(Shard.of(trace.service, tenant))
 
     def _is_shared(self, name: str) -> bool:
         service = self._host.services.get(name)
@@ -106,7 +106,7 @@
         assert self._neighbours is not None
         name = self._neighbours.name
         is_first = rank(key, [*self._neighbours.names, name])[0] == name
-        return even_share(self._population) if is_first else 0.0
+        return even_share(self._fleet_size) if is_first else 0.0
 
     def _log_changes(self, before: Iterable[str], planned: PlannedHolders, plan: Plan) -> None:
         held = planned.held
@@ -125,9 +125,9 @@
         for key in sorted(set(before) - set(held)):
             self._decisions.note(HOLDING_ENDED, number=plan.number, part=key)
 
-    def set_population(self, population: Population) -> None:
+    def set_fleet_size(self, fleet_size: FleetSize) -> None:
         """Set the number of gateways that share connections, and update limits."""
-        self._population = population
+        self._fleet_size = fleet_size
         self.apply_limits()
 
     def apply_limits(self) -> None:
--- a/tests/relay/test_detours.py
+++ b/tests/relay/test_detours.py
@@ -7,7 +7,7 @@
 from rowanrail.gateway.relay.detours import Detours
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.peers import Peers
-from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.relay.serving import LinkServer
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
@@ -15,7 +15,7 @@
 from rowanrail.model.position import Position
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Answer, Refusal
-from rowanrail.placement.hashed import Population
+from rowanrail.placement.hashed import FleetSize
 from tests.support.gateway import (
     FakeClient,
     FakeDriver,
@@ -62,7 +62,7 @@
         )
         self.gateway.start()
         self.gateway.apply(RoutingConfiguration(1, routes(), {"db": ServiceSpec("db", 30)}, 3.0))
-        world.network.holders[name] = Holder(self.gateway, relay_clock)
+        world.network.holders[name] = LinkServer(self.gateway, relay_clock)
 
     def client(self, database):
         session = self.gateway.open_session(database, "client")
@@ -88,7 +88,7 @@
         records = [member.record() for member in self.members]
         for name, zone in self.zones.items():
             others = {other: [Neighbour(other, other)] for other in self.zones if other != name}
-            zone.gateway.set_directory(Directory(1, records, Population(3, 3), [], others))
+            zone.gateway.set_directory(Directory(1, records, FleetSize(3, 3), [], others))
         self.cut = self.zones["z2"]
         self.cut.client("orders").run("WRITE a 1", seconds=0.1)
         self.members[1].position = self.primary.position
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -1,21 +1,21 @@
-"""Regions that share connections: remote holders, tenants' connections and keys, metering."""
+"""Regions that share connections: remote holders, tenants' connections and keys, demand."""
 
 import unittest
 
 from rowanrail.gateway.discovery.directory import Directory
 from rowanrail.gateway.gateway import Gateway
+from rowanrail.gateway.relay.demand_exchange import DemandExchange
 from rowanrail.gateway.relay.detours import Detours
-from rowanrail.gateway.relay.metering import Metering
 from rowanrail.gateway.relay.neighbours import Neighbour, Neighbours
 from rowanrail.gateway.relay.peers import Peers
-from rowanrail.gateway.relay.serving import Holder
+from rowanrail.gateway.relay.serving import LinkServer
 from rowanrail.gateway.services.locality import Locality
 from rowanrail.gateway.sessions.session import Session
 from rowanrail.kernel.clock import Clock
 from rowanrail.kernel.registry import Registry
 from rowanrail.model.routing import RoutingConfiguration, ServiceSpec
 from rowanrail.model.statements import Refusal
-from rowanrail.placement.hashed import DEMAND_AGGREGATOR, Population, Shard, rank
+from rowanrail.placement.hashed import DEMAND_AGGREGATOR, FleetSize, Shard, rank
 from rowanrail.placement.planned import PlannedHolders
 from rowanrail.tenants.model import Tenant, Tenants, key_digest
 from tests.relay.test_detours import CutDriver
@@ -32,7 +32,7 @@
 REGIONS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 GATEWAYS = {"ga1": "a1", "ga2": "a2", "gb1": "b1", "gb2": "b2"}
 SHARD_OF_A = Shard.of("db", "a")
-POPULATION = Population(4, 2, is_regional=True)
+FLEET_SIZE = FleetSize(4, 2, is_regional=True)
 
 
 def configuration(version, keys, **limits):
@@ -59,7 +59,7 @@
             Registry(),
             Peers(neighbours, detours, PlannedHolders(name, REGIONS[zone], clock)),
         )
-        self.metering = Metering(
+        self.demand_exchange = DemandExchange(
             name,
             REGIONS[zone],
             clock,
@@ -69,9 +69,9 @@
             self.gateway.access.demand,
         )
         self.gateway.start()
-        self.metering.start()
-        holder = world.network.holders[name] = Holder(self.gateway, clock)
-        holder.on_region_report = self.metering.forward_to_aggregator
+        self.demand_exchange.start()
+        holder = world.network.holders[name] = LinkServer(self.gateway, clock)
+        holder.on_region_report = self.demand_exchange.forward_to_aggregator
 
     def client(self, database, key="key-of-a"):
         session = self.gateway.open_session(database, key)
@@ -98,7 +98,7 @@
         for name, one in self.gateways.items():
             region = REGIONS[GATEWAYS[name]]
             others = {r: listed for r, listed in in_region.items() if r != region}
-            one.gateway.set_directory(Directory(1, records, POPULATION, in_region[region], others))
+            one.gateway.set_directory(Directory(1, records, FLEET_SIZE, in_region[region], others))
         self.holder = self.gateways[rank(SHARD_OF_A.key, ["gb1", "gb2"])[0]]
         self.sender = self.gateways[rank(SHARD_OF_A.key, ["ga1", "ga2"])[0]]
         self.clock.advance(0.5)
@@ -253,7 +253,7 @@
         self.assertIsNone(answer.refusal, answer)
 
 
-class MeteringTest(unittest.TestCase):
+class DemandExchangeTest(unittest.TestCase):
     def setUp(self):
         self.world = Regions()
         self.world.configure(2, {"key-of-a": "a", "key-of-b": "b"}, rate=100.0, burst=100.0)
