--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -22,14 +22,14 @@
 
 class ExplainTest(unittest.TestCase):
     def setUp(self):
-        self.played = GatewayHarness()
+        self.harness = GatewayHarness()
 
     def diagnose(self, request, extra=()):
-        return diagnose(request, read_lines([*self.played.logs(), *extra]).lines)
+        return diagnose(request, read_lines([*self.harness.logs(), *extra]).lines)
 
     def control_log(self):
         with tempfile.TemporaryFile() as file:
-            log = DecisionLog("control", file.fileno(), wall_clock=self.played.clock.time)
+            log = DecisionLog("control", file.fileno(), wall_clock=self.harness.clock.time)
             log.note(
                 PROMOTION_DECIDED,
                 service="db",
@@ -43,9 +43,9 @@
             return file.read().decode().splitlines()
 
     def test_outcome_unknown_during_a_failover(self):
-        client = self.played.client("orders")
+        client = self.harness.client("orders")
         client.run("WRITE a 1")
-        self.played.primary.silent = True
+        self.harness.primary.silent = True
         client.run("WRITE a 2", seconds=1.1)
         diagnosis = self.diagnose("q2", self.control_log())
         self.assertEqual(diagnosis.outcome, Refusal.OUTCOME_UNKNOWN.value)
@@ -55,10 +55,10 @@
         self.assertEqual(diagnosis.promise, "none: it may or may not have run")
 
     def test_refused_for_a_route_that_the_newest_known_version_lacks(self):
-        client = self.played.client("orders")
-        self.played.configure(2, without=("orders",))
-        self.played.gateway.access.note_control_up_to_date("c1:7")
-        self.played.clock.advance(1.2)
+        client = self.harness.client("orders")
+        self.harness.configure(2, without=("orders",))
+        self.harness.gateway.access.note_control_up_to_date("c1:7")
+        self.harness.clock.advance(1.2)
         client.run("READ a")
         diagnosis = self.diagnose("q1")
         self.assertIn("version 2 has no route for orders", diagnosis.cause)
@@ -68,17 +68,17 @@
         )
 
     def test_opening_a_session_of_an_unknown_database_is_logged(self):
-        answer = self.played.gateway.open_session("nowhere", "secret")
+        answer = self.harness.gateway.open_session("nowhere", "secret")
         self.assertEqual(answer.refusal, Refusal.UNKNOWN_DATABASE)
-        (line,) = [line for line in self.played.logs() if '"event":333' in line]
+        (line,) = [line for line in self.harness.logs() if '"event":333' in line]
         self.assertIn('"database":"nowhere","version":1,"control":"","heard_ms":null', line)
         self.assertNotIn("secret", line)
 
     def test_refused_for_an_exceeded_tenant_limit(self):
-        self.played = TenantGateway()
-        self.played.configure(2, rate=1.0, burst=1.0)
-        self.played.gateway.access.quota.set_fleet_totals(DemandSummary({}))
-        client = self.played.client("orders")
+        self.harness = TenantGateway()
+        self.harness.configure(2, rate=1.0, burst=1.0)
+        self.harness.gateway.access.quota.set_fleet_totals(DemandSummary({}))
+        client = self.harness.client("orders")
         while client.run("WRITE a 1", seconds=0.01).refusal is None:
             pass
         diagnosis = self.diagnose(f"q{len(client.answers)}")
@@ -86,10 +86,10 @@
         self.assertEqual(diagnosis.promise, "it had no effect and may be retried")
 
     def test_denied_with_a_revoked_key(self):
-        self.played = TenantGateway()
-        client = self.played.client("orders")
+        self.harness = TenantGateway()
+        client = self.harness.client("orders")
         client.run("WRITE a 1", seconds=0.1)
-        self.played.configure(2, keys={"key-of-b": "b"})
+        self.harness.configure(2, keys={"key-of-b": "b"})
         client.run("WRITE a 2")
         diagnosis = self.diagnose("q2")
         self.assertIn("its key no longer belongs to tenant a (", diagnosis.cause)
@@ -97,10 +97,10 @@
         self.assertIn(KEY_WITHDRAWN.number, [line.event for line in diagnosis.around])
 
     def test_refused_by_replicas_that_lag_behind(self):
-        client = self.played.client("carts")
+        client = self.harness.client("carts")
         client.run("BEGIN READ")
         refusal = Answer(refusal=Refusal.BEHIND, message="m2")
-        for member in self.played.members:
+        for member in self.harness.members:
             member.script = [refusal] * 50
         client.run("READ a", seconds=1.5)
         diagnosis = self.diagnose("q2")
@@ -111,18 +111,18 @@
         self.assertEqual(diagnosis.promise, "it had no effect and may be retried")
 
     def test_refused_without_a_free_connection(self):
-        self.played.configure(2, connections=9)
-        clients = [self.played.client("orders") for _ in range(3)]
+        self.harness.configure(2, connections=9)
+        clients = [self.harness.client("orders") for _ in range(3)]
         for client in clients:
             client.run("BEGIN")
             client.ask("WRITE a 1")
         for _ in range(6):  # keeps two transactions from reaching their idle limit
-            self.played.clock.advance(0.2)
+            self.harness.clock.advance(0.2)
             for client in clients[:2]:
                 client.run("READ a")
         waiting = [c for c in clients if c.answers[-1].refusal is Refusal.BUSY]
         self.assertTrue(waiting)
-        lines = [line for line in self.played.logs() if '"outcome":"busy"' in line]
+        lines = [line for line in self.harness.logs() if '"outcome":"busy"' in line]
         request = lines[-1].split('"request":"')[1].split('"')[0]
         diagnosis = self.diagnose(request)
         self.assertIn("m1 of db had no free connection in time", diagnosis.cause)
@@ -131,15 +131,15 @@
         """Queue enough statements for a member that further ones are rejected."""
         for _ in range(30):
             pool.connections.leases.note(500.0)
-        self.played.primary.script = [None] * 500
+        self.harness.primary.script = [None] * 500
         for _ in range(60):
             ask()
 
     def test_rejected_on_arrival(self):
-        pool = self.played.gateway.services["db"].pools["m1"]
-        self.fill_queue(pool, lambda: self.played.client("orders").ask("WRITE b 2"))
-        self.played.client("orders").run("WRITE a 1")
-        line = [text for text in self.played.logs() if '"cause":"crowded"' in text][-1]
+        pool = self.harness.gateway.services["db"].pools["m1"]
+        self.fill_queue(pool, lambda: self.harness.client("orders").ask("WRITE b 2"))
+        self.harness.client("orders").run("WRITE a 1")
+        line = [text for text in self.harness.logs() if '"cause":"crowded"' in text][-1]
         diagnosis = diagnose("q1", read_lines([line]).lines)
         self.assertIn("m1 of db had no free connection in time (m1 is crowded for", diagnosis.cause)
         self.assertRegex(
@@ -150,10 +150,10 @@
         self.assertEqual(diagnosis.promise, "it had no effect and may be retried")
 
     def test_rejected_while_waiting(self):
-        pool = self.played.gateway.services["db"].pools["m1"]
-        self.fill_queue(pool, lambda: self.played.client("orders").ask("WRITE b 2"))
-        self.played.clock.advance(1.0)
-        line = [text for text in self.played.logs() if '"cause":"hopeless"' in text][-1]
+        pool = self.harness.gateway.services["db"].pools["m1"]
+        self.fill_queue(pool, lambda: self.harness.client("orders").ask("WRITE b 2"))
+        self.harness.clock.advance(1.0)
+        line = [text for text in self.harness.logs() if '"cause":"hopeless"' in text][-1]
         diagnosis = diagnose("q1", read_lines([line]).lines)
         self.assertRegex(
             diagnosis.cause,
@@ -161,7 +161,7 @@
         )
 
     def test_rejected_by_the_load_that_the_holder_reported(self):
-        self.played = zone = ZoneHarness()
+        self.harness = zone = ZoneHarness()
         client = zone.last.client("orders")
         client.run("WRITE a 1", seconds=0.3)
         pool = zone.first.gateway.services["db"].pools["m1"]
@@ -231,20 +231,20 @@
         self.assertIn("no log of a control node", " ".join(diagnosis.missing))
 
     def test_damaged_lines_are_counted_and_ignored(self):
-        self.played.client("orders").run("WRITE a 1")
-        lines = self.played.logs()
+        self.harness.client("orders").run("WRITE a 1")
+        lines = self.harness.logs()
         damaged = ["", "not a line", lines[0][:30], '{"time":"x","event":1}', "\x00\xff"]
         result = read_lines([f"  12.5 proxy-1 {line}" for line in lines] + damaged)
         self.assertEqual(len(result.lines), len(lines))
         self.assertEqual(result.damaged, 4)
 
     def test_the_command(self):
-        client = self.played.client("orders")
-        self.played.primary.script = [None]
+        client = self.harness.client("orders")
+        self.harness.primary.script = [None]
         client.run("WRITE a 1", seconds=1.1)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "proxy.log"
-            path.write_text("\n".join(self.played.logs()) + "\n")
+            path.write_text("\n".join(self.harness.logs()) + "\n")
             shown = CliRunner().invoke(main, ["explain", "q1", str(path)])
             self.assertEqual(shown.exit_code, 0, shown.output)
             self.assertIn("cause: it was sent to m1", shown.output)
--- a/tests/explain/test_search.py
+++ b/tests/explain/test_search.py
@@ -32,12 +32,12 @@
 
 class SearchTest(unittest.TestCase):
     def setUp(self):
-        self.played = GatewayHarness()
-        client = self.played.client("orders")
+        self.harness = GatewayHarness()
+        client = self.harness.client("orders")
         client.run("WRITE a 1")
-        self.played.primary.silent = True
+        self.harness.primary.silent = True
         client.run("WRITE b 2", seconds=1.1)
-        self.logs = self.played.logs()
+        self.logs = self.harness.logs()
 
     def test_search_gives_the_same_diagnosis_as_all_lines(self):
         damaged = ["", "not a line", '{"time":"x","event":1}']
--- a/tests/gateway/test_frozen_process.py
+++ b/tests/gateway/test_frozen_process.py
@@ -34,30 +34,30 @@
     def play(self, seed):
         """Run reads at silent members while time jumps as in a suspended process."""
         rng = random.Random(seed)
-        played = GatewayHarness(slots=rng.choice([1, 2, 3, 5]))
-        reads = limit_clock_reads(played.clock)
-        played.configure(2, connections=rng.choice([3, 6, 9, 15, 30]))
-        played.clock.advance(1.0)
-        played.client("orders").run("WRITE a 1", 0.5)
-        for member in played.members:
+        harness = GatewayHarness(slots=rng.choice([1, 2, 3, 5]))
+        reads = limit_clock_reads(harness.clock)
+        harness.configure(2, connections=rng.choice([3, 6, 9, 15, 30]))
+        harness.clock.advance(1.0)
+        harness.client("orders").run("WRITE a 1", 0.5)
+        for member in harness.members:
             member.silent = rng.random() < 0.6
         databases = ["reports", "carts", "orders"]
-        clients = [played.client(rng.choice(databases)) for _ in range(rng.randint(1, 12))]
+        clients = [harness.client(rng.choice(databases)) for _ in range(rng.randint(1, 12))]
         for _ in range(rng.randint(1, 4)):
             for client in clients:
                 is_free = len(client.answers) == client.asked
                 if rng.random() < 0.7 and is_free:
                     client.ask("READ a")
             if rng.random() < 0.5:
-                played.clock.advance(rng.choice([0.0, 0.005, 0.02, 0.1, 0.3]))
+                harness.clock.advance(rng.choice([0.0, 0.005, 0.02, 0.1, 0.3]))
             if rng.random() < 0.3:
-                for member in played.members:
+                for member in harness.members:
                     member.silent = rng.random() < 0.6
-            played.clock.now += rng.choice([0.3, 0.9, 1.1, 2.0, 2.5])
+            harness.clock.now += rng.choice([0.3, 0.9, 1.1, 2.0, 2.5])
             reads[0] = 0
-            played.clock.advance(0.0)
+            harness.clock.advance(0.0)
         reads[0] = 0
-        played.clock.advance(2.0)  # twice the time-out of a statement
+        harness.clock.advance(2.0)  # twice the time-out of a statement
         return clients
 
     def test_waiting_statements_are_answered_and_the_gateway_continues(self):
--- a/tests/gateway/test_idle_services.py
+++ b/tests/gateway/test_idle_services.py
@@ -10,22 +10,22 @@
 
 class IdleServicesTest(unittest.TestCase):
     def setUp(self):
-        self.played = GatewayHarness()
-        self.service = self.played.gateway.services["db"]
+        self.harness = GatewayHarness()
+        self.service = self.harness.gateway.services["db"]
 
     def count_ticks(self, seconds):
         """Return how often the service is checked."""
         with unittest.mock.patch.object(Service, "tick", autospec=True, side_effect=Service.tick):
-            self.played.clock.advance(seconds)
+            self.harness.clock.advance(seconds)
             return Service.tick.call_count
 
     def make_idle(self):
         """Advance the clock until the service is unused and has no connections."""
-        self.played.clock.advance(IN_USE_SECONDS + 1)
+        self.harness.clock.advance(IN_USE_SECONDS + 1)
         for pool in self.service.pools.values():
             for channel in list(pool.connections.idle):
                 channel.close()
-        self.played.clock.advance(1.0)
+        self.harness.clock.advance(1.0)
 
     def test_an_unused_service_is_checked_rarely(self):
         self.make_idle()
@@ -34,15 +34,15 @@
 
     def test_a_service_in_use_is_checked_at_each_tick(self):
         self.make_idle()
-        self.played.client("reports").run("READ a", seconds=0.2)
+        self.harness.client("reports").run("READ a", seconds=0.2)
         self.assertGreaterEqual(self.count_ticks(1.0), 1.0 / TICK_SECONDS - 2)
 
     def test_an_unused_service_with_connections_is_checked_at_each_tick(self):
-        self.played.client("reports").run("READ a", seconds=0.2)
+        self.harness.client("reports").run("READ a", seconds=0.2)
         self.service.used_at = -IN_USE_SECONDS
         self.assertGreaterEqual(self.count_ticks(0.3), 0.3 / TICK_SECONDS - 2)
 
     def test_an_unused_service_with_a_failing_primary_is_checked_at_each_tick(self):
         self.make_idle()
-        self.service.primary.state.failing_since = self.played.clock.time()
+        self.service.primary.state.failing_since = self.harness.clock.time()
         self.assertGreaterEqual(self.count_ticks(0.3), 0.3 / TICK_SECONDS - 2)
--- a/tests/gateway/test_member_weight.py
+++ b/tests/gateway/test_member_weight.py
@@ -12,31 +12,31 @@
 
 class MemberWeightTest(unittest.TestCase):
     def setUp(self):
-        self.played = GatewayHarness()
-        self.client = self.played.client("reports")
+        self.harness = GatewayHarness()
+        self.client = self.harness.client("reports")
         self.client.run("READ warm", seconds=0.1)
-        self.weights = self.played.gateway.services["db"].estimates.weights
+        self.weights = self.harness.gateway.services["db"].estimates.weights
 
     def weight(self):
         return self.weights.local_weight("m2").value
 
     def lose_weight(self):
         """Report errors of the near member until it has lost most of its weight."""
-        self.played.near.script = [FAILED] * 8
-        pool = self.played.gateway.services["db"].pools["m2"]
+        self.harness.near.script = [FAILED] * 8
+        pool = self.harness.gateway.services["db"].pools["m2"]
         while self.weight() >= 0.5:
             pool.note_error()
-        self.played.near.script.clear()
+        self.harness.near.script.clear()
 
     def probes(self):
         return [
-            command for _, command in self.played.near.ran if command.kind is CommandKind.STATUS
+            command for _, command in self.harness.near.ran if command.kind is CommandKind.STATUS
         ]
 
     def use(self, seconds):
         """Run a read every 0.1 s, so that the service stays in use."""
         for _ in range(round(seconds * 10)):
-            self.played.clock.advance(0.1)
+            self.harness.clock.advance(0.1)
             self.client.run("READ a", seconds=0.1)
 
     def test_a_healthy_member_is_not_probed(self):
@@ -53,7 +53,7 @@
     def test_errors_in_read_only_transactions_reduce_weight(self):
         self.client.run("BEGIN READ")
         self.client.run("READ a")
-        self.played.near.script = [FAILED]
+        self.harness.near.script = [FAILED]
         self.assertEqual(self.client.run("READ b").refusal, Refusal.FAILED)
         self.assertLess(self.weight(), 1.0)
 
@@ -64,7 +64,7 @@
 
     def test_a_member_that_leaves_is_not_probed(self):
         self.lose_weight()
-        self.played.announce(2, leaving=("m2",))
+        self.harness.announce(2, leaving=("m2",))
         self.use(2)
         self.assertEqual(self.probes(), [])
 
@@ -78,42 +78,42 @@
     def test_an_unanswered_probe_reduces_weight(self):
         self.lose_weight()
         before = self.weight()
-        self.played.near.silent = True
+        self.harness.near.silent = True
         self.use(2)
         self.assertLess(self.weight(), before)
 
     def test_a_member_that_refuses_connections_loses_weight(self):
-        for wire in self.played.near.open_transports():
+        for wire in self.harness.near.open_transports():
             wire.channel.lost("closed")
-        self.played.near.reachable = False
+        self.harness.near.reachable = False
         self.use(1)
         self.assertLess(self.weight(), 0.5)
 
     def test_a_silent_member_loses_weight(self):
-        self.played.near.silent = True
+        self.harness.near.silent = True
         self.client.run("READ a", seconds=0.5)
         self.assertLess(self.weight(), 0.5)
 
     def test_only_many_consecutive_busy_refusals_reduce_weight(self):
-        self.played.near.script = [BUSY_ANSWER] * 3
+        self.harness.near.script = [BUSY_ANSWER] * 3
         for _ in range(3):
-            self.played.clock.advance(3)
+            self.harness.clock.advance(3)
             self.client.run("READ a", seconds=0.1)
         self.assertEqual(self.weight(), 1.0)
-        self.played.near.script = [BUSY_ANSWER] * 9
+        self.harness.near.script = [BUSY_ANSWER] * 9
         for _ in range(9):
-            self.played.clock.advance(3)
+            self.harness.clock.advance(3)
             self.client.run("READ a", seconds=0.1)
         self.assertLess(self.weight(), 1.0)
 
     def test_a_fall_and_a_recovery_are_logged_once_each_with_their_inputs(self):
         self.lose_weight()
-        pool = self.played.gateway.services["db"].pools["m2"]
+        pool = self.harness.gateway.services["db"].pools["m2"]
         for _ in range(5):
             pool.note_error()
         self.use(10)
-        fallen = [line for line in self.played.logs() if '"event":350' in line]
-        recovered = [line for line in self.played.logs() if '"event":351' in line]
+        fallen = [line for line in self.harness.logs() if '"event":350' in line]
+        recovered = [line for line in self.harness.logs() if '"event":351' in line]
         self.assertEqual((len(fallen), len(recovered)), (1, 1))
         for word in ('"instance":"m2"', '"reason":"error"', '"weight":', '"error_share":'):
             self.assertIn(word, fallen[0])
@@ -122,7 +122,7 @@
         self.lose_weight()
         readings = {
             labels["member"]: (labels["reason"], value)
-            for name, labels, value in gauges(self.played.gateway)
+            for name, labels, value in gauges(self.harness.gateway)
             if name == "member_weight"
         }
         self.assertEqual(readings["m1"], ("", 1.0))
--- a/tests/gateway/test_samples.py
+++ b/tests/gateway/test_samples.py
@@ -51,19 +51,19 @@
 class MonitorTest(unittest.TestCase):
     """Sampling rate of a primary when no read waits for a sample."""
 
-    def played(self, gateways):
-        played = GatewayHarness()
-        played.configure(2, connections=820)
-        records = [member.record() for member in played.members]
-        played.gateway.set_directory(Directory(2, records, Population(gateways, 6)))
-        played.client("orders").run("WRITE a 1")
-        return played
+    def harness_with(self, gateways):
+        harness = GatewayHarness()
+        harness.configure(2, connections=820)
+        records = [member.record() for member in harness.members]
+        harness.gateway.set_directory(Directory(2, records, Population(gateways, 6)))
+        harness.client("orders").run("WRITE a 1")
+        return harness
 
     def samples_in_six_seconds(self, gateways):
-        played = self.played(gateways)
-        known = len(played.primary.ran)
-        played.clock.advance(6.0)
-        return sum(c.kind is CommandKind.BEGIN for _, c in played.primary.ran[known:])
+        harness = self.harness_with(gateways)
+        known = len(harness.primary.ran)
+        harness.clock.advance(6.0)
+        return sum(c.kind is CommandKind.BEGIN for _, c in harness.primary.ran[known:])
 
     def test_with_many_gateways_each_samples_less_often(self):
         # The rate from all gateways together must stay bounded.
@@ -71,11 +71,11 @@
         self.assertLess(194 * self.samples_in_six_seconds(194) / 6, 360)
 
     def test_with_many_gateways_a_silent_primary_is_reported_in_time(self):
-        played = self.played(194)
+        harness = self.harness_with(194)
         alarms = []
-        played.gateway.on_primary_change = lambda: alarms.append(played.clock.now)
-        began = played.clock.now
-        played.primary.silent = True
-        played.clock.advance(2.0)
+        harness.gateway.on_primary_change = lambda: alarms.append(harness.clock.now)
+        began = harness.clock.now
+        harness.primary.silent = True
+        harness.clock.advance(2.0)
         self.assertEqual(len(alarms), 1)
         self.assertLess(alarms[0] - began, 1.35)
--- a/tests/gateway/test_time_limits.py
+++ b/tests/gateway/test_time_limits.py
@@ -15,7 +15,7 @@
 
 class TimeLimitTest(unittest.TestCase):
     def setUp(self):
-        self.played = GatewayHarness()
+        self.harness = GatewayHarness()
         routes = {
             name: route(name, seconds, objective)
             for name, seconds, objective in (
@@ -25,33 +25,33 @@
             )
         }
         services = {"db": ServiceSpec("db", 30)}
-        self.played.gateway.apply(RoutingConfiguration(2, routes, services, 3.0))
-        self.played.clock.advance(1.0)
+        self.harness.gateway.apply(RoutingConfiguration(2, routes, services, 3.0))
+        self.harness.clock.advance(1.0)
 
     def warm(self):
-        self.played.client("reports").run("READ warm", seconds=0.1)
+        self.harness.client("reports").run("READ warm", seconds=0.1)
 
     def test_an_unanswered_read_closes_its_connection(self):
         self.warm()
-        self.played.near.script = [None]
-        answer = self.played.client("short").run("READ a", seconds=SHORT)
+        self.harness.near.script = [None]
+        answer = self.harness.client("short").run("READ a", seconds=SHORT)
         self.assertIsNotNone(answer.refusal)
-        self.assertEqual(self.played.near.open_transports(), [])
-        self.played.near.transports[-1].channel.lost("late")  # has no effect any more
-        self.assertEqual(self.played.near.texts(), ["READ warm", "READ a"])
+        self.assertEqual(self.harness.near.open_transports(), [])
+        self.harness.near.transports[-1].channel.lost("late")  # has no effect any more
+        self.assertEqual(self.harness.near.texts(), ["READ warm", "READ a"])
 
     def test_a_read_without_a_connection_in_time_is_refused_as_not_run(self):
-        for member in self.played.members:
+        for member in self.harness.members:
             for wire in member.open_transports():
                 wire.channel.lost("reset")
             member.silent = True
-        answer = self.played.client("short").run("READ a", seconds=SHORT)
+        answer = self.harness.client("short").run("READ a", seconds=SHORT)
         self.assertIn(answer.refusal, NO_EFFECT_REFUSALS)
-        self.assertEqual([m.texts() for m in self.played.members], [[], [], []])
+        self.assertEqual([m.texts() for m in self.harness.members], [[], [], []])
 
     def test_a_transaction_begins_at_another_member_if_one_opens_no_connection(self):
-        self.played.near.silent = True
-        client = self.played.client("reports")
+        self.harness.near.silent = True
+        client = self.harness.client("reports")
         client.run("BEGIN READ")
         self.assertIsNone(client.run("READ a", seconds=0.2).refusal)
-        self.assertEqual(self.played.near.texts(), [])
+        self.assertEqual(self.harness.near.texts(), [])
