--- a/tests/gateway/test_member_weight.py
+++ b/tests/gateway/test_member_weight.py
@@ -83,8 +83,8 @@
         self.assertLess(self.weight(), before)
 
     def test_a_member_that_refuses_connections_loses_weight(self):
-        for wire in self.harness.near.open_transports():
-            wire.channel.lost("closed")
+        for transport in self.harness.near.open_transports():
+            transport.channel.lost("closed")
         self.harness.near.reachable = False
         self.use(1)
         self.assertLess(self.weight(), 0.5)
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -280,8 +280,8 @@
         client = harness.client("orders")
         client.run("WRITE a 1")
         harness.primary.reachable = False
-        for wire in harness.primary.open_transports():
-            wire.channel.lost("reset")
+        for transport in harness.primary.open_transports():
+            transport.channel.lost("reset")
         client.run("WRITE b 2", seconds=1.1)
         pool = harness.gateway.services["db"].pools["m1"]
         for _ in range(6):
@@ -590,12 +590,12 @@
         other.run("WRITE b 1")
         self.client.run("READ a")
         self.client.run("COMMIT")
-        by_wire = {}
-        for wire, command in self.harness.primary.ran:
+        by_connection = {}
+        for number, command in self.harness.primary.ran:
             if command.request_id:
-                by_wire.setdefault(wire, []).append(command.text)
-        self.assertIn(["WRITE a 1", "READ a", "COMMIT"], by_wire.values())
-        self.assertIn(["WRITE b 1"], by_wire.values())
+                by_connection.setdefault(number, []).append(command.text)
+        self.assertIn(["WRITE a 1", "READ a", "COMMIT"], by_connection.values())
+        self.assertIn(["WRITE b 1"], by_connection.values())
 
     def test_a_read_is_never_sent_behind_an_unanswered_begin(self):
         self.harness.primary.primary = False
@@ -633,9 +633,9 @@
         self.client.run("BEGIN")
         self.client.run("WRITE a 1")
         self.client.run("ROLLBACK")
-        wires = len(self.harness.primary.transports)
+        opened = len(self.harness.primary.transports)
         self.client.run("WRITE b 1")
-        self.assertEqual(len(self.harness.primary.transports), wires)
+        self.assertEqual(len(self.harness.primary.transports), opened)
 
     def test_an_idle_transaction_is_aborted_and_reported_at_the_next_statement(self):
         self.client.run("BEGIN")
@@ -674,23 +674,23 @@
         self.harness = GatewayHarness()
         self.harness.configure(2, connections=9)
 
-    def near_wire(self):
+    def near_transport(self):
         return self.harness.near.open_transports()[-1]
 
     def test_values_are_set_on_the_connection_before_the_statement(self):
         client = self.harness.client("reports")
         client.run("SET zone x")
         client.run("READ a")
-        self.assertEqual(self.near_wire().values, {"zone": "x"})
+        self.assertEqual(self.near_transport().values, {"zone": "x"})
 
     def test_values_do_not_leak_into_another_session(self):
         first, second = self.harness.client("reports"), self.harness.client("reports")
         first.run("SET zone x")
         first.run("READ a")
         second.run("READ b")
-        self.assertEqual(self.near_wire().values, {})
+        self.assertEqual(self.near_transport().values, {})
         first.run("READ c")
-        self.assertEqual(self.near_wire().values, {"zone": "x"})
+        self.assertEqual(self.near_transport().values, {"zone": "x"})
 
     def test_sessions_may_use_the_same_prepared_name(self):
         first, second = self.harness.client("reports"), self.harness.client("reports")
@@ -698,7 +698,7 @@
         second.run("PREPARE s READ two")
         first.run("EXECUTE s a")
         second.run("EXECUTE s b")
-        shapes = self.near_wire().prepared
+        shapes = self.near_transport().prepared
         executed = [text.split(" ") for text in self.harness.near.texts()]
         self.assertEqual([shapes[name] for name, _ in executed], ["READ one", "READ two"])
 
@@ -709,7 +709,7 @@
         client.run("PREPARE s READ two")
         client.run("EXECUTE s b")
         name = self.harness.near.texts()[-1].split(" ")[0]
-        self.assertEqual(self.near_wire().prepared[name], "READ two")
+        self.assertEqual(self.near_transport().prepared[name], "READ two")
 
     def test_an_unknown_name_is_refused(self):
         answer = self.harness.client("reports").run("EXECUTE s a")
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -89,8 +89,8 @@
         client.ask("WRITE a 1")
         self.harness.clock.advance(0.1)
         self.harness.configure(2, keys={"key-of-b": "b"})
-        (wire,) = [w for w in self.harness.primary.transports if w.channel.tenant == "a"]
-        wire.channel.answered(DONE)
+        (transport,) = [t for t in self.harness.primary.transports if t.channel.tenant == "a"]
+        transport.channel.answered(DONE)
         self.assertIsNone(client.answers[-1].refusal)
         self.assertTrue(client.session.is_denied)
 
@@ -105,7 +105,7 @@
         self.harness = TenantGateway()
 
     def opened_for(self, member):
-        return [wire.channel.tenant for wire in member.transports if not wire.closed]
+        return [t.channel.tenant for t in member.transports if not t.closed]
 
     def run_each(self, *keys):
         for key in keys:
@@ -121,8 +121,8 @@
         self.run_each("key-of-a")
         self.harness.clock.advance(5.0)
         self.run_each("key-of-a")
-        wires = [wire for wire in self.harness.primary.transports if wire.channel.tenant == "a"]
-        self.assertEqual(len(wires), 1)
+        transports = [t for t in self.harness.primary.transports if t.channel.tenant == "a"]
+        self.assertEqual(len(transports), 1)
 
     def test_the_longest_idle_connection_is_closed_at_the_limit(self):
         self.harness.configure(2, connections=9)  # two per gateway
--- a/tests/gateway/test_time_limits.py
+++ b/tests/gateway/test_time_limits.py
@@ -42,8 +42,8 @@
 
     def test_a_read_without_a_connection_in_time_is_refused_as_not_run(self):
         for member in self.harness.members:
-            for wire in member.open_transports():
-                wire.channel.lost("reset")
+            for transport in member.open_transports():
+                transport.channel.lost("reset")
             member.silent = True
         answer = self.harness.client("short").run("READ a", seconds=SHORT)
         self.assertIn(answer.refusal, NO_EFFECT_REFUSALS)
--- a/tests/relay/test_forwarding.py
+++ b/tests/relay/test_forwarding.py
@@ -43,9 +43,9 @@
         client.run("EXECUTE s k", seconds=0.1)
         self.zone.kill(self.zone.first)
         client.run("EXECUTE s k", seconds=0.3)
-        wires = [(m, n) for m in self.zone.members for n, c in m.ran if c.request_id]
-        self.assertEqual(len(wires), 2)
-        for member, number in wires:
+        connections = [(m, n) for m in self.zone.members for n, c in m.ran if c.request_id]
+        self.assertEqual(len(connections), 2)
+        for member, number in connections:
             self.assertEqual(member.transports[number].values, {"a": "x"})
             self.assertEqual(list(member.transports[number].prepared.values()), ["READ q"])
 
@@ -209,8 +209,8 @@
     def test_it_stays_on_one_connection(self):
         self.begin("READ a", "WRITE a 1")
         self.assertIsNone(self.client.run("COMMIT", seconds=0.1).refusal)
-        wires = {number for number, command in self.zone.primary.ran if command.request_id}
-        self.assertEqual(len(wires), 1)
+        connections = {number for number, command in self.zone.primary.ran if command.request_id}
+        self.assertEqual(len(connections), 1)
         self.assertEqual(self.zone.first.holder.open_transactions, 0)
 
     def test_a_lost_link_aborts_it_and_rolls_it_back(self):
--- a/tests/relay/test_planned.py
+++ b/tests/relay/test_planned.py
@@ -86,8 +86,8 @@
         self.zone.clock.advance(0.3)
         client.run("WRITE b 2", seconds=0.1)
         self.assertIsNone(client.run("COMMIT", seconds=0.1).refusal)
-        wires = {number for number, c in self.zone.primary.ran if c.text.startswith("WRITE")}
-        self.assertEqual(len(wires), 1)
+        connections = {number for number, c in self.zone.primary.ran if c.text.startswith("WRITE")}
+        self.assertEqual(len(connections), 1)
 
     def test_a_holder_without_budget_for_info_lines_still_logs_what_it_holds(self):
         self.zone.last.decisions._info_budget = 0
--- a/tests/relay/test_planned_regions.py
+++ b/tests/relay/test_planned_regions.py
@@ -59,9 +59,9 @@
         self.world.set_plan(self.world.plan(1, self.new))
         self.write()
         del self.world.network.holders[self.new.name]
-        for twin in self.world.network.links:
-            if self.new.name in twin.ends:
-                twin.disconnect("reset")
+        for link in self.world.network.links:
+            if self.new.name in link.ends:
+                link.disconnect("reset")
         self.write()
 
     def test_a_holder_without_the_plan_runs_what_it_is_sent(self):
--- a/tests/relay/test_regions.py
+++ b/tests/relay/test_regions.py
@@ -113,8 +113,8 @@
     def client(self, database, key="key-of-a"):
         return self.sender.client(database, key)
 
-    def wires_for(self, member, tenant):
-        return [w for w in member.transports if w.channel.tenant == tenant and not w.closed]
+    def open_transports_for(self, member, tenant):
+        return [t for t in member.transports if t.channel.tenant == tenant and not t.closed]
 
 
 class RemoteHolderTest(unittest.TestCase):
@@ -165,9 +165,9 @@
         client = self.world.client("orders")
         client.ask("WRITE a 1")
         self.world.clock.advance(0.1)
-        for twin in self.world.network.links:
-            if self.world.holder.name in twin.ends:
-                twin.disconnect("reset")
+        for link in self.world.network.links:
+            if self.world.holder.name in link.ends:
+                link.disconnect("reset")
         self.world.clock.advance(0.1)
         self.assertEqual(client.answers[-1].refusal, Refusal.OUTCOME_UNKNOWN)
 
@@ -227,7 +227,7 @@
 
     def test_statements_run_on_connections_of_the_clients_tenant(self):
         self.world.client("orders", "key-of-b").run("WRITE a 1", seconds=0.2)
-        self.assertEqual(len(self.world.wires_for(self.world.primary, "b")), 1)
+        self.assertEqual(len(self.world.open_transports_for(self.world.primary, "b")), 1)
 
     def test_a_holder_that_knows_of_the_revocation_runs_nothing_for_the_key(self):
         client = self.world.client("orders")
@@ -291,9 +291,9 @@
         self.begin_statements(other, 9)
         self.world.clock.advance(1.0)
         del self.world.network.holders[aggregator.name]
-        for twin in self.world.network.links:
-            if aggregator.name in twin.ends:
-                twin.disconnect("reset")
+        for link in self.world.network.links:
+            if aggregator.name in link.ends:
+                link.disconnect("reset")
         self.begin_statements(other, 1)
         self.world.clock.advance(1.5)
         # The fourth gateway may be cut off: its demand is estimated from the other three.
--- a/tests/relay/test_remote_replicas.py
+++ b/tests/relay/test_remote_replicas.py
@@ -66,9 +66,9 @@
         self.fill_the_own_region()
         for name in ("gb1", "gb2"):
             del self.world.network.holders[name]
-        for twin in self.world.network.links:
-            if {"gb1", "gb2"} & set(twin.ends):
-                twin.disconnect("reset")
+        for link in self.world.network.links:
+            if {"gb1", "gb2"} & set(link.ends):
+                link.disconnect("reset")
         self.assertIsNone(self.client.run("READ a", seconds=0.4).refusal)
 
 
