--- a/tests/unit/test_architecture.py
+++ b/tests/unit/test_architecture.py
@@ -1,46 +1,49 @@
-"""The page of the whole names only modules, tests, events and files that exist."""
+"""ARCHITECTURE.md names only modules, tests, events and files that exist."""
 
 import importlib.util
 import re
 import unittest
 from pathlib import Path
 
-from rowanlab import documents  # noqa: F401 - fills the catalogue of events
+from rowanlab import documents  # noqa: F401 - registers all events
 from rowanrail.kernel.events import CATALOGUE
 from tests.unit.test_decisions import source_words
 
 ROOT = Path(__file__).resolve().parents[2]
-TEXT = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
+PAGE = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
 
 
-def named(pattern):
-    return sorted(set(re.findall(pattern, TEXT)))
+def matches(pattern):
+    return sorted(set(re.findall(pattern, PAGE)))
 
 
 class ArchitectureTest(unittest.TestCase):
     def test_its_modules_and_tests_exist(self):
-        modules = named(r"`((?:rowanrail|rowanlab|tests)(?:\.\w+)*)`")
+        modules = matches(r"`((?:rowanrail|rowanlab|tests)(?:\.\w+)*)`")
         self.assertGreater(len(modules), 40)
         for name in modules:
             with self.subTest(name):
                 self.assertIsNotNone(importlib.util.find_spec(name))
 
     def test_its_events_exist(self):
-        for number in named(r"RR(\d{4})"):
+        for number in matches(r"RR(\d{4})"):
             with self.subTest(number):
                 self.assertIn(int(number), CATALOGUE)
 
     def test_its_metrics_and_fields_exist(self):
         words = source_words()
-        failures = TEXT.split("## When a dependency fails")[1].split("## Three questions")[0]
-        cells = [line.split(" | ")[-2] for line in failures.splitlines() if "| `tests." in line]
+        section = PAGE.split("## When a dependency fails")[1].split("## Three questions")[0]
+        cells = [line.split(" | ")[-2] for line in section.splitlines() if "| `tests." in line]
         self.assertGreater(len(cells), 10)
         for name in re.findall(r"`(\w+)`", " ".join(cells)):
             with self.subTest(name):
                 self.assertIn(name, words)
 
     def test_its_files_and_links_exist(self):
-        paths = [*named(r"`(platform/[\w/]+\.py)"), *(f"docs/{p}" for p in named(r"\]\((\w+\.md)"))]
+        paths = [
+            *matches(r"`(platform/[\w/]+\.py)"),
+            *(f"docs/{p}" for p in matches(r"\]\((\w+\.md)")),
+        ]
         for path in paths:
             with self.subTest(path):
                 self.assertTrue((ROOT / path).exists())
@@ -51,8 +54,8 @@
             for path in (ROOT / "src/rowanrail").iterdir()
             if (path / "__init__.py").exists()
         }
-        named_ones = {name.split(".")[1] for name in named(r"`(rowanrail\.\w+)")}
-        self.assertEqual(packages - named_ones, set())
+        named = {name.split(".")[1] for name in matches(r"`(rowanrail\.\w+)")}
+        self.assertEqual(packages - named, set())
 
     def test_its_messages_exist(self):
         sources = "".join(
--- a/tests/unit/test_closing_line.py
+++ b/tests/unit/test_closing_line.py
@@ -1,4 +1,4 @@
-"""The closing line counts every failed test, also one of which only a part failed."""
+"""The summary line counts a test as failed if any of its subtests failed."""
 
 import contextlib
 import io
@@ -9,7 +9,7 @@
 
 
 class TestClosingLine(unittest.TestCase):
-    def closing_line(self, *outcomes):
+    def summary_line(self, *outcomes):
         plugin = ClosingLine.__new__(ClosingLine)
         plugin.outcomes, plugin.red, plugin.seen_red = {}, {}, []
         for name, outcome, exc_info in outcomes:
@@ -21,9 +21,9 @@
             plugin.afterSummaryReport(None)
         return text.getvalue().strip()
 
-    def test_failed_part(self):
+    def test_failed_subtest(self):
         failure = (AssertionError, AssertionError(), None)
-        line = self.closing_line(
+        line = self.summary_line(
             ("t.one (part=1)", "subtest", failure),
             ("t.one (part=2)", "subtest", None),
             ("t.one", "passed", None),
@@ -31,6 +31,6 @@
         )
         self.assertEqual(line, "1 passed, 1 failed")
 
-    def test_whole_tests(self):
+    def test_tests_without_subtests(self):
         outcomes = [("t.one", "passed", None), ("t.two", "failed", None), ("t.a", "error", None)]
-        self.assertEqual(self.closing_line(*outcomes), "1 passed, 2 failed")
+        self.assertEqual(self.summary_line(*outcomes), "1 passed, 2 failed")
--- a/tests/unit/test_decisions.py
+++ b/tests/unit/test_decisions.py
@@ -1,4 +1,4 @@
-"""The page of the rules in force names only what exists."""
+"""DECISIONS.md names only rules, constants, events, metrics and tests that exist."""
 
 import ast
 import importlib
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from rowanlab import documents  # noqa: F401 - fills the catalogue of events
+from rowanlab import documents  # noqa: F401 - registers all events
 from rowanrail.kernel.events import CATALOGUE
 from rowanrail.model.trace import Rejection, Trace
 
@@ -16,7 +16,7 @@
 
 
 def rows():
-    """Return the cells of all rows of the page's tables."""
+    """Return the cells of each row of the page's tables."""
     found = []
     for line in (ROOT / "docs" / "DECISIONS.md").read_text().splitlines():
         cells = [cell.strip() for cell in line.strip().strip("|").split(" | ")]
@@ -25,13 +25,16 @@
     return found
 
 
-def named(cell):
-    """Return what stands in backticks."""
+def code_names(cell):
+    """Return the parts of a cell that are in backticks."""
     return re.findall(r"`([^`]+)`", cell)
 
 
 def resolve(path):
-    """Return the object that a dotted path names; LookupError if there is none."""
+    """Return the object at a dotted path.
+
+    :raises LookupError: if there is none.
+    """
     parts = path.split(".")
     for end in range(len(parts), 0, -1):
         try:
@@ -51,19 +54,19 @@
         for cells in rows():
             with self.subTest(cells[0]):
                 self.assertEqual(len(cells), COLUMNS)
-                self.assertTrue(named(cells[RULE]))
-                self.assertTrue(named(cells[TEST]), "a rule needs the test of its load")
+                self.assertTrue(code_names(cells[RULE]))
+                self.assertTrue(code_names(cells[TEST]), "the row names no test of the rule")
 
     def test_each_rule_and_test_exists(self):
         for cells in rows():
-            for path in named(cells[RULE]) + named(cells[TEST]):
+            for path in code_names(cells[RULE]) + code_names(cells[TEST]):
                 with self.subTest(path):
                     resolve(path)
 
     def test_each_constant_exists(self):
         for cells in rows():
-            modules = [module for path in named(cells[RULE]) for module in owners(path)]
-            for name in named(cells[CONSTANTS]):
+            modules = [module for path in code_names(cells[RULE]) for module in owners(path)]
+            for name in code_names(cells[CONSTANTS]):
                 if not re.fullmatch(r"[A-Z][A-Z0-9_]+|rowanrail\.[\w.]+", name):
                     continue
                 with self.subTest(name):
@@ -72,7 +75,7 @@
     def test_each_event_and_field_exists(self):
         fields = source_words()
         for cells in rows():
-            for name in named(cells[LOG]):
+            for name in code_names(cells[LOG]):
                 with self.subTest(name):
                     if re.fullmatch(r"RR\d{4}", name):
                         self.assertIn(int(name[2:]), CATALOGUE)
@@ -80,12 +83,12 @@
                         self.assertIn(name, fields)
 
     def test_each_field_is_one_of_an_event_of_its_row(self):
-        known = event_fields()
+        fields_by_event = event_fields()
         for cells in rows():
-            names = named(cells[LOG])
+            names = code_names(cells[LOG])
             numbers = [int(name[2:]) for name in names if re.fullmatch(r"RR\d{4}", name)]
             numbers += [int(number) for number in re.findall(r"(?<!`)RR(\d{4})", cells[LOG])]
-            fields = {field for number in numbers for field in known.get(number, ())}
+            fields = {field for number in numbers for field in fields_by_event.get(number, ())}
             for name in names:
                 with self.subTest(cells[0], field=name):
                     self.assertTrue(re.fullmatch(r"RR\d{4}", name) or name in fields)
@@ -93,22 +96,22 @@
     def test_each_metric_exists(self):
         words = source_words()
         for cells in rows():
-            for name in named(cells[METRIC]):
+            for name in code_names(cells[METRIC]):
                 with self.subTest(name):
-                    short = re.sub(r"^rowanrail_(gateway|control)_", "", name)
-                    known = {short, short.removesuffix("_total")}
+                    name_without_prefix = re.sub(r"^rowanrail_(gateway|control)_", "", name)
+                    known = {name_without_prefix, name_without_prefix.removesuffix("_total")}
                     behind_prefix = {f"_{known_name}" for known_name in known}
-                    self.assertTrue(words & (known | behind_prefix), short)
+                    self.assertTrue(words & (known | behind_prefix), name_without_prefix)
 
 
 def owners(path):
-    """Return the module of a rule, and its class if it is a method."""
+    """Return the paths of a rule's module and, if it is a method, of its class."""
     parts = path.split(".")
     return [".".join(parts[:end]) for end in range(3, len(parts))]
 
 
 def exists(name, modules):
-    """Return whether a constant stands in a rule's module or where its path says."""
+    """Return whether one of the modules has a constant, or its own path resolves."""
     candidates = [name] if "." in name else [f"{module}.{name}" for module in modules]
     for candidate in candidates:
         try:
@@ -120,28 +123,28 @@
 
 
 def event_fields():
-    """Return the fields that the product's code writes with each event, by its number."""
+    """Return the fields that the code logs with each event, by event number."""
     sources = [path.read_text() for path in source_files()]
     defined = re.findall(r"^(\w+) = define\(\s*(\d+)", "\n".join(sources), re.MULTILINE)
     numbers = {name: int(number) for name, number in defined}
-    statement = {*Trace.__struct_fields__, *Rejection.__struct_fields__}
-    fields = {numbers["ANSWERED"]: set(statement), numbers["REFUSED"]: set(statement)}
+    statement_fields = {*Trace.__struct_fields__, *Rejection.__struct_fields__}
+    fields = {numbers["ANSWERED"]: set(statement_fields), numbers["REFUSED"]: set(statement_fields)}
     calls = [node for text in sources for node in ast.walk(ast.parse(text))]
     for call in calls:
         if not isinstance(call, ast.Call) or not call.args:
             continue
-        # The event may be one of two, by a condition.
+        # The first argument may be a conditional expression with two events.
         events = [node.id for node in ast.walk(call.args[0]) if isinstance(node, ast.Name)]
         for name in numbers.keys() & set(events):
-            fields.setdefault(numbers[name], set()).update(word.arg for word in call.keywords)
+            fields.setdefault(numbers[name], set()).update(keyword.arg for keyword in call.keywords)
     return fields
 
 
 def source_files():
-    """Return the paths of the product's sources."""
+    """Return the paths of the product's source files."""
     return [*(ROOT / "src/rowanrail").rglob("*.py"), *(ROOT / "platform").rglob("*.py")]
 
 
 def source_words():
-    """Return all words of the product's sources."""
+    """Return all words in the product's source files."""
     return {word for path in source_files() for word in re.findall(r"\w+", path.read_text())}
--- a/tests/unit/test_doctests.py
+++ b/tests/unit/test_doctests.py
@@ -1,4 +1,4 @@
-"""The examples in the docstrings of the gateway's decisions hold."""
+"""The examples in the docstrings of the listed modules run and give the stated results."""
 
 import doctest
 import importlib
--- a/tests/unit/test_documents.py
+++ b/tests/unit/test_documents.py
@@ -1,4 +1,4 @@
-"""The documents that must match the code."""
+"""The generated pages EVENTS.md and SETTINGS.md are up to date with the code."""
 
 import unittest
 from pathlib import Path
--- a/tests/unit/test_examples.py
+++ b/tests/unit/test_examples.py
@@ -1,4 +1,4 @@
-"""The committed examples are valid."""
+"""All YAML files in ``examples`` pass ``rowanrail check``."""
 
 import unittest
 from pathlib import Path
--- a/tests/unit/test_two_checkouts.py
+++ b/tests/unit/test_two_checkouts.py
@@ -1,6 +1,6 @@
-"""A fleet of two checkouts: which process runs from which, at first and when it is started again.
+"""A fleet of two checkouts: which checkout each process runs from, at start and after restarts.
 
-The programs are two lines that say where they stand; what a mixed fleet does is the soak's.
+The programs only print their checkout; the soak test covers the behaviour of a mixed fleet.
 """
 
 import tempfile
@@ -11,8 +11,8 @@
 from tests.support import platform_fleet
 from tests.support.platform_fleet import PlatformFleet
 
-PROGRAM = "import pathlib, sys\nprint(sys.argv[1], pathlib.Path(__file__).parents[1].name)\n"
-HERE, BESIDE = "here", "beside"
+SCRIPT = "import pathlib, sys\nprint(sys.argv[1], pathlib.Path(__file__).parents[1].name)\n"
+OWN, OTHER = "own", "other"
 
 
 class TwoCheckoutsTest(unittest.TestCase):
@@ -20,28 +20,28 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        for name in (HERE, BESIDE):
-            program = self.folder / name / "platform" / "main.py"
-            program.parent.mkdir(parents=True)
-            program.write_text(PROGRAM)
-        patched = mock.patch.object(platform_fleet, "ROOT", self.folder / HERE)
-        patched.start()
-        self.addCleanup(patched.stop)
+        for name in (OWN, OTHER):
+            script = self.folder / name / "platform" / "main.py"
+            script.parent.mkdir(parents=True)
+            script.write_text(SCRIPT)
+        patch = mock.patch.object(platform_fleet, "ROOT", self.folder / OWN)
+        patch.start()
+        self.addCleanup(patch.stop)
 
-    def fleet(self, beside: Path | None) -> PlatformFleet:
+    def fleet(self, other_checkout: Path | None) -> PlatformFleet:
         fleet = PlatformFleet(
             3,
             6,
             zones=("a", "b"),
             control_zones=("a", "b"),
             regions={"a": "r1"},
-            other_checkout=beside,
+            other_checkout=other_checkout,
         )
         fleet.folder = self.folder
         return fleet
 
-    def started(self, fleet: PlatformFleet, hosts: list[str]) -> list[str]:
-        """Start processes and return what each of them said last."""
+    def run_and_read_logs(self, fleet: PlatformFleet, hosts: list[str]) -> list[str]:
+        """Start processes and return the last line of each log."""
         for host in hosts:
             fleet.restart(host)
         for host in hosts:
@@ -49,27 +49,27 @@
         return [fleet.log(host).splitlines()[-1] for host in hosts]
 
     def test_every_other_process_is_from_the_other_checkout_in_each_zone(self):
-        fleet = self.fleet(self.folder / BESIDE)
-        controls = self.started(fleet, fleet.control_hosts)
-        self.assertEqual(controls, [f"control {c}" for c in (HERE, BESIDE, BESIDE)])
-        proxies = self.started(fleet, fleet.proxy_hosts)
+        fleet = self.fleet(self.folder / OTHER)
+        controls = self.run_and_read_logs(fleet, fleet.control_hosts)
+        self.assertEqual(controls, [f"control {c}" for c in (OWN, OTHER, OTHER)])
+        proxies = self.run_and_read_logs(fleet, fleet.proxy_hosts)
         zone_a, zone_b = proxies[::2], proxies[1::2]
-        self.assertEqual(zone_a, [f"proxy {c}" for c in (HERE, BESIDE, HERE)])
-        self.assertEqual(zone_b, [f"proxy {c}" for c in (BESIDE, HERE, BESIDE)])
+        self.assertEqual(zone_a, [f"proxy {c}" for c in (OWN, OTHER, OWN)])
+        self.assertEqual(zone_b, [f"proxy {c}" for c in (OTHER, OWN, OTHER)])
 
     def test_a_process_that_is_started_again_changes_sides_every_second_time(self):
-        fleet = self.fleet(self.folder / BESIDE)
+        fleet = self.fleet(self.folder / OTHER)
         host = fleet.proxy_hosts[0]
-        said = [self.started(fleet, [host])[0] for _ in range(5)]
-        self.assertEqual(said, [f"proxy {c}" for c in (HERE, BESIDE, BESIDE, HERE, HERE)])
-        names = [checkout.name for checkout in fleet.started[host]]
-        self.assertEqual(names, [HERE, BESIDE, BESIDE, HERE, HERE])
+        lines = [self.run_and_read_logs(fleet, [host])[0] for _ in range(5)]
+        self.assertEqual(lines, [f"proxy {c}" for c in (OWN, OTHER, OTHER, OWN, OWN)])
+        checkouts = [checkout.name for checkout in fleet.started[host]]
+        self.assertEqual(checkouts, [OWN, OTHER, OTHER, OWN, OWN])
 
     def test_without_another_checkout_all_are_from_this_one(self):
         fleet = self.fleet(None)
         hosts = [*fleet.control_hosts, *fleet.proxy_hosts]
-        said = self.started(fleet, [*hosts, *hosts])
-        self.assertEqual({line.split()[1] for line in said}, {HERE})
+        lines = self.run_and_read_logs(fleet, [*hosts, *hosts])
+        self.assertEqual({line.split()[1] for line in lines}, {OWN})
 
 
 if __name__ == "__main__":
