--- a/tests/integration/test_control_folder.py
+++ b/tests/integration/test_control_folder.py
@@ -1,4 +1,4 @@
-"""A control node's data folder: full disk, backup, restore and their error messages."""
+"""Data folder of a control node: full disk, backup and restore, with their error messages."""
 
 import unittest
 
@@ -46,8 +46,8 @@
         before = yaml.safe_load(self.control.command("get").stdout)
         self.control.stop()
         file = str(self.control.folder / "backup")
-        made = run_command("backup", str(self.control.data_folder), file)
-        self.assertIn("version 2 of trial", made.stdout, made.stderr)
+        backup = run_command("backup", str(self.control.data_folder), file)
+        self.assertIn("version 2 of trial", backup.stdout, backup.stderr)
         identity = ["--cluster", "trial", "--name", "n1"]
         address = ["--address", f"{self.control.host}:7000"]
         target = str(self.control.folder / "restored")
@@ -55,13 +55,13 @@
         self.assertEqual(unconfirmed.returncode, 2)
         self.assertIn("--confirm trial", unconfirmed.stderr)
         other = ["--cluster", "other", "--name", "n1", "--confirm", "other"]
-        foreign = run_command("restore", file, target, *other, *address)
-        self.assertIn("the backup belongs to 'trial', not to 'other'", foreign.stderr)
+        mismatched = run_command("restore", file, target, *other, *address)
+        self.assertIn("the backup belongs to 'trial', not to 'other'", mismatched.stderr)
         confirmed = [*identity, *address, "--confirm", "trial", "--least-version", "7"]
         restored = run_command("restore", file, target, *confirmed)
         self.assertEqual(restored.returncode, 0, restored.stderr)
-        again = run_command("restore", file, target, *confirmed)
-        self.assertIn("not empty", again.stderr)
+        repeated = run_command("restore", file, target, *confirmed)
+        self.assertIn("not empty", repeated.stderr)
         self.control.data_folder = self.control.folder / "restored"
         self.control.start()
         after = yaml.safe_load(self.control.command("get").stdout)
--- a/tests/integration/test_dead_quorum.py
+++ b/tests/integration/test_dead_quorum.py
@@ -1,4 +1,4 @@
-"""Callers and operators' commands while two of three control nodes are dead."""
+"""Clients and operators' commands while two of three control nodes are down."""
 
 import signal
 import tempfile
@@ -42,8 +42,8 @@
 
     def test_callers_are_served_and_operators_get_an_error(self):
         shared, path = self.shared, self.changed_file()
-        dead = [node.name for node in shared.file.controls[:2]]
-        for name in dead:
+        killed = [node.name for node in shared.file.controls[:2]]
+        for name in killed:
             shared.fleet.kill(name)
         refused = shared.command("apply", "-f", path, "--change-id", "later")
         self.assertEqual(refused.returncode, 4, refused.stdout)
@@ -58,7 +58,7 @@
             shared.fleet.wait_exit(proxy.name, 20)
             shared.fleet.restart(proxy.name)
             wait_until(lambda: self.serves(proxy))
-        for name in dead:
+        for name in killed:
             shared.fleet.restart(name)
         applied = wait_until(lambda: self.applied(path))
         self.assertIn("accepted: version", applied.stdout)
--- a/tests/integration/test_drivers.py
+++ b/tests/integration/test_drivers.py
@@ -1,4 +1,4 @@
-"""Unmodified drivers through the proxies of a fleet."""
+"""Unmodified MySQL drivers work through the proxies of a fleet."""
 
 import asyncio
 import datetime
@@ -22,32 +22,32 @@
     shared.close()
 
 
-def arguments(proxy=0, **changes):
-    chosen = shared.file.proxies[proxy]
-    given = {
-        "host": chosen.host,
-        "port": chosen.port,
+def connection_arguments(proxy=0, **changes):
+    address = shared.file.proxies[proxy]
+    defaults = {
+        "host": address.host,
+        "port": address.port,
         "user": shared.file.user,
         "password": shared.file.password,
         "database": shared.file.groups[0].database,
     }
-    return {**given, **changes}
+    return {**defaults, **changes}
 
 
 CREATE = (
     "CREATE TABLE {} (id BIGINT AUTO_INCREMENT PRIMARY KEY, name VARCHAR(50), made DATETIME, "
     "day DATE, data BLOB, number BIGINT, share DOUBLE)"
 )
-MADE = datetime.datetime(2026, 1, 2, 3, 4, 5)
+CREATED_AT = datetime.datetime(2026, 1, 2, 3, 4, 5)
 DAY = datetime.date(2026, 5, 6)
-ROW = ('it\'s a \\ "name" ?', MADE, DAY, b"\x00\xff'\\\n", None, 1.5)
+ROW = ('it\'s a \\ "name" ?', CREATED_AT, DAY, b"\x00\xff'\\\n", None, 1.5)
 INSERT = "INSERT INTO {} (name, made, day, data, number, share) VALUES (%s, %s, %s, %s, %s, %s)"
 SELECT = "SELECT name, made, day, data, number, share FROM {} WHERE id = %s"
 
 
 class DriverTest(unittest.TestCase):
     def test_pymysql(self):
-        connection = pymysql.connect(**arguments())
+        connection = pymysql.connect(**connection_arguments())
         cursor = connection.cursor()
         cursor.execute(CREATE.format("a"))
         self.assertEqual(cursor.execute(INSERT.format("a"), ROW), 1)
@@ -64,7 +64,7 @@
         connection.close()
 
     def test_mysql_connector_with_prepared_statements_and_attributes(self):
-        connection = mysql.connector.connect(**arguments(1), use_pure=True)
+        connection = mysql.connector.connect(**connection_arguments(1), use_pure=True)
         cursor = connection.cursor(prepared=True)
         cursor.execute(CREATE.format("b"))
         for number in range(3):
@@ -88,31 +88,31 @@
 
     def test_asyncmy_sees_its_own_change_through_another_proxy(self):
         async def run():
-            first = await asyncmy.connect(**arguments(0), autocommit=True)
+            first = await asyncmy.connect(**connection_arguments(0), autocommit=True)
             cursor = first.cursor()
             await cursor.execute("CREATE TABLE c (id INT PRIMARY KEY, n INT)")
             await cursor.execute("INSERT INTO c VALUES (1, 0)")
-            second = await asyncmy.connect(**arguments(2), autocommit=True)
+            second = await asyncmy.connect(**connection_arguments(2), autocommit=True)
             for number in range(30):
                 await cursor.execute("UPDATE c SET n = %s WHERE id = 1", (number,))
                 await cursor.execute("SELECT @@rowanrail_token")
                 token = (await cursor.fetchone())[0]
-                other = second.cursor()
-                await other.execute(f"SET @rowanrail_token = '{token}'")
-                await other.execute("SELECT n FROM c WHERE id = 1")
-                self.assertEqual(await other.fetchone(), (number,))
-                fresh = await asyncmy.connect(**arguments(1), autocommit=True)
-                newcomer = fresh.cursor()
-                await newcomer.execute("SELECT n FROM c WHERE id = 1")
-                self.assertEqual(await newcomer.fetchone(), (number,))
-                fresh.close()
+                second_cursor = second.cursor()
+                await second_cursor.execute(f"SET @rowanrail_token = '{token}'")
+                await second_cursor.execute("SELECT n FROM c WHERE id = 1")
+                self.assertEqual(await second_cursor.fetchone(), (number,))
+                third = await asyncmy.connect(**connection_arguments(1), autocommit=True)
+                third_cursor = third.cursor()
+                await third_cursor.execute("SELECT n FROM c WHERE id = 1")
+                self.assertEqual(await third_cursor.fetchone(), (number,))
+                third.close()
             first.close()
             second.close()
 
         asyncio.run(run())
 
     def test_large_answers(self):
-        connection = pymysql.connect(**arguments(), autocommit=True)
+        connection = pymysql.connect(**connection_arguments(), autocommit=True)
         cursor = connection.cursor()
         cursor.execute("CREATE TABLE d (id INT PRIMARY KEY, data LONGBLOB)")
         rows = ", ".join(f"({number}, 'x')" for number in range(10_000))
@@ -126,7 +126,7 @@
         connection.close()
 
     def test_errors_of_the_back_end_pass_through(self):
-        connection = pymysql.connect(**arguments(), autocommit=True)
+        connection = pymysql.connect(**connection_arguments(), autocommit=True)
         cursor = connection.cursor()
         cursor.execute("CREATE TABLE e (id INT PRIMARY KEY)")
         cursor.execute("INSERT INTO e VALUES (1)")
@@ -149,11 +149,11 @@
             ({"database": "nowhere"}, 1049),
         ):
             with self.subTest(changes=changes), self.assertRaises(pymysql.MySQLError) as caught:
-                pymysql.connect(**arguments(**changes))
+                pymysql.connect(**connection_arguments(**changes))
             self.assertEqual(caught.exception.args[0], code)
 
     def test_request_id_for_other_work_is_refused(self):
-        connection = pymysql.connect(**arguments(), autocommit=True)
+        connection = pymysql.connect(**connection_arguments(), autocommit=True)
         cursor = connection.cursor()
         cursor.execute("CREATE TABLE f (id INT)")
         request_id = f"{int(datetime.datetime.now().timestamp())}-f"
--- a/tests/integration/test_operators.py
+++ b/tests/integration/test_operators.py
@@ -39,12 +39,12 @@
         self.assertIn(f"accepted: version {version + 1}", first.stdout)
         for zone in shared.file.zones():
             self.assertIn(f"zone {zone}: version {version + 1} in force", first.stdout)
-        again = shared.command("apply", "-f", path, *expect, "--change-id", "one")
-        self.assertIn(f"accepted: version {version + 1}", again.stdout)
+        resent = shared.command("apply", "-f", path, *expect, "--change-id", "one")
+        self.assertIn(f"accepted: version {version + 1}", resent.stdout)
         other = self.changed_file(102)
-        late = shared.command("apply", "-f", other, *expect, "--change-id", "two")
-        self.assertEqual(late.returncode, 3)
-        self.assertIn("by lab (change one)", late.stderr)
+        conflicting = shared.command("apply", "-f", other, *expect, "--change-id", "two")
+        self.assertEqual(conflicting.returncode, 3)
+        self.assertIn("by lab (change one)", conflicting.stderr)
         self.assertIn("one", shared.command("history").stdout)
         self.assertEqual(shared.command("diff", "-f", path).returncode, 0)
 
@@ -60,9 +60,9 @@
 
     def test_drain_reaches_every_proxy_and_status_shows_it(self):
         group = shared.file.groups[0]
-        # A proxy's first report may precede its members' first status.
-        wait_until(lambda: self.shown_replicas(group))
-        replica = self.shown_replicas(group)[0]
+        # A proxy's first report may precede the first status of its members.
+        wait_until(lambda: self.listed_replicas(group))
+        replica = self.listed_replicas(group)[0]
         self.assertEqual(shared.command("drain", f"{group.name}/{replica}").returncode, 0)
         wait_until(lambda: "leaving" in shared.command("status").stdout)
         self.assertEqual(shared.command("undrain", f"{group.name}/{replica}").returncode, 0)
@@ -70,8 +70,8 @@
         unknown = shared.command("drain", "nothing/here")
         self.assertIn("no such member: nothing/here", unknown.stderr)
 
-    def shown_replicas(self, group):
-        """Return the names of the group's members that the status shows as replicas."""
+    def listed_replicas(self, group):
+        """Return the names of the group's replicas in the output of ``status``."""
         return [
             line.split()[1]
             for line in shared.command("status").stdout.splitlines()
@@ -79,24 +79,24 @@
         ]
 
     def test_wrong_token_and_no_control_node(self):
-        wrong = shared.command("get", ROWANRAIL_TOKEN="wrong")
-        self.assertIn("unknown operator token", wrong.stderr)
-        nobody = run_command("status", ROWANRAIL_CONTROL="127.0.0.1:1", ROWANRAIL_TOKEN="x")
-        self.assertEqual(nobody.returncode, 4)
-        self.assertIn("no control node could serve", nobody.stderr)
-        self.assertNotIn("Traceback", nobody.stderr)
+        denied = shared.command("get", ROWANRAIL_TOKEN="wrong")
+        self.assertIn("unknown operator token", denied.stderr)
+        unreachable = run_command("status", ROWANRAIL_CONTROL="127.0.0.1:1", ROWANRAIL_TOKEN="x")
+        self.assertEqual(unreachable.returncode, 4)
+        self.assertIn("no control node could serve", unreachable.stderr)
+        self.assertNotIn("Traceback", unreachable.stderr)
 
     def test_port_in_use_and_wrong_settings(self):
         proxy = shared.fleet.folder / "settings" / f"{shared.file.proxies[0].name}.yaml"
-        taken = run_command("proxy", "--config", str(proxy))
-        self.assertEqual(taken.returncode, 1)
-        self.assertIn("address already in use", taken.stderr)
-        self.assertNotIn("Traceback", taken.stderr)
+        in_use = run_command("proxy", "--config", str(proxy))
+        self.assertEqual(in_use.returncode, 1)
+        self.assertIn("address already in use", in_use.stderr)
+        self.assertNotIn("Traceback", in_use.stderr)
         checked = run_command("check", str(proxy))
         self.assertIn("valid proxy settings", checked.stdout)
-        broken = Path(tempfile.mkdtemp()) / "proxy.yaml"
-        broken.write_text(proxy.read_text().replace("listen:", "lsten:", 1))
-        refused = run_command("proxy", "--config", str(broken))
+        invalid = Path(tempfile.mkdtemp()) / "proxy.yaml"
+        invalid.write_text(proxy.read_text().replace("listen:", "lsten:", 1))
+        refused = run_command("proxy", "--config", str(invalid))
         self.assertEqual(refused.returncode, 2)
         self.assertIn("lsten: unknown key; did you mean 'listen'?", refused.stderr)
 
--- a/tests/integration/test_torture.py
+++ b/tests/integration/test_torture.py
@@ -1,4 +1,4 @@
-"""The guarantees on real processes: a load under kills, freezes, cuts and lags."""
+"""Guarantees of a fleet under load while processes are killed or frozen, links cut, members lag."""
 
 import tempfile
 import unittest
@@ -11,14 +11,14 @@
 
 
 class TortureTest(unittest.TestCase):
-    def check(self, profile, seed):
+    def assert_guarantees(self, profile, seed):
         with tempfile.TemporaryDirectory(prefix="rowanrail-test-") as scratch:
             report = torture(profile, SECONDS, seed, Path(scratch))
         self.assertTrue(report.passed, report)
         self.assertGreater(sum(report.faults.values()), 1)
 
     def test_blue_mahoe(self):
-        self.check(BLUE_MAHOE, 1)
+        self.assert_guarantees(BLUE_MAHOE, 1)
 
     def test_hallerbach(self):
-        self.check(HALLERBACH, 2)
+        self.assert_guarantees(HALLERBACH, 2)
