--- a/tests/unit/test_two_checkouts.py
+++ b/tests/unit/test_two_checkouts.py
@@ -41,7 +41,7 @@
         return fleet
 
     def run_and_read_logs(self, fleet: PlatformFleet, hosts: list[str]) -> list[str]:
-        """Start processes and return the last line of each log."""
+        """Run a process on each host until it exits, and return the last line of each log."""
         for host in hosts:
             fleet.restart(host)
         for host in hosts:
