--- a/src/rowanrail/gateway/discovery/control_plane_client.py
+++ b/src/rowanrail/gateway/discovery/control_plane_client.py
@@ -46,7 +46,7 @@
 __all__ = ["ControlPlaneClient", "DirectoryHost"]
 
 # For which a control node holds a poll without updates. It is also the interval of reports, from
-# which control nodes decide whether a gateway is live (REPORT_LIVE_SECONDS).
+# which control nodes decide whether a gateway is live (MAX_REPORT_AGE_SECONDS).
 POLL_WAIT_SECONDS = 1.0
 # Added to the hold time for the round trip and the control node's processing.
 ROUND_TRIP_SECONDS = 0.6
